--- a/src/core/barter.cpp
+++ b/src/core/barter.cpp
@@ -55,7 +55,8 @@
         if (t != o.domain() && replica_.capacity_of(t) > 0 &&
             (to.empty() || replica_.capacity_of(t) > replica_.capacity_of(to)))
             to = t;
-    if (!to.empty()) o.rehome(to, INT64_MAX / 2, INT64_MAX / 2);
+    constexpr Milli kAll = INT64_MAX / 2;
+    if (!to.empty()) o.rehome(to, {kAll, kAll, kAll, kAll});
 }
 
 /// Room elsewhere: the job goes there. Otherwise idle machines come here.
@@ -81,8 +82,8 @@
     }
     // Half of it, since others look at the same.
     if (roomy && room(*roomy) > 0)
-        o.rehome(roomy->domain, std::max<Milli>(roomy->free_ordinary - roomy->waiting, 0) / 2,
-                 roomy->free_spot / 2);
+        o.rehome(roomy->domain, {std::max<Milli>(roomy->free_ordinary - roomy->waiting, 0) / 2,
+                                 roomy->free_spot / 2, roomy->idle_ordinary / 2, roomy->idle_spot / 2});
     if (best) {
         wanting_[*best] = true;
         peers_.call(*best, peer::pack(want), kTimeout,
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -4,6 +4,7 @@
 #include <tuple>
 #include <utility>
 
+#include "allocation/demand.hpp"
 #include "core/owner.hpp"
 #include "log/log.hpp"
 
@@ -24,9 +25,32 @@
     return job.no_room_at > 0 && now - job.waiting_since >= patience && now - job.no_room_at <= kTriesAgain;
 }
 
+/// What the machines of a domain have in all, and their types.
+struct Capacity {
+    Resources total;
+    std::set<const MachineType*> types;
+
+    explicit Capacity(const std::map<std::string, std::unique_ptr<Machine>>& machines) {
+        for (const auto& [name, m] : machines) {
+            if (!m->type || m->retired) continue;
+            total += m->type->size;
+            types.insert(m->type);
+        }
+    }
+    /// Cores that a task occupies, its part of the domain's GPUs included.
+    Milli occupied_by(const JobSpec& spec) const { return allocation::gpu_bound_cores(spec.need, total); }
+    /// Whether a task leaves no room for a second one on any type of machine here.
+    bool filled_by(const JobSpec& spec) const {
+        return std::none_of(types.begin(), types.end(), [&spec](const MachineType* type) {
+            return (spec.need + spec.need).fits(type->size);
+        });
+    }
+};
+
 }  // namespace
 
 peer::DomainLoad Owner::load() const {
+    const Capacity capacity(ledger_.machines);
     peer::DomainLoad d;
     d.domain = domain_;
     d.mark = mark_;
@@ -38,7 +62,8 @@
         if (!m->spot) d.ordinary += m->type->size.cores;
         if (!usable(*m)) continue;
         // Idle work gives way to everything else.
-        (m->spot ? d.free_spot : d.free_ordinary) += m->type->size.cores - m->booked.cores + m->idle_work;
+        (m->spot ? d.free_spot : d.free_ordinary) +=
+            allocation::available_cores(m->type->size - m->booked, m->type->size) + m->idle_work;
         if (m->tasks.empty()) (m->spot ? d.idle_spot : d.idle_ordinary) += m->type->size.cores;
     }
     std::map<std::string, Resources> waiting;
@@ -46,7 +71,7 @@
         if (job->rank == Rank::Production && job->open)
             d.production += job->spec.need.cores * (job->idle + job->bound);
         if (job->waiting() == 0) continue;
-        d.waiting += job->spec.need.cores * job->idle;
+        d.waiting += capacity.occupied_by(job->spec) * job->idle;
         if (lacks_room(*job, context_.host().now())) continue;
         auto& w = waiting[job->spec.team];
         w.cores += job->spec.need.cores * job->idle;
@@ -89,9 +114,10 @@
                 [&](const std::string& a, const std::string& b) { return used[a] < used[b]; });
     }
     if (first->spec.types && first->spec.types->size() == 1) w.type = first->spec.types->front();
+    const Capacity capacity(ledger_.machines);
     for (const auto& [ref, job] : ledger_.jobs)
         if (job->spec.spot == first->spec.spot && now - job->waiting_since > kWantAfter)
-            w.cores += job->spec.need.cores * job->waiting();
+            w.cores += capacity.occupied_by(job->spec) * job->waiting();
     return w;
 }
 
@@ -129,19 +155,25 @@
 
 /// The record names the owner, so one change of it is all there is to it. Only jobs of which no attempt was
 /// ever bound: of the others something may still be on machines of ours.
-void Owner::rehome(const std::string& to, Milli ordinary, Milli spot) {
+void Owner::rehome(const std::string& to, RoomElsewhere room) {
     const Micros now = context_.host().now();
+    const Capacity capacity(ledger_.machines);
     for (auto& [ref, owned] : ledger_.jobs) {
         Job& job = *owned;
         auto& part = job.parts[0];
         if (job.stage != Stage::Queued || job.next_attempt != 1 || job.idle != job.spec.tasks) continue;
         if (part.in_flight || part.reloading || part.mark == 0) continue;
         if (!ledger_.machines.empty() && (!job.open || now - job.waiting_since < kWantAfter)) continue;
-        const Milli need = job.spec.need.cores * job.spec.tasks;
-        if (need > ordinary + (job.spec.spot ? spot : 0)) continue;
-        const Milli from_spot = job.spec.spot ? std::min(need, spot) : 0;
-        spot -= from_spot;
-        ordinary -= need - from_spot;
+        const Milli need = capacity.occupied_by(job.spec) * job.spec.tasks;
+        // What fills a machine finds no room on two that are half free.
+        if (capacity.filled_by(job.spec) && need > room.idle_ordinary + (job.spec.spot ? room.idle_spot : 0))
+            continue;
+        if (need > room.ordinary + (job.spec.spot ? room.spot : 0)) continue;
+        const Milli from_spot = job.spec.spot ? std::min(need, room.spot) : 0;
+        room.spot -= from_spot;
+        room.ordinary -= need - from_spot;
+        room.idle_spot -= from_spot;
+        room.idle_ordinary -= need - from_spot;
         if (!context_.store().room(Priority::Normal)) return;
         Change change;
         change.when = as_known(job);
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
+#include "allocation/demand.hpp"
 #include "core/holdings.hpp"
 #include "core/leadership.hpp"
 #include "core/leases.hpp"
@@ -23,12 +24,25 @@
 constexpr Micros kLateBoots = 2;  // times its type's, from when on a machine may never come up
 constexpr Micros kSilent = 90 * kSecond;
 constexpr Micros kForget = 120 * kSecond;  // a peak of demand halves in this time
+// The same for teams without a limit where operators have no objective about cost: a machine that is returned
+// and rented again costs its boot and the fetch of every image.
+constexpr Micros kForgetWithoutCostObjective = 1200 * kSecond;
 constexpr Micros kAverage = 60 * kSecond;
 constexpr double kOrdinaryMargin = 1.1;
 constexpr double kMargin = 1.15;
 constexpr Micros kLeftOutEvery = 2 * kSecond;
 constexpr Micros kLeftOutAfter = 10 * kSecond;
 
+/// What a wanted amount was before a margin was put on it.
+Milli unmargined(Milli wanted, double margin) {
+    return static_cast<Milli>(static_cast<double>(wanted) / margin);
+}
+
+bool has_cost_objective(const Settings& settings) {
+    return std::any_of(settings.objectives.begin(), settings.objectives.end(),
+                       [](const Objective& o) { return o.kind == "useful" || o.kind == "price"; });
+}
+
 /// Of a job's tasks, on an empty machine.
 int tasks_on(const Resources& size, const Resources& need) {
     Milli n = kMaxAtOnce * 1000;
@@ -90,7 +104,8 @@
         booting_.clear();
         doomed_.clear();
         first_listed_.clear();
-        peak_ordinary_ = mean_flexible_ = 0;
+        peak_ordinary_ = peak_unlimited_ordinary_ = peak_unlimited_flexible_ = {};
+        mean_flexible_ = 0;
         weighed_at_ = 0;
     }
     if (!listing_ && now - listed_at_ > kListEvery) {
@@ -230,53 +245,36 @@
         balance_.ordinary = std::max(balance_.ordinary, inherited_.ordinary);
         balance_.total = std::max(balance_.total, inherited_.total);
     }
-    // Teams without a guarantee take what is left over: nothing is rented for them.
-    struct Demand {
-        Milli limit, ordinary = 0, flexible = 0;
-    };
-    Milli limit = 0;
-    std::map<std::string, Demand> teams;
-    for (const auto& t : s.teams) {
-        if (t.guarantee.cores > 0) teams.emplace(t.name, Demand{t.limit.cores});
-        limit += t.limit.cores < kNoLimit ? t.limit.cores : t.guarantee.cores;
-    }
-    for (const auto& [ref, job] : replica_.jobs.live()) {
-        auto team = teams.find(job.team);
-        if (job.cancelled || !job.open || team == teams.end()) continue;
-        Demand& demand = team->second;
-        // One that is taken to be broken is tried with one task at a time.
-        const int tasks = job.held ? 1 : std::max(job.tasks - job.done, 0);
-        const Milli cores = job.need.cores * tasks;
-        if (!job.spot) {
-            demand.ordinary += cores;
-            continue;
-        }
-        // What waits behind other work needs less than a core for each of its own: it takes turns.
-        const Milli running = std::min(job.need.cores * job.running, cores);
-        demand.flexible += running + (cores - running) / 2;
-    }
-    // What a team may not run at once needs no machines at once.
-    Milli ordinary = 0, flexible = 0;
-    for (const auto& [name, d] : teams) {
-        const Milli first = std::min(d.ordinary, d.limit);
-        ordinary += first;
-        flexible += std::min(d.flexible, d.limit - first);
-    }
+    allocation::DemandEstimator estimator(s.teams, replica_.types.types());
+    for (const auto& [ref, job] : replica_.jobs.live()) estimator.add(job);
+    const allocation::Demand demand = estimator.total();
     const Milli spot = balance_.total - balance_.ordinary;
     const auto passed = static_cast<double>(weighed_at_ > 0 ? now - weighed_at_ : 0);
     weighed_at_ = now;
-    peak_ordinary_ = std::max(static_cast<double>(ordinary),
-                              peak_ordinary_ * std::exp2(-passed / static_cast<double>(kForget)));
+    peak_ordinary_.update(demand.ordinary, passed, kForget);
+    const Micros half_life = has_cost_objective(s) ? kForget : kForgetWithoutCostObjective;
+    peak_unlimited_ordinary_.update(demand.unlimited_ordinary, passed, half_life);
+    peak_unlimited_flexible_.update(demand.unlimited_flexible, passed, half_life);
+    // A new leader does not know the peaks before its term: where nothing but demand limits the fleet, it
+    // takes what is there for wanted, until the list can tell of all of it.
+    if (now - leading_since_ < listed_by() && demand.limit == 0) {
+        peak_unlimited_ordinary_.update(unmargined(balance_.ordinary, kOrdinaryMargin), passed, half_life);
+        peak_unlimited_flexible_.update(unmargined(spot, kMargin), passed, half_life);
+    }
     const double weight = passed > 0 ? std::exp(-passed / static_cast<double>(kAverage)) : 0;
-    mean_flexible_ = mean_flexible_ * weight + static_cast<double>(flexible) * (1 - weight);
+    mean_flexible_ = mean_flexible_ * weight + static_cast<double>(demand.flexible) * (1 - weight);
     // Spot machines are cheap: all that the teams may use. Ordinary ones: what work needs that may not use
     // spot, whose peak is forgotten slowly since it must not wait for a machine to boot; and what spot
     // machines don't cover of the rest. That can wait a little, and a burst is over before machines are up,
-    // so its average counts.
+    // so its average counts. A team without a limit may use all that its work needs, and a margin.
     const double rest = mean_flexible_ * kMargin - static_cast<double>(spot);
+    const double unlimited_ordinary = peak_unlimited_ordinary_.value() * kOrdinaryMargin;
+    const double unlimited = unlimited_ordinary + peak_unlimited_flexible_.value() * kMargin;
+    const Milli most = demand.limit + static_cast<Milli>(unlimited);
+    const double peak = peak_ordinary_.value();
     balance_.wanted_ordinary = std::min(
-        limit, static_cast<Milli>(std::max(peak_ordinary_ * kOrdinaryMargin, peak_ordinary_ + rest)));
-    balance_.wanted_total = limit;
+        most, static_cast<Milli>(std::max({peak * kOrdinaryMargin, peak + rest, unlimited_ordinary})));
+    balance_.wanted_total = most;
 }
 
 /// At most every ten seconds, so that the log shows why machines come and go.
@@ -424,30 +422,29 @@
         for (const auto& m : block.machines) there[{block.type, block.zone, block.spot}] += !m.retired;
     for (const auto& [name, b] : booting_) ++there[{b.type, b.zone, b.spot}];
     for (const auto& [name, r] : rentals_) there[{r.type, r.zone, r.spot}] += r.count;
-    std::map<std::string, Milli> limits;  // guests take what is left over
-    for (const auto& t : settings_.teams)
-        if (t.guarantee.cores > 0) limits[t.name] = t.limit.cores;
+    std::map<std::string, const Team*> teams;
+    for (const auto& t : settings_.teams) teams[t.name] = &t;
     const std::int64_t by = host_.wall_ms() - kLeftOutAfter / kMillisecond;
     const LiveJob* first = nullptr;
     LeftOut out;
     for (const auto& [ref, job] : replica_.jobs.live()) {
         const bool waits = job.open && !job.cancelled && !job.held && job.done + job.running < job.tasks;
-        const auto limit = limits.find(job.team);
-        if (!waits || job.since_ms > by || limit == limits.end() ||
+        const auto team = teams.find(job.team);
+        if (!waits || job.since_ms > by || team == teams.end() ||
+            !allocation::rents_machines(*team->second, job.rank) ||
             (first && first->since_ms <= job.since_ms))
             continue;
         const Value* spec = wire::find(job.record, "d");
         if (!spec) continue;
-        const auto zone = wire::text(*spec, "mill");
-        const Value* types = wire::find(*spec, "looms");
-        auto may_use = [&](const Shape& shape) {
-            return (!shape.spot || job.spot) && (!zone || *zone == shape.zone) &&
-                   (!types || !types->is_array() ||
-                    std::find(types->begin(), types->end(), Value(shape.type)) != types->end());
+        auto may_use = [&job = job](const Shape& shape) {
+            return (!shape.spot || job.spot) && (!job.zone || *job.zone == shape.zone) &&
+                   (!job.types ||
+                    std::find(job.types->begin(), job.types->end(), shape.type) != job.types->end());
         };
-        const bool array = wire::text(*spec, "weave") == "array";
+        const bool array = job.kind == JobKind::Array;
         int missing = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
-        if (job.need.cores > 0) missing = std::min<Milli>(missing, limit->second / job.need.cores);
+        if (job.need.cores > 0)
+            missing = std::min<Milli>(missing, team->second->limit.cores / job.need.cores);
         for (const auto& [shape, count] : there)
             if (const auto* t = replica_.types.find(shape.type); t && missing > 0 && may_use(shape))
                 missing -= count * tasks_on(t->size, job.need);
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -9,6 +9,7 @@
 #include <tuple>
 #include <vector>
 
+#include "allocation/demand.hpp"
 #include "core/host.hpp"
 #include "core/owner.hpp"
 
@@ -136,7 +137,9 @@
     Micros reclaimed_at_ = 0;
     Micros looked_for_left_out_ = 0;
     Micros holding_since_ = 0;
-    double peak_ordinary_ = 0;
+    allocation::DecayingPeak peak_ordinary_;
+    allocation::DecayingPeak peak_unlimited_ordinary_;  // of teams without a limit
+    allocation::DecayingPeak peak_unlimited_flexible_;
     double mean_flexible_ = 0;
     Micros weighed_at_ = 0;
     Micros logged_at_ = 0;
--- a/src/core/owner.hpp
+++ b/src/core/owner.hpp
@@ -131,8 +131,15 @@
     /// until `keep`.
     std::vector<std::string> offer(const peer::Want& want);
     void keep(const std::vector<std::string>& machines);
-    /// Gives away waiting jobs that have never been bound, as many as fit into that many cores.
-    void rehome(const std::string& to, Milli ordinary, Milli spot);
+    /// Room in another domain, in thousandths of a core; the idle parts are on machines without any task.
+    struct RoomElsewhere {
+        Milli ordinary = 0;
+        Milli spot = 0;
+        Milli idle_ordinary = 0;
+        Milli idle_spot = 0;
+    };
+    /// Gives away waiting jobs that have never been bound, as many as fit into that room.
+    void rehome(const std::string& to, RoomElsewhere room);
     /// What of the team's share neither is in use nor waited for.
     Resources spare_share(const std::string& team) const;
     Resources unused_share(const std::string& team) const;
--- a/src/core/users.cpp
+++ b/src/core/users.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "allocation/demand.hpp"
 #include "log/log.hpp"
 
 namespace cottonway {
@@ -359,7 +360,7 @@
         const Held* at = live ? replica_.members.domain(live->domain) : nullptr;
         if (at && replica_.members.alive(at->holder)) return live->domain;
     }
-    const Milli need = spec.need.cores * spec.tasks;
+    const Milli need = allocation::gpu_bound_cores(spec.need, replica_.types.types()) * spec.tasks;
     std::vector<std::string> all;
     std::string best;
     double best_room = 0;
--- a/src/replica/jobs.cpp
+++ b/src/replica/jobs.cpp
@@ -79,6 +79,10 @@
                 job.need = parsed->need;
                 job.image = parsed->image;
                 job.spot = parsed->spot;
+                job.rank = parsed->rank;
+                job.types = parsed->types;
+                job.zone = parsed->zone;
+                job.kind = parsed->kind;
             }
         }
         // Cancelled with one before it, whatever its record says: nobody is told anything else any more.
--- a/src/replica/jobs.hpp
+++ b/src/replica/jobs.hpp
@@ -6,6 +6,7 @@
 #include <functional>
 #include <list>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
@@ -49,6 +50,10 @@
     std::int64_t since_ms = 0;  // when it began to count (see Job)
     bool open = true;           // waits for no other job
     Resources need;             // of one task
+    Rank rank = Rank::Normal;
+    std::optional<std::vector<std::string>> types;  // that it may use, nothing: all
+    std::optional<std::string> zone;                // the only one that it may use
+    JobKind kind = JobKind::Array;
     int tasks = 0;
     int done = 0;
     int running = 0;
