--- a/src/core/relays.cpp
+++ b/src/core/relays.cpp
@@ -33,7 +33,7 @@
       leadership_(leadership),
       leases_(leases),
       peers_(peers),
-      asked_(settings.peers.size()),
+      in_flight_(settings.peers.size()),
       started_(host.now()) {}
 
 bool Relays::authorised() const {
@@ -197,30 +197,38 @@
     for (const auto& [name, o] : holdings_.all()) {
         if (!o || !o->active()) continue;
         for (std::size_t i = 0; i < peers_.count(); ++i) {
-            if (asked_[i] || !replica_.members.alive(settings_.peers[i].name)) continue;
-            auto machines = o->to_renounce(i);
-            if (machines.size() > peer::kMaxMachines) machines.resize(peer::kMaxMachines);
-            if (machines.empty()) continue;
-            asked_[i] = true;
-            const std::string packed = peer::pack(peer::Renounce{settings_.node, name, o->mark(), machines});
-            peers_.call(
-                i, packed, kPeerTimeout,
-                [this, i, name = name, mark = o->mark(), machines, sent = now](const Reply& r) {
-                    asked_[i] = false;
-                    auto answer = peer::unpack<peer::Renounced>(r.bytes);
-                    Owner* o2 = holdings_.find(name);
-                    if (!answer || answer->ages.size() != machines.size() || !o2 || o2->mark() != mark)
-                        return;
+            if (in_flight_[i] > 0 || !replica_.members.alive(settings_.peers[i].name)) continue;
+            const auto machines = o->to_renounce(i);
+            // Several messages, none longer than the version before reads.
+            for (std::size_t from = 0; from < machines.size(); from += peer::kMaxMachines) {
+                const auto end = std::min(machines.size(), from + peer::kMaxMachines);
+                const auto first = machines.begin();
+                ask_to_renounce(
+                    i, *o,
+                    {first + static_cast<std::ptrdiff_t>(from), first + static_cast<std::ptrdiff_t>(end)});
+            }
+        }
+    }
+}
+
+void Relays::ask_to_renounce(std::size_t peer, const Owner& owner, std::vector<std::string> machines) {
+    const peer::Renounce message{settings_.node, owner.domain(), owner.mark(), machines};
+    ++in_flight_[peer];
+    peers_.call(peer, peer::pack(message), kPeerTimeout,
+                [this, peer, domain = owner.domain(), mark = owner.mark(), machines = std::move(machines),
+                 sent = host_.now()](const Reply& r) {
+                    --in_flight_[peer];
+                    const auto answer = peer::unpack<peer::Renounced>(r.bytes);
+                    Owner* o = holdings_.find(domain);
+                    if (!answer || answer->ages.size() != machines.size() || !o || o->mark() != mark) return;
                     // Given for longer, but a process that follows the giver's knows nothing of it, and
                     // waits for this long.
                     const Micros promised = kForgotten * with_drift(settings_.lease);
                     for (std::size_t m = 0; m < machines.size(); ++m)
-                        o2->renounced(i, machines[m],
-                                      {sent + promised - promised / 100,
-                                       host_.now() - std::max<Micros>(answer->ages[m], 0)});
+                        o->renounced(peer, machines[m],
+                                     {sent + promised - promised / 100,
+                                      host_.now() - std::max<Micros>(answer->ages[m], 0)});
                 });
-        }
-    }
 }
 
 }  // namespace cottonway
--- a/src/core/relays.hpp
+++ b/src/core/relays.hpp
@@ -45,6 +45,7 @@
     void lease(const Report& r, const ApiResponder& respond);
     void help(const Report& r, const Block& block, const std::string& bytes, ApiResponder respond);
     void relay(const Report& r, std::size_t peer, const std::string& bytes, ApiResponder respond);
+    void ask_to_renounce(std::size_t peer, const Owner& owner, std::vector<std::string> machines);
     void stand_in(const Report& r, const Block& block, const ApiResponder& respond);
 
     Host& host_;
@@ -58,7 +59,7 @@
     Peers& peers_;
     std::unordered_map<std::string, Visit> visits_;
     std::set<std::string> meeting_;  // machines in no block that are being called
-    std::vector<bool> asked_;        // by peer: for a promise
+    std::vector<int> in_flight_;     // requests to relinquish leases, by peer
     Micros started_ = 0;
     Micros renounced_ = 0;
 };
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -18,6 +18,8 @@
 constexpr std::size_t kNameSize = 48;
 constexpr std::size_t kMaxDomains = 32;
 constexpr std::size_t kMaxTeams = 32;
+/// Machines in one message, so that it fits into a request's 64 KiB. What is about more takes several
+/// messages.
 constexpr std::size_t kMaxMachines = 1000;
 constexpr std::size_t kMaxReport = 64 * 1024;
 
