--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -78,6 +78,9 @@
             timer);
     }
     void call(Call call, ReplyHandler done) override {
+        if (world_.on_traffic)
+            world_.on_traffic(name_, call.method + " " + call.path,
+                              call.body.is_null() ? call.bytes : wire::encode(call.body));
         auto pending = std::make_shared<Pending>();
         auto finish = [self = shared_from_this(), pending, done = std::move(done)](const Reply& r) {
             self->take(
@@ -574,6 +577,13 @@
         for (auto& w : std::exchange(r.waiting, {})) w();
 }
 
+void World::answered(int node, const ApiResponse& response) const {
+    if (on_traffic)
+        on_traffic("loom-" + std::to_string(node),
+                   std::to_string(response.status) + " " + std::to_string(response.retry_after),
+                   wire::encode(response.body));
+}
+
 void World::tick() {
     at(now_ + kStep, [this] { tick(); });
     if (odd_requests && drawn(0.2)) odd_request();
@@ -639,6 +649,7 @@
             Node& n = nodes_[static_cast<std::size_t>(target)];
             if (!n.controller) return;
             n.controller->handle({"POST", "/v1/report", body, false}, [=, this](const ApiResponse& a) {
+                answered(target, a);
                 send(host, name, [=, this] {
                     auto& x = workers_[name];
                     if (!x.worker || x.hung || x.generation != generation || !x.in_flight) return;
@@ -728,6 +739,7 @@
         hand(target, [this, target, method, path, bytes, finish] {
             if (!node(target)) return;
             node(target)->handle({method, path, bytes, false}, [this, target, finish](const ApiResponse& r) {
+                answered(target, r);
                 at(now_ + delay(), [this, target, finish, r] {
                     if (node(target)) finish(r);
                 });
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -173,6 +173,12 @@
     int starts(const std::string& ref) const;
     int completed_tasks(const std::string& ref) const;
 
+    /// Told of every request that a controller sends (`who`: its name, `what`: method and path) and of every
+    /// answer that it gives to a worker or a user (`what`: the status), in order, with the encoded body.
+    using TrafficObserver =
+        std::function<void(const std::string& who, const std::string& what, const std::string& body)>;
+    TrafficObserver on_traffic;
+
     // The verdict.
     std::vector<std::string> broken;
     std::vector<std::string> trace;
@@ -255,6 +261,7 @@
     }
     void heal(const std::vector<std::pair<std::string, std::string>>& links);
     Micros unanswered(const User& u) const;
+    void answered(int node, const ApiResponse& response) const;
     void tick();
     /// What there is, for LeftWaiting.
     Sight sight();
