--- a/src/core/fleet.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -1,15 +1,15 @@
-#include "core/fleet.hpp"
+#include "allocation/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 #include "allocation/demand.hpp"
-#include "core/holdings.hpp"
-#include "core/leadership.hpp"
-#include "core/leases.hpp"
-#include "core/peers.hpp"
-#include "log/log.hpp"
-#include "planning/constraints.hpp"
+#include "allocation/machine_allocator.hpp"
+#include "cluster/leader_election.hpp"
+#include "cluster/peer_directory.hpp"
+#include "cluster/shard_assignment.hpp"
+#include "logging/log.hpp"
+#include "scheduling/constraints.hpp"
 
 namespace cottonway {
 
@@ -47,48 +47,49 @@
 int tasks_on(const Resources& size, const Resources& need) {
     Milli n = kMaxAtOnce * 1000;
     if (need.cores > 0) n = std::min(n, size.cores / need.cores);
-    if (need.cards > 0) n = std::min(n, size.cards / need.cards);
+    if (need.gpus > 0) n = std::min(n, size.gpus / need.gpus);
     if (need.ram > 0) n = std::min(n, size.ram / need.ram);
     return static_cast<int>(n);
 }
 }  // namespace
 
-Fleet::Fleet(Host& host, const Settings& settings, Replica& replica, const Holdings& holdings,
-             const Leadership& leadership, Leases& leases, const Peers& peers)
-    : host_(host),
+Autoscaler::Autoscaler(Runtime& runtime, const Settings& settings, StateCache& cache,
+                       const ShardAssignment& assignment, const LeaderElection& election,
+                       MachineAllocator& machine_allocator, const PeerDirectory& peers)
+    : runtime_(runtime),
       settings_(settings),
-      replica_(replica),
-      holdings_(holdings),
-      leadership_(leadership),
-      leases_(leases),
+      cache_(cache),
+      assignment_(assignment),
+      election_(election),
+      machine_allocator_(machine_allocator),
       peers_(peers),
       budget_(settings.cloud_rps * 0.8, std::max(1.0, settings.cloud_rps)) {}
 
 /// `reserve` requests are left over for what is more urgent.
-bool Fleet::call(Call c, double reserve, ReplyHandler done) {
-    if (host_.now() < pause_until_ || budget_.take(host_.now(), 1, reserve) > 0) return false;
+bool Autoscaler::call(Call c, double reserve, ReplyHandler done) {
+    if (runtime_.now() < pause_until_ || budget_.take(runtime_.now(), 1, reserve) > 0) return false;
     c.target = Target::Cloud;
     c.timeout = 4 * kSecond;
-    host_.call(std::move(c), [this, done = std::move(done)](const Reply& r) {
+    runtime_.call(std::move(c), [this, done = std::move(done)](const Reply& r) {
         if (r.status == 429 || (r.status == 503 && wire::text(r.body, "error") != "no capacity"))
             pause_until_ =
-                host_.now() + kSecond + static_cast<Micros>(host_.random()() % 1000) * kMillisecond;
+                runtime_.now() + kSecond + static_cast<Micros>(runtime_.random()() % 1000) * kMillisecond;
         done(r);
     });
     return true;
 }
 
-void Fleet::tick() {
-    const Micros now = host_.now();
+void Autoscaler::tick() {
+    const Micros now = runtime_.now();
     if (holding_since_ == 0) holding_since_ = now;
     const bool reclaims = now - reclaimed_at_ > kReclaimEvery;
     if (reclaims) reclaimed_at_ = now;
-    for (const auto& [name, owner] : holdings_.all()) {
+    for (const auto& [name, owner] : assignment_.all()) {
         if (!owner || !owner->active()) continue;
         if (reclaims) drain(*owner);
         reclaim(*owner, reclaims);
     }
-    if (!leadership_.leading()) {
+    if (!election_.leading()) {
         was_leading_ = false;
         if (const auto told = peers_.balance(); told.term > 0) counted_ = {told.ordinary, told.total, now};
         return;
@@ -99,10 +100,10 @@
         leading_since_ = now;
         // Rental names hold the mark of the leader's term, which no other term shares, so none is ever used
         // twice.
-        term_ = leadership_.term();
+        term_ = election_.term();
         rentals_.clear();
-        booting_.clear();
-        doomed_.clear();
+        pending_instances_.clear();
+        never_registered_.clear();
         first_listed_.clear();
         peak_ordinary_ = peak_unlimited_ordinary_ = peak_unlimited_flexible_ = {};
         mean_flexible_ = 0;
@@ -119,12 +120,12 @@
         c.method = "GET";
         c.path = "/machine_types";
         call(std::move(c), 1, [this](const Reply& r) {
-            if (r.status == 200) replica_.learn(r.body);
+            if (r.status == 200) cache_.learn(r.body);
         });
     }
-    weigh();
+    evaluate_demand();
     log_balance();
-    if (!leadership_.acting()) return;
+    if (!election_.term_is_valid()) return;
     for (auto& [name, rental] : rentals_)
         if (!rental.in_flight && now >= rental.not_before) send(rental);
     remove();
@@ -133,7 +134,7 @@
 
 // ---------------------------------------------------------------- what is there
 
-void Fleet::list(const std::string& since) {
+void Autoscaler::list(const std::string& since) {
     listing_ = true;
     Call c;
     c.method = "GET";
@@ -142,111 +143,111 @@
     const bool sent = call(std::move(c), std::min(1.0, settings_.cloud_rps / 4), [this](const Reply& r) {
         listing_ = false;
         auto page = r.status == 200 ? wire::parse_machines(r.body) : std::nullopt;
-        if (!page || !leadership_.leading()) return;
+        if (!page || !election_.leading()) return;
         for (const auto& m : page->machines) on_listed(m);
         if (page->more && !page->machines.empty()) return list(page->machines.back().name);
         list_complete();
     });
     if (!sent)
-        host_.after(200 * kMillisecond, [this, since] {
-            if (!since.empty() && leadership_.leading()) return list(since);
+        runtime_.after(200 * kMillisecond, [this, since] {
+            if (!since.empty() && election_.leading()) return list(since);
             listing_ = false;
         });
 }
 
-void Fleet::on_listed(const CloudMachine& m) {
-    const Micros now = host_.now();
+void Autoscaler::on_listed(const CloudMachine& m) {
+    const Micros now = runtime_.now();
     listing_now_.insert(m.name);
-    if (leases_.returned(m.name)) return;  // the list is late
+    if (machine_allocator_.returned(m.name)) return;  // the list is late
     first_listed_.try_emplace(m.name, now);
-    const bool leased = replica_.blocks.of(m.name) != nullptr;
+    const bool leased = cache_.blocks.of(m.name) != nullptr;
     if (m.state == CloudState::Failed) {
         if (leased)
             retire(m.name, "it has failed");
         else
-            doomed_.emplace(m.name, now);
+            never_registered_.emplace(m.name, now);
         return;
     }
     if (leased) return;
-    if (!booting_.count(m.name)) {
+    if (!pending_instances_.count(m.name)) {
         // Rented by another term, or by a request that was carried out late.
-        booting_.emplace(m.name, Booting{m.type, m.zone, m.spot, now - m.age});
+        pending_instances_.emplace(m.name, PendingInstance{m.type, m.zone, m.spot, now - m.age});
         spdlog::debug("machine {}: in the cloud's list, not leased yet", m.name);
     }
     // Up and with an address: leased at once, so that its first report finds its holder.
-    if (m.state == CloudState::Running && !m.addr.empty() && !doomed_.count(m.name))
-        leases_.lease({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
-    const MachineType* type = replica_.types.find(m.type);
+    if (m.state == CloudState::Running && !m.addr.empty() && !never_registered_.count(m.name))
+        machine_allocator_.lease({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
+    const MachineType* type = cache_.types.find(m.type);
     const Micros boot = type ? type->boot : 60 * kSecond;
     // Far beyond its type's time: it will hardly come up, and it is charged all the while.
     if (m.state == CloudState::Starting && m.age > 3 * boot + 30 * kSecond &&
         now - leading_since_ > 20 * kSecond) {
         spdlog::info("machine {}: has not come up, to be returned", m.name);
-        doomed_.emplace(m.name, now);
+        never_registered_.emplace(m.name, now);
     }
 }
 
 /// A machine that was listed stays listed until it is gone. A list may be as old as twice its lag, so what
 /// was first listed long before that and is missing now is gone: its deletion, which does no harm, proves it,
 /// and ends the doubt about its tasks much sooner than their lease would.
-void Fleet::list_complete() {
-    const Micros now = host_.now();
+void Autoscaler::list_complete() {
+    const Micros now = runtime_.now();
     for (auto it = first_listed_.begin(); it != first_listed_.end();) {
         const std::string& name = it->first;
         if (listing_now_.count(name) || now - it->second < listed_by()) {
             ++it;
             continue;
         }
-        if (replica_.blocks.of(name))
+        if (cache_.blocks.of(name))
             retire(name, "it is no longer listed");
-        else if (booting_.erase(name) > 0)
-            doomed_.emplace(name, now);
+        else if (pending_instances_.erase(name) > 0)
+            never_registered_.emplace(name, now);
         it = first_listed_.erase(it);
     }
 }
 
 /// By the leader, whoever holds the machine.
-void Fleet::retire(const std::string& machine, const char* why) {
-    const Block* block = replica_.blocks.of(machine);
+void Autoscaler::retire(const std::string& machine, const char* why) {
+    const Block* block = cache_.blocks.of(machine);
     if (!block) return;
     for (const auto& m : block->machines)
         if (m.name == machine && m.retired) return;
-    if (Owner* owner = holdings_.find(block->domain)) return owner->retire(machine, why);
+    if (ShardOwner* owner = assignment_.find(block->shard)) return owner->retire(machine, why);
     spdlog::info("machine {}: to be returned: {}", machine, why);
-    leases_.retire(machine);
+    machine_allocator_.retire(machine);
 }
 
-bool Fleet::late(const Booting& b, const MachineType& type) const {
-    return host_.now() - b.since > kLateBoots * type.boot + settings_.list_lag;
+bool Autoscaler::late(const PendingInstance& b, const MachineType& type) const {
+    return runtime_.now() - b.since > kLateBoots * type.boot + settings_.list_lag;
 }
 
-void Fleet::weigh() {
-    const Micros now = host_.now();
+void Autoscaler::evaluate_demand() {
+    const Micros now = runtime_.now();
     const Settings& s = settings_;
-    std::erase_if(booting_, [&](const auto& b) { return replica_.blocks.of(b.first) != nullptr; });
+    std::erase_if(pending_instances_, [&](const auto& b) { return cache_.blocks.of(b.first) != nullptr; });
     balance_ = peer::FleetBalance{};
-    balance_.term = leadership_.term();
+    balance_.term = election_.term();
     auto add = [&](Milli cores, bool spot) {
         balance_.total += cores;
         if (!spot) balance_.ordinary += cores;
     };
-    for (const auto& [id, block] : replica_.blocks.all())
-        if (const auto* type = replica_.types.find(block.type))
+    for (const auto& [id, block] : cache_.blocks.all())
+        if (const auto* type = cache_.types.find(block.type))
             for (const auto& m : block.machines)
                 if (!m.retired) add(type->size.cores, block.spot);
-    for (const auto& [name, b] : booting_)
-        if (const auto* type = replica_.types.find(b.type); type && !late(b, *type))
+    for (const auto& [name, b] : pending_instances_)
+        if (const auto* type = cache_.types.find(b.type); type && !late(b, *type))
             add(type->size.cores, b.spot);
     for (const auto& [name, r] : rentals_)
-        if (const auto* type = replica_.types.find(r.type)) add(type->size.cores * r.count, r.spot);
+        if (const auto* type = cache_.types.find(r.type)) add(type->size.cores * r.count, r.spot);
     // What the leader before has rented may be neither up nor listed yet: it must not be rented again.
     counted_ = {balance_.ordinary, balance_.total, now};
     if (inherited_.at > 0 && now - inherited_.at < listed_by()) {
         balance_.ordinary = std::max(balance_.ordinary, inherited_.ordinary);
         balance_.total = std::max(balance_.total, inherited_.total);
     }
-    allocation::DemandEstimator estimator(s.teams, replica_.types.types());
-    for (const auto& [ref, job] : replica_.jobs.live()) estimator.add(job);
+    allocation::DemandEstimator estimator(s.teams, cache_.types.types());
+    for (const auto& [ref, job] : cache_.jobs.live()) estimator.add(job);
     const allocation::Demand demand = estimator.total();
     const Milli spot = balance_.total - balance_.ordinary;
     const auto passed = static_cast<double>(weighed_at_ > 0 ? now - weighed_at_ : 0);
@@ -278,24 +279,24 @@
 }
 
 /// At most every ten seconds, so that the log shows why machines come and go.
-void Fleet::log_balance() {
-    const Micros now = host_.now();
+void Autoscaler::log_balance() {
+    const Micros now = runtime_.now();
     if (now - logged_at_ < 10 * kSecond) return;
     logged_at_ = now;
     spdlog::info(
         "fleet: {} of {} cores wanted are there or coming, ordinary {} of {}; {} machines not leased yet",
         balance_.total / 1000, balance_.wanted_total / 1000, balance_.ordinary / 1000,
-        balance_.wanted_ordinary / 1000, booting_.size());
+        balance_.wanted_ordinary / 1000, pending_instances_.size());
 }
 
 // ---------------------------------------------------------------- returning
 
-/// What is too much in all, by the domain's part of the machines.
-Fleet::Surplus Fleet::surplus_of(const Owner& owner) const {
+/// What is too much in all, by the shard's part of the machines.
+Autoscaler::Surplus Autoscaler::surplus_of(const ShardOwner& owner) const {
     const auto balance = peers_.balance();
     if (balance.term == 0 || balance.total <= 0) return {};
     const double part =
-        static_cast<double>(replica_.capacity_of(owner.domain())) / static_cast<double>(balance.total);
+        static_cast<double>(cache_.capacity_of(owner.shard())) / static_cast<double>(balance.total);
     auto ours = [part](Milli surplus) {
         return static_cast<Milli>(static_cast<double>(std::max<Milli>(surplus, 0)) * std::min(part, 1.0));
     };
@@ -311,15 +312,15 @@
 }
 
 /// Surplus ordinary machines that batch work keeps busy are emptied, the least used ones first.
-void Fleet::drain(Owner& owner) {
+void Autoscaler::drain(ShardOwner& owner) {
     Milli surplus = surplus_of(owner).ordinary;
     std::vector<const Machine*> busy;
     for (const auto& [name, m] : owner.machines())
         if (!m->spot && !m->retired && m->type && owner.passing(*m)) busy.push_back(m.get());
     std::stable_sort(busy.begin(), busy.end(), [](const Machine* a, const Machine* b) {
-        return std::tuple(!a->draining, a->booked.cores) < std::tuple(!b->draining, b->booked.cores);
+        return std::tuple(!a->draining, a->reserved.cores) < std::tuple(!b->draining, b->reserved.cores);
     });
-    const bool settled = host_.now() - holding_since_ > settings_.ops.idle_return;
+    const bool settled = runtime_.now() - holding_since_ > settings_.ops.idle_return;
     for (const Machine* m : busy) {
         const bool on = settled && surplus >= m->type->size.cores;
         if (on) surplus -= m->type->size.cores;
@@ -327,8 +328,8 @@
     }
 }
 
-void Fleet::reclaim(Owner& owner, bool idle_too) {
-    const Micros now = host_.now();
+void Autoscaler::reclaim(ShardOwner& owner, bool idle_too) {
+    const Micros now = runtime_.now();
     const Settings& s = settings_;
     Surplus surplus = idle_too ? surplus_of(owner) : Surplus{};
     for (const auto& [name, m] : owner.machines()) {
@@ -342,7 +343,7 @@
         } else if (m->error_jobs.size() >= 3 && m->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
         } else if (idle_too && m->tasks.empty() && m->type && now - holding_since_ > s.ops.idle_return &&
-                   host_.listened() - m->idle_since > s.ops.idle_return) {
+                   runtime_.listened() - m->idle_since > s.ops.idle_return) {
             const Milli cores = m->type->size.cores;
             Milli& left = m->spot ? surplus.total : surplus.ordinary;
             if (left < cores) continue;
@@ -353,15 +354,15 @@
     }
 }
 
-void Fleet::remove() {
+void Autoscaler::remove() {
     if (deleting_) return;
-    const Micros now = host_.now();
+    const Micros now = runtime_.now();
     std::vector<std::string> names;
-    for (const auto& [id, block] : replica_.blocks.all())
+    for (const auto& [id, block] : cache_.blocks.all())
         for (const auto& m : block.machines)
             if (m.retired && names.size() < kMaxDelete) names.push_back(m.name);
-    for (const auto& [name, since] : doomed_)
-        if (names.size() < kMaxDelete && !replica_.blocks.of(name)) names.push_back(name);
+    for (const auto& [name, since] : never_registered_)
+        if (names.size() < kMaxDelete && !cache_.blocks.of(name)) names.push_back(name);
     std::erase_if(names, [&](const std::string& n) { return forgetting_.count(n) > 0; });
     if (names.empty() || now < pause_until_) return;
     Call c;
@@ -372,31 +373,31 @@
         deleting_ = false;
         if (r.status != 200) return;
         for (const auto& name : names) {
-            leases_.left(name);
-            doomed_.erase(name);
-            booting_.erase(name);
+            machine_allocator_.left(name);
+            never_registered_.erase(name);
+            pending_instances_.erase(name);
             first_listed_.erase(name);
-            if (replica_.blocks.of(name)) forgetting_.insert(name);
+            if (cache_.blocks.of(name)) forgetting_.insert(name);
         }
-        std::erase_if(forgetting_, [&](const std::string& n) { return !replica_.blocks.of(n); });
+        std::erase_if(forgetting_, [&](const std::string& n) { return !cache_.blocks.of(n); });
         // Gone with everything on them, so the records that kept their tasks in doubt may forget them.
-        leases_.forget(names);
+        machine_allocator_.forget(names);
         spdlog::info("returned {} machines, {} first", names.size(), names.front());
     });
 }
 
 // ---------------------------------------------------------------- renting
 
-std::vector<Fleet::Offer> Fleet::offers(
+std::vector<Autoscaler::Offer> Autoscaler::offers(
     const std::function<bool(const MachineType&, const Shape&)>& suits) const {
-    const Micros now = host_.now();
+    const Micros now = runtime_.now();
     std::map<std::string, int> per_zone;
-    for (const auto& [id, block] : replica_.blocks.all())
+    for (const auto& [id, block] : cache_.blocks.all())
         per_zone[block.zone] += static_cast<int>(block.machines.size());
-    for (const auto& [name, b] : booting_) ++per_zone[b.zone];
+    for (const auto& [name, b] : pending_instances_) ++per_zone[b.zone];
     // The cheapest core first; among equals the zone with the fewest machines.
     std::vector<Offer> offers;
-    for (const auto& t : replica_.types.types())
+    for (const auto& t : cache_.types.types())
         for (const auto& zone : t.zones)
             for (const bool spot : {false, true}) {
                 const Shape shape{t.name, zone, spot};
@@ -416,19 +417,20 @@
 /// The totals say nothing of machines in other zones or of other types than a job asks for. Of the jobs that
 /// could not begin if the fleet were empty, the one that has waited longest: all tasks at once, or an eighth
 /// of an array.
-std::optional<Fleet::LeftOut> Fleet::left_out() const {
+std::optional<Autoscaler::UnschedulableJob> Autoscaler::find_unschedulable() const {
     std::map<Shape, int> there;
-    for (const auto& [id, block] : replica_.blocks.all())
+    for (const auto& [id, block] : cache_.blocks.all())
         for (const auto& m : block.machines) there[{block.type, block.zone, block.spot}] += !m.retired;
-    for (const auto& [name, b] : booting_) ++there[{b.type, b.zone, b.spot}];
+    for (const auto& [name, b] : pending_instances_) ++there[{b.type, b.zone, b.spot}];
     for (const auto& [name, r] : rentals_) there[{r.type, r.zone, r.spot}] += r.count;
     std::map<std::string, const Team*> teams;
     for (const auto& t : settings_.teams) teams[t.name] = &t;
-    const std::int64_t by = host_.wall_ms() - kLeftOutAfter / kMillisecond;
+    const std::int64_t by = runtime_.wall_ms() - kLeftOutAfter / kMillisecond;
     const LiveJob* first = nullptr;
-    LeftOut out;
-    for (const auto& [ref, job] : replica_.jobs.live()) {
-        const bool waits = job.open && !job.cancelled && !job.held && job.done + job.running < job.tasks;
+    UnschedulableJob out;
+    for (const auto& [ref, job] : cache_.jobs.live()) {
+        const bool waits =
+            job.open && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
         if (!waits || job.since_ms > by || team == teams.end() ||
             !allocation::rents_machines(*team->second, job.rank) ||
@@ -443,11 +445,11 @@
         };
         const bool array = job.kind == JobKind::Array;
         int missing = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
-        if (job.need.cores > 0)
-            missing = std::min<Milli>(missing, team->second->limit.cores / job.need.cores);
+        if (job.request.cores > 0)
+            missing = std::min<Milli>(missing, team->second->limit.cores / job.request.cores);
         for (const auto& [shape, count] : there)
-            if (const auto* t = replica_.types.find(shape.type); t && missing > 0 && may_use(shape))
-                missing -= count * tasks_on(t->size, job.need);
+            if (const auto* t = cache_.types.find(shape.type); t && missing > 0 && may_use(shape))
+                missing -= count * tasks_on(t->size, job.request);
         if (missing <= 0) continue;
         auto parsed = wire::parse_job(*spec).spec;
         if (!parsed) continue;
@@ -457,18 +459,18 @@
     return first ? std::optional(std::move(out)) : std::nullopt;
 }
 
-void Fleet::rent() {
-    const Micros now = host_.now();
+void Autoscaler::rent() {
+    const Micros now = runtime_.now();
     if (now - leading_since_ < 3 * kSecond || now < pause_until_ || rentals_.size() >= kMaxRentals) return;
     if (now - looked_for_left_out_ > kLeftOutEvery) {
         looked_for_left_out_ = now;
-        if (const auto left = left_out()) {
+        if (const auto left = find_unschedulable()) {
             const auto found = offers([&](const MachineType& t, const Shape& s) {
-                return planning::may_use(left->job, s.type, s.zone, s.spot) && left->job.need.fits(t.size);
+                return planning::may_use(left->job, s.type, s.zone, s.spot) && left->job.request.fits(t.size);
             });
             if (!found.empty()) {
                 const Offer& o = found.front();
-                const int each = tasks_on(o.size, left->job.need);
+                const int each = tasks_on(o.size, left->job.request);
                 spdlog::info("job {}: machines that it may use have no room for it at all", left->job.ref);
                 return order(o.shape, std::clamp((left->tasks + each - 1) / each, 1, kMaxAtOnce));
             }
@@ -494,7 +496,7 @@
     }
 }
 
-void Fleet::order(const Shape& shape, int count) {
+void Autoscaler::order(const Shape& shape, int count) {
     Rental r;
     r.name = "r-" + std::to_string(term_) + "-" + std::to_string(++counter_);
     r.type = shape.type;
@@ -505,7 +507,7 @@
     send(held);
 }
 
-void Fleet::send(Rental& rental) {
+void Autoscaler::send(Rental& rental) {
     Call c;
     c.method = "POST";
     c.path = "/machines";
@@ -515,7 +517,7 @@
         auto it = rentals_.find(name);
         if (it == rentals_.end()) return;
         Rental& x = it->second;
-        const Micros now = host_.now();
+        const Micros now = runtime_.now();
         const Shape shape{x.type, x.zone, x.spot};
         x.in_flight = false;
         auto names = r.status == 200 ? wire::parse_rented(r.body) : std::nullopt;
@@ -523,7 +525,8 @@
             spdlog::info("rented {} of {} {} in {}{}", names->size(), x.count, x.type, x.zone,
                          x.spot ? ", spot" : "");
             for (const auto& n : *names)
-                if (!replica_.blocks.of(n)) booting_.emplace(n, Booting{x.type, x.zone, x.spot, host_.now()});
+                if (!cache_.blocks.of(n))
+                    pending_instances_.emplace(n, PendingInstance{x.type, x.zone, x.spot, runtime_.now()});
             if (static_cast<int>(names->size()) < x.count)
                 refused_until_[shape] = now + 15 * kSecond;
             else
@@ -543,12 +546,12 @@
     });
     if (!sent) {
         rental.in_flight = false;
-        rental.not_before = host_.now() + 500 * kMillisecond;
+        rental.not_before = runtime_.now() + 500 * kMillisecond;
     }
 }
 
-Value Fleet::status() const {
-    return {{"leading", was_leading_}, {"rentals", rentals_.size()}, {"booting", booting_.size()}};
+Value Autoscaler::status() const {
+    return {{"leading", was_leading_}, {"rentals", rentals_.size()}, {"booting", pending_instances_.size()}};
 }
 
 }  // namespace cottonway
--- a/src/core/fleet.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -10,21 +10,22 @@
 #include <vector>
 
 #include "allocation/demand.hpp"
-#include "core/host.hpp"
-#include "core/owner.hpp"
+#include "base/runtime.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
-class Holdings;
-class Leadership;
-class Leases;
-class Peers;
-class Replica;
+class ShardAssignment;
+class LeaderElection;
+class MachineAllocator;
+class PeerDirectory;
+class StateCache;
 
-class Fleet {
+class Autoscaler {
   public:
-    Fleet(Host& host, const Settings& settings, Replica& replica, const Holdings& holdings,
-          const Leadership& leadership, Leases& leases, const Peers& peers);
+    Autoscaler(Runtime& runtime, const Settings& settings, StateCache& cache,
+               const ShardAssignment& assignment, const LeaderElection& election,
+               MachineAllocator& machine_allocator, const PeerDirectory& peers);
     /// Called ten times a second by every controller. The leader deals with the cloud; every holder returns
     /// its part of what is too much.
     void tick();
@@ -45,7 +46,7 @@
         Micros not_before = 0;
     };
     /// Rented and not reporting yet.
-    struct Booting {
+    struct PendingInstance {
         std::string type;
         std::string zone;
         bool spot = false;
@@ -58,12 +59,12 @@
         auto operator<=>(const Shape&) const = default;
     };
 
-    void weigh();
+    void evaluate_demand();
     /// How long it takes at most until the list tells of what has been rented.
     Micros listed_by() const { return 3 * settings_.list_lag + 2 * kSecond; }
     /// Whether it has taken so long that it may never come up: it is not counted as coming any more, so that
     /// work does not wait for it. Should it come, one too many is returned as usual.
-    bool late(const Booting& b, const MachineType& type) const;
+    bool late(const PendingInstance& b, const MachineType& type) const;
     void log_balance();
     void list(const std::string& since);
     void on_listed(const CloudMachine& m);
@@ -71,11 +72,11 @@
     void retire(const std::string& machine, const char* why);
     void rent();
     /// Room for a job that the machines which it may use don't have, even if nothing were on them.
-    struct LeftOut {
+    struct UnschedulableJob {
         JobSpec job;
         int tasks = 0;  // that more machines are wanted for
     };
-    std::optional<LeftOut> left_out() const;
+    std::optional<UnschedulableJob> find_unschedulable() const;
     /// What may be asked for, the cheapest core first.
     struct Offer {
         double price;
@@ -94,19 +95,19 @@
         Milli ordinary = 0;
         Milli total = 0;
     };
-    Surplus surplus_of(const Owner& owner) const;
-    void drain(Owner& owner);
-    void reclaim(Owner& owner, bool idle_too);
+    Surplus surplus_of(const ShardOwner& owner) const;
+    void drain(ShardOwner& owner);
+    void reclaim(ShardOwner& owner, bool idle_too);
     void remove();
     bool call(Call call, double reserve, ReplyHandler done);
 
-    Host& host_;
+    Runtime& runtime_;
     const Settings& settings_;
-    Replica& replica_;
-    const Holdings& holdings_;
-    const Leadership& leadership_;
-    Leases& leases_;
-    const Peers& peers_;
+    StateCache& cache_;
+    const ShardAssignment& assignment_;
+    const LeaderElection& election_;
+    MachineAllocator& machine_allocator_;
+    const PeerDirectory& peers_;
     RateBudget budget_;
     Micros pause_until_ = 0;
     Micros listed_at_ = 0;
@@ -118,11 +119,11 @@
     std::uint64_t term_ = 0;
     std::uint64_t counter_ = 0;
     std::map<std::string, Rental> rentals_;
-    std::map<std::string, Booting> booting_;
+    std::map<std::string, PendingInstance> pending_instances_;
     std::map<Shape, Micros> refused_until_;
     std::map<Shape, int> refusals_;
-    std::set<std::string> forgetting_;      // deleted, their records still list them
-    std::map<std::string, Micros> doomed_;  // never reported: to be deleted
+    std::set<std::string> forgetting_;                // deleted, their records still list them
+    std::map<std::string, Micros> never_registered_;  // never reported: to be deleted
     peer::FleetBalance balance_;
     /// Cores that the leader, whoever it is, has last counted as there or coming; and, for a new one, what
     /// the one before counted, for as long as the list may not tell of it yet.
--- a/src/allocation/demand.cpp
+++ b/src/allocation/demand.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 Resources times(const Resources& request, Milli tasks) {
-    return {request.cores * tasks, request.cards * tasks, request.ram * tasks};
+    return {request.cores * tasks, request.gpus * tasks, request.ram * tasks};
 }
 
 /// Cores that a request of one resource occupies. Rounded up, so that nothing that is requested is lost.
@@ -22,8 +22,8 @@
     double part = 1;
     if (requests.cores > limit.cores)
         part = std::min(part, static_cast<double>(limit.cores) / static_cast<double>(requests.cores));
-    if (requests.cards > limit.cards)
-        part = std::min(part, static_cast<double>(limit.cards) / static_cast<double>(requests.cards));
+    if (requests.gpus > limit.gpus)
+        part = std::min(part, static_cast<double>(limit.gpus) / static_cast<double>(requests.gpus));
     return part;
 }
 
@@ -38,12 +38,12 @@
 }  // namespace
 
 Milli occupied_cores(const Resources& requests, const Resources& capacity) {
-    return std::max({requests.cores, cores_for(requests.cards, capacity.cards, capacity.cores),
+    return std::max({requests.cores, cores_for(requests.gpus, capacity.gpus, capacity.cores),
                      cores_for(requests.ram, capacity.ram, capacity.cores)});
 }
 
 Milli gpu_bound_cores(const Resources& requests, const Resources& capacity) {
-    return std::max(requests.cores, cores_for(requests.cards, capacity.cards, capacity.cores));
+    return std::max(requests.cores, cores_for(requests.gpus, capacity.gpus, capacity.cores));
 }
 
 Milli gpu_bound_cores(const Resources& request, const std::deque<MachineType>& types) {
@@ -57,12 +57,12 @@
 }
 
 Milli available_cores(const Resources& available, const Resources& capacity) {
-    if (capacity.cards <= 0) return available.cores;
-    return std::min(available.cores, capacity.cores * available.cards / capacity.cards);
+    if (capacity.gpus <= 0) return available.cores;
+    return std::min(available.cores, capacity.cores * available.gpus / capacity.gpus);
 }
 
-bool rents_machines(const Team& team, Rank rank) {
-    return team.guarantee.cores > 0 || rank != Rank::Low;
+bool rents_machines(const Team& team, PriorityClass rank) {
+    return team.guarantee.cores > 0 || rank != PriorityClass::Low;
 }
 
 void DecayingPeak::update(Milli value, double passed, Micros half_life) {
@@ -82,9 +82,9 @@
     const MachineType* cheapest = nullptr;
     double lowest = 0;
     for (const MachineType& type : types_) {
-        if (type.size.cores <= 0 || !job.need.fits(type.size) || !may_use_type(job, type.name)) continue;
-        const double share =
-            static_cast<double>(occupied_cores(job.need, type.size)) / static_cast<double>(type.size.cores);
+        if (type.size.cores <= 0 || !job.request.fits(type.size) || !may_use_type(job, type.name)) continue;
+        const double share = static_cast<double>(occupied_cores(job.request, type.size)) /
+                             static_cast<double>(type.size.cores);
         const double price = share * type.price;
         if (cheapest && price >= lowest) continue;
         cheapest = &type;
@@ -100,18 +100,18 @@
     const MachineType* type = cheapest_type(job);
     if (!type) return;
     // A job in crash-loop backoff is probed with one task at a time.
-    const int tasks = job.held ? 1 : std::max(job.tasks - job.done, 0);
+    const int tasks = job.backing_off ? 1 : std::max(job.tasks - job.done, 0);
     Requests& requests = team->second.by_type[type];
     if (!job.spot) {
-        requests.ordinary += times(job.need, tasks);
+        requests.ordinary += times(job.request, tasks);
         return;
     }
     // What waits behind other work needs less than a machine for each of its own: it takes turns.
     const int running = std::min(job.running, tasks);
-    const Resources waiting = times(job.need, tasks - running);
-    requests.flexible += times(job.need, running);
-    requests.flexible += {waiting.cores / 2, waiting.cards / 2, waiting.ram / 2};
-    requests.flexible_in_full += times(job.need, tasks);
+    const Resources waiting = times(job.request, tasks - running);
+    requests.flexible += times(job.request, running);
+    requests.flexible += {waiting.cores / 2, waiting.gpus / 2, waiting.ram / 2};
+    requests.flexible_in_full += times(job.request, tasks);
 }
 
 void DemandEstimator::add_team(const TeamRequests& requests, Demand& demand) {
@@ -127,7 +127,7 @@
     }
     // What a team may not run at once needs no machines at once.
     const Resources left{std::max<Milli>(limit.cores - ordinary_sum.cores, 0),
-                         std::max<Milli>(limit.cards - ordinary_sum.cards, 0), 0};
+                         std::max<Milli>(limit.gpus - ordinary_sum.gpus, 0), 0};
     const Milli first = scaled(ordinary, admitted_part(ordinary_sum, limit));
     demand.ordinary += first;
     demand.flexible += scaled(flexible, admitted_part(flexible_sum, left));
--- a/src/allocation/demand.hpp
+++ b/src/allocation/demand.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "replica/jobs.hpp"
-#include "settings/settings.hpp"
-#include "wire/wire.hpp"
+#include "cache/job_cache.hpp"
+#include "config/settings.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::allocation {
 
@@ -32,7 +32,7 @@
 
 /// Whether machines are rented for a team's jobs of a priority class: always for a team with a guarantee; for
 /// any other team unless the work is best-effort, which takes what is left over.
-bool rents_machines(const Team& team, Rank rank);
+bool rents_machines(const Team& team, PriorityClass rank);
 
 /// What the unfinished jobs of all teams need, in thousandths of a core of whole machines.
 struct Demand {
--- a/src/core/leases.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The records of blocks: leasing machines to domains, rewriting and splitting blocks, and moving idle
+// The records of blocks: leasing machines to shards, rewriting and splitting blocks, and moving idle
 // machines to where they are waited for.
 
 #include <functional>
@@ -8,26 +8,27 @@
 #include <string>
 #include <vector>
 
-#include "core/holdings.hpp"
-#include "core/leadership.hpp"
+#include "cluster/leader_election.hpp"
+#include "cluster/shard_assignment.hpp"
 
 namespace cottonway {
 
-class Fleet;
-class Peers;
+class Autoscaler;
+class PeerDirectory;
 
-class Leases {
+class MachineAllocator {
   public:
-    Leases(Host& host, Store& store, const Settings& settings, Feed& feed, Replica& replica,
-           const Holdings& holdings, Leadership& leadership, const Fleet& fleet, const Peers& peers)
-        : host_(host),
+    MachineAllocator(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
+                     StateCache& cache, const ShardAssignment& assignment, LeaderElection& election,
+                     const Autoscaler& fleet, const PeerDirectory& peers)
+        : runtime_(runtime),
           store_(store),
           settings_(settings),
           feed_(feed),
-          replica_(replica),
-          holdings_(holdings),
-          leadership_(leadership),
-          fleet_(fleet),
+          cache_(cache),
+          assignment_(assignment),
+          election_(election),
+          autoscaler_(fleet),
           peers_(peers) {}
 
     /// Machines that are in no block yet, to be leased soon.
@@ -44,20 +45,20 @@
     /// Whether the machine is known to be gone for good. What still tells of it, a late report or a list, is
     /// old: leased again it would count as room until its silence is noticed.
     bool returned(const std::string& machine) const { return returned_.count(machine) > 0; }
-    /// Whether the machines are to be spread over the domains of all controllers. One owner of everything
+    /// Whether the machines are to be spread over the shards of all controllers. One owner of everything
     /// places best, as long as it can keep up with the workers' reports.
     bool spread_out() const;
     std::vector<std::string> targets() const;
 
     /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
-    void edit(const std::string& domain, const std::string& machine, OwnerContext::MachineEdit edit,
+    void edit(const std::string& shard, const std::string& machine, ShardContext::MachineEdit edit,
               std::function<void(bool)> done);
     /// Marks a machine as to be returned, whoever holds it.
     void retire(const std::string& machine);
     /// Takes deleted machines out of their records.
     void forget(const std::vector<std::string>& machines);
-    /// Gives idle machines to a domain with waiting tasks.
-    void give(Owner& from, const peer::Want& want, std::function<void(peer::Granted)> done);
+    /// Gives idle machines to a shard with waiting tasks.
+    void give(ShardOwner& from, const peer::CapacityRequest& want, std::function<void(peer::Grant)> done);
 
     // Called ten times a second.
     void lease_blocks();
@@ -91,23 +92,23 @@
     void edit_block(const std::string& id, Edit edit, Micros patience);
     void flush(const std::string& id, Edits& edits);
     std::size_t block_size() const;
-    void split(const Block& block, const Owner& o);
+    void split(const Block& block, const ShardOwner& o);
     void lease_block(Block block, std::vector<std::string> machines);
     /// Not to be leased any more, or not now: whoever waits for it looks what stands there.
     void not_leased(const std::string& machine);
-    std::string next_id(Revision mark) {
-        return std::to_string(mark) + "-" + std::to_string(++block_counter_);
+    std::string next_id(Revision mod_revision) {
+        return std::to_string(mod_revision) + "-" + std::to_string(++block_counter_);
     }
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
-    Feed& feed_;
-    Replica& replica_;
-    const Holdings& holdings_;
-    Leadership& leadership_;
-    const Fleet& fleet_;
-    const Peers& peers_;
+    ChangeFeed& feed_;
+    StateCache& cache_;
+    const ShardAssignment& assignment_;
+    LeaderElection& election_;
+    const Autoscaler& autoscaler_;
+    const PeerDirectory& peers_;
     std::map<std::string, Edits> edits_;
     std::map<std::string, Unleased> unleased_;
     std::set<std::string> returned_;  // the latest names
--- a/src/core/relays.hpp
+++ b/src/api/heartbeat_router.hpp
@@ -7,17 +7,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/api.hpp"
-#include "core/leases.hpp"
-#include "core/peers.hpp"
+#include "allocation/machine_allocator.hpp"
+#include "api/responses.hpp"
+#include "cluster/peer_directory.hpp"
 
 namespace cottonway {
 
-class Relays {
+class HeartbeatRouter {
   public:
-    Relays(Host& host, const Settings& settings, const Feed& feed, const Replica& replica,
-           const Presence& presence, const Holdings& holdings, const Leadership& leadership, Leases& leases,
-           Peers& peers);
+    HeartbeatRouter(Runtime& runtime, const Settings& settings, const ChangeFeed& feed,
+                    const StateCache& cache, const MembershipLease& membership_lease,
+                    const ShardAssignment& assignment, const LeaderElection& election,
+                    MachineAllocator& machine_allocator, PeerDirectory& peers);
 
     void report(const std::string& bytes, ApiResponder respond);
     /// A report that another controller has passed on; nothing for what is no report.
@@ -25,43 +26,43 @@
     /// What we promise: not to renew these machines' leases on their holder's behalf for a while. Told with
     /// it is when that may have happened last; of a former process of this node it is not known, but it has
     /// ended.
-    peer::Renounced promise(const peer::Renounce& ask);
+    peer::Relinquished promise(const peer::Relinquish& ask);
     /// Asks the others for the promise that a silent machine's lease is not renewed through them.
-    void renounce();
+    void request_relinquishments();
     /// The machine is in no block any more.
-    void forget(const std::string& machine) { visits_.erase(machine); }
+    void forget(const std::string& machine) { proxied_workers_.erase(machine); }
 
   private:
-    struct Visit {
+    struct ProxiedWorker {
         Micros sent_on = 0;        // when it was last sent to its holder
         Micros renewed = 0;        // when its lease was last renewed from here on the holder's behalf
         Micros refused_until = 0;  // promised not to
         bool direct = false;       // its holder reaches it
         std::uint64_t session = 0, seq = 0;  // of its newest report here
     };
-    bool authorised() const;
-    std::optional<ApiResponse> answer(Owner& owner, const Report& r) const;
+    bool lease_is_valid() const;
+    std::optional<ApiResponse> answer(ShardOwner& owner, const Report& r) const;
     void unknown_machine(const Report& r, ApiResponder respond);
     void lease(const Report& r, const ApiResponder& respond);
     void help(const Report& r, const Block& block, const std::string& bytes, ApiResponder respond);
     void relay(const Report& r, std::size_t peer, const std::string& bytes, ApiResponder respond);
-    void ask_to_renounce(std::size_t peer, const Owner& owner, std::vector<std::string> machines);
-    void stand_in(const Report& r, const Block& block, const ApiResponder& respond);
+    void request_relinquishment(std::size_t peer, const ShardOwner& owner, std::vector<std::string> machines);
+    void renew_on_behalf(const Report& r, const Block& block, const ApiResponder& respond);
 
-    Host& host_;
+    Runtime& runtime_;
     const Settings& settings_;
-    const Feed& feed_;
-    const Replica& replica_;
-    const Presence& presence_;
-    const Holdings& holdings_;
-    const Leadership& leadership_;
-    Leases& leases_;
-    Peers& peers_;
-    std::unordered_map<std::string, Visit> visits_;
-    std::set<std::string> meeting_;  // machines in no block that are being called
+    const ChangeFeed& feed_;
+    const StateCache& cache_;
+    const MembershipLease& membership_lease_;
+    const ShardAssignment& assignment_;
+    const LeaderElection& election_;
+    MachineAllocator& machine_allocator_;
+    PeerDirectory& peers_;
+    std::unordered_map<std::string, ProxiedWorker> proxied_workers_;
+    std::set<std::string> probing_;  // machines in no block that are being called
     std::vector<int> in_flight_;     // requests to relinquish leases, by peer
     Micros started_ = 0;
-    Micros renounced_ = 0;
+    Micros relinquish_requested_at_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/core/users.hpp
+++ b/src/api/job_service.hpp
@@ -6,23 +6,24 @@
 #include <set>
 #include <string>
 
-#include "core/api.hpp"
-#include "core/history.hpp"
-#include "core/holdings.hpp"
-#include "core/peers.hpp"
+#include "api/responses.hpp"
+#include "cluster/peer_directory.hpp"
+#include "cluster/shard_assignment.hpp"
+#include "shard/job_archiver.hpp"
 
 namespace cottonway {
 
-class Users {
+class JobService {
   public:
-    Users(Host& host, Store& store, const Settings& settings, Feed& feed, Replica& replica,
-          const Holdings& holdings, Peers& peers, History& history)
-        : host_(host),
+    JobService(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
+               StateCache& cache, const ShardAssignment& assignment, PeerDirectory& peers,
+               JobArchiver& history)
+        : runtime_(runtime),
           store_(store),
           settings_(settings),
           feed_(feed),
-          replica_(replica),
-          holdings_(holdings),
+          cache_(cache),
+          assignment_(assignment),
           peers_(peers),
           history_(history) {}
 
@@ -37,17 +38,17 @@
     void read_unknown();
 
   private:
-    enum class Verdict { Fits, Never, TooLong, NotYet };
+    enum class ReconcileAction { Fits, Never, TooLong, NotYet };
     using Checked = std::function<void(bool ok, std::optional<JobView>)>;
 
     void resolve(JobSpec spec, ApiResponder respond);
     void create(JobSpec spec, ApiResponder respond);
-    std::string domain_for(const JobSpec& spec);
+    std::string shard_for(const JobSpec& spec);
     void abort(const std::string& ref, int tries, ApiResponder respond);
     struct Found {
-        Place place = Place::Job;
+        RecordLocation place = RecordLocation::Job;
         Value record;
-        Revision mark = 0;
+        Revision mod_revision = 0;
         Revision shadow = 0;
     };
     void cancel(const std::string& ref, Found job, int tries, ApiResponder respond);
@@ -57,21 +58,21 @@
     /// A job's state as the store has it now; no view: never accepted. `ok` false: nothing is known.
     void check(const std::string& ref, Checked done);
     void recheck(const std::string& ref, int tries, Checked done);
-    const JobView* known(const std::string& ref) const { return replica_.jobs.known(ref); }
+    const JobView* known(const std::string& ref) const { return cache_.jobs.known(ref); }
     /// Whether the job could be accepted. What can't is refused only where the store proves that it never
     /// was.
-    Verdict judge(const JobSpec& spec) const;
+    ReconcileAction judge(const JobSpec& spec) const;
     static std::size_t stored_size(const JobSpec& spec);
     bool out_of_reach() const;
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
-    Feed& feed_;
-    Replica& replica_;
-    const Holdings& holdings_;
-    Peers& peers_;
-    History& history_;
+    ChangeFeed& feed_;
+    StateCache& cache_;
+    const ShardAssignment& assignment_;
+    PeerDirectory& peers_;
+    JobArchiver& history_;
     std::set<std::string> reading_;  // jobs that are needed and that nothing is known of
     std::uint64_t polls_shed_ = 0;
     Micros shed_logged_ = 0;
--- a/src/core/api.hpp
+++ b/src/api/responses.hpp
@@ -4,8 +4,8 @@
 #include <functional>
 #include <string>
 
-#include "wire/units.hpp"
-#include "wire/wire.hpp"
+#include "base/units.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
--- a/src/core/host.hpp
+++ b/src/base/runtime.hpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <string>
 
-#include "wire/units.hpp"
-#include "wire/wire.hpp"
+#include "base/units.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
@@ -58,9 +58,9 @@
     Micros now_ = kSecond;
 };
 
-class Host {
+class Runtime {
   public:
-    virtual ~Host() = default;
+    virtual ~Runtime() = default;
     virtual Micros now() = 0;
     /// What is merely unheard is judged by this one (see ListeningClock). Time-outs of calls go by it as
     /// well.
--- a/src/wire/units.hpp
+++ b/src/base/units.hpp
@@ -9,26 +9,26 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-/// Thousandths of a core, a card or a gigabyte. Sums stay exact, which a limit check relies on.
+/// Thousandths of a core, a GPU or a gigabyte. Sums stay exact, which a limit check relies on.
 using Milli = std::int64_t;
 
 struct Resources {
     Milli cores = 0;
-    Milli cards = 0;
+    Milli gpus = 0;
     Milli ram = 0;
 
     bool fits(const Resources& room) const {
-        return cores <= room.cores && cards <= room.cards && ram <= room.ram;
+        return cores <= room.cores && gpus <= room.gpus && ram <= room.ram;
     }
     Resources& operator+=(const Resources& o) {
         cores += o.cores;
-        cards += o.cards;
+        gpus += o.gpus;
         ram += o.ram;
         return *this;
     }
     Resources& operator-=(const Resources& o) {
         cores -= o.cores;
-        cards -= o.cards;
+        gpus -= o.gpus;
         ram -= o.ram;
         return *this;
     }
--- a/src/replica/blocks.cpp
+++ b/src/cache/block_cache.cpp
@@ -1,25 +1,25 @@
-#include "replica/blocks.hpp"
+#include "cache/block_cache.hpp"
 
 #include <algorithm>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
-const Block* BlockBook::find(const std::string& id) const {
+const Block* BlockCache::find(const std::string& id) const {
     auto it = blocks_.find(id);
     return it == blocks_.end() ? nullptr : &it->second;
 }
 
-const Block* BlockBook::of(const std::string& machine) const {
+const Block* BlockCache::of(const std::string& machine) const {
     auto id = block_of_.find(machine);
     return id == block_of_.end() ? nullptr : find(id->second);
 }
 
-Milli BlockBook::capacity_of(const std::string& domain, const Catalog& types) const {
+Milli BlockCache::capacity_of(const std::string& shard, const MachineTypeCatalog& types) const {
     Milli cores = 0;
     for (const auto& [id, block] : blocks_) {
-        if (block.domain != domain) continue;
+        if (block.shard != shard) continue;
         const MachineType* type = types.find(block.type);
         if (!type) continue;
         cores += type->size.cores * std::count_if(block.machines.begin(), block.machines.end(),
@@ -28,24 +28,24 @@
     return cores;
 }
 
-void BlockBook::left(const std::string& machine) {
+void BlockCache::left(const std::string& machine) {
     block_of_.erase(machine);
     listener_.on_machine_left(machine);
 }
 
-void BlockBook::split_ends(const std::string& machine, const std::string& into) {
+void BlockCache::split_ends(const std::string& machine, const std::string& into) {
     splitting_.erase(machine);
     // Not split after all, and somebody else has taken it out of the block.
     auto at = block_of_.find(machine);
     if (at != block_of_.end() && at->second == into && !blocks_.count(into)) left(machine);
 }
 
-void BlockBook::take(const std::string& id, const Value* value, Revision mark) {
+void BlockCache::take(const std::string& id, const Value* value, Revision mod_revision) {
     auto it = blocks_.find(id);
-    if (it != blocks_.end() && it->second.mark >= mark) return;
+    if (it != blocks_.end() && it->second.mod_revision >= mod_revision) return;
     std::optional<Block> next;
     if (value) {
-        next = Block::parse(id, *value, mark);
+        next = Block::parse(id, *value, mod_revision);
         if (!next) {
             // It must not cost the block its machines.
             spdlog::error("block {}: its record is broken and is ignored", id);
@@ -75,7 +75,7 @@
         auto& at = block_of_[m.name];
         if (!at.empty() && at != id) {
             const Block* other = find(at);
-            if (other && other->mark > mark && other->find(m.name)) continue;
+            if (other && other->mod_revision > mod_revision && other->find(m.name)) continue;
         }
         at = id;
         listener_.on_machine(block->second, m);
--- a/src/replica/blocks.hpp
+++ b/src/cache/block_cache.hpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "replica/catalog.hpp"
-#include "state/records.hpp"
+#include "cache/machine_type_catalog.hpp"
+#include "kvstore/records.hpp"
 
 namespace cottonway {
 
-class BlockBook {
+class BlockCache {
   public:
     class Listener {
       public:
@@ -20,17 +20,17 @@
         /// No block lists it any more.
         virtual void on_machine_left(const std::string& machine) = 0;
     };
-    explicit BlockBook(Listener& listener) : listener_(listener) {}
+    explicit BlockCache(Listener& listener) : listener_(listener) {}
 
     /// News of a record; null: it is gone. A broken one is ignored with a line in the log.
-    void take(const std::string& id, const Value* value, Revision mark);
+    void take(const std::string& id, const Value* value, Revision mod_revision);
 
     const std::map<std::string, Block>& all() const { return blocks_; }
     const Block* find(const std::string& id) const;
     const Block* of(const std::string& machine) const;
     std::size_t machines() const { return block_of_.size(); }
-    /// Cores of a domain's machines, those to be returned left out.
-    Milli capacity_of(const std::string& domain, const Catalog& types) const;
+    /// Cores of a shard's machines, those to be returned left out.
+    Milli capacity_of(const std::string& shard, const MachineTypeCatalog& types) const;
 
     /// The machine is being split off into another record: it is not gone when its old block loses it, were
     /// it taken for gone until its new record is heard of, its tasks would run twice.
--- a/src/replica/feed.hpp
+++ b/src/cache/change_feed.hpp
@@ -7,33 +7,33 @@
 #include <set>
 #include <string>
 
-#include "state/store.hpp"
+#include "kvstore/store_client.hpp"
 
 namespace cottonway {
 
-class Feed {
+class ChangeFeed {
   public:
     class Reader {
       public:
         virtual ~Reader() = default;
         /// A record as it is, or as it has become; null: it is gone.
-        virtual void take(const std::string& key, const Value* value, Revision mark) = 0;
+        virtual void take(const std::string& key, const Value* value, Revision mod_revision) = 0;
         /// Everything is about to be read, and `take` is called for each record until `reread`.
-        virtual void rereading() = 0;
+        virtual void on_resync_begin() = 0;
         /// From where to go on after a key that has been read: the key itself, or one beyond what need not be
         /// read.
         virtual std::string go_on_after(const std::string& key) = 0;
         /// Everything has been read: what is not among `seen` is not there as of `ledger`.
-        virtual void reread(const std::set<std::string>& seen, Revision ledger) = 0;
+        virtual void on_resync_end(const std::set<std::string>& seen, Revision store_revision) = 0;
     };
-    Feed(Host& host, Store& store, const Settings& settings, Reader& reader);
+    ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Reader& reader);
 
     void start() { load(); }
     /// Called ten times a second: gives up on what has waited for a look too long.
     void tick();
 
     bool loaded() const { return loaded_; }
-    Revision ledger() const { return ledger_; }
+    Revision store_revision() const { return store_revision_; }
     /// What reading everything took last: requests, records, and time.
     struct Load {
         std::uint64_t requests = 0;
@@ -43,7 +43,7 @@
     const Load& load_cost() const { return load_; }
     /// When the last look that was answered was sent.
     Micros confirmed() const { return confirmed_; }
-    Micros confirmed_ago() const { return host_.now() - confirmed_; }
+    Micros confirmed_ago() const { return runtime_.now() - confirmed_; }
     /// Calls back once a look that was begun after now has been taken in; false: none was for long.
     void after_look(std::function<void(bool)> done);
     /// The same, however long that takes: what a conflict means is in the news.
@@ -60,13 +60,13 @@
     void look();
     void looked(Micros sent);
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     Reader& reader_;
     Micros every_ = 0;
     bool loaded_ = false;
     Load load_;
-    Revision ledger_ = 0;
+    Revision store_revision_ = 0;
     Micros confirmed_ = 0;
     std::list<Waiter> waiters_;
 };
@@ -75,7 +75,7 @@
 /// conflict then tells that it was, or that it never will be. Taken for refused before its news is in, a
 /// split that was made would cost its machines their tasks, and a share that was given away would count here
 /// as well.
-void commit_surely(Host& host, Store& store, Feed& feed, Change change,
-                   std::function<void(const CommitResult&)> done, bool uncertain = false);
+void commit_until_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, Change change,
+                        std::function<void(const CommitResult&)> done, bool uncertain = false);
 
 }  // namespace cottonway
--- a/src/replica/pipelines.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -1,4 +1,4 @@
-#include "replica/pipelines.hpp"
+#include "cache/dependency_graph.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -15,11 +15,11 @@
 }
 }  // namespace
 
-Standing Pipelines::preview(const JobSpec& spec, const Lookup& lookup) {
-    Standing s;
+DependencyStatus DependencyGraph::preview(const JobSpec& spec, const Lookup& lookup) {
+    DependencyStatus s;
     for (const auto& need : spec.needs) {
         const Known known = lookup(need);
-        if (known.fate == Fate::Cancelled) s.orphaned = true;
+        if (known.fate == Fate::Cancelled) s.cancelled_by_dependency = true;
         if (known.fate != Fate::Done) s.open = false;
         s.since_ms = std::max(s.since_ms, known.ended_ms);
     }
@@ -27,7 +27,7 @@
     return s;
 }
 
-void Pipelines::put(const JobSpec& spec, std::int64_t submitted_ms, const Lookup& lookup) {
+void DependencyGraph::put(const JobSpec& spec, std::int64_t submitted_ms, const Lookup& lookup) {
     const std::string& ref = spec.ref;
     unknown_.erase(ref);
     auto found = nodes_.find(ref);
@@ -57,13 +57,13 @@
     if (!cancelled.empty()) orphan(ref, cancelled);
 }
 
-void Pipelines::orphan(const std::string& ref, const std::string& with) {
+void DependencyGraph::orphan(const std::string& ref, const std::string& with) {
     std::vector<std::string> next{ref};
     while (!next.empty()) {
         const std::string name = std::move(next.back());
         next.pop_back();
         Node& node = nodes_[name];
-        if (std::exchange(node.orphaned, true)) continue;
+        if (std::exchange(node.cancelled_by_dependency, true)) continue;
         node.with = with;
         changed_.insert(name);
         next.insert(next.end(), node.dependents.begin(), node.dependents.end());
@@ -71,7 +71,7 @@
     weigh_due_ = true;
 }
 
-void Pipelines::over(const std::string& ref, bool done, std::int64_t ended_ms) {
+void DependencyGraph::over(const std::string& ref, bool done, std::int64_t ended_ms) {
     unknown_.erase(ref);
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return;
@@ -98,7 +98,7 @@
     }
 }
 
-void Pipelines::drop_if_idle(const std::string& ref) {
+void DependencyGraph::drop_if_idle(const std::string& ref) {
     auto it = nodes_.find(ref);
     if (it != nodes_.end() && !it->second.live && it->second.dependents.empty()) {
         nodes_.erase(it);
@@ -106,25 +106,25 @@
     }
 }
 
-Standing Pipelines::standing(const std::string& ref) const {
-    Standing s;
+DependencyStatus DependencyGraph::dependency_status(const std::string& ref) const {
+    DependencyStatus s;
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return s;
     const Node& n = it->second;
     s.open = n.waits.empty();
-    s.orphaned = n.orphaned;
+    s.cancelled_by_dependency = n.cancelled_by_dependency;
     s.needed = std::any_of(n.dependents.begin(), n.dependents.end(),
-                           [this](const std::string& d) { return !nodes_.at(d).orphaned; });
+                           [this](const std::string& d) { return !nodes_.at(d).cancelled_by_dependency; });
     s.since_ms = n.since_ms;
     s.rank = n.rank;
     s.due_ms = n.due_ms;
     return s;
 }
 
-bool Pipelines::unclear(const std::string& ref,
-                        const std::function<bool(const std::string&)>& doubted) const {
+bool DependencyGraph::unclear(const std::string& ref,
+                              const std::function<bool(const std::string&)>& doubted) const {
     auto it = nodes_.find(ref);
-    if (it == nodes_.end() || it->second.orphaned) return false;
+    if (it == nodes_.end() || it->second.cancelled_by_dependency) return false;
     // Also through those before it, which wait themselves.
     std::set<std::string> seen;
     std::vector<std::string> next{ref};
@@ -139,18 +139,18 @@
     return false;
 }
 
-std::string Pipelines::cancelled_with(const std::string& ref) const {
+std::string DependencyGraph::cancelled_with(const std::string& ref) const {
     auto it = nodes_.find(ref);
     return it == nodes_.end() ? "" : it->second.with;
 }
 
-std::vector<std::string> Pipelines::waits_for(const std::string& ref) const {
+std::vector<std::string> DependencyGraph::waits_for(const std::string& ref) const {
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return {};
     return {it->second.waits.begin(), it->second.waits.end()};
 }
 
-std::vector<std::string> Pipelines::waiting() const {
+std::vector<std::string> DependencyGraph::waiting() const {
     std::vector<std::string> out;
     for (const auto& [ref, n] : nodes_)
         if (n.live && !n.waits.empty()) out.push_back(ref);
@@ -159,7 +159,7 @@
 
 /// A job can name only jobs that have been accepted before it is, so no job comes to need itself, and those
 /// that nothing needs can be weighed first, then what they need, and so on.
-void Pipelines::weigh() {
+void DependencyGraph::weigh() {
     if (!std::exchange(weigh_due_, false)) return;
     std::map<std::string, std::size_t> missing;
     std::vector<std::string> ready;
@@ -171,11 +171,11 @@
         const std::string ref = std::move(ready.back());
         ready.pop_back();
         Node& n = nodes_.at(ref);
-        Rank rank = Rank::Low;
+        PriorityClass rank = PriorityClass::Low;
         std::int64_t due = INT64_MAX;
         for (const auto& name : n.dependents) {
             const Node& d = nodes_.at(name);
-            if (d.orphaned) continue;
+            if (d.cancelled_by_dependency) continue;
             rank = std::min({rank, d.rank, d.own_rank});
             const std::int64_t by = std::min(d.due_ms, d.own_due_ms);
             if (by != INT64_MAX) due = std::min(due, by - takes(d.estimate) / kMillisecond);
--- a/src/replica/pipelines.hpp
+++ b/src/cache/dependency_graph.hpp
@@ -12,21 +12,21 @@
 #include <string>
 #include <vector>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
 /// How a job stands among those that need one another.
-struct Standing {
-    bool open = true;                 // all that it needs are done
-    bool orphaned = false;            // one before it is cancelled
-    bool needed = false;              // others wait for it
-    std::int64_t since_ms = 0;        // when the last job that it needs was done, 0: it needs none
-    Rank rank = Rank::Low;            // the highest of those that need it
-    std::int64_t due_ms = INT64_MAX;  // by when it has to be done for the sake of those
+struct DependencyStatus {
+    bool open = true;                         // all that it needs are done
+    bool cancelled_by_dependency = false;     // one before it is cancelled
+    bool needed = false;                      // others wait for it
+    std::int64_t since_ms = 0;                // when the last job that it needs was done, 0: it needs none
+    PriorityClass rank = PriorityClass::Low;  // the highest of those that need it
+    std::int64_t due_ms = INT64_MAX;          // by when it has to be done for the sake of those
 };
 
-class Pipelines {
+class DependencyGraph {
   public:
     enum class Fate { Unknown, Open, Done, Cancelled };
     struct Known {
@@ -39,9 +39,9 @@
     void put(const JobSpec& spec, std::int64_t submitted_ms, const Lookup& lookup);
     /// A job that is over: done, or cancelled.
     void over(const std::string& ref, bool done, std::int64_t ended_ms);
-    Standing standing(const std::string& ref) const;
+    DependencyStatus dependency_status(const std::string& ref) const;
     /// How a job would stand that has not been admitted yet.
-    static Standing preview(const JobSpec& spec, const Lookup& lookup);
+    static DependencyStatus preview(const JobSpec& spec, const Lookup& lookup);
 
     /// Jobs that are needed and of which nothing is known here: their records must be read.
     const std::set<std::string>& unknown() const { return unknown_; }
@@ -65,13 +65,13 @@
         bool live = false;  // heard of itself; false: only needed by others
         std::set<std::string> waits;
         std::set<std::string> dependents;
-        bool orphaned = false;
+        bool cancelled_by_dependency = false;
         std::string with;  // the cancelled job
         std::int64_t since_ms = 0;
-        Rank own_rank = Rank::Low;
+        PriorityClass own_rank = PriorityClass::Low;
         std::int64_t own_due_ms = INT64_MAX;
         Micros estimate = 0;
-        Rank rank = Rank::Low;
+        PriorityClass rank = PriorityClass::Low;
         std::int64_t due_ms = INT64_MAX;
     };
     void orphan(const std::string& ref, const std::string& with);
--- a/src/replica/formats.cpp
+++ b/src/cache/format_cache.cpp
@@ -1,15 +1,15 @@
-#include "replica/formats.hpp"
+#include "cache/format_cache.hpp"
 
 #include <algorithm>
 
 namespace cottonway {
 
-std::uint64_t FormatBook::read_by(const std::string& node) const {
+std::uint64_t FormatCache::read_by(const std::string& node) const {
     auto it = reads_.find(node);
     return it == reads_.end() ? 0 : it->second;
 }
 
-bool FormatBook::take(const std::string& node, const Value& value) {
+bool FormatCache::take(const std::string& node, const Value& value) {
     auto& reads = reads_[node];
     reads = std::max(reads, wire::count(value, "reads").value_or(0));
     std::uint64_t least = std::min(read_by(settings_.node), format::kNewest);
@@ -17,7 +17,7 @@
     return proven(least);
 }
 
-bool FormatBook::proven(std::uint64_t format) {
+bool FormatCache::proven(std::uint64_t format) {
     if (format <= common_) return false;
     common_ = format;
     return true;
--- a/src/replica/formats.hpp
+++ b/src/cache/format_cache.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "settings/settings.hpp"
-#include "wire/wire.hpp"
+#include "config/settings.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
@@ -23,9 +23,9 @@
 constexpr std::uint64_t kNewest = kHistory;
 }  // namespace format
 
-class FormatBook {
+class FormatCache {
   public:
-    explicit FormatBook(const Settings& settings) : settings_(settings) {}
+    explicit FormatCache(const Settings& settings) : settings_(settings) {}
     /// True if more has become common knowledge by this.
     bool take(const std::string& node, const Value& value);
     /// Somebody has proven that much before, and rests on it. True if it is news.
--- a/src/replica/jobs.cpp
+++ b/src/cache/job_cache.cpp
@@ -1,8 +1,8 @@
-#include "replica/jobs.hpp"
+#include "cache/job_cache.hpp"
 
 #include <algorithm>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -11,14 +11,14 @@
 constexpr Micros kWeighGuarantees = 100 * kMillisecond;
 }  // namespace
 
-JobView JobView::of(const Value& record, Revision mark) {
+JobView JobView::of(const Value& record, Revision mod_revision) {
     JobView v;
     const auto stage = wire::text(record, "s");
     v.stage = stage == "done" ? Stage::Done : stage == "cancelled" ? Stage::Cancelled : Stage::Queued;
     v.tasks = static_cast<int>(wire::count(record, "k").value_or(0));
     v.done = static_cast<int>(wire::count(record, "fd").value_or(0));
     v.running = v.final() ? 0 : static_cast<int>(wire::count(record, "fr").value_or(0));
-    v.mark = mark;
+    v.mod_revision = mod_revision;
     v.ended_ms = static_cast<std::int64_t>(wire::count(record, "end").value_or(0));
     return v;
 }
@@ -30,14 +30,14 @@
     return v;
 }
 
-std::vector<Condition> JobBook::as_known(const std::string& ref, Place place, Revision mark,
-                                         Revision shadow) {
-    std::vector<Condition> when{{record_key(place, ref), mark}};
-    if (place == Place::Active) when.push_back({keys::job + ref, shadow});
+std::vector<Condition> JobCache::as_known(const std::string& ref, RecordLocation place, Revision mod_revision,
+                                          Revision shadow) {
+    std::vector<Condition> when{{record_key(place, ref), mod_revision}};
+    if (place == RecordLocation::Active) when.push_back({keys::job + ref, shadow});
     return when;
 }
 
-Change JobBook::dropped(const Condition& left) {
+Change JobCache::dropped(const Condition& left) {
     Change change;
     change.priority = Priority::Deferrable;
     change.when.push_back(left);
@@ -46,18 +46,20 @@
     return change;
 }
 
-bool JobBook::take(const std::string& ref, Place place, const Value& value, Revision mark, Micros now) {
-    JobView view = JobView::of(value, mark);
-    if (auto live = live_.find(ref);
-        live != live_.end() && place == Place::Job && live->second.place == Place::Active && !view.final()) {
+bool JobCache::take(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision,
+                    Micros now) {
+    JobView view = JobView::of(value, mod_revision);
+    if (auto live = live_.find(ref); live != live_.end() && place == RecordLocation::Job &&
+                                     live->second.place == RecordLocation::Active && !view.final()) {
         // News of what it was before it was moved may come after the result of that.
-        if (mark > live->second.moved) live->second.shadow = std::max(live->second.shadow, mark);
+        if (mod_revision > live->second.moved)
+            live->second.shadow = std::max(live->second.shadow, mod_revision);
         return false;
     }
     const JobView* old = known(ref);
     // News of our own earlier writes may come after their results: what is older than known is dropped.
-    if (old && old->mark > mark) return false;
-    if (view.final()) pipelines_.over(ref, view.stage == Stage::Done, view.ended_ms);
+    if (old && old->mod_revision > mod_revision) return false;
+    if (view.final()) dependency_graph_.over(ref, view.stage == Stage::Done, view.ended_ms);
     guarantees_due_ = true;
     const Value* spec = wire::find(value, "d");
     if (!spec || view.stage == Stage::Done) {
@@ -73,10 +75,11 @@
                 wire::number(value, "go").value_or(static_cast<double>(submitted_ms)));
             if (auto parsed = wire::parse_job(*spec).spec) {
                 if (!view.final())
-                    pipelines_.put(*parsed, submitted_ms, [this](const auto& need) { return fate(need); });
-                job.open = pipelines_.standing(ref).open;
+                    dependency_graph_.put(*parsed, submitted_ms,
+                                          [this](const auto& need) { return fate(need); });
+                job.open = dependency_graph_.dependency_status(ref).open;
                 job.team = parsed->team;
-                job.need = parsed->need;
+                job.request = parsed->request;
                 job.image = parsed->image;
                 job.spot = parsed->spot;
                 job.rank = parsed->rank;
@@ -86,30 +89,32 @@
             }
         }
         // Cancelled with one before it, whatever its record says: nobody is told anything else any more.
-        if (!view.final() && pipelines_.standing(ref).orphaned) view = view.as_cancelled();
+        if (!view.final() && dependency_graph_.dependency_status(ref).cancelled_by_dependency)
+            view = view.as_cancelled();
         job.record = value;
-        job.mark = mark;
+        job.mod_revision = mod_revision;
         // What stood under c/job/ was dropped by the change that moved it.
-        if (place == Place::Active && job.place == Place::Job) {
+        if (place == RecordLocation::Active && job.place == RecordLocation::Job) {
             job.shadow = 0;
-            if (!reading_) job.moved = mark;
+            if (!reading_) job.moved = mod_revision;
         }
         job.place = place;
         // Every change of it rests on there being no final record, so news of one proves that.
-        job.proven = place == Place::Job || !reading_;
-        job.domain = wire::text(value, "dom").value_or("");
-        if (view.running > 0) image_seen_[{job.image, job.domain}] = now;
+        job.proven = place == RecordLocation::Job || !reading_;
+        job.shard = wire::text(value, "dom").value_or("");
+        if (view.running > 0) image_seen_[{job.image, job.shard}] = now;
         job.tasks = view.tasks;
         job.done = view.done;
         job.running = view.running;
         job.cancelled = view.stage == Stage::Cancelled;
-        job.held = wire::flag(value, "er").value_or(false);
+        job.backing_off = wire::flag(value, "er").value_or(false);
     }
-    if (!old || old->mark < mark) remember(ref, view);
+    if (!old || old->mod_revision < mod_revision) remember(ref, view);
     return true;
 }
 
-bool JobBook::take_part(const std::string& ref, std::size_t part, const Value* value, Revision mark) {
+bool JobCache::take_part(const std::string& ref, std::size_t part, const Value* value,
+                         Revision mod_revision) {
     auto job = live_.find(ref);
     if (job == live_.end()) return false;
     if (!value) {
@@ -117,68 +122,68 @@
         return false;
     }
     auto& held = job->second.parts[part];
-    if (held.second >= mark) return false;
-    held = {*value, mark};
+    if (held.second >= mod_revision) return false;
+    held = {*value, mod_revision};
     return true;
 }
 
-void JobBook::gone(const std::string& ref) {
+void JobCache::on_record_removed(const std::string& ref) {
     auto live = live_.find(ref);
-    if (live != live_.end() && live->second.place == Place::Active) lost_.insert(ref);
+    if (live != live_.end() && live->second.place == RecordLocation::Active) lost_.insert(ref);
 }
 
-void JobBook::rereading() {
+void JobCache::on_resync_begin() {
     reading_ = true;
     for (auto& [ref, job] : live_)
-        if (job.place == Place::Active) job.proven = false;
+        if (job.place == RecordLocation::Active) job.proven = false;
 }
 
-void JobBook::reread(const std::function<bool(const std::string& key)>& seen, bool with_history) {
+void JobCache::on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history) {
     reading_ = false;
     for (auto& [ref, job] : live_) {
-        if (job.place != Place::Active) continue;
+        if (job.place != RecordLocation::Active) continue;
         if (!seen(keys::active + ref)) lost_.insert(ref);
         job.proven = job.proven || with_history;
     }
 }
 
-void JobBook::prove(const std::string& ref, Revision shadow) {
+void JobCache::prove(const std::string& ref, Revision shadow) {
     auto live = live_.find(ref);
-    if (live == live_.end() || live->second.place != Place::Active) return;
+    if (live == live_.end() || live->second.place != RecordLocation::Active) return;
     live->second.shadow = shadow;
     live->second.proven = true;
 }
 
-bool JobBook::unproven(const std::string& ref) const {
+bool JobCache::unproven(const std::string& ref) const {
     const LiveJob* job = find(ref);
     return job && (!job->proven || lost_.count(ref) > 0);
 }
 
-std::vector<std::string> JobBook::needed_unproven() const {
+std::vector<std::string> JobCache::needed_unproven() const {
     std::vector<std::string> out;
-    for (const auto& ref : pipelines_.waiting())
-        for (const auto& need : pipelines_.waits_for(ref))
+    for (const auto& ref : dependency_graph_.waiting())
+        for (const auto& need : dependency_graph_.waits_for(ref))
             if (unproven(need)) out.push_back(need);
     return out;
 }
 
-std::size_t JobBook::in_old_form() const {
+std::size_t JobCache::in_old_form() const {
     return static_cast<std::size_t>(std::count_if(
-        live_.begin(), live_.end(), [](const auto& j) { return j.second.place == Place::Job; }));
+        live_.begin(), live_.end(), [](const auto& j) { return j.second.place == RecordLocation::Job; }));
 }
 
-const LiveJob* JobBook::find(const std::string& ref) const {
+const LiveJob* JobCache::find(const std::string& ref) const {
     auto it = live_.find(ref);
     return it == live_.end() ? nullptr : &it->second;
 }
 
-void JobBook::remember(const std::string& ref, const JobView& view) {
+void JobCache::remember(const std::string& ref, const JobView& view) {
     const LiveJob* live = find(ref);
-    if (!view.final() && (!live || live->mark > view.mark)) return;
+    if (!view.final() && (!live || live->mod_revision > view.mod_revision)) return;
     auto it = views_.find(ref);
     if (it != views_.end()) {
         const JobView& old = it->second.first;
-        if (old.mark > view.mark || (old.final() && !view.final())) return;
+        if (old.mod_revision > view.mod_revision || (old.final() && !view.final())) return;
         it->second.first = view;
         recent_.splice(recent_.begin(), recent_, it->second.second);
         return;
@@ -191,12 +196,12 @@
     }
 }
 
-bool JobBook::over(const std::string& ref) const {
+bool JobCache::over(const std::string& ref) const {
     const JobView* view = known(ref);
-    return (view && view->final()) || pipelines_.standing(ref).orphaned;
+    return (view && view->final()) || dependency_graph_.dependency_status(ref).cancelled_by_dependency;
 }
 
-std::vector<Order> JobBook::stops_of_what_is_over(const Report& report) const {
+std::vector<Order> JobCache::stops_of_what_is_over(const Report& report) const {
     std::vector<Order> orders;
     for (const auto& t : report.tasks)
         if (t.phase != Phase::Exited && over(t.job))
@@ -204,29 +209,29 @@
     return orders;
 }
 
-const JobView* JobBook::known(const std::string& ref) const {
+const JobView* JobCache::known(const std::string& ref) const {
     auto it = views_.find(ref);
     return it == views_.end() ? nullptr : &it->second.first;
 }
 
-Pipelines::Known JobBook::fate(const std::string& ref) const {
+DependencyGraph::Known JobCache::fate(const std::string& ref) const {
     if (const JobView* view = known(ref); view && view->final())
-        return {view->stage == Stage::Done ? Pipelines::Fate::Done : Pipelines::Fate::Cancelled,
+        return {view->stage == Stage::Done ? DependencyGraph::Fate::Done : DependencyGraph::Fate::Cancelled,
                 view->ended_ms};
     if (const LiveJob* job = find(ref))
-        return {job->cancelled ? Pipelines::Fate::Cancelled : Pipelines::Fate::Open, 0};
+        return {job->cancelled ? DependencyGraph::Fate::Cancelled : DependencyGraph::Fate::Open, 0};
     // Known only from having been asked after: it may be over without having been in the news.
     return {};
 }
 
-void JobBook::settle(const std::string& ref) {
+void JobCache::settle(const std::string& ref) {
     auto live = live_.find(ref);
     if (live == live_.end()) return;
-    const Standing s = pipelines_.standing(ref);
+    const DependencyStatus s = dependency_graph_.dependency_status(ref);
     LiveJob& job = live->second;
-    if (s.orphaned && !job.cancelled) {
+    if (s.cancelled_by_dependency && !job.cancelled) {
         job.cancelled = true;
-        spdlog::info("job {}: cancelled with {}", ref, pipelines_.cancelled_with(ref));
+        spdlog::info("job {}: cancelled with {}", ref, dependency_graph_.cancelled_with(ref));
         if (const JobView* view = known(ref)) remember(ref, view->as_cancelled());
     }
     if (s.open && !std::exchange(job.open, true)) {
@@ -236,7 +241,7 @@
     guarantees_due_ = true;
 }
 
-bool JobBook::within_guarantee(const std::string& ref, Micros now) {
+bool JobCache::within_guarantee(const std::string& ref, Micros now) {
     if (guarantees_due_ && now - guarantees_at_ >= kWeighGuarantees) {
         guarantees_due_ = false;
         guarantees_at_ = now;
@@ -247,7 +252,7 @@
 }
 
 /// The earlier jobs of a team take of its guarantee first.
-void JobBook::weigh_guarantees() {
+void JobCache::weigh_guarantees() {
     std::vector<LiveJob*> order;
     for (auto& [name, job] : live_) {
         job.guaranteed = false;
@@ -261,17 +266,17 @@
     for (LiveJob* job : order) {
         Resources& room = left[job->team];
         const int tasks = std::max(job->tasks - job->done, 0);
-        room -= {job->need.cores * tasks, job->need.cards * tasks, 0};
-        job->guaranteed = room.cores >= 0 && room.cards >= 0;
+        room -= {job->request.cores * tasks, job->request.gpus * tasks, 0};
+        job->guaranteed = room.cores >= 0 && room.gpus >= 0;
     }
 }
 
-Micros JobBook::image_seen(const std::string& image, const std::string& domain) const {
-    auto it = image_seen_.find({image, domain});
+Micros JobCache::image_seen(const std::string& image, const std::string& shard) const {
+    auto it = image_seen_.find({image, shard});
     return it == image_seen_.end() ? 0 : it->second;
 }
 
-void JobBook::forget_images(Micros before) {
+void JobCache::forget_images(Micros before) {
     std::erase_if(image_seen_, [before](const auto& i) { return i.second < before; });
 }
 
--- a/src/replica/jobs.hpp
+++ b/src/cache/job_cache.hpp
@@ -12,9 +12,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "replica/pipelines.hpp"
-#include "settings/settings.hpp"
-#include "state/records.hpp"
+#include "cache/dependency_graph.hpp"
+#include "config/settings.hpp"
+#include "kvstore/records.hpp"
 
 namespace cottonway {
 
@@ -24,10 +24,10 @@
     int tasks = 0;
     int done = 0;
     int running = 0;
-    Revision mark = 0;
+    Revision mod_revision = 0;
     std::int64_t ended_ms = 0;  // by the time of day, if its record tells
 
-    static JobView of(const Value& record, Revision mark);
+    static JobView of(const Value& record, Revision mod_revision);
     /// What users are told of it once one before it is cancelled, whatever its record says.
     JobView as_cancelled() const;
     bool final() const { return stage != Stage::Queued; }
@@ -36,8 +36,8 @@
 /// A job that is not over, as the store has it.
 struct LiveJob {
     Value record;
-    Revision mark = 0;
-    Place place = Place::Job;
+    Revision mod_revision = 0;
+    RecordLocation place = RecordLocation::Job;
     /// Under c/active/: the mark of what stands under c/job/ besides, 0: nothing. That is a record of old
     /// form that came late and counts for nothing; it is in the way of the final record, which must name it.
     Revision shadow = 0;
@@ -45,12 +45,12 @@
     /// Under c/active/: whether it is proven that the job is not over as of what was read. Its final record
     /// stands elsewhere and is not read with the others; the record under c/active/ may outlast it a while.
     bool proven = true;
-    std::string domain;
+    std::string shard;
     std::string team;
     std::int64_t since_ms = 0;  // when it began to count (see Job)
     bool open = true;           // waits for no other job
-    Resources need;             // of one task
-    Rank rank = Rank::Normal;
+    Resources request;          // of one task
+    PriorityClass rank = PriorityClass::Normal;
     std::optional<std::vector<std::string>> types;  // that it may use, nothing: all
     std::optional<std::string> zone;                // the only one that it may use
     JobKind kind = JobKind::Array;
@@ -60,24 +60,25 @@
     std::string image;
     bool spot = false;
     bool cancelled = false;
-    bool held = false;        // its owner takes it to be broken
-    bool guaranteed = false;  // see JobBook::within_guarantee
+    bool backing_off = false;  // its owner takes it to be broken
+    bool guaranteed = false;   // see JobCache::within_guarantee
     std::map<std::size_t, std::pair<Value, Revision>> parts;
 };
 
-class JobBook {
+class JobCache {
   public:
-    explicit JobBook(const Settings& settings) : settings_(settings) {}
+    explicit JobCache(const Settings& settings) : settings_(settings) {}
 
     /// News of a job's record. False if it is older than what is known, or counts for nothing.
-    bool take(const std::string& ref, Place place, const Value& value, Revision mark, Micros now);
+    bool take(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision,
+              Micros now);
     /// A record under c/active/ is gone: the job is over, or about to be heard of.
-    void gone(const std::string& ref);
+    void on_record_removed(const std::string& ref);
     /// Everything is about to be read again: final records are not among it.
-    void rereading();
+    void on_resync_begin();
     /// Everything has been read. `seen`: whether the job's record was there; `with_history`: final records
     /// were read as well, so that what has not been found to be over goes on.
-    void reread(const std::function<bool(const std::string& key)>& seen, bool with_history);
+    void on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history);
 
     /// Live jobs that may be over by what is known; their final records must be looked for.
     const std::set<std::string>& lost() const { return lost_; }
@@ -88,14 +89,14 @@
     /// Jobs that others need and that are not proven to go on.
     std::vector<std::string> needed_unproven() const;
     /// Conditions on which a change of the job's record rests: it is as known, and the job is not over.
-    static std::vector<Condition> as_known(const std::string& ref, Place place, Revision mark,
-                                           Revision shadow);
+    static std::vector<Condition> as_known(const std::string& ref, RecordLocation place,
+                                           Revision mod_revision, Revision shadow);
     /// Drops what is left over under c/active/ of a job that is over.
     static Change dropped(const Condition& left);
     /// Live jobs whose record is of old form.
     std::size_t in_old_form() const;
     /// News of a further part; null: it is gone. True if the job is live and this is new.
-    bool take_part(const std::string& ref, std::size_t part, const Value* value, Revision mark);
+    bool take_part(const std::string& ref, std::size_t part, const Value* value, Revision mod_revision);
 
     const std::map<std::string, LiveJob>& live() const { return live_; }
     const LiveJob* find(const std::string& ref) const;
@@ -110,10 +111,10 @@
     /// Orders to stop what a worker reports of jobs that are over, at once.
     std::vector<Order> stops_of_what_is_over(const Report& report) const;
 
-    Pipelines& pipelines() { return pipelines_; }
-    const Pipelines& pipelines() const { return pipelines_; }
+    DependencyGraph& dependency_graph() { return dependency_graph_; }
+    const DependencyGraph& dependency_graph() const { return dependency_graph_; }
     /// What has become of a job that another one needs.
-    Pipelines::Known fate(const std::string& ref) const;
+    DependencyGraph::Known fate(const std::string& ref) const;
     /// Takes in how the job stands among those that need one another.
     void settle(const std::string& ref);
 
@@ -122,8 +123,8 @@
     /// What the guarantees are weighed by has changed.
     void weigh_again() { guarantees_due_ = true; }
 
-    /// When a domain last ran tasks with an image, 0: not lately.
-    Micros image_seen(const std::string& image, const std::string& domain) const;
+    /// When a shard last ran tasks with an image, 0: not lately.
+    Micros image_seen(const std::string& image, const std::string& shard) const;
     void forget_images(Micros before);
 
   private:
@@ -133,8 +134,8 @@
     std::map<std::string, LiveJob> live_;
     std::set<std::string> lost_;
     bool reading_ = false;
-    Pipelines pipelines_;
-    std::map<std::pair<std::string, std::string>, Micros> image_seen_;  // image and domain
+    DependencyGraph dependency_graph_;
+    std::map<std::pair<std::string, std::string>, Micros> image_seen_;  // image and shard
     bool guarantees_due_ = true;
     Micros guarantees_at_ = 0;
     std::list<std::string> recent_;
--- a/src/replica/catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -1,4 +1,4 @@
-#include "replica/catalog.hpp"
+#include "cache/machine_type_catalog.hpp"
 
 #include <algorithm>
 #include <set>
@@ -6,7 +6,7 @@
 
 namespace cottonway {
 
-bool Catalog::merge(const Value& answer) {
+bool MachineTypeCatalog::merge(const Value& answer) {
     auto types = wire::parse_types(answer);
     if (!types || types->empty()) return false;
     for (const auto& t : *types) {
@@ -20,29 +20,29 @@
     return true;
 }
 
-bool Catalog::learn(const Value& answer) {
+bool MachineTypeCatalog::learn(const Value& answer) {
     if (!merge(answer)) return false;
     answer_ = answer;
     return true;
 }
 
-bool Catalog::take(const Value& stored, Revision mark) {
-    if (mark <= stored_.second) return false;
-    stored_ = {stored, mark};
+bool MachineTypeCatalog::take(const Value& stored, Revision mod_revision) {
+    if (mod_revision <= stored_.second) return false;
+    stored_ = {stored, mod_revision};
     return types_.empty() && merge(stored);
 }
 
-const MachineType* Catalog::find(const std::string& name) const {
+const MachineType* MachineTypeCatalog::find(const std::string& name) const {
     for (const auto& t : types_)
         if (t.name == name) return &t;
     return nullptr;
 }
 
-bool Catalog::outdated() const {
+bool MachineTypeCatalog::outdated() const {
     auto fixed = [](const Value& answer) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
         if (auto types = wire::parse_types(answer))
-            for (const auto& t : *types) out.emplace(t.name, t.size.cores, t.size.cards, t.size.ram, t.zones);
+            for (const auto& t : *types) out.emplace(t.name, t.size.cores, t.size.gpus, t.size.ram, t.zones);
         return out;
     };
     return fixed(stored_.first) != fixed(answer_);
--- a/src/replica/catalog.hpp
+++ b/src/cache/machine_type_catalog.hpp
@@ -5,17 +5,17 @@
 #include <deque>
 #include <string>
 
-#include "state/store.hpp"
-#include "wire/wire.hpp"
+#include "kvstore/store_client.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
-class Catalog {
+class MachineTypeCatalog {
   public:
     /// An answer of the cloud. False if it tells nothing.
     bool learn(const Value& answer);
     /// News of the record that the leader keeps. True if something was learnt from it.
-    bool take(const Value& stored, Revision mark);
+    bool take(const Value& stored, Revision mod_revision);
 
     const MachineType* find(const std::string& name) const;
     /// Addresses in it stay valid.
--- a/src/replica/members.hpp
+++ b/src/cache/membership.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Who is there, as the store tells: controllers that are alive, the leading one, and who holds which domain.
+// Who is there, as the store tells: controllers that are alive, the leading one, and who holds which shard.
 // Holds state and decides nothing. Times are microseconds of this process's steady clock.
 
 #include <map>
@@ -7,27 +7,27 @@
 #include <set>
 #include <string>
 
-#include "state/store.hpp"
+#include "kvstore/store_client.hpp"
 
 namespace cottonway {
 
-/// Who holds something (a domain, the lead), and since which change.
+/// Who holds something (a shard, the lead), and since which change.
 struct Held {
     std::string holder;
-    Revision mark = 0;
+    Revision mod_revision = 0;
 };
 
-class Members {
+class Membership {
   public:
     /// News of a node's key. True if the node has just become silent.
     bool take_live(const std::string& node, bool alive, Micros now);
     /// A node that was not there when everything was read: nothing is known of it from before.
     void missed(const std::string& node, Micros now);
     /// True if this is newer than what is known.
-    bool take_domain(const std::string& name, const Value& value, Revision mark);
-    bool take_leader(const Value& value, Revision mark);
+    bool apply_shard(const std::string& name, const Value& value, Revision mod_revision);
+    bool take_leader(const Value& value, Revision mod_revision);
     /// What we have just committed ourselves.
-    void set_domain(const std::string& name, Held held) { domains_[name] = std::move(held); }
+    void set_shard(const std::string& name, Held held) { shards_[name] = std::move(held); }
     void set_leader(Held held) { leader_ = std::move(held); }
 
     bool alive(const std::string& node) const { return alive_.count(node) > 0; }
@@ -41,8 +41,8 @@
     void heard(const std::string& node) { heard_.insert(node); }
     bool ever_heard(const std::string& node) const { return heard_.count(node) > 0; }
     const Held& leader() const { return leader_; }
-    const std::map<std::string, Held>& domains() const { return domains_; }
-    const Held* domain(const std::string& name) const;
+    const std::map<std::string, Held>& shards() const { return shards_; }
+    const Held* shard(const std::string& name) const;
 
   private:
     std::set<std::string> alive_;
@@ -50,7 +50,7 @@
     std::map<std::string, Micros> alive_since_;
     std::map<std::string, Micros> silent_since_;
     Held leader_;
-    std::map<std::string, Held> domains_;
+    std::map<std::string, Held> shards_;
 };
 
 }  // namespace cottonway
--- a/src/replica/policies.cpp
+++ b/src/cache/policy_cache.cpp
@@ -1,13 +1,13 @@
-#include "replica/policies.hpp"
+#include "cache/policy_cache.hpp"
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
-bool PolicyBook::take(const Value* value, Revision mark) {
-    if (mark <= seen_) return false;
-    seen_ = mark;
-    mark_ = value ? mark : 0;
+bool PolicyCache::take(const Value* value, Revision mod_revision) {
+    if (mod_revision <= seen_) return false;
+    seen_ = mod_revision;
+    mod_revision_ = value ? mod_revision : 0;
     revision_ = value ? wire::count(*value, "rev").value_or(0) : 0;
     const policy::Policy before = in_force();
     stored_ = value ? policy::from_value(*value) : std::nullopt;
--- a/src/replica/shares.cpp
+++ b/src/cache/quota_cache.cpp
@@ -1,34 +1,34 @@
-#include "replica/shares.hpp"
+#include "cache/quota_cache.hpp"
 
 #include <algorithm>
 
 namespace cottonway {
 
-void ShareBook::take(const std::string& domain, const Value* value, Revision mark) {
-    Stored& s = stored_[domain];
-    if (value && mark > s.mark) s = {parse_shares(*value), mark};
+void QuotaCache::take(const std::string& shard, const Value* value, Revision mod_revision) {
+    Stored& s = stored_[shard];
+    if (value && mod_revision > s.mod_revision) s = {parse_shares(*value), mod_revision};
 }
 
-const ShareBook::Stored* ShareBook::find(const std::string& domain) const {
-    auto it = stored_.find(domain);
+const QuotaCache::Stored* QuotaCache::find(const std::string& shard) const {
+    auto it = stored_.find(shard);
     return it == stored_.end() ? nullptr : &it->second;
 }
 
-Resources ShareBook::shared_out(const std::string& team) const {
+Resources QuotaCache::shared_out(const std::string& team) const {
     Resources sum;
     for (const auto& [name, s] : stored_)
         if (auto part = s.shares.find(team); part != s.shares.end()) sum += part->second;
     return sum;
 }
 
-Resources ShareBook::part(const std::string& domain, const std::string& team) const {
+Resources QuotaCache::part(const std::string& shard, const std::string& team) const {
     const auto limited =
         std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) { return t.name == team; });
     if (limited == teams_.end()) return {};
     Resources ours;
-    if (const Stored* stored = find(domain)) {
+    if (const Stored* stored = find(shard)) {
         if (auto held = stored->shares.find(team); held != stored->shares.end()) ours = held->second;
-        if (auto giving = giving_.find(domain); giving != giving_.end())
+        if (auto giving = giving_.find(shard); giving != giving_.end())
             if (auto g = giving->second.find(team); g != giving->second.end()) ours -= g->second;
     }
     const Resources sum = shared_out(team);
@@ -39,17 +39,17 @@
                              : part_of;
     };
     return {scale(ours.cores, limited->limit.cores, sum.cores),
-            scale(ours.cards, limited->limit.cards, sum.cards), 0};
+            scale(ours.gpus, limited->limit.gpus, sum.gpus), 0};
 }
 
-void ShareBook::giving(const std::string& from, const std::string& to, const std::string& team,
-                       const Resources& amount) {
+void QuotaCache::giving(const std::string& from, const std::string& to, const std::string& team,
+                        const Resources& amount) {
     busy_.insert(from);
     busy_.insert(to);
     giving_[from][team] = amount;
 }
 
-void ShareBook::given(const std::string& from, const std::string& to) {
+void QuotaCache::given(const std::string& from, const std::string& to) {
     giving_.erase(from);
     busy_.erase(from);
     busy_.erase(to);
--- a/src/replica/replica.cpp
+++ b/src/cache/state_cache.cpp
@@ -1,11 +1,11 @@
-#include "replica/replica.hpp"
+#include "cache/state_cache.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <tuple>
 #include <vector>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -15,24 +15,24 @@
 }
 }  // namespace
 
-Replica::Replica(Host& host, Store& store, const Settings& settings, Listener& listener)
+StateCache::StateCache(Runtime& runtime, StoreClient& store, const Settings& settings, Listener& listener)
     : formats(settings),
       blocks(listener),
       shares(settings.teams),
       policies(settings),
       jobs(settings),
-      host_(host),
+      runtime_(runtime),
       store_(store),
       settings_(settings),
       listener_(listener) {}
 
-void Replica::take(const std::string& key, const Value* value, Revision mark) {
+void StateCache::take(const std::string& key, const Value* value, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-    if (starts_with(key, keys::piece)) return store_.shelf().take(key, value, host_.now());
+    if (starts_with(key, keys::chunk)) return store_.chunk_store().take(key, value, runtime_.now());
     std::optional<Value> whole;
-    if (!value || !pieces::named_by(*value)) {
-        store_.shelf().gone(key);
-    } else if (whole = store_.shelf().whole(key, *value); whole) {
+    if (!value || !chunks::named_by(*value)) {
+        store_.chunk_store().on_record_removed(key);
+    } else if (whole = store_.chunk_store().whole(key, *value); whole) {
         value = &*whole;
     } else {
         // Replaced since, so that its pieces are gone: news of that follows.
@@ -40,125 +40,126 @@
     }
     const bool active = starts_with(key, keys::active);
     if (active || starts_with(key, keys::job)) {
-        const Place place = active ? Place::Active : Place::Job;
+        const RecordLocation place = active ? RecordLocation::Active : RecordLocation::Job;
         const std::string ref = rest(active ? keys::active : keys::job);
-        if (!value && active) return jobs.gone(ref);
-        if (!value || !jobs.take(ref, place, *value, mark, host_.now())) return;
-        listener_.on_job(ref, place, *value, mark);
-        if (jobs.pipelines().changed()) settle();
+        if (!value && active) return jobs.on_record_removed(ref);
+        if (!value || !jobs.take(ref, place, *value, mod_revision, runtime_.now())) return;
+        listener_.on_job(ref, place, *value, mod_revision);
+        if (jobs.dependency_graph().changed()) settle();
     } else if (starts_with(key, keys::part)) {
         const std::string name = rest(keys::part);
         const auto slash = name.rfind('/');
         if (slash == std::string::npos) return;
         const std::string ref = name.substr(0, slash);
         const auto part = static_cast<std::size_t>(std::strtoul(name.c_str() + slash + 1, nullptr, 10));
-        if (jobs.take_part(ref, part, value, mark)) listener_.on_part(ref, part, *value, mark);
+        if (jobs.take_part(ref, part, value, mod_revision))
+            listener_.on_part(ref, part, *value, mod_revision);
     } else if (starts_with(key, keys::block)) {
-        blocks.take(rest(keys::block), value, mark);
+        blocks.take(rest(keys::block), value, mod_revision);
         listener_.on_news();
     } else if (starts_with(key, keys::live)) {
         const std::string node = rest(keys::live);
-        members.take_live(node, value != nullptr, host_.now());
-        if (value && !reading_) members.heard(node);
-    } else if (starts_with(key, keys::domain)) {
-        const std::string name = rest(keys::domain);
-        if (value && members.take_domain(name, *value, mark)) listener_.on_domain(name);
+        membership.take_live(node, value != nullptr, runtime_.now());
+        if (value && !reading_) membership.heard(node);
+    } else if (starts_with(key, keys::shard)) {
+        const std::string name = rest(keys::shard);
+        if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
     } else if (starts_with(key, keys::share)) {
-        shares.take(rest(keys::share), value, mark);
+        shares.take(rest(keys::share), value, mod_revision);
         listener_.on_news();
     } else if (starts_with(key, keys::plan)) {
-        plans.take(rest(keys::plan), value, mark);
+        plans.take(rest(keys::plan), value, mod_revision);
     } else if (starts_with(key, keys::format)) {
         if (value && formats.take(rest(keys::format), *value)) listener_.on_format();
     } else if (key == keys::policy) {
-        if (policies.take(value, mark)) listener_.on_policy();
+        if (policies.take(value, mod_revision)) listener_.on_policy();
     } else if (key == keys::history) {
-        if (value) take_history(*value, mark);
+        if (value) take_history(*value, mod_revision);
     } else if (key == keys::types) {
-        if (!value || !types.take(*value, mark)) return;
+        if (!value || !types.take(*value, mod_revision)) return;
         jobs.weigh_again();
         listener_.on_news();
     } else if (key == keys::leader) {
-        if (value) members.take_leader(*value, mark);
+        if (value) membership.take_leader(*value, mod_revision);
     }
 }
 
 /// Closed at first: from then on no record of old form is admitted, since that rests on this one not being
 /// there. Apart once a look after that has shown that none is left.
-void Replica::take_history(const Value& value, Revision mark) {
-    if (mark <= history_mark_) return;
-    history_mark_ = mark;
+void StateCache::take_history(const Value& value, Revision mod_revision) {
+    if (mod_revision <= history_mark_) return;
+    history_mark_ = mod_revision;
     history_ = wire::flag(value, "apart").value_or(false) ? History::Apart : History::Closed;
     // Whoever wrote it had proven that all controllers read it.
     if (formats.proven(format::kHistory)) listener_.on_format();
 }
 
-bool Replica::stray(const std::string& ref) const {
+bool StateCache::stray(const std::string& ref) const {
     const LiveJob* job = jobs.find(ref);
-    return history_apart() && job && job->place == Place::Job;
+    return history_apart() && job && job->place == RecordLocation::Job;
 }
 
-std::string Replica::go_on_after(const std::string& key) {
+std::string StateCache::go_on_after(const std::string& key) {
     return history_apart() && starts_with(key, keys::job) ? keys::job + "~" : key;
 }
 
-void Replica::rereading() {
+void StateCache::on_resync_begin() {
     reading_ = true;
-    jobs.rereading();
+    jobs.on_resync_begin();
 }
 
-void Replica::reread(const std::set<std::string>& seen, Revision ledger) {
+void StateCache::on_resync_end(const std::set<std::string>& seen, Revision store_revision) {
     reading_ = false;
     std::vector<std::string> missing;
-    for (const auto& name : members.alive())
+    for (const auto& name : membership.alive())
         if (!seen.count(keys::live + name) && name != settings_.node) missing.push_back(keys::live + name);
     for (const auto& [id, block] : blocks.all())
         if (!seen.count(keys::block + id)) missing.push_back(keys::block + id);
-    for (const auto& [domain, stored] : plans.all())
-        if (!seen.count(keys::plan + domain)) missing.push_back(keys::plan + domain);
+    for (const auto& [shard, stored] : plans.all())
+        if (!seen.count(keys::plan + shard)) missing.push_back(keys::plan + shard);
     for (const auto& [ref, job] : jobs.live())
         for (const auto& [part, rest] : job.parts)
             if (const auto key = keys::part + ref + "/" + std::to_string(part); !seen.count(key))
                 missing.push_back(key);
-    if (policies.mark() > 0 && !seen.count(keys::policy)) missing.push_back(keys::policy);
-    for (const auto& key : missing) take(key, nullptr, ledger);
-    jobs.reread([&](const std::string& key) { return seen.count(key) > 0; }, !history_apart());
-    for (const auto& p : settings_.peers) members.missed(p.name, host_.now());
+    if (policies.mod_revision() > 0 && !seen.count(keys::policy)) missing.push_back(keys::policy);
+    for (const auto& key : missing) take(key, nullptr, store_revision);
+    jobs.on_resync_end([&](const std::string& key) { return seen.count(key) > 0; }, !history_apart());
+    for (const auto& p : settings_.peers) membership.missed(p.name, runtime_.now());
 }
 
-void Replica::settle() {
-    for (const auto& ref : jobs.pipelines().take_changed()) {
+void StateCache::settle() {
+    for (const auto& ref : jobs.dependency_graph().take_changed()) {
         jobs.settle(ref);
-        listener_.on_standing(ref);
+        listener_.on_dependency_status(ref);
     }
 }
 
-void Replica::learn(const Value& answer) {
+void StateCache::learn(const Value& answer) {
     if (!types.learn(answer)) return;
     jobs.weigh_again();
     listener_.on_news();
 }
 
-std::size_t Replica::machines_in(const std::string& domain) const {
+std::size_t StateCache::machines_in(const std::string& shard) const {
     std::size_t n = 0;
     for (const auto& [id, block] : blocks.all())
-        if (block.domain == domain) n += block.machines.size();
+        if (block.shard == shard) n += block.machines.size();
     return n;
 }
 
-std::size_t Replica::machines_at(const std::string& node) const {
+std::size_t StateCache::machines_at(const std::string& node) const {
     std::size_t n = 0;
     for (const auto& [id, block] : blocks.all())
-        if (const Held* d = members.domain(block.domain); d && d->holder == node) n += block.machines.size();
+        if (const Held* d = membership.shard(block.shard); d && d->holder == node) n += block.machines.size();
     return n;
 }
 
-std::size_t Replica::rank_among_alive(const std::string& what) const {
+std::size_t StateCache::rank_among_alive(const std::string& what) const {
     auto weight = [&](const std::string& node) {
         return std::tuple(machines_at(node), std::hash<std::string>{}(what + "@" + node), node);
     };
     const auto ours = weight(settings_.node);
-    const auto& alive = members.alive();
+    const auto& alive = membership.alive();
     return static_cast<std::size_t>(std::count_if(alive.begin(), alive.end(), [&](const std::string& node) {
         return node != settings_.node && weight(node) < ours;
     }));
--- a/src/replica/replica.hpp
+++ b/src/cache/state_cache.hpp
@@ -6,40 +6,42 @@
 #include <set>
 #include <string>
 
-#include "replica/blocks.hpp"
-#include "replica/catalog.hpp"
-#include "replica/feed.hpp"
-#include "replica/formats.hpp"
-#include "replica/jobs.hpp"
-#include "replica/members.hpp"
-#include "replica/plans.hpp"
-#include "replica/policies.hpp"
-#include "replica/shares.hpp"
+#include "cache/block_cache.hpp"
+#include "cache/change_feed.hpp"
+#include "cache/format_cache.hpp"
+#include "cache/job_cache.hpp"
+#include "cache/machine_type_catalog.hpp"
+#include "cache/membership.hpp"
+#include "cache/plan_cache.hpp"
+#include "cache/policy_cache.hpp"
+#include "cache/quota_cache.hpp"
 
 namespace cottonway {
 
-class Replica : public Feed::Reader {
+class StateCache : public ChangeFeed::Reader {
   public:
     /// Told of changes, after they have been taken in.
-    class Listener : public BlockBook::Listener {
+    class Listener : public BlockCache::Listener {
       public:
-        virtual void on_job(const std::string& ref, Place place, const Value& value, Revision mark) = 0;
-        virtual void on_part(const std::string& ref, std::size_t part, const Value& value, Revision mark) = 0;
+        virtual void on_job(const std::string& ref, RecordLocation place, const Value& value,
+                            Revision mod_revision) = 0;
+        virtual void on_part(const std::string& ref, std::size_t part, const Value& value,
+                             Revision mod_revision) = 0;
         /// The job stands differently among those that need one another.
-        virtual void on_standing(const std::string& ref) = 0;
-        virtual void on_domain(const std::string& name) = 0;
+        virtual void on_dependency_status(const std::string& ref) = 0;
+        virtual void on_shard(const std::string& name) = 0;
         virtual void on_format() = 0;
         /// Another policy is in force.
         virtual void on_policy() = 0;
         /// Something that planning may rest on.
         virtual void on_news() = 0;
     };
-    Replica(Host& host, Store& store, const Settings& settings, Listener& listener);
+    StateCache(Runtime& runtime, StoreClient& store, const Settings& settings, Listener& listener);
 
-    void take(const std::string& key, const Value* value, Revision mark) override;
-    void rereading() override;
+    void take(const std::string& key, const Value* value, Revision mod_revision) override;
+    void on_resync_begin() override;
     std::string go_on_after(const std::string& key) override;
-    void reread(const std::set<std::string>& seen, Revision ledger) override;
+    void on_resync_end(const std::set<std::string>& seen, Revision store_revision) override;
     /// Whether jobs that are not over stand under c/active/ only, so that nobody reads those under c/job/.
     bool history_apart() const { return history_ == History::Apart; }
     /// Whether no record of old form can be added any more.
@@ -53,34 +55,34 @@
     /// Machine types, as the cloud has just told them.
     void learn(const Value& answer);
 
-    /// Machines of a domain, and of all domains that a node holds.
-    std::size_t machines_in(const std::string& domain) const;
+    /// Machines of a shard, and of all shards that a node holds.
+    std::size_t machines_in(const std::string& shard) const;
     std::size_t machines_at(const std::string& node) const;
     /// Our turn among the nodes that are alive: who holds the fewest machines comes first.
     std::size_t rank_among_alive(const std::string& what) const;
-    Milli capacity_of(const std::string& domain) const { return blocks.capacity_of(domain, types); }
+    Milli capacity_of(const std::string& shard) const { return blocks.capacity_of(shard, types); }
 
-    Catalog types;
-    Members members;
-    FormatBook formats;
-    BlockBook blocks;
-    ShareBook shares;
-    PlanBook plans;
-    PolicyBook policies;
-    JobBook jobs;
+    MachineTypeCatalog types;
+    Membership membership;
+    FormatCache formats;
+    BlockCache blocks;
+    QuotaCache shares;
+    PlanCache plans;
+    PolicyCache policies;
+    JobCache jobs;
 
     /// How far the records of live jobs have been moved out of history: see keys::history.
     enum class History { Open, Closed, Apart };
     static Value history_value(History h) { return {{"apart", h == History::Apart}}; }
 
   private:
-    void take_history(const Value& value, Revision mark);
+    void take_history(const Value& value, Revision mod_revision);
 
     History history_ = History::Open;
     Revision history_mark_ = 0;
     bool reading_ = false;  // everything, from the first record to the last
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
     Listener& listener_;
 };
--- a/src/cli/client.hpp
+++ b/src/cli/client.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "settings/settings.hpp"
-#include "wire/wire.hpp"
+#include "config/settings.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::cli {
 
--- a/src/cli/verify.cpp
+++ b/src/cli/verify.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 
 #include "net/service.hpp"
-#include "recovery/verify.hpp"
+#include "verify/verify.hpp"
 
 namespace cottonway::cli {
 
@@ -32,12 +32,12 @@
     settings.peers.clear();
     asio::io_context io(1);
     net::AsioHost host(io, settings);
-    Store store(host, settings);
+    StoreClient store(host, settings);
     recovery::Verifier verifier(settings);
     int code = 2;
     store.list(
         keys::root, [](const std::string& key) { return key; },
-        [&](const Entry& e) { verifier.take(e.key, e.value, e.mark); },
+        [&](const Entry& e) { verifier.take(e.key, e.value, e.mod_revision); },
         [&](const ListResult& r) {
             io.stop();
             if (!r.ok) {
--- a/src/cli/verify.hpp
+++ b/src/cli/verify.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // `cottonway verify`: reads the store and reports what is damaged in it.
 
-#include "settings/settings.hpp"
+#include "config/settings.hpp"
 
 namespace cottonway::cli {
 
--- a/src/recovery/dividing.hpp
+++ b/src/cluster/failover.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Who takes which domain whose holder has ended, and what goes back to whom afterwards. Pure functions of
+// Who takes which shard whose holder has ended, and what goes back to whom afterwards. Pure functions of
 // what a node knows, so every node that knows the same comes to the same result; where they don't, the
-// compare-and-set on the domain's record lets one win.
+// compare-and-set on the shard's record lets one win.
 
 #include <cstddef>
 #include <map>
@@ -9,13 +9,13 @@
 #include <utility>
 #include <vector>
 
-#include "wire/units.hpp"
+#include "base/units.hpp"
 
 namespace cottonway::recovery {
 
-/// A domain whose holder is not alive.
+/// A shard whose holder is not alive.
 struct Orphan {
-    std::string domain;
+    std::string shard;
     std::size_t machines = 0;
     Micros since = 0;  // when it was noticed, by this process's steady clock
     /// Its holder was gone already when this process read the store for the first time. So all may have gone
@@ -23,9 +23,9 @@
     bool before_us = false;
 };
 
-struct Situation {
+struct FailoverState {
     std::string self;
-    std::map<std::string, std::size_t> alive;  // nodes, with the machines of their domains; self among them
+    std::map<std::string, std::size_t> alive;  // nodes, with the machines of their shards; self among them
     std::vector<Orphan> orphans;
     Micros now = 0;
     Micros come_back = 0;  // how long a holder that had gone before us is waited for
@@ -35,11 +35,11 @@
 /// before it counted in; the next one in line takes it 0.4 s later if it is still there. One that was there
 /// before us is first left to its holder, which may be about to start as well, and to those that have been
 /// here for longer.
-std::vector<std::string> to_take(const Situation& s);
+std::vector<std::string> shards_to_take(const FailoverState& s);
 
-/// A domain held here.
+/// A shard held here.
 struct Holding {
-    std::string domain;
+    std::string shard;
     std::size_t machines = 0;
     bool active = false;
     bool at_start = false;  // taken a short while ago, of a holder that had gone before us
@@ -51,11 +51,11 @@
     Micros alive_for = 0;
 };
 
-/// Which domains go to which nodes, all in one step: their own ones first, then the smallest, as long as one
+/// Which shards go to which nodes, all in one step: their own ones first, then the smallest, as long as one
 /// with machines stays here. A node must have been alive for 4 s, or for 1 s to get back what was taken at
 /// our start.
-std::vector<std::pair<std::string, std::string>> to_hand_over(const std::string& self,
-                                                              std::vector<Holding> held,
-                                                              std::vector<Receiver> receivers);
+std::vector<std::pair<std::string, std::string>> shards_to_transfer(const std::string& self,
+                                                                    std::vector<Holding> held,
+                                                                    std::vector<Receiver> receivers);
 
 }  // namespace cottonway::recovery
--- a/src/core/leadership.cpp
+++ b/src/cluster/leader_election.cpp
@@ -1,6 +1,6 @@
-#include "core/leadership.hpp"
+#include "cluster/leader_election.hpp"
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -9,25 +9,25 @@
 constexpr Micros kStoreTypesEvery = 30 * kSecond;
 }  // namespace
 
-void Leadership::consider() {
-    const Micros now = host_.now();
-    if (!feed_.loaded() || !presence_.announced() || replica_.types.empty() || taking_) return;
+void LeaderElection::rebalance_shards() {
+    const Micros now = runtime_.now();
+    if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty() || taking_) return;
     if (feed_.confirmed_ago() > 2 * kSecond) return;
-    const Held& leader = replica_.members.leader();
-    if (leader.mark != 0 && leader.holder == settings_.node) {
-        if (led_mark_ != leader.mark) lead();
+    const Held& leader = cache_.membership.leader();
+    if (leader.mod_revision != 0 && leader.holder == settings_.node) {
+        if (led_mark_ != leader.mod_revision) lead();
         return;
     }
-    if (leader.mark != 0 && replica_.members.alive(leader.holder)) {
+    if (leader.mod_revision != 0 && cache_.membership.alive(leader.holder)) {
         leaderless_since_ = 0;
         return;
     }
     if (leaderless_since_ == 0) leaderless_since_ = now;
-    const auto turn = static_cast<Micros>(replica_.rank_among_alive("leader"));
+    const auto turn = static_cast<Micros>(cache_.rank_among_alive("leader"));
     if (now - leaderless_since_ >= turn * kLeadStep) lead();
 }
 
-void Leadership::lead() {
+void LeaderElection::lead() {
     taking_ = true;
     ready_ = false;
     Change change;
@@ -36,27 +36,27 @@
     change.then.push_back({keys::leader, Value{{"node", settings_.node}}});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
-        if (ok && r.revision > term()) replica_.members.set_leader({settings_.node, r.revision});
+        if (ok && r.revision > term()) cache_.membership.set_leader({settings_.node, r.revision});
         if (ok) led_mark_ = r.revision;
         // Only what a look begun by now tells includes all that the former leader has done.
-        feed_.after_look([this, ok, mark = r.revision](bool looked) {
+        feed_.after_look([this, ok, mod_revision = r.revision](bool looked) {
             taking_ = false;
             leaderless_since_ = 0;
             if (!ok) return;
             if (!looked) led_mark_ = 0;  // taken once more
-            if (!looked || term() != mark) return;
+            if (!looked || term() != mod_revision) return;
             ready_ = true;
-            spdlog::info("node {} leads, term {}", settings_.node, mark);
+            spdlog::info("node {} leads, term {}", settings_.node, mod_revision);
         });
     });
 }
 
-void Leadership::store_types() {
-    const Catalog& types = replica_.types;
+void LeaderElection::store_types() {
+    const MachineTypeCatalog& types = cache_.types;
     if (!leading() || storing_types_ || types.answer().is_null() ||
-        host_.now() - types_stored_at_ < kStoreTypesEvery)
+        runtime_.now() - types_stored_at_ < kStoreTypesEvery)
         return;
-    types_stored_at_ = host_.now();
+    types_stored_at_ = runtime_.now();
     if (!types.outdated()) return;
     storing_types_ = true;
     Change change;
--- a/src/core/authority.hpp
+++ b/src/cluster/lease_validity.hpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "settings/settings.hpp"
+#include "config/settings.hpp"
 
 namespace cottonway {
 
@@ -37,7 +37,7 @@
 /// Whether one whose last look at the store was begun that long ago may still renew leases and start tasks.
 /// What it does within that time is over by itself in time, however long it then hears nothing: the sessions
 /// of workers that it may act on began by then or were renewed by then, and end a lease later.
-inline bool entitled(Micros confirmed_ago, const Settings& s) {
+inline bool has_valid_lease(Micros confirmed_ago, const Settings& s) {
     return confirmed_ago < authority(s);
 }
 
--- a/src/core/presence.hpp
+++ b/src/cluster/membership_lease.hpp
@@ -1,26 +1,26 @@
 #pragma once
 // This node's key at the store, attached to a lease: its removal is how the others suspect that it has ended.
 
-#include "replica/replica.hpp"
+#include "cache/state_cache.hpp"
 
 namespace cottonway {
 
-class Presence {
+class MembershipLease {
   public:
-    Presence(Host& host, Store& store, const Settings& settings, Replica& replica)
-        : host_(host), store_(store), settings_(settings), replica_(replica) {}
+    MembershipLease(Runtime& runtime, StoreClient& store, const Settings& settings, StateCache& cache)
+        : runtime_(runtime), store_(store), settings_(settings), cache_(cache) {}
     void join();
     bool announced() const { return announced_; }
 
   private:
     void announce();
-    void put(Revision mark);
+    void put(Revision mod_revision);
     void renew();
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
-    Replica& replica_;
+    StateCache& cache_;
     std::uint64_t lease_ = 0;
     bool announced_ = false;
 };
--- a/src/core/peers.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -7,22 +7,22 @@
 #include <string>
 #include <vector>
 
-#include "core/holdings.hpp"
-#include "core/leadership.hpp"
-#include "peer/messages.hpp"
+#include "cluster/leader_election.hpp"
+#include "cluster/peer_messages.hpp"
+#include "cluster/shard_assignment.hpp"
 
 namespace cottonway {
 
-class Fleet;
+class Autoscaler;
 
-class Peers {
+class PeerDirectory {
   public:
-    struct Told {
+    struct PeerStatus {
         peer::State state;
         Micros at = 0;  // by the steady clock
     };
-    Peers(Host& host, const Settings& settings, const Feed& feed, Replica& replica, const Holdings& holdings,
-          const Leadership& leadership, const Fleet& fleet);
+    PeerDirectory(Runtime& runtime, const Settings& settings, const ChangeFeed& feed, StateCache& cache,
+                  const ShardAssignment& assignment, const LeaderElection& election, const Autoscaler& fleet);
 
     /// Tells the others how things are here, and hears the same of them.
     void gossip();
@@ -35,29 +35,29 @@
     /// Whether it has been heard a short while ago.
     bool reachable(std::size_t peer) const;
     /// What it told last; nothing if that is older than `within`.
-    const Told* told(std::size_t peer, Micros within) const;
+    const PeerStatus* told(std::size_t peer, Micros within) const;
     /// The same, while it is of use.
     const peer::State* fresh(std::size_t peer) const;
-    const peer::DomainLoad* load_of(const std::string& domain) const;
+    const peer::ShardLoad* load_of(const std::string& shard) const;
     /// The balance that the leader last told, or our own.
     peer::FleetBalance balance() const;
-    /// Cores of jobs given to a domain since its holder last told of it.
-    void sent(const std::string& domain, Milli cores) { sent_to_[domain] += cores; }
-    Milli sent_to(const std::string& domain) const;
+    /// Cores of jobs given to a shard since its holder last told of it.
+    void sent(const std::string& shard, Milli cores) { sent_to_[shard] += cores; }
+    Milli sent_to(const std::string& shard) const;
 
   private:
     struct Peer {
         Micros heard = 0;  // in time spent listening
         bool asking = false;
-        std::optional<Told> told;
+        std::optional<PeerStatus> told;
     };
-    Host& host_;
+    Runtime& runtime_;
     const Settings& settings_;
-    const Feed& feed_;
-    Replica& replica_;
-    const Holdings& holdings_;
-    const Leadership& leadership_;
-    const Fleet& fleet_;
+    const ChangeFeed& feed_;
+    StateCache& cache_;
+    const ShardAssignment& assignment_;
+    const LeaderElection& election_;
+    const Autoscaler& autoscaler_;
     std::vector<Peer> peers_;
     std::map<std::string, Milli> sent_to_;
     Micros gossiped_ = 0;
--- a/src/peer/messages.cpp
+++ b/src/cluster/peer_messages.cpp
@@ -1,4 +1,4 @@
-#include "peer/messages.hpp"
+#include "cluster/peer_messages.hpp"
 
 #include <algorithm>
 #include <cstring>
@@ -32,7 +32,7 @@
     }
     void resources(const Resources& r) {
         i64(r.cores);
-        i64(r.cards);
+        i64(r.gpus);
         i64(r.ram);
     }
     void bytes(const std::string& s) {
@@ -74,7 +74,7 @@
     Resources resources() {
         Resources r;
         r.cores = i64();
-        r.cards = i64();
+        r.gpus = i64();
         r.ram = i64();
         return r;
     }
@@ -134,12 +134,12 @@
     p.u64(m.balance.term);
     for (Milli v : {m.balance.ordinary, m.balance.total, m.balance.wanted_ordinary, m.balance.wanted_total})
         p.i64(v);
-    const std::size_t domains = std::min(m.domains.size(), kMaxDomains);
-    p.u32(static_cast<std::uint32_t>(domains));
-    for (std::size_t i = 0; i < domains; ++i) {
-        const DomainLoad& d = m.domains[i];
-        p.name(d.domain);
-        p.u64(d.mark);
+    const std::size_t shards = std::min(m.shards.size(), kMaxShards);
+    p.u32(static_cast<std::uint32_t>(shards));
+    for (std::size_t i = 0; i < shards; ++i) {
+        const ShardLoad& d = m.shards[i];
+        p.name(d.shard);
+        p.u64(d.mod_revision);
         p.u32(d.machines);
         p.u32(d.jobs);
         for (Milli v : {d.capacity, d.ordinary, d.production, d.free_ordinary, d.free_spot, d.idle_ordinary,
@@ -167,10 +167,10 @@
     for (Milli* v :
          {&m.balance.ordinary, &m.balance.total, &m.balance.wanted_ordinary, &m.balance.wanted_total})
         *v = in.i64();
-    m.domains.resize(in.count(kMaxDomains));
-    for (auto& d : m.domains) {
-        d.domain = in.name();
-        d.mark = in.u64();
+    m.shards.resize(in.count(kMaxShards));
+    for (auto& d : m.shards) {
+        d.shard = in.name();
+        d.mod_revision = in.u64();
         d.machines = in.u32();
         d.jobs = in.u32();
         for (Milli* v : {&d.capacity, &d.ordinary, &d.production, &d.free_ordinary, &d.free_spot,
@@ -187,11 +187,11 @@
     return whole(in, std::move(m));
 }
 
-std::string pack(const Renounce& m) {
-    Packer p(Kind::Renounce);
+std::string pack(const Relinquish& m) {
+    Packer p(Kind::Relinquish);
     p.name(m.node);
-    p.name(m.domain);
-    p.u64(m.mark);
+    p.name(m.shard);
+    p.u64(m.mod_revision);
     const std::size_t n = std::min(m.machines.size(), kMaxMachines);
     p.u32(static_cast<std::uint32_t>(n));
     for (std::size_t i = 0; i < n; ++i) p.name(m.machines[i]);
@@ -199,19 +199,19 @@
 }
 
 template <>
-std::optional<Renounce> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Renounce);
-    Renounce m;
+std::optional<Relinquish> unpack(std::string_view bytes) {
+    Unpacker in(bytes, Kind::Relinquish);
+    Relinquish m;
     m.node = in.name();
-    m.domain = in.name();
-    m.mark = in.u64();
+    m.shard = in.name();
+    m.mod_revision = in.u64();
     m.machines.resize(in.count(kMaxMachines));
     for (auto& name : m.machines) name = in.name();
     return whole(in, std::move(m));
 }
 
-std::string pack(const Renounced& m) {
-    Packer p(Kind::Renounced);
+std::string pack(const Relinquished& m) {
+    Packer p(Kind::Relinquished);
     const std::size_t n = std::min(m.ages.size(), kMaxMachines);
     p.u32(static_cast<std::uint32_t>(n));
     for (std::size_t i = 0; i < n; ++i) p.i64(m.ages[i]);
@@ -219,18 +219,18 @@
 }
 
 template <>
-std::optional<Renounced> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Renounced);
-    Renounced m;
+std::optional<Relinquished> unpack(std::string_view bytes) {
+    Unpacker in(bytes, Kind::Relinquished);
+    Relinquished m;
     m.ages.resize(in.count(kMaxMachines));
     for (auto& age : m.ages) age = in.i64();
     return whole(in, std::move(m));
 }
 
-std::string pack(const Want& m) {
-    Packer p(Kind::Want);
-    p.name(m.domain);
-    p.u64(m.mark);
+std::string pack(const CapacityRequest& m) {
+    Packer p(Kind::CapacityRequest);
+    p.name(m.shard);
+    p.u64(m.mod_revision);
     p.resources(m.task);
     p.i64(m.cores);
     p.u8(m.spot ? 1 : 0);
@@ -240,11 +240,11 @@
 }
 
 template <>
-std::optional<Want> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Want);
-    Want m;
-    m.domain = in.name();
-    m.mark = in.u64();
+std::optional<CapacityRequest> unpack(std::string_view bytes) {
+    Unpacker in(bytes, Kind::CapacityRequest);
+    CapacityRequest m;
+    m.shard = in.name();
+    m.mod_revision = in.u64();
     m.task = in.resources();
     m.cores = in.i64();
     m.spot = in.u8() != 0;
@@ -253,37 +253,37 @@
     return whole(in, std::move(m));
 }
 
-std::string pack(const ShareWant& m) {
+std::string pack(const QuotaRequest& m) {
     Packer p(Kind::Share);
-    p.name(m.domain);
-    p.u64(m.mark);
+    p.name(m.shard);
+    p.u64(m.mod_revision);
     p.name(m.team);
     p.resources(m.amount);
     return p.done();
 }
 
 template <>
-std::optional<ShareWant> unpack(std::string_view bytes) {
+std::optional<QuotaRequest> unpack(std::string_view bytes) {
     Unpacker in(bytes, Kind::Share);
-    ShareWant m;
-    m.domain = in.name();
-    m.mark = in.u64();
+    QuotaRequest m;
+    m.shard = in.name();
+    m.mod_revision = in.u64();
     m.team = in.name();
     m.amount = in.resources();
     return whole(in, std::move(m));
 }
 
-std::string pack(const Granted& m) {
-    Packer p(Kind::Granted);
+std::string pack(const Grant& m) {
+    Packer p(Kind::Grant);
     p.resources(m.amount);
     p.u32(m.machines);
     return p.done();
 }
 
 template <>
-std::optional<Granted> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Granted);
-    Granted m;
+std::optional<Grant> unpack(std::string_view bytes) {
+    Unpacker in(bytes, Kind::Grant);
+    Grant m;
     m.amount = in.resources();
     m.machines = in.u32();
     return whole(in, std::move(m));
--- a/src/peer/messages.hpp
+++ b/src/cluster/peer_messages.hpp
@@ -10,13 +10,13 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/units.hpp"
+#include "base/units.hpp"
 
 namespace cottonway::peer {
 
 constexpr std::uint16_t kVersion = 1;
 constexpr std::size_t kNameSize = 48;
-constexpr std::size_t kMaxDomains = 32;
+constexpr std::size_t kMaxShards = 32;
 constexpr std::size_t kMaxTeams = 32;
 /// Machines in one message, so that it fits into a request's 64 KiB. What is about more takes several
 /// messages.
@@ -24,17 +24,17 @@
 constexpr std::size_t kMaxReport = 64 * 1024;
 
 enum class Kind : std::uint16_t {
-    State = 1,      // how things are here; answered with a State
-    Renounce = 2,   // promise not to renew the leases of these machines; answered with Renounced
-    Renounced = 3,  // for each machine, how long ago its lease was renewed from here at the latest
-    Want = 4,       // machines for waiting tasks; answered with Granted
-    Share = 5,      // part of a team's limit; answered with Granted
-    Granted = 6,
+    State = 1,            // how things are here; answered with a State
+    Relinquish = 2,       // promise not to renew the leases of these machines; answered with Relinquished
+    Relinquished = 3,     // for each machine, how long ago its lease was renewed from here at the latest
+    CapacityRequest = 4,  // machines for waiting tasks; answered with Grant
+    Share = 5,            // part of a team's limit; answered with Grant
+    Grant = 6,
     Relay = 7,    // a worker's report, passed on; answered with Relayed
     Relayed = 8,  // the answer to pass back
 };
 
-/// A team within a domain.
+/// A team within a shard.
 struct TeamLoad {
     std::string team;
     Resources share;
@@ -42,9 +42,9 @@
     Resources waiting;
 };
 
-struct DomainLoad {
-    std::string domain;
-    std::uint64_t mark = 0;
+struct ShardLoad {
+    std::string shard;
+    std::uint64_t mod_revision = 0;
     std::uint32_t machines = 0;
     std::uint32_t jobs = 0;
     Milli capacity = 0;       // cores
@@ -71,24 +71,24 @@
     std::string node;
     Micros confirmed_age = 0;  // since the state service last answered
     FleetBalance balance;
-    std::vector<DomainLoad> domains;
+    std::vector<ShardLoad> shards;
 };
 
-struct Renounce {
+struct Relinquish {
     std::string node;
-    std::string domain;
-    std::uint64_t mark = 0;
+    std::string shard;
+    std::uint64_t mod_revision = 0;
     std::vector<std::string> machines;
 };
 
-struct Renounced {
+struct Relinquished {
     std::vector<Micros> ages;
 };
 
 /// What waits, so that idle machines can be found for it.
-struct Want {
-    std::string domain;
-    std::uint64_t mark = 0;
+struct CapacityRequest {
+    std::string shard;
+    std::uint64_t mod_revision = 0;
     Resources task;  // the largest waiting task
     Milli cores = 0;
     bool spot = false;  // may be spot machines
@@ -96,14 +96,14 @@
     std::string zone;
 };
 
-struct ShareWant {
-    std::string domain;
-    std::uint64_t mark = 0;
+struct QuotaRequest {
+    std::string shard;
+    std::uint64_t mod_revision = 0;
     std::string team;
     Resources amount;
 };
 
-struct Granted {
+struct Grant {
     Resources amount;
     std::uint32_t machines = 0;
 };
@@ -121,11 +121,11 @@
 std::optional<Kind> kind_of(std::string_view bytes);
 
 std::string pack(const State& m);
-std::string pack(const Renounce& m);
-std::string pack(const Renounced& m);
-std::string pack(const Want& m);
-std::string pack(const ShareWant& m);
-std::string pack(const Granted& m);
+std::string pack(const Relinquish& m);
+std::string pack(const Relinquished& m);
+std::string pack(const CapacityRequest& m);
+std::string pack(const QuotaRequest& m);
+std::string pack(const Grant& m);
 std::string pack(const Relay& m);
 std::string pack(const Relayed& m);
 
@@ -135,15 +135,15 @@
 template <>
 std::optional<State> unpack(std::string_view bytes);
 template <>
-std::optional<Renounce> unpack(std::string_view bytes);
+std::optional<Relinquish> unpack(std::string_view bytes);
 template <>
-std::optional<Renounced> unpack(std::string_view bytes);
+std::optional<Relinquished> unpack(std::string_view bytes);
 template <>
-std::optional<Want> unpack(std::string_view bytes);
+std::optional<CapacityRequest> unpack(std::string_view bytes);
 template <>
-std::optional<ShareWant> unpack(std::string_view bytes);
+std::optional<QuotaRequest> unpack(std::string_view bytes);
 template <>
-std::optional<Granted> unpack(std::string_view bytes);
+std::optional<Grant> unpack(std::string_view bytes);
 template <>
 std::optional<Relay> unpack(std::string_view bytes);
 template <>
--- a/src/core/policies.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -6,18 +6,19 @@
 #include <optional>
 #include <utility>
 
-#include "replica/replica.hpp"
+#include "cache/state_cache.hpp"
 
 namespace cottonway {
 
-class Policies {
+class PolicyPublisher {
   public:
-    Policies(Host& host, Store& store, const Settings& settings, Feed& feed, Replica& replica)
-        : host_(host),
+    PolicyPublisher(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
+                    StateCache& cache)
+        : runtime_(runtime),
           store_(store),
           settings_(settings),
           feed_(feed),
-          replica_(replica),
+          cache_(cache),
           file_(settings.ops.policy) {}
 
     /// The file as it is now; settings give the one at the start.
@@ -29,17 +30,17 @@
     Value status() const;
 
   private:
-    enum class Standing { None, Newer, Stored, Older, Differs };
-    Standing standing() const;
-    void tell(Standing standing);
+    enum class DependencyStatus { None, Newer, Stored, Older, Differs };
+    DependencyStatus standing() const;
+    void tell(DependencyStatus standing);
     void publish();
     void later();
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
-    Feed& feed_;
-    Replica& replica_;
+    ChangeFeed& feed_;
+    StateCache& cache_;
     std::optional<policy::Policy> file_;
     bool writing_ = false;
     Micros not_before_ = 0;
--- a/src/settings/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/settings.hpp"
+#include "config/settings.hpp"
 
 #include <asio/ip/address_v4.hpp>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <functional>
 #include <stdexcept>
 
-#include "settings/table.hpp"
+#include "config/table.hpp"
 
 namespace cottonway {
 namespace {
--- a/src/settings/settings.hpp
+++ b/src/config/settings.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "base/units.hpp"
 #include "policy/policy.hpp"
-#include "wire/units.hpp"
 
 namespace cottonway {
 
--- a/src/settings/table.hpp
+++ b/src/config/table.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/units.hpp"
+#include "base/units.hpp"
 
 namespace cottonway::settings {
 
--- a/src/standin/standins.cpp
+++ b/src/fakes/fakes.cpp
@@ -1,11 +1,11 @@
-#include "standin/standins.hpp"
+#include "fakes/fakes.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "state/records.hpp"
+#include "kvstore/records.hpp"
 
-namespace cottonway::standin {
+namespace cottonway::fakes {
 
 namespace {
 
@@ -31,7 +31,7 @@
 // ---------------------------------------------------------------- state service
 
 void StateService::note(const std::string& key, const Value& value) {
-    events_.push_back({key, value, ledger_});
+    events_.push_back({key, value, store_revision_});
     if (events_.size() > kEvents) events_.pop_front();
 }
 
@@ -41,7 +41,7 @@
     for (const auto& [key, item] : items_)
         if (item.lease == id) attached.push_back(key);
     if (attached.empty()) return;
-    ++ledger_;
+    ++store_revision_;
     for (const auto& key : attached) {
         items_.erase(key);
         note(key, Value());
@@ -71,20 +71,21 @@
     if (down_) return std::nullopt;
     const std::string prefix = query(path, "starts");
     const auto since = std::stoull(query(path, "since"));
-    if (events_.size() >= kEvents && since < events_.front().mark) return Reply{410, Value::object()};
+    if (events_.size() >= kEvents && since < events_.front().mod_revision) return Reply{410, Value::object()};
     Value news = Value::array();
     // In the order of their marks.
-    auto e = std::upper_bound(events_.begin(), events_.end(), since,
-                              [](std::uint64_t mark, const Event& event) { return mark < event.mark; });
+    auto e = std::upper_bound(
+        events_.begin(), events_.end(), since,
+        [](std::uint64_t mod_revision, const Event& event) { return mod_revision < event.mod_revision; });
     for (; e != events_.end(); ++e) {
         if (!starts_with(e->key, prefix)) continue;
         if (e->value.is_null())
-            news.push_back(Value{{"drop", e->key}, {"mark", e->mark}});
+            news.push_back(Value{{"drop", e->key}, {"mark", e->mod_revision}});
         else
-            news.push_back(Value{{"write", e->key}, {"data", e->value}, {"mark", e->mark}});
+            news.push_back(Value{{"write", e->key}, {"data", e->value}, {"mark", e->mod_revision}});
     }
     if (news.empty() && !last) return std::nullopt;
-    return Reply{200, Value{{"ledger", ledger_}, {"news", std::move(news)}}};
+    return Reply{200, Value{{"ledger", store_revision_}, {"news", std::move(news)}}};
 }
 
 Reply StateService::handle(const std::string& method, const std::string& path, const Value& body,
@@ -93,8 +94,8 @@
     expire(now);
     if (method == "GET" && starts_with(path, "/store/")) {
         auto it = items_.find(path.substr(7));
-        if (it == items_.end()) return {404, Value{{"ledger", ledger_}}};
-        return {200, Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mark}}};
+        if (it == items_.end()) return {404, Value{{"ledger", store_revision_}}};
+        return {200, Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}}};
     }
     if (method == "GET" && starts_with(path, "/store?")) {
         const std::string prefix = query(path, "starts"), since = query(path, "since");
@@ -107,9 +108,10 @@
                 more = true;
                 break;
             }
-            pairs.push_back(Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mark}});
+            pairs.push_back(
+                Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}});
         }
-        return {200, Value{{"pairs", std::move(pairs)}, {"has_next", more}, {"ledger", ledger_}}};
+        return {200, Value{{"pairs", std::move(pairs)}, {"has_next", more}, {"ledger", store_revision_}}};
     }
     if (method == "POST" && path == "/commit") return commit(body, now);
     if (method == "POST" && path == "/grants") {
@@ -148,28 +150,28 @@
         for (const auto& c : *when) {
             const std::string key = wire::text(c, "k").value_or("");
             auto it = items_.find(key);
-            if ((it == items_.end() ? 0 : it->second.mark) != wire::count(c, "mark").value_or(0))
+            if ((it == items_.end() ? 0 : it->second.mod_revision) != wire::count(c, "mark").value_or(0))
                 failed.push_back(key);
         }
-    if (!failed.empty()) return {409, Value{{"failed", failed}, {"ledger", ledger_}}};
+    if (!failed.empty()) return {409, Value{{"failed", failed}, {"ledger", store_revision_}}};
     const Value* then = wire::find(body, "then");
-    if (!then) return {200, Value{{"ledger", ledger_}}};
+    if (!then) return {200, Value{{"ledger", store_revision_}}};
     for (const auto& op : *then)
         if (auto lease = wire::count(op, "lien"); lease && !leases_.count(*lease))
             return {400, Value{{"error", "no such lease"}}};
-    ++ledger_;
+    ++store_revision_;
     // All are one change, so the news may tell of them in any order: the last first.
     for (auto op = then->rbegin(); op != then->rend(); ++op) {
         if (auto key = wire::text(*op, "write")) {
             const Value* data = wire::find(*op, "data");
-            items_[*key] = {data ? *data : Value(), ledger_, wire::count(*op, "lien").value_or(0)};
+            items_[*key] = {data ? *data : Value(), store_revision_, wire::count(*op, "lien").value_or(0)};
             note(*key, items_[*key].value);
         } else if (auto drop = wire::text(*op, "drop")) {
             items_.erase(*drop);
             note(*drop, Value());
         }
     }
-    return {200, Value{{"ledger", ledger_}}};
+    return {200, Value{{"ledger", store_revision_}}};
 }
 
 void add_history(StateService& state, int jobs) {
@@ -320,14 +322,14 @@
             bool busy = false;
             for (const auto& other : tasks_) {
                 if (other.phase == Phase::Exited) continue;
-                used += observer_.job(other.job)->spec.need;
+                used += observer_.job(other.job)->spec.request;
                 busy = busy || (other.job == job && other.task == task);
             }
             if (!info)
                 exit(t, "no_such");
             else if (busy)
                 exit(t, "in_use");
-            else if (!info->spec.need.fits(type_.size - used))
+            else if (!info->spec.request.fits(type_.size - used))
                 exit(t, "full");
             tasks_.push_back(t);
             changed = true;
@@ -443,7 +445,7 @@
         for (const auto& t : types_)
             list.push_back(Value{{"name", t.name},
                                  {"cores", static_cast<double>(t.size.cores) / 1000},
-                                 {"cards", static_cast<double>(t.size.cards) / 1000},
+                                 {"cards", static_cast<double>(t.size.gpus) / 1000},
                                  {"ram_gb", static_cast<double>(t.size.ram) / 1000},
                                  {"cache_gb", static_cast<double>(t.cache_gb) / 1000},
                                  {"fetch_gb_per_s", t.fetch_gb_per_s},
@@ -494,4 +496,4 @@
     return {404, Value::object()};
 }
 
-}  // namespace cottonway::standin
+}  // namespace cottonway::fakes
--- a/src/standin/standins.hpp
+++ b/src/fakes/fakes.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Stand-ins for the outside systems, written from their published protocol: the state service, the cloud and
+// Fakes for the outside systems, written from their published protocol: the state service, the cloud and
 // the workers. They are pure state machines; the tests put a simulated network around them, and
 // cottonway-standins puts them on loopback for trying things out.
 
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "core/host.hpp"
-#include "wire/wire.hpp"
+#include "base/runtime.hpp"
+#include "protocol/protocol.hpp"
 
-namespace cottonway::standin {
+namespace cottonway::fakes {
 
 /// The state service. A watch that has nothing to tell yet gives no reply: ask again until `block_ms` is
 /// over.
@@ -29,7 +29,7 @@
     void expire(Micros now);
     bool down() const { return down_; }
     /// Puts a record there before anybody looks, beside all limits.
-    void put(const std::string& key, Value value) { items_[key] = {std::move(value), ledger_, 0}; }
+    void put(const std::string& key, Value value) { items_[key] = {std::move(value), store_revision_, 0}; }
     /// What it takes; more is answered 400, and changes beyond the rate 429. They may be lowered at any time.
     struct Limits {
         std::size_t value_bytes = 64 * 1024;
@@ -41,7 +41,7 @@
   private:
     struct Item {
         Value value;
-        std::uint64_t mark = 0;
+        std::uint64_t mod_revision = 0;
         std::uint64_t lease = 0;
     };
     struct Lease {
@@ -51,7 +51,7 @@
     struct Event {
         std::string key;
         Value value;  // null: dropped
-        std::uint64_t mark = 0;
+        std::uint64_t mod_revision = 0;
     };
     Reply commit(const Value& body, Micros now);
     void drop_lease(std::uint64_t id);
@@ -60,7 +60,7 @@
     std::map<std::string, Item> items_;
     std::map<std::uint64_t, Lease> leases_;
     std::deque<Event> events_;
-    std::uint64_t ledger_ = 1;
+    std::uint64_t store_revision_ = 1;
     std::uint64_t next_lease_ = 1;
     bool down_ = false;
     double writes_left_ = 0;
@@ -199,4 +199,4 @@
     int next_ = 1;
 };
 
-}  // namespace cottonway::standin
+}  // namespace cottonway::fakes
--- a/src/state/pieces.cpp
+++ b/src/kvstore/chunks.cpp
@@ -1,12 +1,12 @@
-#include "state/pieces.hpp"
+#include "kvstore/chunks.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
 
-#include "state/records.hpp"
+#include "kvstore/records.hpp"
 
-namespace cottonway::pieces {
+namespace cottonway::chunks {
 
 namespace {
 constexpr std::size_t kShort = 64;   // what stays in the head
@@ -35,18 +35,18 @@
     }
     // As JSON in ASCII, in which a character of the text takes two at the most.
     const std::string text = rest.dump(-1, ' ', true, Value::error_handler_t::replace);
-    std::string piece;
+    std::string chunk;
     std::size_t bytes = kFrame;
     for (const char c : text) {
         const std::size_t takes = c == '"' || c == '\\' || c == ',' || c == ':' ? 2 : 1;
         if (bytes + takes > limit) {
-            out.texts.push_back(std::exchange(piece, {}));
+            out.texts.push_back(std::exchange(chunk, {}));
             bytes = kFrame;
         }
         bytes += takes;
-        piece += c;
+        chunk += c;
     }
-    out.texts.push_back(piece);
+    out.texts.push_back(chunk);
     out.head["x"] = Value::array({name, out.texts.size()});
     return out;
 }
@@ -69,17 +69,17 @@
 }
 
 std::string key(const std::string& name, std::size_t index) {
-    return keys::piece + name + "/" + std::to_string(index);
+    return keys::chunk + name + "/" + std::to_string(index);
 }
 
-Value piece(const std::string& of, const std::string& text) {
+Value chunk(const std::string& of, const std::string& text) {
     return {{"of", of}, {"t", text}};
 }
 
-void Shelf::take(const std::string& key, const Value* value, Micros now) {
+void ChunkStore::take(const std::string& key, const Value* value, Micros now) {
     const auto slash = key.rfind('/');
-    if (slash == std::string::npos || slash <= keys::piece.size()) return;
-    const std::string name = key.substr(keys::piece.size(), slash - keys::piece.size());
+    if (slash == std::string::npos || slash <= keys::chunk.size()) return;
+    const std::string name = key.substr(keys::chunk.size(), slash - keys::chunk.size());
     const auto index = static_cast<std::size_t>(std::strtoul(key.c_str() + slash + 1, nullptr, 10));
     if (!value) {
         auto it = held_.find(name);
@@ -94,10 +94,10 @@
     held.texts[index] = wire::text(*value, "t").value_or("");
 }
 
-std::optional<Value> Shelf::whole(const std::string& key, const Value& stored) {
+std::optional<Value> ChunkStore::whole(const std::string& key, const Value& stored) {
     const auto named = named_by(stored);
     if (!named) {
-        gone(key);
+        on_record_removed(key);
         return stored;
     }
     heads_[key] = named->first;
@@ -108,7 +108,7 @@
     return join(stored, texts);
 }
 
-std::vector<Shelf::LeftOver> Shelf::left_over(Micros now) const {
+std::vector<ChunkStore::LeftOver> ChunkStore::left_over(Micros now) const {
     std::vector<LeftOver> list;
     for (const auto& [name, held] : held_) {
         if (now - held.since < kLeftOver || named(name, held.of)) continue;
@@ -117,4 +117,4 @@
     return list;
 }
 
-}  // namespace cottonway::pieces
+}  // namespace cottonway::chunks
--- a/src/state/pieces.hpp
+++ b/src/kvstore/chunks.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
-namespace cottonway::pieces {
+namespace cottonway::chunks {
 
 /// The size of a value as the service may count it: in JSON, with a blank after every comma and colon.
 std::size_t stored_size(const Value& value);
@@ -28,16 +28,16 @@
 std::optional<Value> join(const Value& head, const std::vector<std::string>& texts);
 
 std::string key(const std::string& name, std::size_t index);
-Value piece(const std::string& of, const std::string& text);
+Value chunk(const std::string& of, const std::string& text);
 
 /// The pieces that the news has told of.
-class Shelf {
+class ChunkStore {
   public:
     void take(const std::string& key, const Value* value, Micros now);
     /// The value that a key stands for; nothing while pieces of it are missing.
     std::optional<Value> whole(const std::string& key, const Value& stored);
     /// The key stands for nothing, or for a value that is not in pieces.
-    void gone(const std::string& key) { heads_.erase(key); }
+    void on_record_removed(const std::string& key) { heads_.erase(key); }
     struct LeftOver {
         std::string key;
         std::string name;
@@ -61,4 +61,4 @@
     std::map<std::string, std::string> heads_;  // key -> name of the pieces that it is stored in
 };
 
-}  // namespace cottonway::pieces
+}  // namespace cottonway::chunks
--- a/src/state/records.cpp
+++ b/src/kvstore/records.cpp
@@ -1,4 +1,4 @@
-#include "state/records.hpp"
+#include "kvstore/records.hpp"
 
 #include <algorithm>
 
@@ -25,28 +25,28 @@
         }
         list.push_back(std::move(entry));
     }
-    Value v{{"dom", domain}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
+    Value v{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
     if (spot) v["spot"] = true;
     v["tok"] = machines.empty() ? 0 : machines.front().token;
     return v;
 }
 
-std::optional<Block> Block::parse(const std::string& id, const Value& v, Revision mark) {
+std::optional<Block> Block::parse(const std::string& id, const Value& v, Revision mod_revision) {
     Block b;
     auto dom = wire::text(v, "dom"), type = wire::text(v, "type"), zone = wire::text(v, "zone");
     if (!dom || !type || !zone) return std::nullopt;
     b.id = id;
-    b.domain = *dom;
+    b.shard = *dom;
     b.type = *type;
     b.zone = *zone;
     b.spot = wire::flag(v, "spot").value_or(false);
-    b.mark = mark;
-    auto token_of = [mark](Revision stored) { return stored == 0 ? mark : stored; };
+    b.mod_revision = mod_revision;
+    auto token_of = [mod_revision](Revision stored) { return stored == 0 ? mod_revision : stored; };
     const Value* list = wire::find(v, "m");
     if (!list) {
         auto addr = wire::text(v, "addr");
         if (!addr) return std::nullopt;
-        b.machines.push_back({id, *addr, mark, wire::flag(v, "retired").value_or(false), false});
+        b.machines.push_back({id, *addr, mod_revision, wire::flag(v, "retired").value_or(false), false});
         return b;
     }
     if (!list->is_array()) return std::nullopt;
@@ -66,7 +66,7 @@
 
 Value shares_value(const Shares& shares) {
     Value v = Value::object();
-    for (const auto& [team, r] : shares) v[team] = Value::array({r.cores, r.cards});
+    for (const auto& [team, r] : shares) v[team] = Value::array({r.cores, r.gpus});
     return v;
 }
 
--- a/src/state/records.hpp
+++ b/src/kvstore/records.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "state/store.hpp"
-#include "wire/wire.hpp"
+#include "kvstore/store_client.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
@@ -17,7 +17,7 @@
 inline const std::string leader = "c/leader";
 inline const std::string types = "c/types";
 inline const std::string live = "c/live/";
-inline const std::string domain = "c/domain/";
+inline const std::string shard = "c/domain/";
 inline const std::string share = "c/share/";
 inline const std::string block = "c/block/";
 inline const std::string job = "c/job/";
@@ -27,24 +27,24 @@
 inline const std::string history = "c/history";
 inline const std::string part = "c/part/";
 inline const std::string format = "c/format/";
-// Moves and gathered room of a domain. Only its holder reads it; the version before ignores it.
+// Moves and gathered room of a shard. Only its holder reads it; the version before ignores it.
 inline const std::string plan = "c/plan/";
 // The operators' policy (policy/policy.hpp); the version before ignores it.
 inline const std::string policy = "c/policy";
 // Before everything else in order, so that a list tells of the pieces before the records that name them.
-inline const std::string piece = "c/0/";
+inline const std::string chunk = "c/0/";
 }  // namespace keys
 
 /// What a job's record says of it. Done and cancelled are final.
 enum class Stage : std::uint8_t { Queued, Done, Cancelled };
 
 /// Under which of its two keys a job's record stands. A job has one record at a time that is not over.
-enum class Place : std::uint8_t {
+enum class RecordLocation : std::uint8_t {
     Job,     // c/job/REF: every record up to format 2, and final ones for ever
     Active,  // c/active/REF
 };
-inline std::string record_key(Place place, const std::string& ref) {
-    return (place == Place::Active ? keys::active : keys::job) + ref;
+inline std::string record_key(RecordLocation place, const std::string& ref) {
+    return (place == RecordLocation::Active ? keys::active : keys::job) + ref;
 }
 
 /// Machines of one type, zone and kind that are leased together: one record, one change for all of them.
@@ -60,21 +60,21 @@
         bool raise = false;
     };
     std::string id;
-    std::string domain;
+    std::string shard;
     std::string type;
     std::string zone;
     bool spot = false;
     std::vector<Machine> machines;
-    Revision mark = 0;
+    Revision mod_revision = 0;
 
     Machine* find(const std::string& name);
     const Machine* find(const std::string& name) const;
     Value value() const;
     /// Also reads the previous version's record of a single machine.
-    static std::optional<Block> parse(const std::string& id, const Value& v, Revision mark);
+    static std::optional<Block> parse(const std::string& id, const Value& v, Revision mod_revision);
 };
 
-/// A domain's part of every team's limit.
+/// A shard's part of every team's limit.
 using Shares = std::map<std::string, Resources>;
 Value shares_value(const Shares& shares);
 Shares parse_shares(const Value& v);
--- a/src/state/store.cpp
+++ b/src/kvstore/store_client.cpp
@@ -1,10 +1,10 @@
-#include "state/store.hpp"
+#include "kvstore/store_client.hpp"
 
 #include <algorithm>
 #include <memory>
 #include <set>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -60,13 +60,13 @@
     left_ = std::min(left_, burst);
 }
 
-std::size_t Store::Queue::size() const {
+std::size_t StoreClient::Queue::size() const {
     std::size_t n = 0;
     for (const auto& q : pending) n += q.size();
     return n;
 }
 
-std::deque<Store::Pending>* Store::Queue::first() {
+std::deque<StoreClient::Pending>* StoreClient::Queue::first() {
     for (auto& q : pending)
         if (!q.empty()) return &q;
     return nullptr;
@@ -74,8 +74,8 @@
 
 // Requests are shared out evenly, with half as much again, since not all controllers need theirs at once.
 // What others write is seen in the news, so of the changes each takes what is left.
-Store::Store(Host& host, const Settings& settings)
-    : host_(host),
+StoreClient::StoreClient(Runtime& runtime, const Settings& settings)
+    : runtime_(runtime),
       settings_(settings),
       requests_(settings.state_rps * std::min(0.9, 1.4 / static_cast<double>(settings.peers.size() + 1)),
                 settings.state_rps * 0.3),
@@ -83,12 +83,12 @@
       write_rps_(settings.state_write_rps),
       fair_(our_part(settings.state_write_rps, settings), our_part(settings.state_write_rps, settings)) {}
 
-void Store::observe(Revision mark) {
-    if (own_.count(mark) == 0) writes_.drain(host_.now(), 1);
+void StoreClient::observe(Revision mod_revision) {
+    if (own_.count(mod_revision) == 0) writes_.drain(runtime_.now(), 1);
 }
 
-bool Store::room(Priority priority) {
-    const Micros now = host_.now();
+bool StoreClient::room(Priority priority) {
+    const Micros now = runtime_.now();
     // What is less urgent and waits for quiet moments keeps nobody waiting.
     std::size_t ahead = 0;
     for (std::size_t p = 0; p <= static_cast<std::size_t>(priority); ++p)
@@ -98,12 +98,12 @@
     return writes_.level(now) > kReserve[static_cast<std::size_t>(priority)];
 }
 
-bool Store::quiet() {
-    const Micros now = host_.now();
+bool StoreClient::quiet() {
+    const Micros now = runtime_.now();
     return write_queue_.size() == 0 && now >= write_queue_.pause_until && writes_.level(now) > kQuiet;
 }
 
-bool Store::take_writes(Micros now, std::size_t changes, Priority priority) {
+bool StoreClient::take_writes(Micros now, std::size_t changes, Priority priority) {
     const auto amount = static_cast<double>(changes);
     const double reserve = kReserve[static_cast<std::size_t>(priority)] * write_rps_ * kBurst;
     if (priority != Priority::Deferrable && fair_.take(now, amount) == 0) {
@@ -113,30 +113,30 @@
     return writes_.take(now, amount, reserve) == 0;
 }
 
-void Store::request(Call call, ReplyHandler done) {
+void StoreClient::request(Call call, ReplyHandler done) {
     call.target = Target::State;
-    if (const Micros wait = requests_.take(host_.now(), 1); wait > 0) {
+    if (const Micros wait = requests_.take(runtime_.now(), 1); wait > 0) {
         if (wait > kSecond) {
-            host_.after(0, [done = std::move(done)] { done(Reply{429, {}}); });
+            runtime_.after(0, [done = std::move(done)] { done(Reply{429, {}}); });
             return;
         }
-        host_.after(wait, [this, call = std::move(call), done = std::move(done)]() mutable {
+        runtime_.after(wait, [this, call = std::move(call), done = std::move(done)]() mutable {
             request(std::move(call), std::move(done));
         });
         return;
     }
-    host_.call(std::move(call), [this, done = std::move(done)](const Reply& r) {
+    runtime_.call(std::move(call), [this, done = std::move(done)](const Reply& r) {
         if (r.status <= 0 || r.status == 503) {
             ++failures_;
         } else if (r.status != 429) {
             failures_ = 0;
-            last_contact_ = host_.now();
+            last_contact_ = runtime_.now();
         }
         done(r);
     });
 }
 
-void Store::read(const std::string& key, std::function<void(ReadResult)> done) {
+void StoreClient::read(const std::string& key, std::function<void(ReadResult)> done) {
     Call call;
     call.method = "GET";
     call.path = "/store/" + key;
@@ -147,26 +147,26 @@
             result.ok = true;
         } else if (r.status == 200) {
             const Value* data = wire::find(r.body, "data");
-            auto mark = wire::count(r.body, "mark");
-            if (data && mark) result = {true, true, *data, *mark};
+            auto mod_revision = wire::count(r.body, "mark");
+            if (data && mod_revision) result = {true, true, *data, *mod_revision};
         }
-        if (result.found && pieces::named_by(result.value))
+        if (result.found && chunks::named_by(result.value))
             return read_pieces(std::move(result), {}, std::move(done));
         done(std::move(result));
     });
 }
 
 /// A piece that is missing means that the record has been replaced since: then nothing is known.
-void Store::read_pieces(ReadResult head, std::vector<std::string> texts,
-                        std::function<void(ReadResult)> done) {
-    const auto named = pieces::named_by(head.value);
+void StoreClient::read_pieces(ReadResult head, std::vector<std::string> texts,
+                              std::function<void(ReadResult)> done) {
+    const auto named = chunks::named_by(head.value);
     if (texts.size() >= named->second) {
-        auto whole = pieces::join(head.value, texts);
+        auto whole = chunks::join(head.value, texts);
         if (!whole) return done({});
         head.value = std::move(*whole);
         return done(std::move(head));
     }
-    const std::string key = pieces::key(named->first, texts.size());
+    const std::string key = chunks::key(named->first, texts.size());
     read(key, [this, head = std::move(head), texts = std::move(texts),
                done = std::move(done)](const ReadResult& r) mutable {
         auto text = r.found ? wire::text(r.value, "t") : std::nullopt;
@@ -176,14 +176,14 @@
     });
 }
 
-void Store::list(const std::string& prefix, GoOn go_on, std::function<void(const Entry&)> each,
-                 std::function<void(ListResult)> done) {
+void StoreClient::list(const std::string& prefix, GoOn go_on, std::function<void(const Entry&)> each,
+                       std::function<void(ListResult)> done) {
     list_page(prefix, "", std::move(go_on), std::move(each), std::make_shared<ListResult>(), std::move(done));
 }
 
-void Store::list_page(const std::string& prefix, const std::string& since, GoOn go_on,
-                      std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
-                      std::function<void(ListResult)> done) {
+void StoreClient::list_page(const std::string& prefix, const std::string& since, GoOn go_on,
+                            std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
+                            std::function<void(ListResult)> done) {
     Call call;
     call.method = "GET";
     call.path = "/store?starts=" + prefix + (since.empty() ? "" : "&since=" + since) + "&page=1000";
@@ -191,18 +191,18 @@
     request(std::move(call), [this, prefix, since, go_on = std::move(go_on), each = std::move(each), result,
                               done = std::move(done)](const Reply& r) mutable {
         const Value* pairs = wire::find(r.body, "pairs");
-        auto ledger = wire::count(r.body, "ledger");
-        if (r.status != 200 || !pairs || !pairs->is_array() || !ledger) return done(ListResult{});
-        if (since.empty()) result->ledger = *ledger;
+        auto store_revision = wire::count(r.body, "ledger");
+        if (r.status != 200 || !pairs || !pairs->is_array() || !store_revision) return done(ListResult{});
+        if (since.empty()) result->store_revision = *store_revision;
         ++result->requests;
         std::string last;
         for (const auto& p : *pairs) {
             auto key = wire::text(p, "k");
-            auto mark = wire::count(p, "mark");
-            if (!key || !mark) return done(ListResult{});
+            auto mod_revision = wire::count(p, "mark");
+            if (!key || !mod_revision) return done(ListResult{});
             last = *key;
             const Value* data = wire::find(p, "data");
-            each(Entry{*key, data ? *data : Value(), *mark});
+            each(Entry{*key, data ? *data : Value(), *mod_revision});
         }
         if (wire::flag(r.body, "has_next").value_or(false) && !last.empty()) {
             const std::string next = go_on(last);
@@ -213,7 +213,7 @@
     });
 }
 
-void Store::watch(const std::string& prefix, Revision since, Micros block, ReplyHandler done) {
+void StoreClient::watch(const std::string& prefix, Revision since, Micros block, ReplyHandler done) {
     Call call;
     call.method = "GET";
     call.path = "/changes?starts=" + prefix + "&since=" + std::to_string(since) +
@@ -222,7 +222,7 @@
     request(std::move(call), std::move(done));
 }
 
-void Store::grant(Micros ttl, std::function<void(std::uint64_t)> done) {
+void StoreClient::grant(Micros ttl, std::function<void(std::uint64_t)> done) {
     Call call;
     call.method = "POST";
     call.path = "/grants";
@@ -232,7 +232,7 @@
     });
 }
 
-void Store::extend(std::uint64_t lease, std::function<void(int)> done) {
+void StoreClient::extend(std::uint64_t lease, std::function<void(int)> done) {
     Call call;
     call.method = "POST";
     call.path = "/grants/" + std::to_string(lease) + "/extend";
@@ -241,10 +241,10 @@
     request(std::move(call), [done = std::move(done)](const Reply& r) { done(r.status); });
 }
 
-void Store::commit(Change change, std::function<void(const CommitResult&)> done) {
+void StoreClient::commit(Change change, std::function<void(const CommitResult&)> done) {
     bool too_large = false;
     for (auto& w : change.then) {
-        w.bytes = w.value.is_null() ? 0 : pieces::stored_size(w.value);
+        w.bytes = w.value.is_null() ? 0 : chunks::stored_size(w.value);
         too_large = too_large || (w.value.is_object() && w.bytes > settings_.value_bytes);
     }
     if (too_large && in_pieces_) return commit_in_pieces(std::move(change), std::move(done));
@@ -254,7 +254,7 @@
 /// The pieces first, under names that nobody else uses; then the change itself, with heads for what is too
 /// large, on condition that the pieces stand as written. Whatever fails before that has changed nothing that
 /// counts.
-void Store::commit_in_pieces(Change change, std::function<void(const CommitResult&)> done) {
+void StoreClient::commit_in_pieces(Change change, std::function<void(const CommitResult&)> done) {
     struct Parts {
         Change change;
         std::function<void(const CommitResult&)> done;
@@ -266,16 +266,16 @@
     for (auto& w : change.then) {
         if (!w.value.is_object() || w.bytes <= settings_.value_bytes) continue;
         char name[24];
-        std::snprintf(name, sizeof name, "%016llx", static_cast<unsigned long long>(host_.random()()));
-        auto split = pieces::split(w.value, name, settings_.value_bytes);
+        std::snprintf(name, sizeof name, "%016llx", static_cast<unsigned long long>(runtime_.random()()));
+        auto split = chunks::split(w.value, name, settings_.value_bytes);
         for (std::size_t i = 0; i < split.texts.size(); ++i)
-            parts.push_back({pieces::key(name, i), pieces::piece(w.key, split.texts[i])});
+            parts.push_back({chunks::key(name, i), chunks::chunk(w.key, split.texts[i])});
         w.value = std::move(split.head);
-        w.bytes = pieces::stored_size(w.value);
+        w.bytes = chunks::stored_size(w.value);
     }
     if (change.when.size() + parts.size() > settings_.txn_ops * 4) {
         spdlog::error("{} is too large to be stored: {} pieces", change.then.front().key, parts.size());
-        return host_.after(0, [done = std::move(done)] { done({CommitStatus::Rejected, 0, {}}); });
+        return runtime_.after(0, [done = std::move(done)] { done({CommitStatus::Rejected, 0, {}}); });
     }
     pending->change = std::move(change);
     pending->done = std::move(done);
@@ -285,7 +285,7 @@
         first.priority = pending->change.priority;
         first.purpose = "piece";
         const std::string key = part.key;
-        part.bytes = pieces::stored_size(part.value);
+        part.bytes = chunks::stored_size(part.value);
         first.then.push_back(std::move(part));
         enqueue(std::move(first), [this, pending, key](const CommitResult& r) {
             pending->failed = pending->failed || r.status != CommitStatus::Ok;
@@ -299,7 +299,7 @@
 
 /// The service refuses more changes than it used to take: from then on the rate that it was announced to
 /// have.
-void Store::slow_down(Micros now) {
+void StoreClient::slow_down(Micros now) {
     const bool again = now - std::exchange(refused_at_, now) < 2 * kSecond;
     if (!again || write_rps_ <= settings_.next_write_rps) return;
     write_rps_ = settings_.next_write_rps;
@@ -309,32 +309,32 @@
     fair_.set_rate(part, part);
 }
 
-void Store::enqueue(Change change, std::function<void(const CommitResult&)> done) {
+void StoreClient::enqueue(Change change, std::function<void(const CommitResult&)> done) {
     const bool writes = !change.then.empty();
     Queue& queue = writes ? write_queue_ : check_queue_;
     if (queue.size() >= kMaxQueue) {
-        host_.after(0, [done = std::move(done)] { done({CommitStatus::Unavailable, 0, {}}); });
+        runtime_.after(0, [done = std::move(done)] { done({CommitStatus::Unavailable, 0, {}}); });
         return;
     }
     const auto priority = static_cast<std::size_t>(change.priority);
-    queue.pending[priority].push_back({std::move(change), std::move(done), host_.now(), false});
+    queue.pending[priority].push_back({std::move(change), std::move(done), runtime_.now(), false});
     pump(queue, writes);
 }
 
-void Store::later(Queue& queue, bool writes, Micros delay) {
+void StoreClient::later(Queue& queue, bool writes, Micros delay) {
     if (queue.timer) return;
     queue.timer = true;
-    host_.after(delay, [this, &queue, writes] {
+    runtime_.after(delay, [this, &queue, writes] {
         queue.timer = false;
         pump(queue, writes);
     });
 }
 
-void Store::pump(Queue& queue, bool writes) {
+void StoreClient::pump(Queue& queue, bool writes) {
     while (queue.in_flight < kMaxInFlight) {
         auto* first = queue.first();
         if (!first) return;
-        const Micros now = host_.now();
+        const Micros now = runtime_.now();
         if (now < queue.pause_until) return later(queue, writes, queue.pause_until - now);
         // A moment to gather what belongs into the same transaction.
         const Micros age = now - first->front().queued;
@@ -357,7 +357,8 @@
             for (const auto& c : p.change.when) {
                 size += c.key.size() + 32;
                 auto it = conditions.find(c.key);
-                clash = clash || keys.count(c.key) > 0 || (it != conditions.end() && it->second != c.mark);
+                clash = clash || keys.count(c.key) > 0 ||
+                        (it != conditions.end() && it->second != c.mod_revision);
             }
             if (!batch.empty() &&
                 (clash || p.alone || batch.back().alone || ops + p.change.then.size() > settings_.txn_ops ||
@@ -369,7 +370,7 @@
             ops += p.change.then.size();
             bytes += size;
             for (const auto& w : p.change.then) keys.insert(w.key);
-            for (const auto& c : p.change.when) conditions[c.key] = c.mark;
+            for (const auto& c : p.change.when) conditions[c.key] = c.mod_revision;
             batch.push_back(std::move(p));
             first->pop_front();
         }
@@ -380,12 +381,12 @@
     }
 }
 
-void Store::send(Queue& queue, bool writes, std::vector<Pending> batch) {
+void StoreClient::send(Queue& queue, bool writes, std::vector<Pending> batch) {
     Value when = Value::array(), then = Value::array();
     std::set<std::string> seen;
     for (const auto& p : batch) {
         for (const auto& c : p.change.when)
-            if (seen.insert(c.key).second) when.push_back(Value{{"k", c.key}, {"mark", c.mark}});
+            if (seen.insert(c.key).second) when.push_back(Value{{"k", c.key}, {"mark", c.mod_revision}});
         if (!p.change.then.empty()) sent_[p.change.purpose] += p.change.then.size();
         for (const auto& w : p.change.then) {
             if (w.value.is_null()) {
@@ -410,7 +411,7 @@
     });
 }
 
-void Store::settle(Queue& queue, bool writes, std::vector<Pending> batch, const Reply& reply) {
+void StoreClient::settle(Queue& queue, bool writes, std::vector<Pending> batch, const Reply& reply) {
     auto requeue = [&](std::vector<Pending>&& list, bool alone) {
         for (auto it = list.rbegin(); it != list.rend(); ++it) {
             it->alone = it->alone || alone;
@@ -420,13 +421,13 @@
     auto finish = [](const std::vector<Pending>& list, const CommitResult& result) {
         for (const auto& p : list) p.done(result);
     };
-    auto ledger = wire::count(reply.body, "ledger");
-    if (reply.status == 200 && (ledger || !writes)) {
+    auto store_revision = wire::count(reply.body, "ledger");
+    if (reply.status == 200 && (store_revision || !writes)) {
         if (writes) {
-            own_.insert(*ledger);
+            own_.insert(*store_revision);
             if (own_.size() > kMaxOwn) own_.erase(own_.begin());
         }
-        return finish(batch, {CommitStatus::Ok, ledger.value_or(0), {}});
+        return finish(batch, {CommitStatus::Ok, store_revision.value_or(0), {}});
     }
     if (reply.status == 409) {
         std::set<std::string> failed;
@@ -444,11 +445,11 @@
         return finish(hit, {CommitStatus::Conflict, 0, {failed.begin(), failed.end()}});
     }
     if (reply.status == 429) {
-        if (writes) slow_down(host_.now());
+        if (writes) slow_down(runtime_.now());
         // Others use the same budget; what has waited too long is given back to its caller.
-        const Micros now = host_.now();
+        const Micros now = runtime_.now();
         queue.pause_until =
-            now + 60 * kMillisecond + static_cast<Micros>(host_.random()() % 80) * kMillisecond;
+            now + 60 * kMillisecond + static_cast<Micros>(runtime_.random()() % 80) * kMillisecond;
         std::vector<Pending> fresh, old;
         for (auto& p : batch) (now - p.queued > 3 * kSecond ? old : fresh).push_back(std::move(p));
         requeue(std::move(fresh), false);
--- a/src/state/store.hpp
+++ b/src/kvstore/store_client.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "core/host.hpp"
-#include "settings/settings.hpp"
-#include "state/pieces.hpp"
+#include "base/runtime.hpp"
+#include "config/settings.hpp"
+#include "kvstore/chunks.hpp"
 
 namespace cottonway {
 
@@ -20,7 +20,7 @@
 
 struct Condition {
     std::string key;
-    Revision mark = 0;  // 0: the key must not exist
+    Revision mod_revision = 0;  // 0: the key must not exist
 };
 
 struct Write {
@@ -63,20 +63,20 @@
 struct Entry {
     std::string key;
     Value value;
-    Revision mark = 0;
+    Revision mod_revision = 0;
 };
 
 struct ReadResult {
     bool ok = false;  // false: nothing is known
     bool found = false;
     Value value;
-    Revision mark = 0;
+    Revision mod_revision = 0;
 };
 
 struct ListResult {
     bool ok = false;
     std::vector<Entry> entries;
-    Revision ledger = 0;  // as of the first page
+    Revision store_revision = 0;  // as of the first page
     std::uint64_t requests = 0;
 };
 
@@ -99,9 +99,9 @@
     Micros at_ = 0;
 };
 
-class Store {
+class StoreClient {
   public:
-    Store(Host& host, const Settings& settings);
+    StoreClient(Runtime& runtime, const Settings& settings);
 
     void read(const std::string& key, std::function<void(ReadResult)> done);
     /// Where to go on after the last key of a page: that key, or one beyond what is to be left out.
@@ -116,10 +116,10 @@
 
     /// From now on values that are too large are stored in pieces. Only once every controller reads them.
     void use_pieces() { in_pieces_ = true; }
-    pieces::Shelf& shelf() { return shelf_; }
+    chunks::ChunkStore& chunk_store() { return chunk_store_; }
 
     /// News of a change: those of others use up the same budget.
-    void observe(Revision mark);
+    void observe(Revision mod_revision);
     /// Whether a change of this priority would go out about now. Asked before a record is put together, so
     /// that what has to wait is written once, as it is then.
     bool room(Priority priority);
@@ -127,7 +127,7 @@
     /// Those that take what a burst of submissions would need a moment later are not for free.
     bool quiet();
     /// What is left of a second's changes of all controllers, as far as we can tell, as a share.
-    double level() { return writes_.level(host_.now()); }
+    double level() { return writes_.level(runtime_.now()); }
 
     /// When the service last answered a request with anything but 503 or 429.
     Micros last_contact() const { return last_contact_; }
@@ -165,7 +165,7 @@
                    std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
                    std::function<void(ListResult)> done);
 
-    Host& host_;
+    Runtime& runtime_;
     const Settings& settings_;
     RateBudget requests_;
     RateBudget writes_;  // what all controllers share, as far as we can tell
@@ -174,7 +174,7 @@
     RateBudget fair_;         // our part, whatever the others do: without it the greedy would starve the rest
     std::set<Revision> own_;  // revisions of our own recent changes
     bool in_pieces_ = false;
-    pieces::Shelf shelf_;
+    chunks::ChunkStore chunk_store_;
     Queue write_queue_;
     Queue check_queue_;
     std::map<std::string, std::uint64_t> sent_;
--- a/src/log/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 #include <spdlog/sinks/stdout_sinks.h>
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "core/host.hpp"
-#include "settings/settings.hpp"
-#include "wire/units.hpp"
+#include "base/runtime.hpp"
+#include "base/units.hpp"
+#include "config/settings.hpp"
 
 namespace cottonway::net {
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -5,7 +5,7 @@
 #include <array>
 #include <utility>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway::net {
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "settings/settings.hpp"
-#include "wire/units.hpp"
+#include "base/units.hpp"
+#include "config/settings.hpp"
 
 namespace cottonway::net {
 
--- a/src/net/metrics.hpp
+++ b/src/net/metrics.hpp
@@ -5,8 +5,8 @@
 #include <map>
 #include <string>
 
-#include "wire/units.hpp"
-#include "wire/wire.hpp"
+#include "base/units.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::net {
 
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <utility>
 
-#include "core/controller.hpp"
-#include "log/log.hpp"
+#include "controller/controller.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway::net {
 
@@ -22,7 +22,7 @@
 class PolicyFile {
   public:
     PolicyFile(AsioHost& host, Controller& controller, const Settings& settings)
-        : host_(host), controller_(controller), settings_(settings), seen_(changed_at()) {
+        : runtime_(host), controller_(controller), settings_(settings), seen_(changed_at()) {
         if (!settings.ops.policy_file.empty()) wait();
     }
 
@@ -32,7 +32,7 @@
         return std::filesystem::last_write_time(settings_.ops.policy_file, none);
     }
     void wait() {
-        host_.after(kPolicyEvery, [this] {
+        runtime_.after(kPolicyEvery, [this] {
             look();
             wait();
         });
@@ -46,7 +46,7 @@
         }
     }
 
-    AsioHost& host_;
+    AsioHost& runtime_;
     Controller& controller_;
     const Settings& settings_;
     std::filesystem::file_time_type seen_;
--- a/src/net/service.hpp
+++ b/src/net/service.hpp
@@ -6,15 +6,15 @@
 #include <functional>
 #include <random>
 
-#include "core/controller.hpp"
+#include "config/settings.hpp"
+#include "controller/controller.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "net/metrics.hpp"
-#include "settings/settings.hpp"
 
 namespace cottonway::net {
 
-class AsioHost : public Host {
+class AsioHost : public Runtime {
   public:
     AsioHost(asio::io_context& io, const Settings& settings);
     Micros now() override;
--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
+#include "config/settings.hpp"
+#include "config/table.hpp"
 #include "policy/policy.hpp"
-#include "settings/settings.hpp"
-#include "settings/table.hpp"
 
 namespace cottonway::policy {
 
@@ -17,7 +17,7 @@
 const std::map<std::string, Tier> kTiers{{name_of(Tier::Live), Tier::Live},
                                          {name_of(Tier::Urgent), Tier::Urgent},
                                          {name_of(Tier::Batch), Tier::Batch},
-                                         {name_of(Tier::Leftover), Tier::Leftover}};
+                                         {name_of(Tier::BestEffort), Tier::BestEffort}};
 const std::map<std::string, Survive> kSurvive{{name_of(Survive::Nothing), Survive::Nothing},
                                               {name_of(Survive::Machine), Survive::Machine},
                                               {name_of(Survive::Zone), Survive::Zone}};
@@ -112,7 +112,7 @@
                     {"service_pause_s", in_seconds(p.budgets.service_pause)},
                     {"settle_s", in_seconds(p.budgets.settle)}};
     v["cards"] = {
-        {"pack", p.cards.pack}, {"make_room", p.cards.make_room}, {"after_s", in_seconds(p.cards.after)}};
+        {"pack", p.gpus.pack}, {"make_room", p.gpus.make_room}, {"after_s", in_seconds(p.gpus.after)}};
     return v;
 }
 
@@ -146,9 +146,9 @@
             b.settle = x.seconds("settle_s", in_seconds(b.settle));
         });
         t.table("cards", [&](Table& x) {
-            p.cards.pack = x.flag("pack");
-            p.cards.make_room = x.flag("make_room");
-            p.cards.after = x.seconds("after_s", in_seconds(p.cards.after));
+            p.gpus.pack = x.flag("pack");
+            p.gpus.make_room = x.flag("make_room");
+            p.gpus.after = x.seconds("after_s", in_seconds(p.gpus.after));
         });
     }
     if (const std::string problem = problem_of(p); !problem.empty()) throw std::runtime_error(problem);
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -89,7 +89,8 @@
     scopes("zones", p.zones);
     scopes("moves", p.moves);
     for (std::size_t i = 0; i < p.tiers.size(); ++i)
-        if (p.tiers[i].tier > Tier::Leftover) bad(fmt::format("tiers[{}].tier", i), "there is no such tier");
+        if (p.tiers[i].tier > Tier::BestEffort)
+            bad(fmt::format("tiers[{}].tier", i), "there is no such tier");
     for (std::size_t i = 0; i < p.zones.size(); ++i) {
         const std::string at = fmt::format("zones[{}]", i);
         if (p.zones[i].survive > Survive::Zone) bad(at + ".survive", "must be nothing, machine or zone");
@@ -102,7 +103,7 @@
     within("budgets.moves_per_placement", p.budgets.moves_per_placement, 0, 100);
     seconds_within("budgets.service_pause_s", p.budgets.service_pause, 0, 86'400 * kSecond);
     seconds_within("budgets.settle_s", p.budgets.settle, 0, 86'400 * kSecond);
-    seconds_within("cards.after_s", p.cards.after, 0, 86'400 * kSecond);
+    seconds_within("cards.after_s", p.gpus.after, 0, 86'400 * kSecond);
 }
 
 // ---------------------------------------------------------------- the record
@@ -192,7 +193,7 @@
             return "urgent";
         case Tier::Batch:
             return "batch";
-        case Tier::Leftover:
+        case Tier::BestEffort:
             return "leftover";
     }
     return "unknown";
@@ -211,22 +212,22 @@
 }
 
 namespace {
-Tier by_rank(JobKind kind, Rank rank) {
+Tier by_rank(JobKind kind, PriorityClass rank) {
     switch (rank) {
-        case Rank::Production:
+        case PriorityClass::Production:
             return kind == JobKind::Service ? Tier::Live : Tier::Urgent;
-        case Rank::High:
+        case PriorityClass::High:
             return Tier::Urgent;
-        case Rank::Normal:
+        case PriorityClass::Normal:
             return Tier::Batch;
-        case Rank::Low:
-            return Tier::Leftover;
+        case PriorityClass::Low:
+            return Tier::BestEffort;
     }
     return Tier::Batch;
 }
 }  // namespace
 
-Tier Policy::tier(const JobSpec& job, Rank rank) const {
+Tier Policy::tier(const JobSpec& job, PriorityClass rank) const {
     const TierRule* rule = rule_for(tiers, job);
     const Tier ranked = by_rank(job.kind, rank);
     if (!rule) return ranked;
@@ -286,7 +287,7 @@
                 {"place", p.budgets.moves_per_placement},
                 {"pause", p.budgets.service_pause},
                 {"settle", p.budgets.settle}};
-    v["cards"] = {{"pack", p.cards.pack}, {"room", p.cards.make_room}, {"after", p.cards.after}};
+    v["cards"] = {{"pack", p.gpus.pack}, {"room", p.gpus.make_room}, {"after", p.gpus.after}};
     return v;
 }
 
@@ -317,9 +318,9 @@
         r.count("settle", p.budgets.settle, kMostMicros);
     });
     in.map("cards", [&](Reader& r) {
-        r.flag("pack", p.cards.pack);
-        r.flag("room", p.cards.make_room);
-        r.count("after", p.cards.after, kMostMicros);
+        r.flag("pack", p.gpus.pack);
+        r.flag("room", p.gpus.make_room);
+        r.count("after", p.gpus.after, kMostMicros);
     });
     if (!in.ok() || p.revision == 0 || !problem_of(p).empty()) return std::nullopt;
     return p;
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 struct Settings;
@@ -19,10 +19,10 @@
 
 /// What a job is to the operators. A lower tier never delays a higher one; each batch tier has a floor.
 enum class Tier : std::uint8_t {
-    Live,      // bridges and intake: users are on them now
-    Urgent,    // batch that somebody waits for
-    Batch,     // all other batch
-    Leftover,  // takes what nothing else uses
+    Live,        // bridges and intake: users are on them now
+    Urgent,      // batch that somebody waits for
+    Batch,       // all other batch
+    BestEffort,  // takes what nothing else uses
 };
 
 /// Which jobs a rule is about; empty: any. Of several rules the one that names more goes first (team and
@@ -84,19 +84,19 @@
 };
 
 struct Budgets {
-    int moves_per_minute = 30;            // of a domain
+    int moves_per_minute = 30;            // of a shard
     int moves_per_placement = 3;          // for one large task
     Micros service_pause = 30 * kSecond;  // between two moves of one service
     Micros settle = 10 * kSecond;         // how long a zone has to stand before anything is moved back
     bool operator==(const Budgets&) const = default;
 };
 
-/// Packing of machines with cards.
-struct Cards {
-    bool pack = false;           // placement keeps cards together, and work without cards off them
-    bool make_room = false;      // waiting tasks with cards get room by moves
+/// Packing of machines with GPUs.
+struct GpuSettings {
+    bool pack = false;           // placement keeps GPUs together, and work without GPUs off them
+    bool make_room = false;      // waiting tasks with GPUs get room by moves
     Micros after = 5 * kSecond;  // that a task has waited before anything is moved for it
-    bool operator==(const Cards&) const = default;
+    bool operator==(const GpuSettings&) const = default;
 };
 
 struct Policy {
@@ -107,13 +107,13 @@
     std::vector<ZoneRule> zones;
     std::vector<MoveRule> moves;
     Budgets budgets;
-    Cards cards;
+    GpuSettings gpus;
     bool operator==(const Policy&) const = default;
 
     /// By its rules; without one, production services are live, high rank is urgent, low rank left over.
     Tier tier(const JobSpec& job) const { return tier(job, job.rank); }
     /// `rank`: its own, or the higher one of a job that needs it, whose tier it has then if that is higher.
-    Tier tier(const JobSpec& job, Rank rank) const;
+    Tier tier(const JobSpec& job, PriorityClass rank) const;
     /// The rule for a job's zones, nullptr: none but its own.
     const ZoneRule* zone_rule(const JobSpec& job) const;
     /// Live work never; batch that saves always; anything else as the rules say.
--- a/src/wire/wire.cpp
+++ b/src/protocol/protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 #include <algorithm>
 #include <array>
@@ -39,8 +39,10 @@
 
 constexpr Words<JobKind, 3> kKinds{
     {{"array", JobKind::Array}, {"group", JobKind::Gang}, {"service", JobKind::Service}}};
-constexpr Words<Rank, 4> kRanks{
-    {{"critical", Rank::Production}, {"high", Rank::High}, {"normal", Rank::Normal}, {"idle", Rank::Low}}};
+constexpr Words<PriorityClass, 4> kRanks{{{"critical", PriorityClass::Production},
+                                          {"high", PriorityClass::High},
+                                          {"normal", PriorityClass::Normal},
+                                          {"idle", PriorityClass::Low}}};
 constexpr Words<Phase, 5> kPhases{{{"pulling", Phase::Fetching},
                                    {"gathering", Phase::Waiting},
                                    {"running", Phase::Running},
@@ -48,7 +50,7 @@
                                    {"exited", Phase::Exited}}};
 constexpr Words<ExitCause, 8> kCauses{{{"done", ExitCause::Done},
                                        {"stopped", ExitCause::Stopped},
-                                       {"mates_gone", ExitCause::Peers},
+                                       {"mates_gone", ExitCause::PeerDirectory},
                                        {"incomplete", ExitCause::Alone},
                                        {"error", ExitCause::Error},
                                        {"full", ExitCause::NoRoom},
@@ -226,9 +228,9 @@
         if (v) use(*v);
         return v.has_value();
     };
-    if (!take("cores", [&](double v) { s.need.cores = milli_up(v); })) return bad("cores");
-    if (!take("cards", [&](double v) { s.need.cards = milli_up(v); })) return bad("cards");
-    if (!take("ram_gb", [&](double v) { s.need.ram = milli_up(v); })) return bad("ram_gb");
+    if (!take("cores", [&](double v) { s.request.cores = milli_up(v); })) return bad("cores");
+    if (!take("cards", [&](double v) { s.request.gpus = milli_up(v); })) return bad("cards");
+    if (!take("ram_gb", [&](double v) { s.request.ram = milli_up(v); })) return bad("ram_gb");
     if (!take("pull_gb", [&](double v) { s.image_gb = milli_up(v); })) return bad("pull_gb");
     if (!take("reckon_s", [&](double v) { s.estimate = micros(v); })) return bad("reckon_s");
     if (!take("knot_s", [&](double v) { s.checkpoint = micros(v); })) return bad("knot_s");
@@ -278,9 +280,9 @@
             {"weave", name_of(kKinds, s.kind)},
             {"rank", name_of(kRanks, s.rank)},
             {"threads", s.tasks},
-            {"cores", amount_of(s.need.cores)},
-            {"cards", amount_of(s.need.cards)},
-            {"ram_gb", amount_of(s.need.ram)},
+            {"cores", amount_of(s.request.cores)},
+            {"cards", amount_of(s.request.gpus)},
+            {"ram_gb", amount_of(s.request.ram)},
             {"bolt", s.image},
             {"pull_gb", amount_of(s.image_gb)},
             {"one_zone", s.one_zone},
--- a/src/wire/wire.hpp
+++ b/src/protocol/protocol.hpp
@@ -8,23 +8,23 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/units.hpp"
+#include "base/units.hpp"
 
 namespace cottonway {
 
 using Value = nlohmann::json;
 
 enum class JobKind { Array, Gang, Service };
-enum class Rank { Production = 0, High = 1, Normal = 2, Low = 3 };
+enum class PriorityClass { Production = 0, High = 1, Normal = 2, Low = 3 };
 
 struct JobSpec {
     std::string ref;
     std::string job_class;
     std::string team;
     JobKind kind = JobKind::Array;
-    Rank rank = Rank::Normal;
+    PriorityClass rank = PriorityClass::Normal;
     int tasks = 0;
-    Resources need;
+    Resources request;
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
     bool one_zone = false;
@@ -40,7 +40,7 @@
 };
 
 enum class Phase { Fetching, Waiting, Running, Saving, Exited };
-enum class ExitCause { Done, Stopped, Peers, Alone, Error, NoRoom, Busy, Unknown };
+enum class ExitCause { Done, Stopped, PeerDirectory, Alone, Error, NoRoom, Busy, Unknown };
 
 struct ReportedTask {
     std::string job;
--- a/src/planning/constraints.hpp
+++ b/src/scheduling/constraints.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <string>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::planning {
 
