--- a/src/planning/cards.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -1,4 +1,4 @@
-#include "planning/cards.hpp"
+#include "scheduling/gpu_packing.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,17 +7,17 @@
 #include <tuple>
 #include <utility>
 
-#include "planning/constraints.hpp"
+#include "scheduling/constraints.hpp"
 
 namespace cottonway::planning {
 
 namespace {
 constexpr double kWaitingWeight = 3;
 
-// Score. The weights of the paper add up to 100, so this is what a whole machine of cards is worth.
+// Score. The weights of the paper add up to 100, so this is what a whole machine of GPUs is worth.
 constexpr double kScoreOfMachine = 400;
-// More than all other terms of the score together: work without cards goes elsewhere if it can.
-constexpr double kScoreWithoutCards = 200;
+// More than all other terms of the score together: work without GPUs goes elsewhere if it can.
+constexpr double kScoreWithoutGpus = 200;
 
 // Cost of a move in seconds: to stop, to be proven gone and to start, whatever it is.
 constexpr double kMoveSeconds = 5;
@@ -37,55 +37,55 @@
 double seconds(Micros t) {
     return static_cast<double>(t) / 1e6;
 }
-double cards_of(Milli cards) {
-    return static_cast<double>(cards) / 1000.0;
+double gpus_of(Milli gpus) {
+    return static_cast<double>(gpus) / 1000.0;
 }
 }  // namespace
 
 // ---------------------------------------------------------------- packing
 
-void Shapes::add(Milli cards, double weight) {
-    if (cards <= 0 || weight <= 0) return;
-    weights_[cards] += weight;
+void Shapes::add(Milli gpus, double weight) {
+    if (gpus <= 0 || weight <= 0) return;
+    weights_[gpus] += weight;
     total_ += weight;
 }
 
-void Shapes::add(Milli cards, int waiting, int running) {
-    add(cards, cards_of(cards) * (kWaitingWeight * waiting + running));
+void Shapes::add(Milli gpus, int waiting, int running) {
+    add(gpus, gpus_of(gpus) * (kWaitingWeight * waiting + running));
 }
 
 double Shapes::useless(Milli free) const {
     if (free <= 0 || weights_.empty()) return 0;
     double useless = 0;
-    for (const auto& [cards, weight] : weights_) useless += weight * static_cast<double>(free % cards);
+    for (const auto& [gpus, weight] : weights_) useless += weight * static_cast<double>(free % gpus);
     return useless / total_ / static_cast<double>(free);
 }
 
-double Shapes::useless_cards(const Resources& size, const Resources& room) const {
-    if (room.cards <= 0 || size.cards <= 0) return 0;
-    const double free = cards_of(room.cards);
+double Shapes::unusable_gpus(const Resources& size, const Resources& room) const {
+    if (room.gpus <= 0 || size.gpus <= 0) return 0;
+    const double free = gpus_of(room.gpus);
     auto served = [&](Milli left, Milli all) {
-        return all > 0 ? cards_of(size.cards) * static_cast<double>(std::max<Milli>(left, 0)) /
+        return all > 0 ? gpus_of(size.gpus) * static_cast<double>(std::max<Milli>(left, 0)) /
                              static_cast<double>(all)
                        : free;
     };
     const double bare = free - std::min({free, served(room.cores, size.cores), served(room.ram, size.ram)});
-    return std::min(free, free * useless(room.cards) + bare);
+    return std::min(free, free * useless(room.gpus) + bare);
 }
 
 Shapes shapes_of(const View& view) {
     Shapes shapes;
     for (const auto& job : view.jobs)
-        if (!job.cancelled) shapes.add(job.spec.need.cards, job.idle, job.bound);
+        if (!job.cancelled) shapes.add(job.spec.request.gpus, job.idle, job.bound);
     return shapes;
 }
 
-double card_penalty(const Resources& size, const Resources& booked, const Resources& need,
-                    const Shapes& shapes) {
-    if (size.cards <= 0) return 0;
-    const Resources before = size - booked;
-    const double more = shapes.useless_cards(size, before - need) - shapes.useless_cards(size, before);
-    return kScoreOfMachine * more / cards_of(size.cards) + (need.cards <= 0 ? kScoreWithoutCards : 0.0);
+double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& need,
+                   const Shapes& shapes) {
+    if (size.gpus <= 0) return 0;
+    const Resources before = size - reserved;
+    const double more = shapes.unusable_gpus(size, before - need) - shapes.unusable_gpus(size, before);
+    return kScoreOfMachine * more / gpus_of(size.gpus) + (need.gpus <= 0 ? kScoreWithoutGpus : 0.0);
 }
 
 // ---------------------------------------------------------------- moves
@@ -93,7 +93,7 @@
 namespace {
 
 Resources least(const Resources& a, const Resources& b) {
-    return {std::min(a.cores, b.cores), std::min(a.cards, b.cards), std::min(a.ram, b.ram)};
+    return {std::min(a.cores, b.cores), std::min(a.gpus, b.gpus), std::min(a.ram, b.ram)};
 }
 
 /// A machine that something could move to, and what that costs in seconds.
@@ -104,7 +104,7 @@
 
 struct Leaver {
     std::size_t task = 0;
-    Resources need;
+    Resources request;
     std::vector<Destination> to;
 };
 
@@ -121,15 +121,15 @@
         : view_(view), policy_(policy), shapes_(shapes_of(view)), moved_(view.tasks.size(), false) {
         for (const auto& m : view.machines) {
             all_.push_back(all_.size());
-            if (m.room().cards > 0) with_cards_.push_back(all_.back());
+            if (m.room().gpus > 0) with_gpus_.push_back(all_.back());
             for (const auto& image : m.images) with_image_[image.name].push_back(all_.back());
             now_.push_back(m.room());
             later_.push_back(m.room() + m.stopping);
             fetches_.push_back(static_cast<int>(
                 std::count_if(m.images.begin(), m.images.end(), [](const auto& i) { return !i.ready; })));
         }
-        std::stable_sort(with_cards_.begin(), with_cards_.end(),
-                         [this](auto a, auto b) { return now_[a].cards < now_[b].cards; });
+        std::stable_sort(with_gpus_.begin(), with_gpus_.end(),
+                         [this](auto a, auto b) { return now_[a].gpus < now_[b].gpus; });
         added_.resize(view.jobs.size());
         may_move_.resize(view.jobs.size());
         for (std::size_t j = 0; j < view.jobs.size(); ++j) may_move_[j] = may_move(view.jobs[j]);
@@ -138,7 +138,7 @@
     /// Whether planning has anything to do for it.
     bool due(std::size_t job) const {
         const JobView& j = view_.jobs[job];
-        if (j.cancelled || j.spec.need.cards <= 0 || j.waiting < policy_.cards.after) return false;
+        if (j.cancelled || j.spec.request.gpus <= 0 || j.waiting < policy_.gpus.after) return false;
         return j.spec.kind == JobKind::Gang ? j.idle > 0 && j.gathered == 0 : j.idle > j.gathered;
     }
 
@@ -219,14 +219,14 @@
     }
 
     bool fits_now(std::size_t job, std::size_t machine) const {
-        return view_.jobs[job].spec.need.fits(least(now_[machine], later_[machine]));
+        return view_.jobs[job].spec.request.fits(least(now_[machine], later_[machine]));
     }
 
     bool fits_as_it_is(std::size_t job, const std::vector<Way>& ways) const {
         std::map<std::size_t, Resources> used;
         for (const auto& way : ways) {
             if (!way.moves.empty()) return false;
-            used[way.machine] += view_.jobs[job].spec.need;
+            used[way.machine] += view_.jobs[job].spec.request;
         }
         return std::all_of(used.begin(), used.end(), [&](const auto& u) {
             return u.second.fits(least(now_[u.first], later_[u.first]));
@@ -244,8 +244,8 @@
     bool has_total(std::size_t job, int tasks) const {
         Milli free = 0;
         for (std::size_t m = 0; m < view_.machines.size(); ++m)
-            if (view_.machines[m].usable) free += std::max<Milli>(later_[m].cards, 0);
-        return free >= view_.jobs[job].spec.need.cards * tasks;
+            if (view_.machines[m].usable) free += std::max<Milli>(later_[m].gpus, 0);
+        return free >= view_.jobs[job].spec.request.gpus * tasks;
     }
 
     /// Seconds until the image is there: none if it is cached, half if another copy is being fetched; fetches
@@ -276,7 +276,7 @@
     }
 
     /// The best places for a job's tasks and what the fetch costs, by that and by what a start there takes
-    /// from the use of the cards. Kept until rooms are used up.
+    /// from the use of the GPUs. Kept until rooms are used up.
     const std::vector<Destination>& places(std::size_t job, std::size_t keep) {
         auto [it, fresh] = places_.try_emplace(job);
         if (!fresh) return it->second;
@@ -290,14 +290,14 @@
             const double fetch =
                 (spec.kind == JobKind::Service ? kServiceWeight : 1) * fetch_seconds(spec, m);
             const double worse =
-                card_penalty(machine.size, machine.size - least(now_[m], later_[m]), spec.need, shapes_);
+                gpu_penalty(machine.size, machine.size - least(now_[m], later_[m]), spec.request, shapes_);
             list.push_back({fetch + worse, {m, fetch}});
         };
         // Those with its image, then the tightest; as many as there are moves are enough to find a plan.
         if (auto holders = with_image_.find(spec.image); holders != with_image_.end())
             for (const std::size_t m : holders->second) weigh(m);
         const std::size_t enough = list.size() + std::max(kPlaces, keep);
-        for (const std::size_t m : spec.need.cards > 0 ? with_cards_ : all_) {
+        for (const std::size_t m : spec.request.gpus > 0 ? with_gpus_ : all_) {
             if (list.size() >= enough) break;
             weigh(m);
         }
@@ -343,9 +343,9 @@
         for (const std::size_t task : view_.machines[machine].tasks) {
             if (!can_leave(task, job)) continue;
             const std::size_t owner = view_.tasks[task].job;
-            const Resources& need = view_.jobs[owner].spec.need;
+            const Resources& need = view_.jobs[owner].spec.request;
             const double help =
-                part(need.cards, lack.cards) + part(need.cores, lack.cores) + part(need.ram, lack.ram);
+                part(need.gpus, lack.gpus) + part(need.cores, lack.cores) + part(need.ram, lack.ram);
             if (help <= 0 || (view_.jobs[owner].spec.kind == JobKind::Service && of_job[owner] > 0)) continue;
             auto to = destinations(task, kDestinations + static_cast<std::size_t>(most_moves));
             if (to.empty()) continue;
@@ -375,17 +375,17 @@
         const std::size_t job = view_.tasks[leaver.task].job;
         for (const auto& to : leaver.to) {
             if (++a.tries > kTries) return false;
-            if (!(a.used[to.machine] + leaver.need).fits(least(now_[to.machine], later_[to.machine])) ||
+            if (!(a.used[to.machine] + leaver.request).fits(least(now_[to.machine], later_[to.machine])) ||
                 !zone_open(job, to.machine, &a.zones[job]))
                 continue;
             const std::string& zone = view_.machines[to.machine].zone;
-            a.used[to.machine] += leaver.need;
+            a.used[to.machine] += leaver.request;
             ++a.zones[job][zone];
             a.moves.emplace_back(leaver.task, to);
             if (assign(a)) return true;
             a.moves.pop_back();
             --a.zones[job][zone];
-            a.used[to.machine] -= leaver.need;
+            a.used[to.machine] -= leaver.request;
         }
         return false;
     }
@@ -393,18 +393,19 @@
     /// The cheapest way to have a task start on one machine: every set of up to `most_moves` leaving tasks of
     /// which none is too many.
     std::optional<Way> way_on(std::size_t job, std::size_t machine, int most_moves) {
-        const Resources lack = view_.jobs[job].spec.need - later_[machine];
-        if (lack.cores <= 0 && lack.cards <= 0 && lack.ram <= 0) return Way{machine, {}, 0};
+        const Resources lack = view_.jobs[job].spec.request - later_[machine];
+        if (lack.cores <= 0 && lack.gpus <= 0 && lack.ram <= 0) return Way{machine, {}, 0};
         if (most_moves <= 0 || !can_free(job, machine, lack, most_moves)) return std::nullopt;
         const std::vector<Leaver> list = leavers(job, machine, lack, most_moves);
         std::optional<Way> best;
         std::vector<const Leaver*> set;
         auto grow = [&](auto&& self, std::size_t from, Resources left, double least_cost) -> void {
             if (best && least_cost >= best->cost) return;
-            if (left.cores <= 0 && left.cards <= 0 && left.ram <= 0) {
+            if (left.cores <= 0 && left.gpus <= 0 && left.ram <= 0) {
                 std::vector<const Leaver*> sorted = set;
                 std::stable_sort(sorted.begin(), sorted.end(), [](const Leaver* a, const Leaver* b) {
-                    return std::tie(a->need.cards, a->need.cores) > std::tie(b->need.cards, b->need.cores);
+                    return std::tie(a->request.gpus, a->request.cores) >
+                           std::tie(b->request.gpus, b->request.cores);
                 });
                 Assigning a{sorted, {}, {}, {}, 0};
                 if (!assign(a)) return;
@@ -416,7 +417,7 @@
             if (static_cast<int>(set.size()) >= most_moves) return;
             for (std::size_t i = from; i < list.size(); ++i) {
                 set.push_back(&list[i]);
-                self(self, i + 1, left - list[i].need, least_cost + list[i].to.front().cost);
+                self(self, i + 1, left - list[i].request, least_cost + list[i].to.front().cost);
                 set.pop_back();
             }
         };
@@ -426,11 +427,11 @@
 
     /// Whether the largest of what may leave would free enough, each amount for itself.
     bool can_free(std::size_t job, std::size_t machine, const Resources& lack, int most_moves) const {
-        std::vector<Milli> cards, cores, ram;
+        std::vector<Milli> gpus, cores, ram;
         for (const std::size_t task : view_.machines[machine].tasks) {
             if (!can_leave(task, job)) continue;
-            const Resources& need = view_.jobs[view_.tasks[task].job].spec.need;
-            cards.push_back(need.cards);
+            const Resources& need = view_.jobs[view_.tasks[task].job].spec.request;
+            gpus.push_back(need.gpus);
             cores.push_back(need.cores);
             ram.push_back(need.ram);
         }
@@ -440,18 +441,18 @@
                 want -= of[i];
             return want <= 0;
         };
-        return enough(cards, lack.cards) && enough(cores, lack.cores) && enough(ram, lack.ram);
+        return enough(gpus, lack.gpus) && enough(cores, lack.cores) && enough(ram, lack.ram);
     }
 
     /// The best machine for one task: those with most room first, the cheapest of the first kPlans ways.
     std::optional<Way> way_for(std::size_t job, int most_moves, const std::string& zone) {
         std::vector<std::pair<Milli, std::size_t>> order;
-        const Resources& need = view_.jobs[job].spec.need;
+        const Resources& need = view_.jobs[job].spec.request;
         for (std::size_t m = 0; m < view_.machines.size(); ++m) {
             if (!zone.empty() && view_.machines[m].zone != zone) continue;
             if (!need.fits(view_.machines[m].size) || !allowed(job, m) || !zone_open(job, m, nullptr))
                 continue;
-            order.emplace_back(-later_[m].cards, m);
+            order.emplace_back(-later_[m].gpus, m);
         }
         std::sort(order.begin(), order.end());
         std::optional<Way> best;
@@ -486,7 +487,7 @@
     void use(std::size_t job, const Way& way) {
         for (const auto& [task, to] : way.moves) {
             const std::size_t owner = view_.tasks[task].job;
-            const Resources& need = view_.jobs[owner].spec.need;
+            const Resources& need = view_.jobs[owner].spec.request;
             moved_[task] = true;
             later_[way.machine] += need;
             now_[to.machine] -= need;
@@ -494,7 +495,7 @@
             if (fetch_seconds(view_.jobs[owner].spec, to.machine) > 0) ++fetches_[to.machine];
             ++added_[owner][view_.machines[to.machine].zone];
         }
-        later_[way.machine] -= view_.jobs[job].spec.need;
+        later_[way.machine] -= view_.jobs[job].spec.request;
         places_.clear();
         ++added_[job][view_.machines[way.machine].zone];
     }
@@ -529,7 +530,7 @@
     std::vector<bool> may_move_;                     // by job
     std::vector<std::map<std::string, int>> added_;  // by job: tasks that start in a zone by these plans
     std::map<std::size_t, std::vector<Destination>> places_;  // by job
-    std::vector<std::size_t> all_, with_cards_;  // machines; those with free cards, the fewest first
+    std::vector<std::size_t> all_, with_gpus_;  // machines; those with free GPUs, the fewest first
     std::map<std::string, std::vector<std::size_t>> with_image_;
 };
 
@@ -556,7 +557,7 @@
     });
     std::vector<RoomPlan> out;
     int moves_left = policy.budgets.moves_per_minute;
-    std::size_t hopeless = 0;
+    std::size_t is_unschedulable = 0;
     for (const std::size_t j : order) {
         const JobView& job = view.jobs[j];
         const bool gang = job.spec.kind == JobKind::Gang;
@@ -566,7 +567,7 @@
             auto plans = search.rooms(j, gang ? job.idle : 1,
                                       std::min(policy.budgets.moves_per_placement, moves_left), moves_left);
             if (plans.empty()) {
-                if (++hopeless >= kHopeless) return out;
+                if (++is_unschedulable >= kHopeless) return out;
                 break;
             }
             for (auto& plan : plans) {
--- a/src/planning/cards.hpp
+++ b/src/scheduling/gpu_packing.hpp
@@ -1,27 +1,27 @@
 #pragma once
-// Cards left over in pieces: a term of the score that keeps them together, and moves that make room for a
-// large task that fits by total but on no machine. Pure.
+// GpuSettings left over in pieces: a term of the score that keeps them together, and moves that make room for
+// a large task that fits by total but on no machine. Pure.
 
 #include <map>
 #include <optional>
 #include <vector>
 
-#include "planning/view.hpp"
+#include "scheduling/view.hpp"
 
 namespace cottonway::planning {
 
-/// How often each number of cards is asked for, by what waits and runs; sums to 1.
+/// How often each number of GPUs is asked for, by what waits and runs; sums to 1.
 class Shapes {
   public:
-    void add(Milli cards, double weight);
-    /// Tasks of one job, by what they ask for: each card counts, of waiting tasks threefold.
-    void add(Milli cards, int waiting, int running);
-    /// Part of `free` cards (of one machine) that is of no use to the shapes, weighed by how often they are
+    void add(Milli gpus, double weight);
+    /// Tasks of one job, by what they ask for: each GPU counts, of waiting tasks threefold.
+    void add(Milli gpus, int waiting, int running);
+    /// Part of `free` GPUs (of one machine) that is of no use to the shapes, weighed by how often they are
     /// asked for: 0 none, 1 all of it. A shape uses as many whole multiples of itself as are free.
     double useless(Milli free) const;
-    /// Cards of no use in `room` of a machine of `size`, 0 to the number that is free: those of no use to the
-    /// shapes, and those that have less than their part of the machine's cores or memory beside them.
-    double useless_cards(const Resources& size, const Resources& room) const;
+    /// GpuSettings of no use in `room` of a machine of `size`, 0 to the number that is free: those of no use
+    /// to the shapes, and those that have less than their part of the machine's cores or memory beside them.
+    double unusable_gpus(const Resources& size, const Resources& room) const;
     bool empty() const { return weights_.empty(); }
 
   private:
@@ -31,10 +31,10 @@
 Shapes shapes_of(const View& view);
 
 /// Added to a candidate's score (lower is better, the paper's weights add up to 100): what the task's start
-/// there takes from the use of the machine's free cards; and what keeps work without cards off machines that
+/// there takes from the use of the machine's free GPUs; and what keeps work without GPUs off machines that
 /// have some.
-double card_penalty(const Resources& size, const Resources& booked, const Resources& need,
-                    const Shapes& shapes);
+double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& need,
+                   const Shapes& shapes);
 
 /// Moves that make room for one task of `job` (index into View::jobs): the machine it shall start on, and
 /// what has to leave it, each with a destination that fits. No moves: what is stopping there is enough.
--- a/src/planning/moves.cpp
+++ b/src/scheduling/migrations.cpp
@@ -1,4 +1,4 @@
-#include "planning/moves.hpp"
+#include "scheduling/migrations.hpp"
 
 #include <algorithm>
 #include <cstdlib>
--- a/src/planning/moves.hpp
+++ b/src/scheduling/migrations.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What a domain has begun and not ended: moves under way and room that is gathered. It is stored as one value
-// of the domain (c/plan/DOMAIN) before anything of it is carried out, so that whoever holds the domain next
+// What a shard has begun and not ended: moves under way and room that is gathered. It is stored as one value
+// of the shard (c/plan/DOMAIN) before anything of it is carried out, so that whoever holds the shard next
 // ends it or takes it back, and begins no second move of the same task. Pure: the holder reads and writes.
 
 #include <map>
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "planning/view.hpp"
+#include "scheduling/view.hpp"
 
 namespace cottonway::planning {
 
@@ -43,7 +43,7 @@
     int idle = 0;  // tasks that still wait
 };
 
-/// The plan of a domain. To forget it is always safe: a task that was stopped for a move starts by the five
+/// The plan of a shard. To forget it is always safe: a task that was stopped for a move starts by the five
 /// steps then, and room that was kept is anybody's.
 class Plan {
   public:
--- a/src/core/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,4 +1,4 @@
-#include "core/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,22 +6,22 @@
 namespace cottonway {
 
 namespace {
-double share(Milli booked, Milli size) {
-    return size > 0 ? static_cast<double>(booked) / static_cast<double>(size) : 0.0;
+double share(Milli reserved, Milli size) {
+    return size > 0 ? static_cast<double>(reserved) / static_cast<double>(size) : 0.0;
 }
 }  // namespace
 
 std::ptrdiff_t place(const std::vector<const Candidate*>& candidates, const Resources& need,
                      const PlacementSettings& settings, std::mt19937_64& random) {
     // 1. Machines that can hold the task.
-    auto holds = [&](const Candidate* c) { return need.fits(c->size - c->booked); };
+    auto holds = [&](const Candidate* c) { return need.fits(c->size - c->reserved); };
     const auto fits = static_cast<std::size_t>(std::count_if(candidates.begin(), candidates.end(), holds));
     if (fits == 0) return -1;
 
-    // 2. Set aside those that are booked beyond the thresholds; if none remain, any fitting one.
+    // 2. Set aside those that are reserved beyond the thresholds; if none remain, any fitting one.
     struct Weighed {
         const Candidate* of;
-        double cores, ram;  // shares that are booked
+        double cores, ram;  // shares that are reserved
     };
     std::vector<Weighed> rest;
     rest.reserve(fits);
@@ -30,10 +30,10 @@
         double cores = 0, ram = 0, free = 0, size = 0, tasks = 0;
     } top;
     for (const auto* c : candidates) {
-        const Weighed w{c, share(c->booked.cores, c->size.cores), share(c->booked.ram, c->size.ram)};
+        const Weighed w{c, share(c->reserved.cores, c->size.cores), share(c->reserved.ram, c->size.ram)};
         top.cores = std::max(top.cores, w.cores);
         top.ram = std::max(top.ram, w.ram);
-        top.free = std::max(top.free, static_cast<double>(c->size.ram - c->booked.ram));
+        top.free = std::max(top.free, static_cast<double>(c->size.ram - c->reserved.ram));
         top.size = std::max(top.size, static_cast<double>(c->size.ram));
         top.tasks = std::max(top.tasks, static_cast<double>(c->tasks));
         if (w.cores <= settings.cores_threshold && w.ram <= settings.ram_threshold && holds(c))
@@ -61,7 +61,7 @@
     for (const auto& [c, cores, ram] : sample) {
         const double score =
             settings.cores_weight * scaled(cores, top.cores) + settings.ram_weight * scaled(ram, top.ram) -
-            settings.free_ram_weight * scaled(static_cast<double>(c->size.ram - c->booked.ram), top.free) -
+            settings.free_ram_weight * scaled(static_cast<double>(c->size.ram - c->reserved.ram), top.free) -
             settings.size_weight * scaled(static_cast<double>(c->size.ram), top.size) +
             settings.tasks_weight * scaled(static_cast<double>(c->tasks), top.tasks) -
             (c->has_image ? settings.image_weight : 0.0) + c->penalty + jitter(random);
--- a/src/core/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -4,15 +4,15 @@
 #include <random>
 #include <vector>
 
-#include "settings/settings.hpp"
-#include "wire/units.hpp"
+#include "base/units.hpp"
+#include "config/settings.hpp"
 
 namespace cottonway {
 
 struct Candidate {
     std::size_t index = 0;  // the caller's
     Resources size;
-    Resources booked;
+    Resources reserved;
     int tasks = 0;
     bool has_image = false;    // or is fetching it
     bool image_ready = false;  // has it
--- a/src/planning/priority.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -1,11 +1,11 @@
-#include "planning/priority.hpp"
+#include "scheduling/queue_order.hpp"
 
 #include <algorithm>
 #include <optional>
 #include <tuple>
 #include <utility>
 
-#include "planning/constraints.hpp"
+#include "scheduling/constraints.hpp"
 
 namespace cottonway::planning {
 
@@ -13,7 +13,7 @@
 
 using policy::Tier;
 
-/// Of a team's limit, in cores and cards: what is kept for whom.
+/// Of a team's limit, in cores and GPUs: what is kept for whom.
 struct Kept {
     Resources limit;
     Resources floor;    // part of what live work leaves
@@ -25,7 +25,7 @@
 };
 
 Resources larger(const Resources& a, const Resources& b) {
-    return {std::max(a.cores, b.cores), std::max(a.cards, b.cards), 0};
+    return {std::max(a.cores, b.cores), std::max(a.gpus, b.gpus), 0};
 }
 
 Resources not_negative(const Resources& r) {
@@ -33,7 +33,7 @@
 }
 
 bool within(const Resources& need, const Resources& room) {
-    return need.cores <= room.cores && need.cards <= room.cards;
+    return need.cores <= room.cores && need.gpus <= room.gpus;
 }
 
 Resources used_by(const TeamUse& use, Tier tier) {
@@ -56,7 +56,7 @@
 Resources owed_to_batch(const TeamUse& use, const Kept& k, const std::vector<const Queued*>& waiting) {
     Resources waits;
     const Queued* least = nullptr;
-    auto size = [](const Queued& q) { return std::tuple(q.task.cores, q.task.cards, q.index); };
+    auto size = [](const Queued& q) { return std::tuple(q.task.cores, q.task.gpus, q.index); };
     for (const Queued* q : waiting) {
         if (q->lacks_room || !within(q->task, k.half)) continue;
         waits += q->waits;
@@ -66,7 +66,7 @@
     const Resources due = larger(k.floor, least->task);
     const Resources used = used_by(use, Tier::Batch);
     const Resources could = used + waits;
-    return not_negative(Resources{std::min(due.cores, could.cores), std::min(due.cards, could.cards), 0} -
+    return not_negative(Resources{std::min(due.cores, could.cores), std::min(due.gpus, could.gpus), 0} -
                         used);
 }
 
@@ -79,8 +79,8 @@
         Kept& k = kept[team];
         const Resources rest = not_negative(use.limit - used_by(use, Tier::Live));
         k.limit = use.limit;
-        k.floor = {part(rest.cores), part(rest.cards), 0};
-        k.half = {rest.cores / 2, rest.cards / 2, 0};
+        k.floor = {part(rest.cores), part(rest.gpus), 0};
+        k.half = {rest.cores / 2, rest.gpus / 2, 0};
     }
     std::map<std::string, std::vector<const Queued*>> batch;
     for (const Queued& q : queue) {
@@ -114,7 +114,7 @@
         }
         most -= others;
     }
-    return {q.index, is_overdue, most.cores, most.cards};
+    return {q.index, is_overdue, most.cores, most.gpus};
 }
 
 bool allowed(const JobSpec& s, const MachineView& m) {
@@ -132,7 +132,7 @@
         const TaskView& t = view.tasks[i];
         const JobSpec& s = view.jobs[t.job].spec;
         if (s.kind == JobKind::Service && !t.stopping) continue;
-        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.ran, kSecond), s.need);
+        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.ran, kSecond), s.request);
     }
     std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
     for (const auto& [in, freed] : ends) {
@@ -180,7 +180,8 @@
         if (j.waiting < policy.priority.begin_within) continue;
         auto size = [](const JobView& x) {
             const Milli tasks = x.spec.kind == JobKind::Gang ? x.idle : 1;
-            return std::tuple(-x.spec.need.cards * tasks, -x.spec.need.cores * tasks, -x.waiting, x.spec.ref);
+            return std::tuple(-x.spec.request.gpus * tasks, -x.spec.request.cores * tasks, -x.waiting,
+                              x.spec.ref);
         };
         if (!largest || size(j) < size(*largest)) largest = &j;
     }
@@ -197,8 +198,8 @@
             if (!allowed(s, m)) continue;
             if (s.one_zone && !zones.empty() && zones.count(m.zone) == 0) continue;
             if (s.spread && zones[m.zone] >= (s.tasks + 1) / 2) continue;
-            const Resources taken{s.need.cores * on[i], s.need.cards * on[i], s.need.ram * on[i]};
-            if (auto in = room_in(view, m, s.need, taken))
+            const Resources taken{s.request.cores * on[i], s.request.gpus * on[i], s.request.ram * on[i]};
+            if (auto in = room_in(view, m, s.request, taken))
                 if (const auto found = std::tuple(*in, i); !best || found < *best) best = found;
         }
         if (!best) return {};  // not all of it has room anywhere, whatever is waited for
--- a/src/planning/priority.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -1,13 +1,13 @@
 #pragma once
 // The priority plan: the order in which waiting jobs are placed, what each batch tier is due of its team's
 // limit, and when a large job that waits gets room gathered. Pure: a function of stored facts (tier, rank,
-// admission, deadline, what runs), so that whoever holds the domain decides alike and no wait is forgotten.
+// admission, deadline, what runs), so that whoever holds the shard decides alike and no wait is forgotten.
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "planning/view.hpp"
+#include "scheduling/view.hpp"
 
 namespace cottonway::planning {
 
@@ -16,7 +16,7 @@
     std::size_t index = 0;  // the caller's; decides among equals, so it has to follow from stored facts
     std::string team;
     policy::Tier tier = policy::Tier::Batch;
-    Rank rank = Rank::Normal;
+    PriorityClass rank = PriorityClass::Normal;
     bool within_guarantee = false;
     bool late = false;  // misses its first aim whatever is done now
     std::int64_t due_ms = INT64_MAX;
@@ -30,7 +30,7 @@
 
 /// What a team may use here and uses.
 struct TeamUse {
-    Resources limit;                         // the domain's part of it
+    Resources limit;                         // the shard's part of it
     std::map<policy::Tier, Resources> used;  // by tier, in doubt and stopping included
 };
 
@@ -41,15 +41,15 @@
     bool overdue = false;
     /// What its team may use in all with this job's next start; the rest of the limit is due to others.
     Milli most_cores = 0;
-    Milli most_cards = 0;
+    Milli most_gpus = 0;
     bool operator==(const Turn&) const = default;
 };
 
 /// Everybody's turn, first to last. Live work is always first and has no cap but the limit. Within a team's
 /// limit batch leaves room for live work that waits, then for the job that is overdue longest, then for what
 /// a lower tier that waits is due. A tier none of whose tasks fits into the half of what live work leaves has
-/// to wait until it is overdue. Leftover work is due no part, as it starts only where nothing else wants the
-/// room, until it is overdue.
+/// to wait until it is overdue. BestEffort work is due no part, as it starts only where nothing else wants
+/// the room, until it is overdue.
 std::vector<Turn> turns(const std::vector<Queued>& queue, const std::map<std::string, TeamUse>& teams,
                         const policy::Priority& priority);
 
--- a/src/planning/zones.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -1,4 +1,4 @@
-#include "planning/zones.hpp"
+#include "scheduling/topology_spread.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <tuple>
 
-#include "planning/constraints.hpp"
+#include "scheduling/constraints.hpp"
 
 namespace cottonway::planning {
 
@@ -204,7 +204,7 @@
         auto operator<=>(const Shift&) const = default;
     };
 
-    /// A zone that the domain has machines in was lost, or has not been back for long.
+    /// A zone that the shard has machines in was lost, or has not been back for long.
     bool trouble() const {
         return std::any_of(view_.machines.begin(), view_.machines.end(),
                            [this](const MachineView& m) { return has(view_.troubled, m.zone); });
@@ -294,7 +294,7 @@
         const JobSpec& spec = view_.jobs[j].spec;
         const auto to_machine = destination(spec, to, asked.apart() ? &on : nullptr);
         if (!to_machine) return std::nullopt;
-        room_[*to_machine] -= spec.need;
+        room_[*to_machine] -= spec.request;
         return Move{spec.ref,
                     leaves->task,
                     view_.machines[leaves->machine].name,
@@ -313,7 +313,7 @@
             if (std::get<0>(kind) != zone || !may_use(job, std::get<1>(kind), zone, std::get<2>(kind)))
                 continue;
             for (const std::size_t i : machines) {
-                if (!job.need.fits(room_[i]) || (keep_off && keep_off->count(i))) continue;
+                if (!job.request.fits(room_[i]) || (keep_off && keep_off->count(i))) continue;
                 const MachineView& m = view_.machines[i];
                 int fetches = 0, image = 2;
                 for (const auto& held : m.images) {
--- a/src/planning/zones.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "planning/view.hpp"
+#include "scheduling/view.hpp"
 
 namespace cottonway::planning {
 
--- a/src/planning/view.hpp
+++ b/src/scheduling/view.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What planning reads: a domain as its holder knows it at one moment, by value. Decisions on it are pure
+// What planning reads: a shard as its holder knows it at one moment, by value. Decisions on it are pure
 // functions; the holder carries out what they ask for.
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "policy/policy.hpp"
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::planning {
 
@@ -25,13 +25,13 @@
     /// New tasks may be bound to it: heard lately, not leaving, not suspect.
     bool usable = false;
     Resources size;
-    Resources booked;    // by tasks on it, in doubt and stopping ones included
+    Resources reserved;  // by tasks on it, in doubt and stopping ones included
     Resources stopping;  // the part of it that is on its way out
     Resources kept;      // free room that is kept for somebody else (gathered)
     double fetch_gb_per_s = 1;
     std::vector<ImageView> images;
     std::vector<std::size_t> tasks;  // indices into View::tasks
-    Resources room() const { return size - booked - kept; }
+    Resources room() const { return size - reserved - kept; }
 };
 
 struct TaskView {
@@ -47,7 +47,7 @@
 struct JobView {
     JobSpec spec;
     policy::Tier tier = policy::Tier::Batch;
-    Rank rank = Rank::Normal;
+    PriorityClass rank = PriorityClass::Normal;
     bool cancelled = false;
     int idle = 0;        // tasks that wait for room
     int gathered = 0;    // those of the idle ones that room is kept for already
--- a/src/core/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/authority.hpp"
-#include "core/owner.hpp"
-#include "log/log.hpp"
+#include "cluster/lease_validity.hpp"
+#include "logging/log.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
@@ -14,16 +14,16 @@
 constexpr Micros kWorkerPatience = 4 * kSecond;  // for an answer to its report
 constexpr Micros kProven = 5 * kSecond;          // a task that has run for this long can run
 
-using recovery::Verdict;
+using recovery::ReconcileAction;
 
 }  // namespace
 
-void Owner::set_idle(Job& job, Slot& slot) {
-    ledger_.release(job, slot, context_.host().listened());
+void ShardOwner::set_idle(Job& job, Slot& slot) {
+    shard_state_.release(job, slot, context_.runtime().listened());
     plan_due_ = true;
 }
 
-void Owner::gone(Job& job, int task, Micros retry_in) {
+void ShardOwner::on_attempt_terminated(Job& job, int task, Micros retry_in) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
     // What is proven gone from a machine that can't be heard is written down, bound elsewhere or not: a next
@@ -31,7 +31,7 @@
     const bool durable = slot.state == SlotState::Bound && useless_for(*slot.machine) > patience();
     set_idle(job, slot);
     if (durable) touch(job, static_cast<std::size_t>(task) / job.part_tasks);
-    const Micros now = context_.host().now();
+    const Micros now = context_.runtime().now();
     slot.retry_at = now + retry_in;
     if (job.idle == 1) job.waiting_since = now;
     dirty_.insert(job.spec.ref);
@@ -43,7 +43,7 @@
     context_.wake();
 }
 
-void Owner::mark_done(Job& job, int task) {
+void ShardOwner::mark_done(Job& job, int task) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state == SlotState::Done || slot.state == SlotState::DonePending) return;
     if (slot.state != SlotState::Idle) set_idle(job, slot);
@@ -53,22 +53,22 @@
     touch(job, static_cast<std::size_t>(task) / job.part_tasks);
 }
 
-void Owner::stop(Slot& slot, Micros grace) {
+void ShardOwner::stop(Slot& slot, Micros grace) {
     if (slot.stop && grace >= slot.grace) return;
     slot.stop = true;
     slot.grace = grace;
     slot.stop_sent = 0;
-    if (slot.machine) poke(*slot.machine);
+    if (slot.machine) request_dispatch(*slot.machine);
 }
 
-void Owner::cancel(Job& job) {
+void ShardOwner::cancel(Job& job) {
     if (job.stage != Stage::Cancelled)
         spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound);
     job.stage = Stage::Cancelled;
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state == SlotState::Binding)
-            gone(job, static_cast<int>(i), 0);  // never durable, so never launched
+            on_attempt_terminated(job, static_cast<int>(i), 0);  // never durable, so never launched
         else if (slot.state == SlotState::Bound)
             stop(slot, 0);
     }
@@ -77,18 +77,18 @@
 }
 
 /// A gang that lost a task, or is being stopped, ends as a whole before it starts again.
-void Owner::settle_gang(Job& job) {
+void ShardOwner::settle_gang(Job& job) {
     if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound == 0) return;
     job.gang_stopping = true;
     for (auto& slot : job.slots)
         if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) stop(slot, 0);
     for (std::size_t i = 0; i < job.slots.size(); ++i)
-        if (job.slots[i].state == SlotState::Binding) gone(job, static_cast<int>(i), 0);
+        if (job.slots[i].state == SlotState::Binding) on_attempt_terminated(job, static_cast<int>(i), 0);
     job.gang_stopping = false;
 }
 
 /// A worker tells of a task's result, whether the task is still bound there or not.
-void Owner::completed(Job& job, int task) {
+void ShardOwner::completed(Job& job, int task) {
     mark_done(job, task);
     if (job.spec.kind != JobKind::Gang) return;
     // A gang completes together: if one task is done, all of them are. On a machine that is silent they still
@@ -98,11 +98,11 @@
         if (job.slots[i].state == SlotState::Idle) mark_done(job, static_cast<int>(i));
 }
 
-void Owner::exited(Machine& m, Job& job, int task, ExitCause cause) {
+void ShardOwner::exited(Machine& m, Job& job, int task, ExitCause cause) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
-    const Micros now = context_.host().now();
+    const Micros now = context_.runtime().now();
     if (cause == ExitCause::Done && job.spec.kind != JobKind::Service) {
-        proved(job);
+        on_first_success(job);
         spdlog::debug("task {}/{}: done on {}", job.spec.ref, task, m.name);
         completed(job, task);
         return;
@@ -115,88 +115,89 @@
         if (cause == ExitCause::NoRoom) m.avoid_until = now + 2 * kSecond;
         spdlog::info("task {}/{}: start refused on {}", job.spec.ref, task, m.name);
     }
-    gone(job, task, retry);
+    on_attempt_terminated(job, task, retry);
 }
 
 /// A message that arrives while the jobs are still being read: its tasks can't be told from strays yet, and
 /// must not be stopped as such. Only the session and the token count.
-void Owner::greet(Machine& m, const Report& r, bool is_report) {
+void ShardOwner::register_incarnation(Machine& m, const Report& r, bool is_report) {
     if (r.session < m.session) return;
     if (r.session > m.session) {
         m.seq = 0;
-        m.session_since = context_.host().now();
+        m.session_since = context_.runtime().now();
     }
     m.session = r.session;
     m.token_seen = std::max(m.token_seen, r.token);
-    m.heard = m.greeted = context_.host().now();
-    m.listened = context_.host().listened();
-    if (is_report) m.report_listened = m.listened;
+    m.last_heartbeat = m.heartbeat_before_load = context_.runtime().now();
+    m.last_heartbeat_listening = context_.runtime().listened();
+    if (is_report) m.report_listened = m.last_heartbeat_listening;
 }
 
 /// Whether a report, which is news, tells that the worker has lately had an answer from a controller. Without
 /// one it would have waited for longer before it reports again, and its session ends with its lease.
-bool Owner::hears(const Machine& m, const Report& r) const {
-    const Micros now = context_.host().now();
+bool ShardOwner::hears(const Machine& m, const Report& r) const {
+    const Micros now = context_.runtime().now();
     if (m.reported == 0 || r.session != m.session) return false;
     return now - m.reported < kWorkerPatience ||
            now - m.session_since > with_drift(context_.settings().lease);
 }
 
 /// Applies a worker's message; `is_report` tells a report from the answer to a /do.
-void Owner::absorb(Machine& m, const Report& r, bool is_report) {
-    const Micros now = context_.host().now();
+void ShardOwner::apply_heartbeat(Machine& m, const Report& r, bool is_report) {
+    const Micros now = context_.runtime().now();
     if (!recovery::is_news({r.session, r.seq}, {m.session, m.seq}, m.min_session)) return;
     const bool was_usable = usable(m);
     // That it reports does not tell that it hears us.
     if (is_report && hears(m, r)) m.suspect = false;
     if (r.session > m.session) {
         m.session_since = now;
-        m.taints.clear();  // /do names the session: what was sent to an earlier one is refused
-        m.answer_launches.clear();
-        m.carried_out.clear();
+        m.unacknowledged_launches
+            .clear();  // /do names the session: what was sent to an earlier one is refused
+        m.launches_in_responses.clear();
+        m.acknowledged_launches.clear();
     }
     m.session = r.session;
     m.seq = r.seq;
     m.token_seen = std::max(m.token_seen, r.token);
-    m.heard = now;
-    m.listened = context_.host().listened();
-    if (is_report) m.reported = now, m.report_listened = m.listened;
+    m.last_heartbeat = now;
+    m.last_heartbeat_listening = context_.runtime().listened();
+    if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
     if (r.notice && !m.notice) {
         m.notice = true;
         m.notice_end = now + *r.notice;
         spdlog::info("machine {}: will be taken in {} s", m.name, *r.notice / kSecond);
         drain_noticed(m);
     }
-    std::erase_if(m.taints, [&](const auto& t) { return r.token > t.second.token; });
-    if (is_report) std::erase_if(m.answer_launches, [&](const auto& l) { return r.seq > l.second; });
+    std::erase_if(m.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
+    if (is_report) std::erase_if(m.launches_in_responses, [&](const auto& l) { return r.seq > l.second; });
 
     ++m.messages;
     startup_.heard(m.name, now);
-    ledger_.forget_strays(m);
+    shard_state_.forget_orphaned_tasks(m);
     m.exited.clear();
     for (const auto& t : r.tasks) {
-        Job* job = ledger_.job(t.job);
+        Job* job = shard_state_.job(t.job);
         Slot* slot = job && static_cast<std::size_t>(t.task) < job->slots.size()
                          ? &job->slots[static_cast<std::size_t>(t.task)]
                          : nullptr;
         const bool exited_now = t.phase == Phase::Exited;
         const auto verdict =
-            recovery::square(stored(job, slot, m, t.attempt), {true, exited_now, t.cause}, {});
-        startup_.squared(verdict, slot && slot->foreign && !slot->seen);
+            recovery::reconcile(stored(job, slot, m, t.attempt), {true, exited_now, t.cause}, {});
+        startup_.reconciled(verdict, slot && slot->foreign && !slot->seen);
         if (exited_now) m.exited.push_back(t);
         switch (verdict) {
-            case Verdict::Runs:
+            case ReconcileAction::Runs:
                 show(m, *job, *slot, t.phase);
                 break;
-            case Verdict::Ended:
+            case ReconcileAction::Ended:
                 show(m, *job, *slot, t.phase);
                 exited(m, *job, t.task, t.cause);
                 break;
-            case Verdict::Result:
+            case ReconcileAction::Result:
                 completed(*job, t.task);
                 break;
-            case Verdict::Stray:
-                ledger_.add_stray(m, t);
+            case ReconcileAction::Stray:
+                shard_state_.add_orphaned_task(m, t);
                 break;
             default:
                 break;
@@ -206,13 +207,13 @@
     for (const auto& t : m.tasks)
         if (t.job->slots[static_cast<std::size_t>(t.task)].shown != m.messages) missing.push_back(t);
     for (const auto& t : missing) absent(m, *t.job, t.task, r, is_report);
-    if (!m.tasks.empty()) m.idle_since = m.listened;
-    if (!m.strays.empty()) poke(m);
+    if (!m.tasks.empty()) m.idle_since = m.last_heartbeat_listening;
+    if (!m.orphaned_tasks.empty()) request_dispatch(m);
     if (!was_usable && usable(m)) plan_due_ = true;
 }
 
-recovery::Stored Owner::stored(const Job* job, const Slot* slot, const Machine& m,
-                               std::int64_t attempt) const {
+recovery::Stored ShardOwner::stored(const Job* job, const Slot* slot, const Machine& m,
+                                    std::int64_t attempt) const {
     using State = recovery::Stored::State;
     recovery::Stored out;
     if (!job || !slot) return out;
@@ -241,8 +242,8 @@
 }
 
 /// A message shows a bound task.
-void Owner::show(Machine& m, Job& job, Slot& slot, Phase phase) {
-    const Micros now = context_.host().now();
+void ShardOwner::show(Machine& m, Job& job, Slot& slot, Phase phase) {
+    const Micros now = context_.runtime().now();
     slot.shown = m.messages;
     slot.seen = true;
     slot.launch_sent = true;
@@ -250,48 +251,50 @@
         // What an earlier holder has begun has run for some time, nobody knows for how long.
         slot.run_since = slot.foreign ? now - job.spec.estimate / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), m.name);
-        Ledger::remember_image(m, job, true);
+        ShardState::remember_image(m, job, true);
     }
     slot.phase = phase;
-    if (phase == Phase::Running && now - slot.run_since > kProven) proved(job);
+    if (phase == Phase::Running && now - slot.run_since > kProven) on_first_success(job);
 }
 
 /// A bound task that a message does not show: gone, not launched yet, or in doubt.
-void Owner::absent(Machine& m, Job& job, int task, const Report& r, bool is_report) {
+void ShardOwner::absent(Machine& m, Job& job, int task, const Report& r, bool is_report) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const AttemptKey key{job.spec.ref, task, slot.attempt};
     recovery::Proof proof;
     proof.later_session = slot.launch_session != UINT64_MAX && r.session > slot.launch_session;
     proof.higher_token = r.token > slot.launch_token;
     proof.answer_over = slot.launch_by_answer && is_report && r.seq > slot.launch_seq &&
-                        !m.taints.count(key) && !m.direct_launches.count(key);
+                        !m.unacknowledged_launches.count(key) && !m.direct_launches.count(key);
     // A worker takes an answer before its next report. One that does not show our token has taken none of
     // ours, so whatever the former holder started has ended with the last lease that one can have granted,
-    // or that was granted while reports could not be squared yet.
-    if (slot.foreign && is_report && m.token_seen < mark_ && over_since(m, std::max(former_end_, m.greeted)))
+    // or that was granted while reports could not be reconciled yet.
+    if (slot.foreign && is_report && m.token_seen < mod_revision_ &&
+        over_since(m, std::max(former_end_, m.heartbeat_before_load)))
         proof.later_session = true;
     proof.may_still_come = may_come(m, key);
-    const auto verdict = recovery::square(stored(&job, &slot, m, slot.attempt), {}, proof);
-    startup_.squared(verdict, slot.foreign);
-    if (verdict == Verdict::Gone) return gone(job, task, 0);
-    const bool unsent = verdict == Verdict::Unsent && slot.state == SlotState::Bound && !slot.foreign;
+    const auto verdict = recovery::reconcile(stored(&job, &slot, m, slot.attempt), {}, proof);
+    startup_.reconciled(verdict, slot.foreign);
+    if (verdict == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
+    const bool unsent = verdict == ReconcileAction::Unsent && slot.state == SlotState::Bound && !slot.foreign;
     // Proven not to be there: on a machine that does not hear us it would be launched in vain for ever.
-    if ((verdict == Verdict::LaunchAgain || unsent) && m.suspect && !may_come(m, key)) {
+    if ((verdict == ReconcileAction::LaunchAgain || unsent) && m.suspect && !may_come(m, key)) {
         spdlog::info("task {}/{}: {} does not hear us, to be placed elsewhere", key.job, task, m.name);
-        return gone(job, task, 0);
+        return on_attempt_terminated(job, task, 0);
     }
-    if (verdict != Verdict::LaunchAgain) return;
+    if (verdict != ReconcileAction::LaunchAgain) return;
     slot.launch_sent = false;
-    poke(m);
+    request_dispatch(m);
 }
 
 /// Whether a launch of this attempt that was sent in one way or another is not settled.
-bool Owner::may_come(const Machine& m, const AttemptKey& key) {
-    return m.taints.count(key) || m.direct_launches.count(key) || m.answer_launches.count(key);
+bool ShardOwner::may_come(const Machine& m, const AttemptKey& key) {
+    return m.unacknowledged_launches.count(key) || m.direct_launches.count(key) ||
+           m.launches_in_responses.count(key);
 }
 
 /// Whether a launch of this attempt may still be executed.
-bool Owner::still_live(const Machine& m, const Slot& slot, const AttemptKey& key) {
+bool ShardOwner::still_live(const Machine& m, const Slot& slot, const AttemptKey& key) {
     return slot.launch_sent || may_come(m, key);
 }
 
--- a/src/core/orders.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/owner.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-std::optional<Owner::Answer> Owner::on_report(const Report& report, bool relayed) {
-    auto it = ledger_.machines.find(report.machine);
-    if (it == ledger_.machines.end()) return std::nullopt;
+std::optional<ShardOwner::Answer> ShardOwner::on_report(const Report& report, bool relayed) {
+    auto it = shard_state_.machines.find(report.machine);
+    if (it == shard_state_.machines.end()) return std::nullopt;
     Machine& m = *it->second;
     // Its new holder may reach it before the outcome of the move reaches us.
     if (report.token > token(m) && m.leaving) return std::nullopt;
     if (report.token > token(m)) {
         spdlog::info("machine {} has seen a higher token than ours", report.machine);
-        context_.ousted(domain_);
+        context_.ousted(shard_);
         return std::nullopt;
     }
-    if (!context_.entitled() || report.session < m.min_session) return std::nullopt;
-    const Micros now = context_.host().now();
+    if (!context_.has_valid_lease() || report.session < m.min_session) return std::nullopt;
+    const Micros now = context_.runtime().now();
     if (m.addr.empty()) m.addr = report.addr;
     // What is as old as another message, or older, tells nothing new, not even that the machine can be heard.
     // It gets the token alone: its worker may still wait for it if only the answer to a /do has overtaken it.
@@ -41,49 +41,51 @@
     if (relayed && !m.relayed) m.relayed_since = now;
     m.relayed = relayed;
     if (active_)
-        absorb(m, report, true);
+        apply_heartbeat(m, report, true);
     else
-        greet(m, report, true);
+        register_incarnation(m, report, true);
     Answer answer{token(m), {}, !m.out_of_reach()};
     // Until everything is read, which an outage may put off for long, a lease is not renewed for what is
     // known to be over.
     answer.orders = active_ ? orders_for(m, false) : context_.stops_of_what_is_over(report);
     // Whether the worker can be reached without help is found out by calling it now and then.
-    if (probe_due(m)) poke(m);
+    if (probe_due(m)) request_dispatch(m);
     if (plan_due_ || flush_due_ || !due_.empty()) context_.wake();
     return answer;
 }
 
-std::vector<Order> Owner::orders_for(Machine& m, bool direct) {
-    const Micros now = context_.host().now();
+std::vector<Order> ShardOwner::orders_for(Machine& m, bool direct) {
+    const Micros now = context_.runtime().now();
     // A launch to a session that began after our authority, of a task whose cancellation we can't hear of,
     // would outlive every bound on it.
-    const bool entitled = context_.entitled();
+    const bool has_valid_lease = context_.has_valid_lease();
     std::vector<Order> orders;
     std::size_t uncleared = 0;
     for (const auto& t : m.exited) {
         const AttemptKey key{t.job, t.task, t.attempt};
         // After a clear the attempt is unknown to the worker, and a launch that is still on its way would
         // start it once more: wait until none can be.
-        if (m.taints.count(key) || m.answer_launches.count(key) || m.direct_launches.count(key)) continue;
+        if (m.unacknowledged_launches.count(key) || m.launches_in_responses.count(key) ||
+            m.direct_launches.count(key))
+            continue;
         // So would a copy of one that was carried out, for as long as token and session match. A result is
         // kept, so that such a start ends at once; anything else would run, perhaps beside its successor.
-        if (const auto sent = m.carried_out.find(key);
-            sent != m.carried_out.end() && m.token_seen <= sent->second.token) {
+        if (const auto sent = m.acknowledged_launches.find(key);
+            sent != m.acknowledged_launches.end() && m.token_seen <= sent->second.token) {
             if (t.cause != ExitCause::Done) ++uncleared;
             if (t.cause != ExitCause::Done || now - sent->second.at <= kCopies) continue;
         }
-        const Job* job = ledger_.job(t.job);
+        const Job* job = shard_state_.job(t.job);
         if (job && t.task < job->spec.tasks) {
             const Slot& slot = job->slots[static_cast<std::size_t>(t.task)];
             if (slot.state == SlotState::DonePending) continue;  // durable first
         }
-        m.carried_out.erase(key);
+        m.acknowledged_launches.erase(key);
         orders.push_back({OrderKind::Clear, t.job, t.task, t.attempt, 0});
         startup_.ordered(OrderKind::Clear, false);
     }
     if (uncleared > kMaxUncleared) raise(m);
-    for (const auto& t : m.strays) {
+    for (const auto& t : m.orphaned_tasks) {
         orders.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
         startup_.ordered(OrderKind::Stop, false);
     }
@@ -100,17 +102,17 @@
             orders.push_back({OrderKind::Stop, key.job, task, slot.attempt, slot.grace});
             continue;
         }
-        if (!entitled || job->stage != Stage::Queued || m.token_seen < token(m)) continue;
+        if (!has_valid_lease || job->stage != Stage::Queued || m.token_seen < token(m)) continue;
         if (slot.foreign || m.direct_launches.count(key)) continue;
         if (job->spec.kind == JobKind::Gang &&
             std::any_of(job->slots.begin(), job->slots.end(),
                         [](const Slot& s) { return s.state != SlotState::Bound; }))
             continue;
         // The answer to a report is the second way; it is taken when the direct one does not work.
-        if (!direct && ((m.direct_backoff == 0 && !m.out_of_reach()) || m.answer_launches.count(key)))
+        if (!direct && ((m.direct_backoff == 0 && !m.out_of_reach()) || m.launches_in_responses.count(key)))
             continue;
         startup_.ordered(OrderKind::Launch, slot.launch_sent);
-        slot.launch_by_answer = !direct && !m.taints.count(key);
+        slot.launch_by_answer = !direct && !m.unacknowledged_launches.count(key);
         slot.launch_sent = true;
         slot.launch_token = token(m);
         slot.launch_session = m.session;
@@ -118,7 +120,7 @@
         if (direct)
             m.direct_launches.insert(key);
         else
-            m.answer_launches[key] = m.seq;
+            m.launches_in_responses[key] = m.seq;
         orders.push_back({OrderKind::Launch, key.job, task, slot.attempt, 0});
     }
     return orders;
@@ -126,12 +128,12 @@
 
 /// Whether a worker whose reports are relayed, or that left a call unanswered, is to be called, to find out
 /// whether it can be reached again.
-bool Owner::probe_due(const Machine& m) const {
-    return (m.out_of_reach() || m.suspect) && context_.host().now() - m.probed_at > kProbeEvery;
+bool ShardOwner::probe_due(const Machine& m) const {
+    return (m.out_of_reach() || m.suspect) && context_.runtime().now() - m.probed_at > kProbeEvery;
 }
 
 /// Puts a machine on the list of those to send to.
-void Owner::poke(Machine& m) {
+void ShardOwner::request_dispatch(Machine& m) {
     if (m.due) return;
     m.due = true;
     due_.push_back(m.name);
@@ -141,24 +143,24 @@
 /// What goes first when more machines are to be called than may be at a time: tasks of cancelled jobs, whose
 /// time runs out; services; what has a deadline; what else is to be launched; the rest, such as showing a
 /// token.
-int Owner::urgency(const Machine& m) const {
+int ShardOwner::urgency(const Machine& m) const {
     int best = 4;
     for (const auto& [job, task] : m.tasks) {
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound || (slot.seen && !slot.stop)) continue;
         if (job->stage == Stage::Cancelled) return 0;
-        best = std::min(best, job->rank == Rank::Production ? 1 : job->due_ms != INT64_MAX ? 2 : 3);
+        best = std::min(best, job->rank == PriorityClass::Production ? 1 : job->due_ms != INT64_MAX ? 2 : 3);
     }
     return best;
 }
 
-void Owner::send_orders() {
+void ShardOwner::send_orders() {
     if (due_.empty()) return;
     const int most = static_cast<int>(context_.settings().sockets / 16);
     if (static_cast<int>(due_.size()) > most - direct_calls_) {
         std::vector<std::pair<int, std::string>> order;
         for (auto& name : due_)
-            if (auto m = ledger_.machines.find(name); m != ledger_.machines.end())
+            if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
                 order.emplace_back(urgency(*m->second), std::move(name));
         std::stable_sort(order.begin(), order.end(),
                          [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -167,8 +169,8 @@
     }
     std::vector<std::string> later;
     for (const auto& name : std::exchange(due_, {})) {
-        auto it = ledger_.machines.find(name);
-        if (it == ledger_.machines.end()) continue;
+        auto it = shard_state_.machines.find(name);
+        if (it == shard_state_.machines.end()) continue;
         if (direct_calls_ >= most) {
             later.push_back(name);
             continue;
@@ -179,8 +181,8 @@
     due_.insert(due_.end(), later.begin(), later.end());
 }
 
-void Owner::send_to(Machine& m) {
-    const Micros now = context_.host().now();
+void ShardOwner::send_to(Machine& m) {
+    const Micros now = context_.runtime().now();
     if (m.direct_in_flight || now < m.direct_after || m.addr.empty()) return;
     // A worker that only others reach gets its orders in the answers to its reports.
     const bool probe = active_ && probe_due(m);
@@ -204,12 +206,12 @@
     call.method = "POST";
     call.path = "/do";
     call.body = wire::direct_orders(token(m), session, orders);
-    context_.host().call(std::move(call), [this, alive = alive_, machine = m.name, sent_token = token(m),
-                                           session](const Reply& r) {
+    context_.runtime().call(std::move(call), [this, alive = alive_, machine = m.name, sent_token = token(m),
+                                              session](const Reply& r) {
         if (!*alive) return;
         --direct_calls_;
-        auto it = ledger_.machines.find(machine);
-        if (it == ledger_.machines.end()) return;
+        auto it = shard_state_.machines.find(machine);
+        if (it == shard_state_.machines.end()) return;
         Machine& x = *it->second;
         x.direct_in_flight = false;
         auto launched = std::exchange(x.direct_launches, {});
@@ -219,61 +221,62 @@
         if (!report || report->machine != machine) return unanswered(x, launched, sent_token, session);
         x.direct_backoff = 0;
         x.direct_after = 0;
-        x.direct_ok = context_.host().now();
+        x.direct_ok = context_.runtime().now();
         x.suspect = false;
-        if (report->token > token(x)) return x.leaving ? void() : context_.ousted(domain_);
+        if (report->token > token(x)) return x.leaving ? void() : context_.ousted(shard_);
         if (active_)
-            absorb(x, *report, false);
+            apply_heartbeat(x, *report, false);
         else
-            greet(x, *report, false);
+            register_incarnation(x, *report, false);
         // Asked again, if it must be, but not at once: what it tells may be no use for a while.
         if (r.status == 409 || x.seq == 0 || x.token_seen < token(x))
-            x.direct_after = context_.host().now() + 100 * kMillisecond;
+            x.direct_after = context_.runtime().now() + 100 * kMillisecond;
         // Answered: what the worker does not show was not started and will not be.
         for (const auto& key : launched) {
-            if (r.status == 200) x.carried_out[key] = {sent_token, context_.host().now()};
-            Job* job = ledger_.job(key.job);
+            if (r.status == 200) x.acknowledged_launches[key] = {sent_token, context_.runtime().now()};
+            Job* job = shard_state_.job(key.job);
             if (!job) continue;
             Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
             if (slot.state == SlotState::Bound && slot.attempt == key.attempt && !slot.seen &&
-                !x.taints.count(key)) {
+                !x.unacknowledged_launches.count(key)) {
                 slot.launch_sent = false;
-                poke(x);
+                request_dispatch(x);
             }
         }
     });
 }
 
 /// It left a call unanswered.
-void Owner::suspect(Machine& m) {
-    if (!std::exchange(m.suspect, true)) m.suspect_since = context_.host().listened();
+void ShardOwner::suspect(Machine& m) {
+    if (!std::exchange(m.suspect, true)) m.suspect_since = context_.runtime().listened();
 }
 
 /// No connection came about, so nothing was or will be executed: what was to be launched can run elsewhere,
 /// and nothing more is bound there until the machine is heard of again.
-void Owner::not_sent(Machine& m, const std::set<AttemptKey>& launched) {
-    const Micros now = context_.host().now();
+void ShardOwner::not_sent(Machine& m, const std::set<AttemptKey>& launched) {
+    const Micros now = context_.runtime().now();
     m.direct_backoff = std::clamp(m.direct_backoff * 2, kSecond, 8 * kSecond);
     m.direct_after = now + m.direct_backoff;
     suspect(m);
     for (const auto& key : launched) {
-        Job* job = ledger_.job(key.job);
+        Job* job = shard_state_.job(key.job);
         if (!job) continue;
         Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
         if (slot.state != SlotState::Bound || slot.attempt != key.attempt || slot.seen) continue;
-        if (m.taints.count(key) || m.answer_launches.count(key)) continue;  // sent earlier, or otherwise
+        if (m.unacknowledged_launches.count(key) || m.launches_in_responses.count(key))
+            continue;  // sent earlier, or otherwise
         slot.launch_sent = false;
         spdlog::info("task {}/{}: {} can't be reached, to be placed elsewhere", key.job, key.task, m.name);
-        gone(*job, key.task, 0);
+        on_attempt_terminated(*job, key.task, 0);
     }
 }
 
 /// No answer: each launch in it may still be executed, as long as token and session match. It stays in doubt,
 /// and is sent again: a repeated launch has no effect.
-void Owner::unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t sent_token,
-                       std::uint64_t session) {
-    const Micros now = context_.host().now();
-    for (const auto& key : launched) m.taints.insert({key, {sent_token, session, now}});
+void ShardOwner::unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t sent_token,
+                            std::uint64_t session) {
+    const Micros now = context_.runtime().now();
+    for (const auto& key : launched) m.unacknowledged_launches.insert({key, {sent_token, session, now}});
     m.direct_backoff = std::clamp(m.direct_backoff * 2, kSecond, 4 * kSecond);
     m.direct_after = now + m.direct_backoff;
     suspect(m);
@@ -285,31 +288,31 @@
 
 /// Raises one machine's token in its block record, which ends all doubt about unanswered launches. The other
 /// machines of the block keep theirs.
-void Owner::raise(Machine& m) {
+void ShardOwner::raise(Machine& m) {
     if (m.raising) return;
     m.raising = true;
-    context_.edit_machine(domain_, m.name, OwnerContext::MachineEdit::Raise,
+    context_.edit_machine(shard_, m.name, ShardContext::MachineEdit::Raise,
                           [this, alive = alive_, name = m.name](bool) {
                               if (!*alive) return;
-                              auto it = ledger_.machines.find(name);
-                              if (it != ledger_.machines.end()) it->second->raising = false;
+                              auto it = shard_state_.machines.find(name);
+                              if (it != shard_state_.machines.end()) it->second->raising = false;
                               context_.wake();
                           });
 }
 
-void Owner::retire(const std::string& machine, const char* why) {
-    auto it = ledger_.machines.find(machine);
-    if (it == ledger_.machines.end() || it->second->retiring || it->second->retired) return;
+void ShardOwner::retire(const std::string& machine, const char* why) {
+    auto it = shard_state_.machines.find(machine);
+    if (it == shard_state_.machines.end() || it->second->retiring || it->second->retired) return;
     it->second->retiring = true;
     spdlog::info("machine {}: to be returned: {}", machine, why);
     // Its deletion ends the doubt about what is on it.
     const bool urgent = !it->second->tasks.empty();
-    context_.edit_machine(domain_, machine,
-                          urgent ? OwnerContext::MachineEdit::RetireNow : OwnerContext::MachineEdit::Retire,
+    context_.edit_machine(shard_, machine,
+                          urgent ? ShardContext::MachineEdit::RetireNow : ShardContext::MachineEdit::Retire,
                           [this, alive = alive_, machine](bool) {
                               if (!*alive) return;
-                              auto found = ledger_.machines.find(machine);
-                              if (found != ledger_.machines.end()) found->second->retiring = false;
+                              auto found = shard_state_.machines.find(machine);
+                              if (found != shard_state_.machines.end()) found->second->retiring = false;
                           });
 }
 
--- a/src/core/faults.cpp
+++ b/src/shard/failures.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "core/owner.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
@@ -21,24 +21,24 @@
 /// a job has ever run, neither is known to be at fault, and the job itself keeps off the machine. One that
 /// fails on several machines and runs on none is taken to be broken: it is tried with one task at a time and
 /// ever more seldom, so that it takes hardly any room, starts and changes. Only its user ends it.
-Micros Owner::failed(Machine& m, Job& job, Slot& slot) {
-    const Micros now = context_.host().now();
+Micros ShardOwner::failed(Machine& m, Job& job, Slot& slot) {
+    const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
     if (job.done > 0) job.proven = true;
     if (job.proven) {
-        blame(m, job, now);
+        record_failure(m, job, now);
         spdlog::info("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), m.name);
         return kSecond << std::min(slot.errors - 1, 5);
     }
     ++job.failures;
     if (job.failed_on.size() < kMaxFailedOn) job.failed_on.insert(m.name);
-    if (job.held) {
+    if (job.backing_off) {
         if (slot.attempt < job.held_from) return kSecond;  // began with the others
         job.try_after = now + std::min(kFirstTry << std::min(job.tries, 10), kLongestTry);
         ++job.tries;
     } else if (job.failed_on.size() >= 3 || (job.failed_on.size() == 2 && job.failures >= kFailures) ||
                slot.errors >= kRounds) {
-        job.held = true;
+        job.backing_off = true;
         job.held_from = job.next_attempt;
         job.try_after = now + kFirstTry;
         spdlog::info("job {}: taken to be broken, {} tasks failed on {} machines and none has run",
@@ -50,22 +50,23 @@
 }
 
 /// A task of it has run, so it is not the job that is broken but the machines it failed on.
-void Owner::proved(Job& job) {
+void ShardOwner::on_first_success(Job& job) {
     if (job.proven) return;
     job.proven = true;
-    const Micros now = context_.host().now();
+    const Micros now = context_.runtime().now();
     for (const auto& name : job.failed_on)
-        if (auto m = ledger_.machines.find(name); m != ledger_.machines.end()) blame(*m->second, job, now);
+        if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
+            record_failure(*m->second, job, now);
     job.failed_on.clear();
-    if (!job.held) return;
-    job.held = false;
+    if (!job.backing_off) return;
+    job.backing_off = false;
     job.waiting_since = now;
     spdlog::info("job {}: runs after all", job.spec.ref);
     touch(job, 0);
     plan_due_ = true;
 }
 
-void Owner::blame(Machine& m, const Job& job, Micros now) {
+void ShardOwner::record_failure(Machine& m, const Job& job, Micros now) {
     m.error_jobs.insert(job.spec.ref);
     m.avoid_until = now + (m.error_jobs.size() >= 2 ? kAvoidLong : kAvoid);
     spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", m.name, m.error_jobs.size());
--- a/src/core/job.hpp
+++ b/src/shard/job.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/machine.hpp"
+#include "kvstore/records.hpp"
 #include "policy/policy.hpp"
-#include "state/records.hpp"
+#include "shard/machine.hpp"
 
 namespace cottonway {
 
@@ -43,7 +43,7 @@
     CommitStatus status = CommitStatus::Unavailable;
     Revision revision = 0;
     Value record;
-    Place place = Place::Job;  // where it stands
+    RecordLocation place = RecordLocation::Job;  // where it stands
 };
 
 struct Job {
@@ -53,11 +53,11 @@
     std::int64_t submitted_ms = 0;
     /// Its gate: while it waits for others it has no slots and counts for nothing.
     bool open = true;
-    bool piped = false;         // it needed others
-    bool needed = false;        // others wait for it
-    bool orphaned = false;      // cancelled with another
+    bool has_dependencies = false;         // it needed others
+    bool needed = false;                   // others wait for it
+    bool cancelled_by_dependency = false;  // cancelled with another
     std::int64_t since_ms = 0;  // when it began to count: its submission, or the end of the last job needed
-    Rank rank = Rank::Normal;   // its own, or that of a job that needs it
+    PriorityClass rank = PriorityClass::Normal;  // its own, or that of a job that needs it
     std::int64_t due_ms = INT64_MAX;
     std::vector<Slot> slots;
     std::int64_t next_attempt = 1;
@@ -70,13 +70,13 @@
     Micros no_room_at = 0;                  // when it last found no room; 0: it has found some since
     Micros idle_turn = 0;                   // when idle work is bound again
     bool holding_out = false;               // as of the last pass: waits for a machine that has its image
-    bool no_holding_out = false;            // there is nothing to wait for (see Planner::holds_out)
-    bool leaving = false;                   // being given to another domain: nothing of it is bound
+    bool image_wait_over = false;           // there is nothing to wait for (see Scheduler::waits_for_image)
+    bool leaving = false;                   // being given to another shard: nothing of it is bound
     /// Whether it can run at all: a task of it has ended well, or has run for a while.
     bool proven = false;
     std::set<std::string> failed_on;  // machines, while nothing is proven
     int failures = 0;
-    bool held = false;           // taken to be broken: tried with one task at a time
+    bool backing_off = false;    // taken to be broken: tried with one task at a time
     std::int64_t held_from = 0;  // the first attempt made since
     int tries = 0;               // since then
     Micros try_after = 0;
@@ -85,7 +85,7 @@
 
     /// Tasks are stored in parts, since a value is limited; part 0 is the job record itself.
     struct Part {
-        Revision mark = 0;
+        Revision mod_revision = 0;
         bool dirty = false;
         bool in_flight = false;
         bool reloading = false;
@@ -96,17 +96,19 @@
     };
     std::size_t part_tasks = 64;
     std::vector<Part> parts;
-    Place place = Place::Job;  // where its record stands, and is written next
-    Revision shadow = 0;       // see LiveJob
+    RecordLocation place = RecordLocation::Job;  // where its record stands, and is written next
+    Revision shadow = 0;                         // see LiveJob
 
     /// Set while the record that admits the job is not durable yet: told how that went.
     std::function<void(const Admission&)> admitting;
 
     /// Tasks that wait for room. Those of a job that is taken to be broken don't, and idle work takes what is
     /// left over: neither moves machines or shares, or keeps other jobs away.
-    int waiting() const { return stage == Stage::Queued && open && !held && !leftover() ? idle : 0; }
+    int waiting() const {
+        return stage == Stage::Queued && open && !backing_off && !is_best_effort() ? idle : 0;
+    }
     /// Takes what is left over. Idle work within its team's guarantee need not wait for other teams.
-    bool leftover() const { return rank == Rank::Low && !within_guarantee; }
+    bool is_best_effort() const { return rank == PriorityClass::Low && !within_guarantee; }
 
     Part& part_of(int task) { return parts[static_cast<std::size_t>(task) / part_tasks]; }
     /// Nothing of it is left to run, to stop or to wait for.
--- a/src/core/history.cpp
+++ b/src/shard/job_archiver.cpp
@@ -1,9 +1,9 @@
-#include "core/history.hpp"
+#include "shard/job_archiver.hpp"
 
 #include <memory>
 #include <utility>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -11,47 +11,48 @@
 constexpr std::size_t kMaxReading = 8;
 }  // namespace
 
-void History::prove(const std::vector<std::string>& refs, bool drop, std::function<void(bool)> done) {
+void JobArchiver::prove(const std::vector<std::string>& refs, bool drop, std::function<void(bool)> done) {
     struct Asked {
         std::size_t missing = 0;
         bool known = true;
         std::function<void(bool)> done;
     };
     auto asked = std::make_shared<Asked>(Asked{refs.size(), true, std::move(done)});
-    if (refs.empty()) return host_.after(0, [asked] { asked->done(true); });
+    if (refs.empty()) return runtime_.after(0, [asked] { asked->done(true); });
     auto one = [asked](bool known) {
         asked->known = asked->known && known;
         if (--asked->missing == 0) asked->done(asked->known);
     };
     for (const auto& ref : refs) {
-        const LiveJob* job = replica_.jobs.find(ref);
+        const LiveJob* job = cache_.jobs.find(ref);
         const Revision shadow = job ? job->shadow : 0;
         // Many of these make one request, and none is a change.
         Change compare;
         compare.when.push_back({keys::job + ref, shadow});
         store_.commit(std::move(compare), [this, ref, shadow, drop, one](const CommitResult& r) {
             if (r.status == CommitStatus::Conflict) return read_final(ref, drop, one);
-            if (r.status == CommitStatus::Ok) replica_.jobs.prove(ref, shadow);
+            if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, shadow);
             one(r.status == CommitStatus::Ok);
         });
     }
 }
 
-void History::read_final(const std::string& ref, bool drop, std::function<void(bool)> done) {
+void JobArchiver::read_final(const std::string& ref, bool drop, std::function<void(bool)> done) {
     store_.read(keys::job + ref, [this, ref, drop, done = std::move(done)](const ReadResult& r) {
-        const LiveJob* job = replica_.jobs.find(ref);
+        const LiveJob* job = cache_.jobs.find(ref);
         if (!r.ok || !job) return done(r.ok);
         if (r.found && !wire::find(r.value, "d")) {
-            if (drop && job->place == Place::Active) left_over_.push_back({keys::active + ref, job->mark});
-            replica_.take(keys::job + ref, &r.value, r.mark);
-        } else if (job->place == Place::Active) {
-            replica_.jobs.prove(ref, r.mark);  // of old form, and late: it counts for nothing
+            if (drop && job->place == RecordLocation::Active)
+                left_over_.push_back({keys::active + ref, job->mod_revision});
+            cache_.take(keys::job + ref, &r.value, r.mod_revision);
+        } else if (job->place == RecordLocation::Active) {
+            cache_.jobs.prove(ref, r.mod_revision);  // of old form, and late: it counts for nothing
         }
         done(true);
     });
 }
 
-void History::tick() {
+void JobArchiver::tick() {
     if (!feed_.loaded()) return;
     look_for_lost();
     prove_needed();
@@ -60,70 +61,70 @@
 }
 
 /// Their records under c/active/ are gone, and what became of them was not in the news.
-void History::look_for_lost() {
-    const std::set<std::string> lost = replica_.jobs.lost();
+void JobArchiver::look_for_lost() {
+    const std::set<std::string> lost = cache_.jobs.lost();
     for (const auto& ref : lost) {
         if (reading_.size() >= kMaxReading) return;
         if (!reading_.insert(ref).second) continue;
         store_.read(keys::job + ref, [this, ref](const ReadResult& r) {
             const bool final = r.ok && r.found && !wire::find(r.value, "d");
-            if (final) replica_.take(keys::job + ref, &r.value, r.mark);
-            if (final || !r.ok) return host_.after(kSecond, [this, ref] { reading_.erase(ref); });
+            if (final) cache_.take(keys::job + ref, &r.value, r.mod_revision);
+            if (final || !r.ok) return runtime_.after(kSecond, [this, ref] { reading_.erase(ref); });
             // It may have been admitted while everything was read.
             store_.read(keys::active + ref, [this, ref](const ReadResult& a) {
-                if (a.ok && a.found) replica_.take(keys::active + ref, &a.value, a.mark);
-                host_.after(kSecond, [this, ref] { reading_.erase(ref); });
+                if (a.ok && a.found) cache_.take(keys::active + ref, &a.value, a.mod_revision);
+                runtime_.after(kSecond, [this, ref] { reading_.erase(ref); });
             });
         });
     }
 }
 
 /// The gates of others rest on these.
-void History::prove_needed() {
+void JobArchiver::prove_needed() {
     if (proving_) return;
-    const auto refs = replica_.jobs.needed_unproven();
+    const auto refs = cache_.jobs.needed_unproven();
     if (refs.empty()) return;
     proving_ = true;
     prove(refs, false, [this](bool) { proving_ = false; });
 }
 
-void History::drop_left_over() {
+void JobArchiver::drop_left_over() {
     while (!left_over_.empty() && store_.room(Priority::Deferrable)) {
         const Condition left = left_over_.back();
         left_over_.pop_back();
-        store_.commit(JobBook::dropped(left), [](const CommitResult&) {});
+        store_.commit(JobCache::dropped(left), [](const CommitResult&) {});
     }
 }
 
 /// The leader closes history to records of old form first: nobody admits one any more, since that rests on
 /// this record not being there. A look after that which shows none left tells that there is none, for good.
-void History::set_apart() {
-    if (writing_ || replica_.history_apart() || !leadership_.leading() ||
-        !replica_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
+void JobArchiver::set_apart() {
+    if (writing_ || cache_.history_apart() || !election_.leading() ||
+        !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
         return;
-    using State = Replica::History;
-    const Revision mark = replica_.history_mark();
+    using State = StateCache::History;
+    const Revision mod_revision = cache_.history_mark();
     State next = State::Closed;
-    if (replica_.history_closed()) {
-        if (closed_seen_ != mark) {
+    if (cache_.history_closed()) {
+        if (closed_seen_ != mod_revision) {
             writing_ = true;
-            return feed_.after_look([this, mark](bool ok) {
+            return feed_.after_look([this, mod_revision](bool ok) {
                 writing_ = false;
-                if (ok) closed_seen_ = mark;
+                if (ok) closed_seen_ = mod_revision;
             });
         }
-        if (replica_.jobs.in_old_form() > 0) return;
+        if (cache_.jobs.in_old_form() > 0) return;
         next = State::Apart;
     }
     writing_ = true;
-    const Value value = Replica::history_value(next);
+    const Value value = StateCache::history_value(next);
     Change change;
-    change.when = {{keys::leader, leadership_.term()}, {keys::history, mark}};
+    change.when = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
     change.then.push_back({keys::history, value});
     change.purpose = "history";
     store_.commit(std::move(change), [this, value, next](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
-            replica_.take(keys::history, &value, r.revision);
+            cache_.take(keys::history, &value, r.revision);
             spdlog::info("history is {}", next == State::Apart ? "apart: a start reads live jobs only"
                                                                : "closed to records of old form");
         }
--- a/src/core/history.hpp
+++ b/src/shard/job_archiver.hpp
@@ -8,25 +8,25 @@
 #include <string>
 #include <vector>
 
-#include "core/leadership.hpp"
-#include "replica/replica.hpp"
+#include "cache/state_cache.hpp"
+#include "cluster/leader_election.hpp"
 
 namespace cottonway {
 
-class History {
+class JobArchiver {
   public:
-    History(Host& host, Store& store, const Settings& settings, Feed& feed, Replica& replica,
-            const Leadership& leadership)
-        : host_(host),
+    JobArchiver(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
+                StateCache& cache, const LeaderElection& election)
+        : runtime_(runtime),
           store_(store),
           settings_(settings),
           feed_(feed),
-          replica_(replica),
-          leadership_(leadership) {}
+          cache_(cache),
+          election_(election) {}
 
     /// Finds out which of these live jobs are over: their final records are taken in, the others are proven
     /// to go on. `drop`: what is left over of those that are over is dropped in a quiet moment; by the holder
-    /// of their domain. Calls back with whether everything is known now.
+    /// of their shard. Calls back with whether everything is known now.
     void prove(const std::vector<std::string>& refs, bool drop, std::function<void(bool known)> done);
     /// Called ten times a second.
     void tick();
@@ -38,12 +38,12 @@
     void set_apart();
     void read_final(const std::string& ref, bool drop, std::function<void(bool known)> done);
 
-    Host& host_;
-    Store& store_;
+    Runtime& runtime_;
+    StoreClient& store_;
     const Settings& settings_;
-    Feed& feed_;
-    Replica& replica_;
-    const Leadership& leadership_;
+    ChangeFeed& feed_;
+    StateCache& cache_;
+    const LeaderElection& election_;
     std::set<std::string> reading_;
     std::vector<Condition> left_over_;
     bool proving_ = false;
--- a/src/core/jobs.cpp
+++ b/src/shard/job_records.cpp
@@ -1,13 +1,12 @@
 // The owner and the records of its jobs: what is read, adopted, gathered and written.
 
-#include "replica/jobs.hpp"
-
 #include <algorithm>
 #include <utility>
 
-#include "core/owner.hpp"
-#include "log/log.hpp"
-#include "replica/formats.hpp"
+#include "cache/format_cache.hpp"
+#include "cache/job_cache.hpp"
+#include "logging/log.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
@@ -33,24 +32,25 @@
     return std::clamp<std::size_t>(left / (kUsualBinding + 1), 16, 4096);
 }
 
-std::string Owner::key_of(const Job& job, std::size_t part) const {
+std::string ShardOwner::key_of(const Job& job, std::size_t part) const {
     const std::string& ref = job.spec.ref;
     return part == 0 ? record_key(job.place, ref) : keys::part + ref + "/" + std::to_string(part);
 }
 
 /// The job's record is as we know it, and it is not over.
-std::vector<Condition> Owner::as_known(const Job& job) const {
-    return JobBook::as_known(job.spec.ref, job.place, job.parts[0].mark, job.shadow);
+std::vector<Condition> ShardOwner::as_known(const Job& job) const {
+    return JobCache::as_known(job.spec.ref, job.place, job.parts[0].mod_revision, job.shadow);
 }
 
-void Owner::on_shadow(const std::string& ref, Revision shadow) {
-    if (Job* job = ledger_.job(ref)) job->shadow = std::max(job->shadow, shadow);
+void ShardOwner::on_shadow(const std::string& ref, Revision shadow) {
+    if (Job* job = shard_state_.job(ref)) job->shadow = std::max(job->shadow, shadow);
 }
 
-void Owner::on_job(const std::string& ref, Place place, const Value& value, Revision mark) {
-    Job* known = ledger_.job(ref);
+void ShardOwner::on_job(const std::string& ref, RecordLocation place, const Value& value,
+                        Revision mod_revision) {
+    Job* known = shard_state_.job(ref);
     if (!known) {
-        if (wire::text(value, "dom") != domain_) return;
+        if (wire::text(value, "dom") != shard_) return;
         const auto stage = wire::text(value, "s");
         const Value* spec = wire::find(value, "d");
         if (!spec || stage == "done") return;  // over, and all of it is gone
@@ -63,15 +63,16 @@
             auto v = wire::number(value, key);
             return v ? std::optional(static_cast<std::int64_t>(*v)) : std::nullopt;
         };
-        auto job = new_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"), context_.standing(ref));
+        auto job =
+            new_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"), context_.dependency_status(ref));
         // The previous version's records don't tell and have 64 tasks a part.
         divide(*job, std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1));
         known = job.get();
-        ledger_.jobs.emplace(ref, std::move(job));
-        if (known->orphaned) cancel(*known);
-        known->held = wire::flag(value, "er").value_or(false);
+        shard_state_.jobs.emplace(ref, std::move(job));
+        if (known->cancelled_by_dependency) cancel(*known);
+        known->backing_off = wire::flag(value, "er").value_or(false);
         known->place = place;
-        adopt_part(*known, 0, value, mark);
+        adopt_part(*known, 0, value, mod_revision);
         plan_due_ = true;
         context_.wake();
         return;
@@ -80,108 +81,113 @@
     // The job is there: admitted by another controller, or by an earlier try that came late. What waits here
     // to be written would take its place.
     if (job.admitting && !job.parts[0].in_flight) return not_admitted(job, CommitStatus::Conflict);
-    const bool late = place == Place::Job && job.place == Place::Active && wire::find(value, "d");
+    const bool late =
+        place == RecordLocation::Job && job.place == RecordLocation::Active && wire::find(value, "d");
     // Cancelled is final, so it holds at once, whatever of the record is being written or read: with the
     // store out of reach that may take for long, and leases go on being renewed by the look that told of it.
-    if (!late && mark > job.parts[0].mark && wire::text(value, "s") == "cancelled") cancel(job);
+    if (!late && mod_revision > job.parts[0].mod_revision && wire::text(value, "s") == "cancelled")
+        cancel(job);
     // While a write of ours is under way its result will tell; a later record makes it fail.
-    if (mark <= job.parts[0].mark || job.parts[0].in_flight || job.parts[0].reloading) return;
+    if (mod_revision <= job.parts[0].mod_revision || job.parts[0].in_flight || job.parts[0].reloading) return;
     // Given away after all (see rehome): nothing of it was ever bound here.
-    if (wire::text(value, "dom") != domain_) return given_away(job);
+    if (wire::text(value, "dom") != shard_) return given_away(job);
     // A final record holds no tasks: taken as an ordinary one, the job would start all over again.
     if (!wire::find(value, "d")) return drop_job(ref);
-    if (place == Place::Job && job.place == Place::Active) return;  // it came late and counts for nothing
+    if (place == RecordLocation::Job && job.place == RecordLocation::Active)
+        return;  // it came late and counts for nothing
     if (place != job.place) job.shadow = 0;
     job.place = place;
-    adopt_part(job, 0, value, mark);
+    adopt_part(job, 0, value, mod_revision);
     context_.wake();
 }
 
-std::unique_ptr<Job> Owner::new_job(JobSpec spec, std::int64_t submitted_ms,
-                                    std::optional<std::int64_t> gate_ms, const Standing& standing) {
+std::unique_ptr<Job> ShardOwner::new_job(JobSpec spec, std::int64_t submitted_ms,
+                                         std::optional<std::int64_t> gate_ms,
+                                         const DependencyStatus& dependency_status) {
     auto job = std::make_unique<Job>();
     job->spec = std::move(spec);
     job->serial = next_serial_++;
     job->submitted_ms = submitted_ms;
-    job->waiting_since = context_.host().now();
+    job->waiting_since = context_.runtime().now();
     job->idle = job->spec.tasks;
     job->since_ms = gate_ms.value_or(submitted_ms);
-    job->piped = gate_ms || !job->spec.needs.empty();
+    job->has_dependencies = gate_ms || !job->spec.needs.empty();
     job->rank = job->spec.rank;
     job->open = job->spec.needs.empty();
-    take_standing(*job, standing);
+    apply_dependency_status(*job, dependency_status);
     if (job->open) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
     return job;
 }
 
-void Owner::divide(Job& job, std::size_t part_tasks) {
+void ShardOwner::divide(Job& job, std::size_t part_tasks) {
     job.part_tasks = part_tasks;
     job.parts.resize((static_cast<std::size_t>(job.spec.tasks) + part_tasks - 1) / part_tasks);
 }
 
-void Owner::admit(JobSpec spec, std::int64_t submitted_ms, const Standing& standing,
-                  std::function<void(const Admission&)> done) {
+void ShardOwner::admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
+                       std::function<void(const Admission&)> done) {
     const std::string ref = spec.ref;
-    if (ledger_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
-    auto job = new_job(std::move(spec), submitted_ms, std::nullopt, standing);
+    if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
+    auto job = new_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
     auto needs = std::exchange(job->spec.needs, {});  // gone by the time when its parts fill
     divide(*job,
-           part_tasks_for(context_.settings().value_bytes, pieces::stored_size(part_value(*job, 0, false))));
+           part_tasks_for(context_.settings().value_bytes, chunks::stored_size(part_value(*job, 0, false))));
     job->spec.needs = std::move(needs);
-    if (context_.all_read(format::kHistory)) job->place = Place::Active;
+    if (context_.all_read(format::kHistory)) job->place = RecordLocation::Active;
     job->admitting = std::move(done);
     touch(*job, 0);
-    ledger_.jobs.emplace(ref, std::move(job));
+    shard_state_.jobs.emplace(ref, std::move(job));
     plan_due_ = true;
     planned_at_ = 0;  // what finds room now is bound by the change that admits it
     context_.wake();
 }
 
-void Owner::reconsider(const std::string& ref) {
-    Job* job = ledger_.job(ref);
+void ShardOwner::reconsider(const std::string& ref) {
+    Job* job = shard_state_.job(ref);
     if (!job) return;
-    const Standing standing = context_.standing(ref);
-    take_standing(*job, standing);
+    const DependencyStatus dependency_status = context_.dependency_status(ref);
+    apply_dependency_status(*job, dependency_status);
     // What nothing of has been bound yet is cancelled by its record alone.
-    if (standing.orphaned && job->stage == Stage::Queued) cancel(*job);
+    if (dependency_status.cancelled_by_dependency && job->stage == Stage::Queued) cancel(*job);
     context_.wake();
 }
 
-void Owner::take_standing(Job& job, const Standing& standing) {
-    job.needed = standing.needed;
-    job.orphaned = standing.orphaned;
-    job.due_ms = standing.due_ms;
+void ShardOwner::apply_dependency_status(Job& job, const DependencyStatus& dependency_status) {
+    job.needed = dependency_status.needed;
+    job.cancelled_by_dependency = dependency_status.cancelled_by_dependency;
+    job.due_ms = dependency_status.due_ms;
     if (job.spec.deadline)
         job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
-    set_rank(job, std::min(job.spec.rank, standing.rank));
-    if (standing.since_ms > 0) job.since_ms = std::max(job.submitted_ms, standing.since_ms);
-    if (standing.open && !standing.orphaned && !job.open) open_gate(job);
+    set_rank(job, std::min(job.spec.rank, dependency_status.rank));
+    if (dependency_status.since_ms > 0) job.since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
+    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.open) open_gate(job);
 }
 
 /// All that it needs are done, which is final: from here on it is a job like any other, and its record tells
 /// only since when.
-void Owner::open_gate(Job& job) {
+void ShardOwner::open_gate(Job& job) {
     job.open = true;
     job.spec.needs.clear();
     job.slots.resize(static_cast<std::size_t>(job.spec.tasks));
-    job.waiting_since = context_.host().now();
+    job.waiting_since = context_.runtime().now();
     plan_due_ = true;
     planned_at_ = 0;
 }
 
-void Owner::set_rank(Job& job, Rank rank) {
+void ShardOwner::set_rank(Job& job, PriorityClass rank) {
     if (job.rank == rank) return;
     // What of it is bound already counts as idle work, or no longer does.
-    const bool was_idle = job.rank == Rank::Low, is_idle = rank == Rank::Low;
+    const bool was_idle = job.rank == PriorityClass::Low, is_idle = rank == PriorityClass::Low;
     job.rank = rank;
     plan_due_ = true;
     if (was_idle == is_idle) return;
     for (auto& slot : job.slots)
-        if (slot.machine) slot.machine->idle_work += is_idle ? job.spec.need.cores : -job.spec.need.cores;
+        if (slot.machine)
+            slot.machine->idle_work += is_idle ? job.spec.request.cores : -job.spec.request.cores;
 }
 
 /// Nothing of it is durable, or nobody knows (then its record is read): nothing of it was launched.
-void Owner::not_admitted(Job& job, CommitStatus status) {
+void ShardOwner::not_admitted(Job& job, CommitStatus status) {
     auto done = std::exchange(job.admitting, nullptr);
     const std::string ref = job.spec.ref;
     given_away(job);
@@ -190,28 +196,30 @@
 }
 
 /// News of a job is left to the result of a change of ours that is under way. Where that changes nothing, it
-/// is taken up here: nobody tells again that the job was admitted into this domain all the same, by an
+/// is taken up here: nobody tells again that the job was admitted into this shard all the same, by an
 /// earlier try that came late or by another controller, or that it was cancelled.
-void Owner::take_heard(const std::string& ref) {
+void ShardOwner::take_heard(const std::string& ref) {
     const LiveJob* heard = context_.stored_job(ref);
-    if (!heard || heard->domain != domain_) return;
-    on_job(ref, heard->place, heard->record, heard->mark);
+    if (!heard || heard->shard != shard_) return;
+    on_job(ref, heard->place, heard->record, heard->mod_revision);
     on_shadow(ref, heard->shadow);
     for (const auto& [part, value] : heard->parts) on_part(ref, part, value.first, value.second);
 }
 
-void Owner::on_part(const std::string& ref, std::size_t part, const Value& value, Revision mark) {
-    Job* job = ledger_.job(ref);
+void ShardOwner::on_part(const std::string& ref, std::size_t part, const Value& value,
+                         Revision mod_revision) {
+    Job* job = shard_state_.job(ref);
     if (!job || part == 0 || part >= job->parts.size()) return;
     auto& p = job->parts[part];
-    if (mark <= p.mark || p.in_flight || p.reloading) return;
-    adopt_part(*job, part, value, mark);
+    if (mod_revision <= p.mod_revision || p.in_flight || p.reloading) return;
+    adopt_part(*job, part, value, mod_revision);
 }
 
 /// Takes a stored part as the truth about what is durable.
-void Owner::adopt_part(Job& job, std::size_t part, const Value& value, Revision mark) {
-    if (part == 0 && mark > job.parts[0].mark) job.leaving = false;  // giving it away fails on the mark
-    job.parts[part].mark = mark;
+void ShardOwner::adopt_part(Job& job, std::size_t part, const Value& value, Revision mod_revision) {
+    if (part == 0 && mod_revision > job.parts[0].mod_revision)
+        job.leaving = false;  // giving it away fails on the mark
+    job.parts[part].mod_revision = mod_revision;
     const bool was_dirty = job.parts[part].dirty;
     const std::size_t first = part * job.part_tasks;
     const std::size_t last = std::min(job.slots.size(), first + job.part_tasks);
@@ -236,19 +244,19 @@
         if (slot.state == SlotState::Binding && slot.attempt == attempt && slot.machine->name == machine) {
             slot.state = SlotState::Bound;
             --job.parts[part].binding;
-            poke(*slot.machine);
+            request_dispatch(*slot.machine);
             return;
         }
         if (slot.state != SlotState::Idle || slot.attempt >= attempt) return;
-        auto m = ledger_.machines.find(machine);
+        auto m = shard_state_.machines.find(machine);
         // No machine of ours: it was proven gone, or given away empty.
-        if (m == ledger_.machines.end()) return;
-        ledger_.bind(job, static_cast<int>(task), *m->second, attempt);
+        if (m == shard_state_.machines.end()) return;
+        shard_state_.bind(job, static_cast<int>(task), *m->second, attempt);
         --job.parts[part].binding;
         slot.state = SlotState::Bound;
         slot.foreign = true;
         slot.launch_sent = true;
-        slot.launch_token = mark_ - 1;
+        slot.launch_token = mod_revision_ - 1;
         slot.launch_session = UINT64_MAX;
     };
     if (const Value* bindings = wire::find(value, "b"); bindings && bindings->is_array()) {
@@ -278,28 +286,28 @@
     flush_due_ = true;
 }
 
-Value Owner::part_value(const Job& job, std::size_t part, bool final_record) const {
+Value ShardOwner::part_value(const Job& job, std::size_t part, bool final_record) const {
     const std::size_t first = std::min(part * job.part_tasks, job.slots.size());
     const std::size_t last = std::min(job.slots.size(), first + job.part_tasks);
     Value v = Value::object();
     if (part == 0) {
         v["s"] = job.stage == Stage::Cancelled ? "cancelled" : final_record ? "done" : "queued";
         v["k"] = job.spec.tasks;
-        v["dom"] = domain_;
+        v["dom"] = shard_;
         if (final_record) {
             v["fd"] = job.done;
             // Jobs that need it count from then.
             if (job.stage != Stage::Cancelled && context_.all_read(format::kPipelines))
-                v["end"] = context_.host().wall_ms();
+                v["end"] = context_.runtime().wall_ms();
             return v;
         }
         v["d"] = wire::job_value(job.spec);
         v["at"] = job.submitted_ms;
-        if (job.piped && job.open) v["go"] = job.since_ms;
+        if (job.has_dependencies && job.open) v["go"] = job.since_ms;
         v["ps"] = job.part_tasks;
         v["fd"] = job.done;
         v["fr"] = job.bound;
-        if (job.held) v["er"] = true;
+        if (job.backing_off) v["er"] = true;
     }
     v["n"] = job.next_attempt;
     // Bindings are grouped by attempt and machine, since a value is limited.
@@ -331,9 +339,9 @@
     return v;
 }
 
-void Owner::touch(Job& job, std::size_t part) {
+void ShardOwner::touch(Job& job, std::size_t part) {
     auto& p = job.parts[part];
-    if (!p.dirty) p.dirty_since = context_.host().now();
+    if (!p.dirty) p.dirty_since = context_.runtime().now();
     p.dirty = true;
     dirty_.insert(job.spec.ref);
     flush_due_ = true;
@@ -341,8 +349,8 @@
 
 /// Writes what has to become durable, the urgent first, as far as the store has room for it now. What does
 /// not go out yet keeps gathering changes, and is written once.
-void Owner::flush_jobs() {
-    const Micros now = context_.host().now();
+void ShardOwner::flush_jobs() {
+    const Micros now = context_.runtime().now();
     struct Due {
         Priority priority;
         Micros since;
@@ -351,7 +359,7 @@
     };
     std::vector<Due> list;
     for (auto it = dirty_.begin(); it != dirty_.end();) {
-        Job* job = ledger_.job(*it);
+        Job* job = shard_state_.job(*it);
         if (!job) {
             it = dirty_.erase(it);
             continue;
@@ -364,7 +372,8 @@
                     not_admitted(*job, CommitStatus::Unavailable);
                     continue;
                 }
-                const Priority priority = job->rank == Rank::Low ? Priority::Normal : Priority::Urgent;
+                const Priority priority =
+                    job->rank == PriorityClass::Low ? Priority::Normal : Priority::Urgent;
                 list.push_back({priority, part.dirty_since, job, 0});
             }
             ++it;
@@ -380,7 +389,8 @@
             if (!busy && now >= job->parts[0].not_before) {
                 if (!job->parts[0].dirty) touch(*job, 0);
                 // Others wait for the end of a job; that one is cancelled with another everybody knows.
-                const bool can_wait = job->orphaned && now - job->parts[0].dirty_since < kOrphanPatience;
+                const bool can_wait =
+                    job->cancelled_by_dependency && now - job->parts[0].dirty_since < kOrphanPatience;
                 list.push_back({can_wait      ? Priority::Deferrable
                                 : job->needed ? Priority::Urgent
                                               : Priority::Normal,
@@ -396,11 +406,11 @@
                 if (p == 0 ? busy : job->parts[0].in_flight || job->parts[0].reloading) continue;
                 const bool stays = p == 0 && job->leaving;  // not given away after all
                 if (!stays && now - part.dirty_since < gathers(*job, part.binding > 0)) continue;
-                const bool can_wait = job->leftover() && now - part.dirty_since < kIdlePatience;
-                const Priority priority = stays                           ? Priority::Normal
-                                          : part.binding == 0 || can_wait ? Priority::Deferrable
-                                          : job->rank <= Rank::High       ? Priority::Urgent
-                                                                          : Priority::Normal;
+                const bool can_wait = job->is_best_effort() && now - part.dirty_since < kIdlePatience;
+                const Priority priority = stays                              ? Priority::Normal
+                                          : part.binding == 0 || can_wait    ? Priority::Deferrable
+                                          : job->rank <= PriorityClass::High ? Priority::Urgent
+                                                                             : Priority::Normal;
                 list.push_back({priority, part.dirty_since, job, p});
             }
         }
@@ -420,15 +430,16 @@
 
 /// How long changes of a part are gathered before they are written as one: the scarcer changes are, the
 /// longer, but not what the operators want started soon.
-Micros Owner::gathers(const Job& job, bool binds) const {
+Micros ShardOwner::gathers(const Job& job, bool binds) const {
     const double level = context_.store().level();
     if (!binds) return level < 0.5 ? 2 * kDefer : kDefer;
-    if (job.rank == Rank::Production || !context_.settings().goals("wait", job.spec.job_class).empty())
+    if (job.rank == PriorityClass::Production ||
+        !context_.settings().goals("wait", job.spec.job_class).empty())
         return 0;
     return level < 0.3 ? kGatherLong : level < 0.6 ? kGatherShort : 0;
 }
 
-void Owner::write_part(Job& job, std::size_t index, Priority priority) {
+void ShardOwner::write_part(Job& job, std::size_t index, Priority priority) {
     const std::string ref = job.spec.ref;
     auto& part = job.parts[index];
     const bool final_record = index == 0 && job.over();
@@ -437,10 +448,10 @@
     // Write ahead: on the records as we know them, so that no ousted holder binds and no cancelled job is
     // bound.
     change.when = as_known(job);
-    change.when.push_back({keys::domain + domain_, mark_});
-    if (index > 0) change.when.push_back({key_of(job, index), part.mark});
+    change.when.push_back({keys::shard + shard_, mod_revision_});
+    if (index > 0) change.when.push_back({key_of(job, index), part.mod_revision});
     // Nothing of old form may be added once that is closed, nor beside a record of the new form.
-    if (job.admitting && job.place == Place::Job) {
+    if (job.admitting && job.place == RecordLocation::Job) {
         change.when.push_back({keys::active + ref, 0});
         change.when.push_back({keys::history, 0});
     }
@@ -454,9 +465,9 @@
         if (job.slots[i].state == SlotState::DonePending) done.push_back(static_cast<int>(i));
     }
     // What is of old form moves where history is out of the way, when changes are plenty.
-    const bool moves = index == 0 && !final_record && !job.admitting && job.place == Place::Job &&
+    const bool moves = index == 0 && !final_record && !job.admitting && job.place == RecordLocation::Job &&
                        context_.all_read(format::kHistory) && context_.store().quiet();
-    const Place place = moves ? Place::Active : job.place;
+    const RecordLocation place = moves ? RecordLocation::Active : job.place;
     if (moves) {
         change.when.push_back({keys::active + ref, 0});
         change.then.push_back({keys::job + ref, Value()});
@@ -466,34 +477,35 @@
                                         : key_of(job, index),
                            value});
     // Where changes are plenty, what it was goes with it; else that waits for a quiet moment.
-    const bool drops = final_record && job.place == Place::Active && context_.store().quiet();
+    const bool drops = final_record && job.place == RecordLocation::Active && context_.store().quiet();
     if (drops) change.then.push_back({keys::active + ref, Value()});
     change.purpose = job.admitting ? "admit" : final_record ? "over" : binding.empty() ? "done" : "bind";
     part.dirty = false;
     part.in_flight = true;
     if (!job.admitting && !final_record) value = nullptr;  // only those are asked for
-    const Condition left{keys::active + ref,
-                         final_record && !drops && job.place == Place::Active ? job.parts[0].mark : 0};
+    const Condition left{keys::active + ref, final_record && !drops && job.place == RecordLocation::Active
+                                                 ? job.parts[0].mod_revision
+                                                 : 0};
     context_.store().commit(
         std::move(change), [this, alive = alive_, ref, index, value = std::move(value), final_record, binding,
                             done, place, left](const CommitResult& result) {
             if (!*alive) return;
-            if (result.status == CommitStatus::Ok && left.mark > 0) left_over_.push_back(left);
+            if (result.status == CommitStatus::Ok && left.mod_revision > 0) left_over_.push_back(left);
             written(ref, index, value, final_record, binding, done, place, result);
         });
 }
 
-void Owner::written(const std::string& ref, std::size_t index, const Value& value, bool final_record,
-                    const std::vector<AttemptKey>& binding, const std::vector<int>& done, Place place,
-                    const CommitResult& result) {
-    Job* job = ledger_.job(ref);
+void ShardOwner::written(const std::string& ref, std::size_t index, const Value& value, bool final_record,
+                         const std::vector<AttemptKey>& binding, const std::vector<int>& done,
+                         RecordLocation place, const CommitResult& result) {
+    Job* job = shard_state_.job(ref);
     if (!job) return;
     auto& p = job->parts[index];
     p.in_flight = false;
     flush_due_ = true;
     context_.wake();
     if (result.status == CommitStatus::Ok) {
-        p.mark = result.revision;
+        p.mod_revision = result.revision;
         if (index == 0) job->leaving = false;
         if (place != job->place) job->shadow = 0;
         job->place = place;
@@ -502,7 +514,7 @@
             if (slot.state != SlotState::Binding || slot.attempt != key.attempt) continue;
             slot.state = SlotState::Bound;
             --p.binding;
-            poke(*slot.machine);
+            request_dispatch(*slot.machine);
         }
         for (int task : done) {
             Slot& slot = job->slots[static_cast<std::size_t>(task)];
@@ -520,133 +532,138 @@
         return;
     }
     if (result.status == CommitStatus::Conflict &&
-        std::find(result.failed.begin(), result.failed.end(), keys::domain + domain_) != result.failed.end())
-        return context_.ousted(domain_);
+        std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) != result.failed.end())
+        return context_.ousted(shard_);
     if (job->admitting && result.status != CommitStatus::Unknown) return not_admitted(*job, result.status);
     if (auto unclear = std::exchange(job->admitting, nullptr)) unclear({CommitStatus::Unknown, 0, {}});
     if (result.status == CommitStatus::Unavailable) {
-        p.not_before = context_.host().now() + 150 * kMillisecond;
+        p.not_before = context_.runtime().now() + 150 * kMillisecond;
         return touch(*job, index);
     }
     // What the service does not take is not sent again and again.
-    if (result.status == CommitStatus::Rejected) p.not_before = context_.host().now() + kRefused;
+    if (result.status == CommitStatus::Rejected) p.not_before = context_.runtime().now() + kRefused;
     // Executed or not: the record decides.
     reload(ref, index);
     if (index > 0) reload(ref, 0);
 }
 
-void Owner::reload(const std::string& ref, std::size_t index) {
-    Job* known = ledger_.job(ref);
+void ShardOwner::reload(const std::string& ref, std::size_t index) {
+    Job* known = shard_state_.job(ref);
     if (!known) return;
     auto& part = known->parts[index];
     if (part.reloading || part.in_flight) return;
     part.reloading = true;
-    read_record(ref, index,
-                [this, alive = alive_, ref, index](const ReadResult& r, Place place, Revision shadow) {
-                    if (!*alive) return;
-                    Job* job = ledger_.job(ref);
-                    if (!job) return;
-                    if (!r.ok) return reload_later(ref, index);
-                    // It is the truth about our own writes only as long as the domain is ours: a new holder
-                    // numbers its attempts from the same record, and its binds must not be taken for those of
-                    // ours that got no answer.
-                    Change ours;
-                    ours.when.push_back({keys::domain + domain_, mark_});
-                    context_.store().commit(
-                        std::move(ours), [this, alive, ref, index, r, place, shadow](const CommitResult& c) {
-                            if (!*alive) return;
-                            if (c.status == CommitStatus::Conflict) return context_.ousted(domain_);
-                            if (c.status != CommitStatus::Ok) return reload_later(ref, index);
-                            reloaded(ref, index, r, place, shadow);
-                        });
-                });
+    read_record(
+        ref, index,
+        [this, alive = alive_, ref, index](const ReadResult& r, RecordLocation place, Revision shadow) {
+            if (!*alive) return;
+            Job* job = shard_state_.job(ref);
+            if (!job) return;
+            if (!r.ok) return reload_later(ref, index);
+            // It is the truth about our own writes only as long as the shard is ours: a new holder
+            // numbers its attempts from the same record, and its binds must not be taken for those of
+            // ours that got no answer.
+            Change ours;
+            ours.when.push_back({keys::shard + shard_, mod_revision_});
+            context_.store().commit(std::move(ours),
+                                    [this, alive, ref, index, r, place, shadow](const CommitResult& c) {
+                                        if (!*alive) return;
+                                        if (c.status == CommitStatus::Conflict)
+                                            return context_.ousted(shard_);
+                                        if (c.status != CommitStatus::Ok) return reload_later(ref, index);
+                                        reloaded(ref, index, r, place, shadow);
+                                    });
+        });
 }
 
 /// A job's record may stand under either key. What is final under c/job/ goes before what stands under
 /// c/active/, which goes before what is not final under c/job/.
-void Owner::read_record(const std::string& ref, std::size_t index,
-                        std::function<void(const ReadResult&, Place, Revision)> done) {
+void ShardOwner::read_record(const std::string& ref, std::size_t index,
+                             std::function<void(const ReadResult&, RecordLocation, Revision)> done) {
     if (index > 0)
         return context_.store().read(
             keys::part + ref + "/" + std::to_string(index),
-            [done = std::move(done)](const ReadResult& r) { done(r, Place::Job, 0); });
+            [done = std::move(done)](const ReadResult& r) { done(r, RecordLocation::Job, 0); });
     context_.store().read(
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
             if (!*alive) return;
             const bool final = job.found && !wire::find(job.value, "d");
-            if (!job.ok || final || !context_.all_read(format::kHistory)) return done(job, Place::Job, 0);
+            if (!job.ok || final || !context_.all_read(format::kHistory))
+                return done(job, RecordLocation::Job, 0);
             context_.store().read(keys::active + ref, [job, done](const ReadResult& active) {
-                if (!active.ok || active.found) return done(active, Place::Active, job.mark);
-                done(job, Place::Job, 0);
+                if (!active.ok || active.found) return done(active, RecordLocation::Active, job.mod_revision);
+                done(job, RecordLocation::Job, 0);
             });
         });
 }
 
-void Owner::reload_later(const std::string& ref, std::size_t index) {
-    context_.host().after(300 * kMillisecond, [this, alive = alive_, ref, index] {
+void ShardOwner::reload_later(const std::string& ref, std::size_t index) {
+    context_.runtime().after(300 * kMillisecond, [this, alive = alive_, ref, index] {
         if (!*alive) return;
-        if (Job* job = ledger_.job(ref)) job->parts[index].reloading = false;
+        if (Job* job = shard_state_.job(ref)) job->parts[index].reloading = false;
         reload(ref, index);
     });
 }
 
-void Owner::reloaded(const std::string& ref, std::size_t index, const ReadResult& r, Place place,
-                     Revision shadow) {
-    Job* job = ledger_.job(ref);
+void ShardOwner::reloaded(const std::string& ref, std::size_t index, const ReadResult& r,
+                          RecordLocation place, Revision shadow) {
+    Job* job = shard_state_.job(ref);
     if (!job) return;
     job->parts[index].reloading = false;
     const auto stage = wire::text(r.value, "s");
     if (index == 0 && (!r.found || stage == "done" || (stage == "cancelled" && !wire::find(r.value, "d")))) {
         // Our final write went through after all.
-        if (job->place == Place::Active) left_over_.push_back({keys::active + ref, job->parts[0].mark});
+        if (job->place == RecordLocation::Active)
+            left_over_.push_back({keys::active + ref, job->parts[0].mod_revision});
         drop_job(ref);
         if (!r.found) return take_heard(ref);
-        return context_.settled(ref, r.value, r.mark);
+        return context_.settled(ref, r.value, r.mod_revision);
     }
-    if (index == 0 && wire::text(r.value, "dom") != domain_) return given_away(*job);
+    if (index == 0 && wire::text(r.value, "dom") != shard_) return given_away(*job);
     // Our admission got no answer, and the job is there as another describes it, whose admission this is.
     if (const Value* spec = wire::find(r.value, "d");
-        index == 0 && job->parts[0].mark == 0 && spec && *spec != wire::job_value(job->spec)) {
+        index == 0 && job->parts[0].mod_revision == 0 && spec && *spec != wire::job_value(job->spec)) {
         given_away(*job);
-        on_job(ref, place, r.value, r.mark);
+        on_job(ref, place, r.value, r.mod_revision);
         return take_heard(ref);
     }
     if (index == 0) {
         job->place = place;
         job->shadow = shadow;
     }
-    if (r.found) adopt_part(*job, index, r.value, r.mark);
+    if (r.found) adopt_part(*job, index, r.value, r.mod_revision);
     // What is durable of done tasks was set by adopt_part; the rest is written again.
     touch(*job, index);
     context_.wake();
 }
 
 /// One after another, in quiet moments: each is written anew where it belongs now.
-void Owner::move_out_of_history() {
-    const Micros now = context_.host().now();
+void ShardOwner::move_out_of_history() {
+    const Micros now = context_.runtime().now();
     if (!context_.all_read(format::kHistory) || now - moved_at_ < kMoveEvery || !context_.store().quiet())
         return;
     moved_at_ = now;
-    for (auto& [ref, job] : ledger_.jobs) {
+    for (auto& [ref, job] : shard_state_.jobs) {
         const auto& part = job->parts[0];
-        if (job->place != Place::Job || job->admitting || part.dirty || part.in_flight || part.reloading)
+        if (job->place != RecordLocation::Job || job->admitting || part.dirty || part.in_flight ||
+            part.reloading)
             continue;
         return touch(*job, 0);
     }
 }
 
-/// Records of jobs that are over, in quiet moments. Whoever takes the domain over finds those that are left.
-void Owner::drop_left_over() {
+/// Records of jobs that are over, in quiet moments. Whoever takes the shard over finds those that are left.
+void ShardOwner::drop_left_over() {
     // One at a time: all owners see the same quiet moment, and together they would end it. A start has to
     // prove as many more; beyond a number they compete with what else can wait.
-    const Micros now = context_.host().now();
+    const Micros now = context_.runtime().now();
     const bool many = left_over_.size() > kManyLeftOver;
     if (!left_over_.empty() && now - dropped_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
         (many ? context_.store().room(Priority::Deferrable) : context_.store().quiet())) {
         dropped_at_ = now;
         const Condition left = left_over_.back();
         left_over_.pop_back();
-        context_.store().commit(JobBook::dropped(left), [this, alive = alive_, left](const CommitResult& r) {
+        context_.store().commit(JobCache::dropped(left), [this, alive = alive_, left](const CommitResult& r) {
             // Refused or unanswered: once more. On its mark it is done once, or there is nothing to do.
             if (*alive && r.status != CommitStatus::Ok && r.status != CommitStatus::Conflict)
                 left_over_.push_back(left);
@@ -656,33 +673,34 @@
 
 /// The record names another owner. Binds of ours that wait to be written fail on its mark, so they were never
 /// launched; there are no others, since only jobs that were never bound are given away.
-void Owner::given_away(Job& job) {
+void ShardOwner::given_away(Job& job) {
     // Admitted by another controller meanwhile.
     if (auto asked = std::exchange(job.admitting, nullptr)) asked({CommitStatus::Conflict, 0, {}});
     for (auto& slot : job.slots)
         if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) set_idle(job, slot);
-    ledger_.jobs.erase(std::string(job.spec.ref));
+    shard_state_.jobs.erase(std::string(job.spec.ref));
 }
 
-void Owner::drop_job(const std::string& ref) {
-    auto it = ledger_.jobs.find(ref);
-    if (it == ledger_.jobs.end()) return;
+void ShardOwner::drop_job(const std::string& ref) {
+    auto it = shard_state_.jobs.find(ref);
+    if (it == shard_state_.jobs.end()) return;
     Job& job = *it->second;
     if (auto asked = std::exchange(job.admitting, nullptr)) asked({CommitStatus::Conflict, 0, {}});
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         auto state = job.slots[i].state;
-        if (state == SlotState::Binding || state == SlotState::Bound) gone(job, static_cast<int>(i), 0);
+        if (state == SlotState::Binding || state == SlotState::Bound)
+            on_attempt_terminated(job, static_cast<int>(i), 0);
     }
     for (std::size_t p = 1; p < job.parts.size(); ++p) {
-        if (job.parts[p].mark == 0) continue;
+        if (job.parts[p].mod_revision == 0) continue;
         Change change;
         change.priority = Priority::Deferrable;
-        change.when.push_back({keys::domain + domain_, mark_});
+        change.when.push_back({keys::shard + shard_, mod_revision_});
         change.then.push_back({key_of(job, p), Value()});
         change.purpose = "cleanup";
         context_.store().commit(std::move(change), [](const CommitResult&) {});
     }
-    ledger_.jobs.erase(it);
+    shard_state_.jobs.erase(it);
     plan_due_ = true;
     context_.wake();
 }
--- a/src/core/machine.hpp
+++ b/src/shard/machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A machine of a domain as its holder knows it: what is on it, what it was last heard to say, what was sent
+// A machine of a shard as its holder knows it: what is on it, what it was last heard to say, what was sent
 // to it and is not settled.
 
 #include <boost/container/flat_set.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
@@ -31,7 +31,7 @@
 };
 
 /// What another controller has promised about a machine: not to renew its lease any more.
-struct Promise {
+struct LeaseRelinquishment {
     Micros until = 0;
     Micros renewed = 0;  // when it may have done so last
 };
@@ -44,37 +44,37 @@
     std::string addr;
     bool spot = false;
     bool retired = false;
-    std::uint64_t token = 0;  // of its block record; the domain's mark may be higher
+    std::uint64_t token = 0;  // of its block record; the shard's mark may be higher
     const MachineType* type = nullptr;
     std::uint64_t session = 0;
     std::uint64_t seq = 0;
     std::uint64_t token_seen = 0;
-    std::uint64_t messages = 0;     // taken in so far
-    std::uint64_t min_session = 0;  // earlier sessions are proven over
-    Micros heard = 0;               // by the steady clock, for what is proven by time
-    Micros listened = 0;            // the same in time spent listening, for what is merely unheard
-    Micros reported = 0;            // when its last report was taken in
-    Micros report_listened = 0;     // the same in time spent listening, or when it became known here
-    Micros greeted = 0;             // when it last reported before the domain's jobs were read
-    Micros session_since = 0;       // when its session was first heard of
+    std::uint64_t messages = 0;           // taken in so far
+    std::uint64_t min_session = 0;        // earlier sessions are proven over
+    Micros last_heartbeat = 0;            // by the steady clock, for what is proven by time
+    Micros last_heartbeat_listening = 0;  // the same in time spent listening, for what is merely unheard
+    Micros reported = 0;                  // when its last report was taken in
+    Micros report_listened = 0;           // the same in time spent listening, or when it became known here
+    Micros heartbeat_before_load = 0;     // when it last reported before the shard's jobs were read
+    Micros session_since = 0;             // when its session was first heard of
     Micros known_since = 0;
     bool notice = false;
     Micros notice_end = 0;
-    Resources booked;
+    Resources reserved;
     Milli idle_work = 0;                        // cores of these that work of idle rank has
     boost::container::flat_set<TaskRef> tasks;  // gone through far more often than changed
     std::vector<ReportedTask> exited;
-    std::vector<ReportedTask> strays;
-    std::vector<Promise> promises;  // by peer
+    std::vector<ReportedTask> orphaned_tasks;
+    std::vector<LeaseRelinquishment> relinquishments;  // by peer
     /// Launches sent by /do that were not answered: live until the worker's token or session is raised.
-    struct Taint {
+    struct UnacknowledgedLaunch {
         std::uint64_t token = 0;
         std::uint64_t session = 0;
         Micros since = 0;
     };
-    std::map<AttemptKey, Taint> taints;
+    std::map<AttemptKey, UnacknowledgedLaunch> unacknowledged_launches;
     /// Launches in report answers, by the sequence of the report; settled by any later report.
-    std::map<AttemptKey, std::uint64_t> answer_launches;
+    std::map<AttemptKey, std::uint64_t> launches_in_responses;
     std::set<AttemptKey> direct_launches;  // in the /do that is under way
     /// Launches by /do that were carried out, with which token and when: a copy of one may still arrive, and
     /// would start the attempt anew once it has been cleared.
@@ -82,7 +82,7 @@
         std::uint64_t token = 0;
         Micros at = 0;
     };
-    std::map<AttemptKey, CarriedOut> carried_out;
+    std::map<AttemptKey, CarriedOut> acknowledged_launches;
     bool direct_in_flight = false;
     Micros direct_after = 0;
     Micros direct_backoff = 0;
@@ -95,7 +95,7 @@
     bool due = false;          // in the owner's list of machines to send to
     bool raising = false;      // its token is being raised
     bool retiring = false;     // being marked as retired
-    bool leaving = false;      // being given to another domain
+    bool leaving = false;      // being given to another shard
     bool draining = false;     // nothing new is bound to it
     Micros idle_since = 0;     // in time spent listening
     Micros avoid_until = 0;
@@ -109,7 +109,7 @@
     std::vector<Image> images;
 
     /// Nothing is known to be on it, or taken to be there by what it showed last.
-    bool bare() const { return tasks.empty() && strays.empty(); }
+    bool bare() const { return tasks.empty() && orphaned_tasks.empty(); }
     /// Heard through another controller only, and not reached by a call of ours since.
     bool out_of_reach() const { return relayed && direct_ok <= relayed_since; }
 };
--- a/src/core/mover.hpp
+++ b/src/shard/rebalancer.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Mover: carries out a domain's plan of moves and gathered room (planning/moves.hpp). It looks at the domain
-// once a second where the policy asks for moves, writes the plan ahead as c/plan/DOMAIN, and only then has
-// tasks stopped. What its predecessor began it ends or takes back. It writes nothing while there is nothing
-// to move.
+// Rebalancer: carries out a shard's plan of moves and gathered room (planning/moves.hpp). It looks at the
+// shard once a second where the policy asks for moves, writes the plan ahead as c/plan/DOMAIN, and only then
+// has tasks stopped. What its predecessor began it ends or takes back. It writes nothing while there is
+// nothing to move.
 
 #include <map>
 #include <memory>
@@ -10,25 +10,25 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
-#include "core/planner.hpp"
-#include "planning/moves.hpp"
-#include "planning/zones.hpp"
-#include "state/store.hpp"
+#include "kvstore/store_client.hpp"
+#include "scheduling/migrations.hpp"
+#include "scheduling/topology_spread.hpp"
+#include "shard/scheduler.hpp"
+#include "shard/shard_state.hpp"
 
 namespace cottonway {
 
-class OwnerContext;
+class ShardContext;
 
-class Mover {
+class Rebalancer {
   public:
-    Mover(OwnerContext& context, std::string domain, Revision domain_mark, const Ledger& ledger,
-          Planner::Domain& of);
-    ~Mover();
+    Rebalancer(ShardContext& context, std::string shard, Revision shard_revision,
+               const ShardState& shard_state, Scheduler::Shard& of);
+    ~Rebalancer();
 
-    /// Reads what is stored. To be called once all of the domain is loaded.
+    /// Reads what is stored. To be called once all of the shard is loaded.
     void adopt();
-    /// What follows from time passing; called about ten times a second, once the domain is active.
+    /// What follows from time passing; called about ten times a second, once the shard is active.
     void tick();
 
     /// Room of a machine that is kept for others, as far as the job does not go before them.
@@ -39,7 +39,7 @@
     const Machine* destination(const Job& job, int task) const;
     const planning::Plan& plan() const { return plan_; }
 
-    /// The domain as it is now, with the room that the plan keeps.
+    /// The shard as it is now, with the room that the plan keeps.
     planning::View view() const;
 
   private:
@@ -58,12 +58,12 @@
     void written(const CommitResult& result, bool dropped);
     void read_again();
 
-    OwnerContext& context_;
-    std::string domain_;
-    Revision domain_mark_;
-    const Ledger& ledger_;
-    Planner::Domain& of_;
-    Micros since_;  // this process holds the domain
+    ShardContext& context_;
+    std::string shard_;
+    Revision shard_revision_;
+    const ShardState& shard_state_;
+    Scheduler::Shard& of_;
+    Micros since_;  // this process holds the shard
     planning::Plan plan_;
     planning::ZoneWatch zones_;
     Revision record_ = 0;  // mark of the record as we know it, 0: there is none
--- a/src/recovery/squaring.hpp
+++ b/src/shard/reconciliation.hpp
@@ -4,7 +4,7 @@
 // table of docs/recovery.md is this function in words. What it does not conclude stays in doubt, and what is
 // in doubt counts: for starting the task elsewhere, for limits and for zones.
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
 namespace cottonway::recovery {
 
@@ -26,7 +26,7 @@
     bool stopping = false;
 };
 
-/// What the message shows of it. Messages that are older than the last one are not squared at all.
+/// What the message shows of it. Messages that are older than the last one are not reconciled at all.
 struct Shown {
     bool shown = false;
     bool exited = false;
@@ -41,7 +41,7 @@
     bool may_still_come = false;  // another sending of it is not settled
 };
 
-enum class Verdict {
+enum class ReconcileAction {
     Runs,         // as it should be
     Ended,        // by its cause: done, failed, refused, stopped
     Result,       // not bound any more, but its result counts all the same
@@ -53,8 +53,8 @@
     Unsent,       // nothing has been sent yet
 };
 
-Verdict square(const Stored& stored, const Shown& shown, const Proof& proof);
-const char* name_of(Verdict v);
+ReconcileAction reconcile(const Stored& stored, const Shown& shown, const Proof& proof);
+const char* name_of(ReconcileAction v);
 
 /// Of a message: whether it is news, or as old as one that was taken in, or of a session proven over.
 struct MessageAge {
--- a/src/core/planner.cpp
+++ b/src/shard/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "core/planner.hpp"
+#include "shard/scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,9 +7,9 @@
 #include <set>
 #include <utility>
 
-#include "core/owner.hpp"
-#include "log/log.hpp"
-#include "planning/constraints.hpp"
+#include "logging/log.hpp"
+#include "scheduling/constraints.hpp"
+#include "shard/shard_owner.hpp"
 
 namespace cottonway {
 
@@ -41,116 +41,117 @@
     return count;
 }
 
-Planner::Planner(OwnerContext& context, std::string domain, Ledger& ledger, Domain& of)
+Scheduler::Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Shard& of)
     : context_(context),
-      domain_(std::move(domain)),
-      ledger_(ledger),
+      shard_(std::move(shard)),
+      shard_state_(shard_state),
       of_(of),
       idle_starts_(kIdleStarts * context.settings().cpu_share, kIdleStarts * context.settings().cpu_share) {}
 
-void Planner::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
-    ledger_.bind(job, task, m, attempt);
+void Scheduler::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
+    shard_state_.bind(job, task, m, attempt);
     if (auto zone = zone_cores_.find(m.zone); zone != zone_cores_.end())
-        zone->second.free -= job.spec.need.cores;
+        zone->second.free -= job.spec.request.cores;
     of_.bound(job, task);
 }
 
-policy::Tier Planner::tier(const Job& job) const {
+policy::Tier Scheduler::tier(const Job& job) const {
     return context_.policy().tier(job.spec, job.rank);
 }
 
 /// Cores of each zone, if the policy keeps some of them for live work.
-void Planner::weigh_zones() {
+void Scheduler::weigh_zones() {
     zone_cores_.clear();
     if (context_.policy().priority.reserve <= 0) return;
     for (const Machine* m : usable_) {
         auto& zone = zone_cores_[m->zone];
         zone.size += m->type->size.cores;
-        zone.free += m->type->size.cores - m->booked.cores;
+        zone.free += m->type->size.cores - m->reserved.cores;
     }
 }
 
 /// Whether it has to leave room for live work.
-bool Planner::spares(const Job& job) const {
+bool Scheduler::spares(const Job& job) const {
     return !zone_cores_.empty() && !job.overdue && tier(job) != policy::Tier::Live;
 }
 
 /// Whether a task of it may start in the zone beside `chosen` others of it that are not bound yet.
-bool Planner::leaves_reserve(const Job& job, const std::string& zone, int chosen) const {
+bool Scheduler::leaves_reserve(const Job& job, const std::string& zone, int chosen) const {
     if (!spares(job)) return true;
     auto cores = zone_cores_.find(zone);
     if (cores == zone_cores_.end()) return true;
     const auto kept =
         static_cast<Milli>(context_.policy().priority.reserve * static_cast<double>(cores->second.size));
-    return cores->second.free - job.spec.need.cores * (chosen + 1) >= kept;
+    return cores->second.free - job.spec.request.cores * (chosen + 1) >= kept;
 }
 
 /// It waits for the team's limit, not for room; what merely gives way to others of its team does not.
-void Planner::miss_share(const Job& job, int tasks) {
+void Scheduler::miss_quota(const Job& job, int tasks) {
     if (limit_allows(job, tasks)) return;
-    auto& missing = short_of_share_[job.spec.team];
-    missing.cores += job.spec.need.cores * job.idle;
-    missing.cards += job.spec.need.cards * job.idle;
+    auto& missing = short_of_quota_[job.spec.team];
+    missing.cores += job.spec.request.cores * job.idle;
+    missing.gpus += job.spec.request.gpus * job.idle;
 }
 
-bool Planner::allowed(const Job& job, const Machine& m) {
+bool Scheduler::allowed(const Job& job, const Machine& m) {
     return planning::may_use(job.spec, m.type_name, m.zone, m.spot);
 }
 
 /// What the team would use with so many more tasks of the job.
-Resources Planner::used_with(const Job& job, int tasks) const {
-    Resources sum = ledger_.used(job.spec.team);
-    sum.cores += job.spec.need.cores * tasks;
-    sum.cards += job.spec.need.cards * tasks;
+Resources Scheduler::used_with(const Job& job, int tasks) const {
+    Resources sum = shard_state_.used(job.spec.team);
+    sum.cores += job.spec.request.cores * tasks;
+    sum.gpus += job.spec.request.gpus * tasks;
     return sum;
 }
 
-bool Planner::limit_allows(const Job& job, int tasks) const {
-    const Resources share = context_.share(domain_, job.spec.team);
+bool Scheduler::limit_allows(const Job& job, int tasks) const {
+    const Resources share = context_.share(shard_, job.spec.team);
     const Resources sum = used_with(job, tasks);
-    return sum.cores <= share.cores && sum.cards <= share.cards;
+    return sum.cores <= share.cores && sum.gpus <= share.gpus;
 }
 
-bool Planner::quota_allows(const Job& job, int tasks) const {
+bool Scheduler::quota_allows(const Job& job, int tasks) const {
     const Resources sum = used_with(job, tasks);
-    return sum.cores <= job.most.cores && sum.cards <= job.most.cards && limit_allows(job, tasks);
+    return sum.cores <= job.most.cores && sum.gpus <= job.most.gpus && limit_allows(job, tasks);
 }
 
 /// What a pass has found to need more room than any machine has, nothing that needs as much will find either.
-bool Planner::hopeless(const Job& job) const {
+bool Scheduler::is_unschedulable(const Job& job) const {
     if (of_.keeps_for(job)) return false;  // others may have failed for that very room
     const bool further = takes_surplus(job);
     return std::any_of(no_room_.begin(), no_room_.end(),
                        [&](const Room& r) { return (r.surplus || !further) && r.within(job.spec); });
 }
 
-void Planner::remember_no_room(const Job& job, bool surplus) {
+void Scheduler::remember_no_room(const Job& job, bool surplus) {
     const JobSpec& s = job.spec;
     // Only where the rest of its constraints have not played a part.
-    if (s.spread || s.one_zone || hopeless(job)) return;
+    if (s.spread || s.one_zone || is_unschedulable(job)) return;
     no_room_.push_back(room_of(job));
     no_room_.back().surplus = surplus;
 }
 
-Planner::Room Planner::room_of(const Job& job) {
-    return {job.spec.spot, job.spec.zone, job.spec.types, job.spec.need};
+Scheduler::Room Scheduler::room_of(const Job& job) {
+    return {job.spec.spot, job.spec.zone, job.spec.types, job.spec.request};
 }
 
 /// The same constraints, and at least as much needed.
-bool Planner::Room::within(const JobSpec& s) const {
-    return spot == s.spot && zone == s.zone && types == s.types && need.fits(s.need);
+bool Scheduler::Room::within(const JobSpec& s) const {
+    return spot == s.spot && zone == s.zone && types == s.types && request.fits(s.request);
 }
 
 /// Whether the pass has found already that nothing may be stopped to make as much room.
-bool Planner::in_vain(const Job& job, bool may_waste, bool reclaims) const {
-    return std::any_of(in_vain_.begin(), in_vain_.end(), [&](const Vain& v) {
-        return v.rank == job.rank && v.may_waste == may_waste && v.reclaims == reclaims &&
-               (!reclaims || v.team == job.spec.team) && v.room.within(job.spec);
-    });
+bool Scheduler::is_futile(const Job& job, bool may_waste, bool reclaims) const {
+    return std::any_of(futile_preemptions_.begin(), futile_preemptions_.end(),
+                       [&](const FutilePreemption& v) {
+                           return v.rank == job.rank && v.may_waste == may_waste && v.reclaims == reclaims &&
+                                  (!reclaims || v.team == job.spec.team) && v.room.within(job.spec);
+                       });
 }
 
 /// The operators' aims for a class, looked up once in a pass.
-const Planner::Goals& Planner::goals(const Job& job) const {
+const Scheduler::Goals& Scheduler::goals(const Job& job) const {
     auto [it, added] = goals_.try_emplace(job.spec.job_class);
     if (added)
         it->second = {context_.settings().goals("wait", job.spec.job_class),
@@ -159,7 +160,7 @@
 }
 
 /// How long a task would wait for its image. Several fetches at a time share a machine's rate.
-Micros Planner::fetch_time(const Job& job, const Machine& m) {
+Micros Scheduler::fetch_time(const Job& job, const Machine& m) {
     int others = 0;
     for (const auto& image : m.images) {
         if (image.name == job.spec.image && image.ready) return 0;
@@ -171,14 +172,14 @@
 
 /// Where fetching the image would take longer than the operators' aim allows a service to wait, room is made
 /// on a machine that has it, rather than a fetch begun elsewhere; but for no longer than that can help.
-bool Planner::holds_out(const Job& job) const {
-    if (job.rank != Rank::Production || job.no_holding_out) return false;
+bool Scheduler::waits_for_image(const Job& job) const {
+    if (job.rank != PriorityClass::Production || job.image_wait_over) return false;
     const auto& aims = goals(job).wait;
     if (aims.empty()) return false;
-    const Micros waited = context_.host().now() - job.waiting_since;
+    const Micros waited = context_.runtime().now() - job.waiting_since;
     if (waited > aims.front() * 3 / 5) return false;
     return std::none_of(usable_.begin(), usable_.end(), [&](const Machine* m) {
-        if (!job.spec.need.fits(m->type->size - m->booked) || !allowed(job, *m)) return false;
+        if (!job.spec.request.fits(m->type->size - m->reserved) || !allowed(job, *m)) return false;
         const Micros fetch = fetch_time(job, *m);
         return fetch > 0 && waited + fetch < aims.front();
     });
@@ -186,23 +187,24 @@
 
 /// Idle work takes what other work has not used lately, so that a burst of that finds room at once. On spot
 /// machines only, where there are any: others may wait for the ordinary ones that can use no other.
-void Planner::weigh_idle_room() {
-    const Micros now = context_.host().now();
+void Scheduler::weigh_idle_room() {
+    const Micros now = context_.runtime().now();
     spot_machines_ = std::count_if(usable_.begin(), usable_.end(), [](const Machine* m) { return m->spot; });
     Milli size = 0, used = 0, idle = 0;
     for (const Machine* m : usable_) {
         if (spot_machines_ > 0 && !m->spot) continue;
         size += m->type->size.cores;
-        used += m->booked.cores - m->idle_work;
+        used += m->reserved.cores - m->idle_work;
         idle += m->idle_work;
     }
     // What waits counts as far as its team's limit lets it start: the rest takes no room.
     std::map<std::string, Milli> wanted;
-    for (const auto& [ref, job] : ledger_.jobs)
+    for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.spot || spot_machines_ == 0)
-            wanted[job->spec.team] += job->spec.need.cores * job->waiting();
+            wanted[job->spec.team] += job->spec.request.cores * job->waiting();
     for (const auto& [team, cores] : wanted)
-        used += std::clamp<Milli>(context_.share(domain_, team).cores - ledger_.used(team).cores, 0, cores);
+        used +=
+            std::clamp<Milli>(context_.share(shard_, team).cores - shard_state_.used(team).cores, 0, cores);
     const auto passed = static_cast<double>(peak_use_at_ > 0 ? now - peak_use_at_ : 0);
     peak_use_at_ = now;
     peak_use_ = std::max(static_cast<double>(std::min(used, size)),
@@ -212,10 +214,10 @@
 
 /// Whether it misses its first aim whatever is done now, and need not hurry for a later one either: then
 /// others of its rank that can still make it go first.
-bool Planner::can_be_late(const Job& job) const {
+bool Scheduler::can_wait(const Job& job) const {
     const auto& aims = goals(job).finished;
     if (aims.empty()) return false;
-    const Micros age = (context_.host().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
     const Micros needs = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
     if (age + needs <= aims.front()) return false;
     return aims.size() == 1 || age + needs < aims.back() * 3 / 4;
@@ -223,32 +225,33 @@
 
 /// Machines that it may use but had better not: those it failed on, until something of it has run elsewhere,
 /// and for idle work the ordinary ones, which others may wait for that can use no other.
-bool Planner::keeps_off(const Job& job, const Machine& m) const {
+bool Scheduler::keeps_off(const Job& job, const Machine& m) const {
     if (job.failed_on.count(m.name)) return true;
-    return job.leftover() && job.spec.spot && !m.spot && spot_machines_ > 0;
+    return job.is_best_effort() && job.spec.spot && !m.spot && spot_machines_ > 0;
 }
 
-void Planner::weigh_cards() {
+void Scheduler::evaluate_gpu_demand() {
     shapes_.reset();
-    if (!context_.policy().cards.pack) return;
-    if (std::none_of(ledger_.machines.begin(), ledger_.machines.end(),
-                     [](const auto& m) { return m.second->type && m.second->type->size.cards > 0; }))
+    if (!context_.policy().gpus.pack) return;
+    if (std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
+                     [](const auto& m) { return m.second->type && m.second->type->size.gpus > 0; }))
         return;
     shapes_.emplace();
-    for (const auto& [ref, job] : ledger_.jobs)
-        if (job->open) shapes_->add(job->spec.need.cards, job->idle, job->bound);
+    for (const auto& [ref, job] : shard_state_.jobs)
+        if (job->open) shapes_->add(job->spec.request.gpus, job->idle, job->bound);
 }
 
 /// Whether it takes room on machines that are being emptied once it finds none elsewhere: urgent work at
 /// once, other work when it has waited for longer than it takes to find room by others' ends. What is left
 /// over never needs them.
-bool Planner::takes_surplus(const Job& job) const {
-    if (surplus_.empty() || (job.leftover() && !job.overdue)) return false;
-    return job.rank <= Rank::High || context_.host().now() - job.waiting_since > kSurplusAfter;
+bool Scheduler::takes_surplus(const Job& job) const {
+    if (surplus_.empty() || (job.is_best_effort() && !job.overdue)) return false;
+    return job.rank <= PriorityClass::High || context_.runtime().now() - job.waiting_since > kSurplusAfter;
 }
 
 /// The machines that a job may use and that have room for a task of it, of one part.
-std::vector<Candidate> Planner::candidates_for(const Job& job, Reach reach, std::vector<Machine*>& machines) {
+std::vector<Candidate> Scheduler::candidates_for(const Job& job, Reach reach,
+                                                 std::vector<Machine*>& machines) {
     std::vector<Candidate> list;
     list.reserve(usable_.size());
     machines.reserve(usable_.size());
@@ -258,7 +261,7 @@
         Candidate c;
         c.index = machines.size();
         c.size = m->type->size;
-        c.booked = m->booked + of_.kept_from(job, *m);
+        c.reserved = m->reserved + of_.kept_from(job, *m);
         c.tasks = static_cast<int>(m->tasks.size());
         for (const auto& image : m->images)
             if (image.name == job.spec.image) {
@@ -266,9 +269,9 @@
                 c.image_ready = image.ready;
             }
         // Urgent work without its image starts where that comes soonest.
-        if (job.rank <= Rank::High)
+        if (job.rank <= PriorityClass::High)
             c.penalty += kFetchPenalty * static_cast<double>(fetch_time(job, *m)) / 1e6;
-        if (shapes_) c.penalty += planning::card_penalty(c.size, c.booked, job.spec.need, *shapes_);
+        if (shapes_) c.penalty += planning::gpu_penalty(c.size, c.reserved, job.spec.request, *shapes_);
         c.own_penalty = c.penalty;
         list.push_back(c);
         machines.push_back(m);
@@ -279,20 +282,22 @@
 /// The parts of the machines that the five steps are tried over, one after another, where a part is clearly
 /// better: those that have the image, or at least fetch it already, for urgent work, since a fetch takes
 /// longer than anything else in a start; spot machines, for what may use them, since that leaves the ordinary
-/// ones to what may not; machines without cards, for what needs none.
-std::vector<Planner::Part> Planner::parts_of(const Job& job, const std::vector<const Candidate*>& open,
-                                             const std::vector<Machine*>& machines, bool ready_only) const {
+/// ones to what may not; machines without GPUs, for what needs none.
+std::vector<Scheduler::Part> Scheduler::parts_of(const Job& job, const std::vector<const Candidate*>& open,
+                                                 const std::vector<Machine*>& machines,
+                                                 bool ready_only) const {
     std::vector<Image> order{Image::Any};
     // Idle work stays together where its image is, so that one report and one change settle many tasks.
-    if (job.rank <= Rank::High || job.rank == Rank::Low) order = {Image::Ready, Image::Fetching, Image::Any};
+    if (job.rank <= PriorityClass::High || job.rank == PriorityClass::Low)
+        order = {Image::Ready, Image::Fetching, Image::Any};
     if (ready_only) order = {Image::Ready};
-    // Work without cards takes machines without them first; urgent work only where its image comes as soon.
-    const bool bare_first = shapes_ && job.spec.need.cards <= 0;
+    // Work without GPUs takes machines without them first; urgent work only where its image comes as soon.
+    const bool bare_first = shapes_ && job.spec.request.gpus <= 0;
     std::vector<std::pair<Image, bool>> steps;
-    if (bare_first && job.rank > Rank::High)
+    if (bare_first && job.rank > PriorityClass::High)
         for (const Image image : order) steps.emplace_back(image, true);
     for (const Image image : order) {
-        if (bare_first && job.rank <= Rank::High) steps.emplace_back(image, true);
+        if (bare_first && job.rank <= PriorityClass::High) steps.emplace_back(image, true);
         steps.emplace_back(image, false);
     }
     std::vector<Part> parts;
@@ -306,35 +311,35 @@
     return parts;
 }
 
-bool Planner::Part::takes(const Candidate& c, const Machine& m) const {
-    if ((spot && !m.spot) || (bare && c.size.cards > 0)) return false;
+bool Scheduler::Part::takes(const Candidate& c, const Machine& m) const {
+    if ((spot && !m.spot) || (bare && c.size.gpus > 0)) return false;
     return image == Image::Any || c.image_ready || (image == Image::Fetching && c.has_image);
 }
 
-std::ptrdiff_t Planner::place_for(const Job& job, const std::vector<Part>& parts) {
+std::ptrdiff_t Scheduler::place_for(const Job& job, const std::vector<Part>& parts) {
     for (const auto& part : parts) {
-        const auto chosen = place(part.candidates, job.spec.need, context_.settings().ops.placement,
-                                  context_.host().random());
+        const auto chosen = place(part.candidates, job.spec.request, context_.settings().ops.placement,
+                                  context_.runtime().random());
         if (chosen >= 0) return chosen;
     }
     return -1;
 }
 
 /// A task of the job is to start on the candidate.
-void Planner::book(Candidate& c, const Job& job) const {
-    const Resources& need = job.spec.need;
-    auto cards = [&] { return shapes_ ? planning::card_penalty(c.size, c.booked, need, *shapes_) : 0.0; };
-    const double before = cards();
-    c.booked += need;
-    const double more = cards() - before;
+void Scheduler::book(Candidate& c, const Job& job) const {
+    const Resources& need = job.spec.request;
+    auto gpus = [&] { return shapes_ ? planning::gpu_penalty(c.size, c.reserved, need, *shapes_) : 0.0; };
+    const double before = gpus();
+    c.reserved += need;
+    const double more = gpus() - before;
     c.own_penalty += more;
     c.penalty += more;
     ++c.tasks;
 }
 
-planning::Queued Planner::queued(const Job& job, std::size_t index) const {
-    const Micros now = context_.host().now();
-    const std::int64_t age_ms = std::max<std::int64_t>(context_.host().wall_ms() - job.since_ms, 0);
+planning::Queued Scheduler::queued(const Job& job, std::size_t index) const {
+    const Micros now = context_.runtime().now();
+    const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
     const JobSpec& s = job.spec;
     planning::Queued q;
     q.index = index;
@@ -342,56 +347,56 @@
     q.tier = tier(job);
     q.rank = job.rank;
     q.within_guarantee = job.within_guarantee;
-    q.late = can_be_late(job);
+    q.late = can_wait(job);
     q.due_ms = job.due_ms;
     // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
     // up for size, so that none waits for ever.
     const auto left = static_cast<double>(job.idle + job.bound) *
-                      static_cast<double>(std::max<Milli>(s.need.cores, 1)) *
+                      static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
                       static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
     q.weight = left / static_cast<double>(age_ms + 10'000);
     q.age = age_ms * kMillisecond;
     // Of work that takes what is left over one task at least runs, once it has waited for so long.
-    q.begun = job.bound > 0 || job.held || (job.done > 0 && !job.leftover());
+    q.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
     q.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoom;
-    auto of = [&s](int tasks) { return Resources{s.need.cores * tasks, s.need.cards * tasks, 0}; };
+    auto of = [&s](int tasks) { return Resources{s.request.cores * tasks, s.request.gpus * tasks, 0}; };
     q.waits = of(job.idle);
     q.task = of(s.kind == JobKind::Gang ? job.idle : 1);
     return q;
 }
 
-std::map<std::string, planning::TeamUse> Planner::team_uses() const {
+std::map<std::string, planning::TeamUse> Scheduler::team_uses() const {
     std::map<std::string, planning::TeamUse> teams;
-    for (const auto& [ref, job] : ledger_.jobs) {
+    for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->bound == 0) continue;
         auto& used = teams[job->spec.team].used[tier(*job)];
-        used.cores += job->spec.need.cores * job->bound;
-        used.cards += job->spec.need.cards * job->bound;
+        used.cores += job->spec.request.cores * job->bound;
+        used.gpus += job->spec.request.gpus * job->bound;
     }
     for (const auto& team : context_.settings().teams)
-        teams[team.name].limit = context_.share(domain_, team.name);
+        teams[team.name].limit = context_.share(shard_, team.name);
     return teams;
 }
 
 /// What may be placed now, by reference, so that its order is the same whoever decides.
-std::vector<Job*> Planner::queue(bool idle_turn) {
-    const Micros now = context_.host().now();
+std::vector<Job*> Scheduler::queue(bool idle_turn) {
+    const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
-    for (auto& [ref, job] : ledger_.jobs) {
+    for (auto& [ref, job] : shard_state_.jobs) {
         if (job->stage != Stage::Queued || job->leaving || job->idle == 0) continue;
         // The gate: every bind comes from here, and nothing of a job starts before all that it needs are
         // done.
         if (!job->open) continue;
-        if (job->held && (now < job->try_after || job->bound > 0)) continue;
+        if (job->backing_off && (now < job->try_after || job->bound > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
-        if (job->leftover() && (!idle_turn || now < job->idle_turn)) continue;
+        if (job->is_best_effort() && (!idle_turn || now < job->idle_turn)) continue;
         waiting.push_back(job.get());
     }
     return waiting;
 }
 
-void Planner::plan() {
-    const Micros now = context_.host().now();
+void Scheduler::plan() {
+    const Micros now = context_.runtime().now();
     // Idle work is bound in batches: that takes fewer changes and less time.
     const bool idle_turn = now - idle_planned_at_ >= kIdleEvery;
     if (idle_turn) idle_planned_at_ = now;
@@ -399,7 +404,7 @@
     // Nothing that a pass does makes a machine usable, or no longer so.
     usable_.clear();
     surplus_.clear();
-    for (const auto& [name, m] : ledger_.machines)
+    for (const auto& [name, m] : shard_state_.machines)
         if (of_.usable(*m))
             usable_.push_back(m.get());
         else if (of_.surplus(*m))
@@ -411,16 +416,16 @@
     no_room_.clear();
     const auto& named = context_.settings().zones;
     std::set<std::string> zones(named.begin(), named.end());
-    for (const auto& [name, m] : ledger_.machines) zones.insert(m->zone);
+    for (const auto& [name, m] : shard_state_.machines) zones.insert(m->zone);
     zones_.assign(zones.begin(), zones.end());
-    in_vain_.clear();
+    futile_preemptions_.clear();
     if (idle_turn) weigh_idle_room();
-    weigh_cards();
+    evaluate_gpu_demand();
     weigh_zones();
-    idle_bound_ = std::any_of(ledger_.jobs.begin(), ledger_.jobs.end(), [](const auto& j) {
-        return j.second->rank == Rank::Low && j.second->bound > 0;
+    idle_bound_ = std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& j) {
+        return j.second->rank == PriorityClass::Low && j.second->bound > 0;
     });
-    short_of_share_.clear();
+    short_of_quota_.clear();
     claimed_.clear();
     preemptions_left_ = kPreemptions;
     const bool preempts = now - preempted_at_ >= kPreemptEvery;
@@ -428,11 +433,11 @@
     for (const auto& turn : planning::turns(asked, team_uses(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
         if (job.idle == 0) continue;  // all of it began in its turn for being overdue
-        job.most = {turn.most_cores, turn.most_cards, 0};
+        job.most = {turn.most_cores, turn.most_gpus, 0};
         job.overdue = turn.overdue;
         const bool placed = plan_job(job);
-        if (!placed && !job.overdue && preempts && !job.held &&
-            (now - job.waiting_since > kPreemptAfter || job.rank == Rank::Production))
+        if (!placed && !job.overdue && preempts && !job.backing_off &&
+            (now - job.waiting_since > kPreemptAfter || job.rank == PriorityClass::Production))
             preempt(job);
         if (preempts && tier(job) == policy::Tier::Live && job.idle > 0 && !limit_allows(job, 1) &&
             now - job.waiting_since > kLimitAfter)
@@ -443,17 +448,17 @@
 
 /// Live work goes before the batch of its own team inside their limit as well: as much of that is stopped as
 /// it needs for one task more, the least loss first.
-void Planner::free_limit(const Job& job) {
-    const Resources share = context_.share(domain_, job.spec.team);
+void Scheduler::free_limit(const Job& job) {
+    const Resources share = context_.share(shard_, job.spec.team);
     Resources over = used_with(job, 1) - share;
     std::vector<Victim> victims;
-    for (auto& [ref, other] : ledger_.jobs) {
+    for (auto& [ref, other] : shard_state_.jobs) {
         if (other->spec.team != job.spec.team || other->bound == 0) continue;
         const bool batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
         for (auto& slot : other->slots) {
             if (slot.state != SlotState::Bound) continue;
             if (slot.stop)
-                over -= other->spec.need;  // on its way out already
+                over -= other->spec.request;  // on its way out already
             else if (batch)
                 victims.push_back(victim(slot, *other, false));
         }
@@ -461,22 +466,22 @@
     std::sort(victims.begin(), victims.end(),
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
     for (const auto& v : victims) {
-        if ((over.cores <= 0 && over.cards <= 0) || preemptions_left_ <= 0) return;
-        // Of no use where the cards are short.
-        if (over.cores <= 0 && v.job->spec.need.cards == 0) continue;
-        over -= v.job->spec.need;
+        if ((over.cores <= 0 && over.gpus <= 0) || preemptions_left_ <= 0) return;
+        // Of no use where the GPUs are short.
+        if (over.cores <= 0 && v.job->spec.request.gpus == 0) continue;
+        over -= v.job->spec.request;
         --preemptions_left_;
         spdlog::info("task {}/{}: stopped, {} needs its part of the limit", v.job->spec.ref,
                      v.slot - v.job->slots.data(), job.spec.ref);
         of_.stop(*v.slot, v.grace);
-        in_vain_.clear();  // what stops makes room for others as well
+        futile_preemptions_.clear();  // what stops makes room for others as well
     }
 }
 
 /// Whether stopping a task would make its job miss an aim that it can still make.
-bool Planner::spoils(const Job& job, Micros ran) const {
+bool Scheduler::wastes_work(const Job& job, Micros ran) const {
     const auto& aims = goals(job).finished;
-    const Micros age = (context_.host().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
     const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(aims.begin(), aims.end(),
                        [&](Micros goal) { return age + left <= goal && age + left + kSetBack > goal; });
@@ -484,11 +489,11 @@
 
 /// Idle work of long tasks is bound the more seldom: each bind costs a change, and what was just stopped to
 /// make room is likely to be stopped again.
-Micros Planner::idle_pause(const Job& job) {
+Micros Scheduler::idle_pause(const Job& job) {
     return std::clamp(job.spec.estimate / 20, kIdleEvery, kIdleLong);
 }
 
-Planner::Zoning Planner::zoning_of(const Job& job) const {
+Scheduler::Zoning Scheduler::zoning_of(const Job& job) const {
     Zoning z;
     z.rule = context_.policy().zone_rule(job.spec);
     if (!z.rule) return z;
@@ -499,17 +504,17 @@
     return z;
 }
 
-planning::ZoneChoice Planner::choose_zones(const Job& job, const Zoning& zoning,
-                                           const std::map<std::string, int>& per_zone,
-                                           const std::vector<std::string>* room) const {
+planning::ZoneChoice Scheduler::choose_zones(const Job& job, const Zoning& zoning,
+                                             const std::map<std::string, int>& per_zone,
+                                             const std::vector<std::string>* room) const {
     return planning::choose_zones(job.spec, zoning.rule, per_zone, zoning.standing, zones_, room);
 }
 
 /// The candidates in zones that take another task of it; `apart`: on machines that do, too.
-std::vector<const Candidate*> Planner::open_in(const planning::ZoneChoice& choice, const Job& job,
-                                               const std::map<std::string, int>& per_zone,
-                                               std::vector<Candidate>& candidates,
-                                               const std::vector<Machine*>& machines, bool apart) const {
+std::vector<const Candidate*> Scheduler::open_in(const planning::ZoneChoice& choice, const Job& job,
+                                                 const std::map<std::string, int>& per_zone,
+                                                 std::vector<Candidate>& candidates,
+                                                 const std::vector<Machine*>& machines, bool apart) const {
     std::map<std::string, double> zones;  // those open, with their penalty
     for (const auto& [zone, most] : choice.most) {
         auto used = per_zone.find(zone);
@@ -527,40 +532,40 @@
     return open;
 }
 
-int Planner::tasks_on(const Machine& m, const Job& job) {
+int Scheduler::tasks_on(const Machine& m, const Job& job) {
     return static_cast<int>(
         std::count_if(m.tasks.begin(), m.tasks.end(), [&](const auto& t) { return t.job == &job; }));
 }
 
 /// Zones with a machine that a task of it fits on.
-std::vector<std::string> Planner::zones_with_room(const Job& job, const std::vector<Candidate>& candidates,
-                                                  const std::vector<Machine*>& machines, int machine_most) {
+std::vector<std::string> Scheduler::zones_with_room(const Job& job, const std::vector<Candidate>& candidates,
+                                                    const std::vector<Machine*>& machines, int machine_most) {
     std::set<std::string> zones;
     for (const auto& c : candidates) {
         const Machine& m = *machines[c.index];
-        if (job.spec.need.fits(c.size - c.booked) &&
+        if (job.spec.request.fits(c.size - c.reserved) &&
             (machine_most == std::numeric_limits<int>::max() || tasks_on(m, job) < machine_most))
             zones.insert(m.zone);
     }
     return {zones.begin(), zones.end()};
 }
 
-std::ptrdiff_t Planner::at(const Machine* better, const Job& job, const std::vector<const Candidate*>& open,
-                           const std::vector<Machine*>& machines) {
+std::ptrdiff_t Scheduler::at(const Machine* better, const Job& job, const std::vector<const Candidate*>& open,
+                             const std::vector<Machine*>& machines) {
     if (!better) return -1;
     for (const auto* c : open)
-        if (machines[c->index] == better && job.spec.need.fits(c->size - c->booked))
+        if (machines[c->index] == better && job.spec.request.fits(c->size - c->reserved))
             return static_cast<std::ptrdiff_t>(c->index);
     return -1;
 }
 
 /// In the zones where its rule wants the next task, on the `better` machine if there is one with room;
 /// `give_way`: else where there is room for it, as far as the rule admits that.
-std::ptrdiff_t Planner::place_by_zone(const Job& job, const Zoning& zoning,
-                                      const std::map<std::string, int>& per_zone,
-                                      std::vector<Candidate>& candidates,
-                                      const std::vector<Machine*>& machines, bool ready_only, bool give_way,
-                                      const Machine* better) {
+std::ptrdiff_t Scheduler::place_by_zone(const Job& job, const Zoning& zoning,
+                                        const std::map<std::string, int>& per_zone,
+                                        std::vector<Candidate>& candidates,
+                                        const std::vector<Machine*>& machines, bool ready_only, bool give_way,
+                                        const Machine* better) {
     const auto asked = choose_zones(job, zoning, per_zone);
     const bool sharing_matters = asked.machine_most < std::numeric_limits<int>::max();
     auto place_in = [&](const planning::ZoneChoice& choice, bool apart) {
@@ -582,9 +587,9 @@
 }
 
 /// True if nothing is left to place.
-bool Planner::plan_job(Job& job) {
-    const Micros now = context_.host().now();
-    if (job.spec.kind != JobKind::Gang && hopeless(job)) {
+bool Scheduler::plan_job(Job& job) {
+    const Micros now = context_.runtime().now();
+    if (job.spec.kind != JobKind::Gang && is_unschedulable(job)) {
         job.no_room_at = now;
         return false;
     }
@@ -602,7 +607,7 @@
     if (job.spec.kind == JobKind::Gang)
         return plan_gang(job, candidates, machines) ||
                (takes_surplus(job) && ask_more(Reach::Surplus) && plan_gang(job, candidates, machines));
-    if (job.leftover() && !job.overdue) job.idle_turn = now + idle_pause(job);
+    if (job.is_best_effort() && !job.overdue) job.idle_turn = now + idle_pause(job);
 
     std::map<std::string, int> per_zone = job.zones();
     const Zoning zoning = zoning_of(job);
@@ -617,13 +622,13 @@
     bool all = true;
     bool tried_relayed = false, tried_surplus = !takes_surplus(job);
     const bool asks_surplus = !tried_surplus;
-    const bool ready_only = job.holding_out = holds_out(job);
+    const bool ready_only = job.holding_out = waits_for_image(job);
     while (job.first_idle < job.slots.size() && job.slots[job.first_idle].state != SlotState::Idle)
         ++job.first_idle;
     for (std::size_t i = job.first_idle; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state != SlotState::Idle) continue;
-        if (slot.retry_at > now || ledger_.strays(job.spec.ref, static_cast<int>(i))) {
+        if (slot.retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))) {
             all = all && slot.retry_at > now;
             continue;
         }
@@ -637,12 +642,12 @@
             continue;
         }
         if (!quota_allows(job, 1)) {  // not for want of room
-            miss_share(job, 1);
+            miss_quota(job, 1);
             return true;
         }
-        if (job.leftover() && !job.overdue) {
-            if (idle_room_ < job.spec.need.cores || idle_starts_.take(now, 1) > 0) return true;
-            idle_room_ -= job.spec.need.cores;
+        if (job.is_best_effort() && !job.overdue) {
+            if (idle_room_ < job.spec.request.cores || idle_starts_.take(now, 1) > 0) return true;
+            idle_room_ -= job.spec.request.cores;
         }
         std::ptrdiff_t chosen = -1;
         for (;;) {
@@ -693,23 +698,23 @@
                 if (auto& list = part.candidates; part.image == Image::Fetching && part.takes(c, m))
                     list.insert(std::lower_bound(list.begin(), list.end(), &c), &c);
         spdlog::info("task {}/{}: attempt {} bound to {}", job.spec.ref, i, slot.attempt, m.name);
-        if (job.held || job.overdue) return true;  // one start at a time
+        if (job.backing_off || job.overdue) return true;  // one start at a time
     }
     return all;
 }
 
 /// A gang binds all its tasks in one pass or none.
-bool Planner::plan_gang(Job& job, const std::vector<Candidate>& candidates,
-                        const std::vector<Machine*>& machines) {
-    const Micros now = context_.host().now();
+bool Scheduler::plan_gang(Job& job, const std::vector<Candidate>& candidates,
+                          const std::vector<Machine*>& machines) {
+    const Micros now = context_.runtime().now();
     if (job.bound > 0 || job.idle < job.spec.tasks - job.done)
         return true;  // the old attempt is not gone yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Idle &&
-            (job.slots[i].retry_at > now || ledger_.strays(job.spec.ref, static_cast<int>(i))))
+            (job.slots[i].retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))))
             return true;
     if (!quota_allows(job, job.idle)) {
-        miss_share(job, job.idle);
+        miss_quota(job, job.idle);
         return true;
     }
     std::vector<std::string> zones{""};
@@ -717,7 +722,7 @@
         zones.clear();
         for (const auto* m : machines)
             if (std::find(zones.begin(), zones.end(), m->zone) == zones.end()) zones.push_back(m->zone);
-        std::shuffle(zones.begin(), zones.end(), context_.host().random());
+        std::shuffle(zones.begin(), zones.end(), context_.runtime().random());
     }
     const Zoning zoning = zoning_of(job);
     for (const auto& zone : zones) {
@@ -737,7 +742,7 @@
                     open.push_back(c);
             }
             const auto pick =
-                place(open, job.spec.need, context_.settings().ops.placement, context_.host().random());
+                place(open, job.spec.request, context_.settings().ops.placement, context_.runtime().random());
             if (pick < 0) break;
             auto& c = trial[static_cast<std::size_t>(pick)];
             book(c, job);
@@ -760,26 +765,27 @@
 
 /// Makes room for a job's waiting tasks: stops what is worth least on the machine where the least is lost.
 /// Room that is being made already is claimed first, in the order of the jobs.
-void Planner::preempt(Job& job) {
-    const Micros now = context_.host().now();
+void Scheduler::preempt(Job& job) {
+    const Micros now = context_.runtime().now();
     // Stopping work that cannot save itself throws it away. Services may always do that; others only when
     // their deadline is near, or when a guarantee has been waited for.
-    const std::int64_t now_ms = context_.host().wall_ms();
+    const std::int64_t now_ms = context_.runtime().wall_ms();
     const bool late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
-    const bool may_waste = job.rank == Rank::Production || (job.rank == Rank::High && late);
+    const bool may_waste = job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && late);
     const bool reclaims = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
     // Work of normal rank makes room only where idle work is.
-    if (job.rank > Rank::High && !reclaims && (job.rank == Rank::Low || !idle_bound_)) return;
+    if (job.rank > PriorityClass::High && !reclaims && (job.rank == PriorityClass::Low || !idle_bound_))
+        return;
     // Where the operators want the tasks started soon, room is made for all of them.
     const auto& aims = goals(job).wait;
     // Stopping idle work costs next to nothing.
-    const bool idle_only = job.rank > Rank::High && !reclaims;
-    const int most = job.rank == Rank::Production || !aims.empty() || idle_only ? job.idle : 1;
+    const bool idle_only = job.rank > PriorityClass::High && !reclaims;
+    const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.idle : 1;
     const bool hurries = !aims.empty() && now - job.waiting_since < aims.front();
     if (preemptions_left_ <= 0 || !quota_allows(job, 1)) return;
-    const bool ready_only = holds_out(job);
-    if (!ready_only && !of_.keeps_for(job) && in_vain(job, may_waste, reclaims)) {
-        job.no_holding_out = true;
+    const bool ready_only = waits_for_image(job);
+    if (!ready_only && !of_.keeps_for(job) && is_futile(job, may_waste, reclaims)) {
+        job.image_wait_over = true;
         return;
     }
     std::map<std::string, int> per_zone = job.zones();
@@ -819,17 +825,17 @@
                 --waiting;
                 continue;
             }
-            job.no_holding_out = true;
+            job.image_wait_over = true;
             // Only where the rest of its constraints have not played a part.
             if (!ready_only && !zoning.rule && !job.spec.spread && !job.spec.one_zone)
-                in_vain_.push_back({room_of(job), job.rank, may_waste, reclaims, job.spec.team});
+                futile_preemptions_.push_back({room_of(job), job.rank, may_waste, reclaims, job.spec.team});
             return;
         }
-        claimed_[best] += job.spec.need;
+        claimed_[best] += job.spec.request;
         ++per_zone[best->zone];
         if (!victims.empty()) {
             --preemptions_left_;
-            in_vain_.clear();  // what stops makes room for others as well
+            futile_preemptions_.clear();  // what stops makes room for others as well
         }
         for (const auto& v : victims) {
             spdlog::info("task {}/{}: stopped to make room for {}", v.job->spec.ref,
@@ -841,32 +847,32 @@
 
 /// What stopping a task costs. Saving takes its time, in which nothing is done: where less has been done
 /// since the last checkpoint, or somebody can't wait for it, the task exits at once.
-Planner::Victim Planner::victim(Slot& slot, Job& job, bool hurries) const {
-    const Micros now = context_.host().now();
+Scheduler::Victim Scheduler::victim(Slot& slot, Job& job, bool hurries) const {
+    const Micros now = context_.runtime().now();
     const Micros ran = slot.run_since ? now - slot.run_since : 0;
     const Micros saving = job.spec.save + kSecond;
     const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
     const bool saves = job.spec.checkpoint > 0 && !hurries && unsaved > saving;
     // A start that does not last is none for its user.
     const double lost = static_cast<double>(saves ? saving : unsaved) / 1e6 + 1.0 +
-                        (ran < kLasting ? kShortStart : 0.0) + (spoils(job, ran) ? kSpoilt : 0.0);
-    return {&slot, &job, lost * (1.0 + static_cast<double>(job.spec.need.cores) / 1000.0),
+                        (ran < kLasting ? kShortStart : 0.0) + (wastes_work(job, ran) ? kSpoilt : 0.0);
+    return {&slot, &job, lost * (1.0 + static_cast<double>(job.spec.request.cores) / 1000.0),
             saves ? saving : 0};
 }
 
 /// Whether, with its only task stopped, it would be overdue again: then it goes before all but live work,
 /// comes back to the same room first, and neither runs.
-bool Planner::comes_back_first(const Job& job) const {
-    if (job.bound > 1 || job.done > 0 || job.held) return false;
-    const Micros age = (context_.host().wall_ms() - job.since_ms) * kMillisecond;
+bool Scheduler::comes_back_first(const Job& job) const {
+    if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
+    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.begin_within;
 }
 
 /// What would be lost by making room for one more task on the machine, if that can be done; `taken` tells
 /// what would have to be stopped, nothing if enough is stopping already.
-std::optional<double> Planner::room_for(const Job& job, const Machine& m, bool may_waste, bool reclaims,
-                                        bool hurries, std::vector<Victim>& taken) const {
-    Resources room = m.type->size - m.booked - of_.kept_from(job, m);
+std::optional<double> Scheduler::room_for(const Job& job, const Machine& m, bool may_waste, bool reclaims,
+                                          bool hurries, std::vector<Victim>& taken) const {
+    Resources room = m.type->size - m.reserved - of_.kept_from(job, m);
     if (auto claimed = claimed_.find(&m); claimed != claimed_.end()) room -= claimed->second;
     std::vector<std::pair<Job*, Slot*>> may_stop;
     Resources most;
@@ -875,13 +881,14 @@
         Slot& slot = other->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound) continue;
         if (slot.stop) {
-            room += other->spec.need;  // on its way out already
+            room += other->spec.request;  // on its way out already
             continue;
         }
         if (other->spec.kind == JobKind::Gang) continue;
-        const bool lower = other->rank == Rank::Low ? job.rank < Rank::Low
-                                                    : job.rank <= Rank::High && other->rank > job.rank &&
-                                                          (may_waste || other->spec.checkpoint > 0);
+        const bool lower = other->rank == PriorityClass::Low
+                               ? job.rank < PriorityClass::Low
+                               : job.rank <= PriorityClass::High && other->rank > job.rank &&
+                                     (may_waste || other->spec.checkpoint > 0);
         // What ranks higher would only come back to the same room, and be stopped again; so would what is
         // within its own guarantee by now, whatever it was when it last waited.
         const bool reclaim = reclaims && other->rank >= job.rank && other->spec.team != job.spec.team &&
@@ -890,10 +897,10 @@
         if (!live && comes_back_first(*other)) continue;
         if (other->spec.kind == JobKind::Service && !reclaim) continue;
         may_stop.emplace_back(other, &slot);
-        most += other->spec.need;
+        most += other->spec.request;
     }
-    if (job.spec.need.fits(room)) return 0.0;
-    if (!job.spec.need.fits(room + most)) return std::nullopt;
+    if (job.spec.request.fits(room)) return 0.0;
+    if (!job.spec.request.fits(room + most)) return std::nullopt;
     std::vector<Victim> victims;
     victims.reserve(may_stop.size());
     for (const auto& [other, slot] : may_stop) victims.push_back(victim(*slot, *other, hurries));
@@ -901,8 +908,8 @@
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
     double loss = 0;
     for (const auto& v : victims) {
-        if (job.spec.need.fits(room)) break;
-        room += v.job->spec.need;
+        if (job.spec.request.fits(room)) break;
+        room += v.job->spec.request;
         loss += v.loss;
         taken.push_back(v);
     }
--- a/src/core/planner.hpp
+++ b/src/shard/scheduler.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Planner: who goes first, the five steps for each waiting task, and room made by preemption. It reads the
-// domain's books, binds in them as it goes, and tells its holder what follows from that.
+// Scheduler: who goes first, the five steps for each waiting task, and room made by preemption. It reads the
+// shard's books, binds in them as it goes, and tells its holder what follows from that.
 
 #include <cstdint>
 #include <map>
@@ -9,24 +9,24 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
-#include "core/placement.hpp"
-#include "planning/cards.hpp"
-#include "planning/priority.hpp"
-#include "planning/zones.hpp"
-#include "settings/settings.hpp"
-#include "state/store.hpp"
+#include "config/settings.hpp"
+#include "kvstore/store_client.hpp"
+#include "scheduling/gpu_packing.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/queue_order.hpp"
+#include "scheduling/topology_spread.hpp"
+#include "shard/shard_state.hpp"
 
 namespace cottonway {
 
-class OwnerContext;
+class ShardContext;
 
-class Planner {
+class Scheduler {
   public:
-    /// What planning needs of the domain's holder.
-    class Domain {
+    /// What planning needs of the shard's holder.
+    class Shard {
       public:
-        virtual ~Domain() = default;
+        virtual ~Shard() = default;
         /// Whether new tasks may be bound to it.
         virtual bool usable(const Machine& m) const = 0;
         /// Whether it could be, but is being emptied, since machines of its kind are too many on average.
@@ -42,20 +42,20 @@
         /// Where a task that is being moved had better start, nullptr: anywhere.
         virtual const Machine* destination(const Job& job, int task) const = 0;
     };
-    Planner(OwnerContext& context, std::string domain, Ledger& ledger, Domain& of);
+    Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Shard& of);
 
     /// One pass over everything that waits.
     void plan();
 
     static bool allowed(const Job& job, const Machine& m);
-    /// Within the domain's part of its team's limit.
+    /// Within the shard's part of its team's limit.
     bool limit_allows(const Job& job, int tasks) const;
     /// The same, less what is due to others of its team as of the last pass.
     bool quota_allows(const Job& job, int tasks) const;
     /// Whether it waits for a machine that has its image rather than fetch it elsewhere.
-    bool holds_out(const Job& job) const;
+    bool waits_for_image(const Job& job) const;
     /// What waits for a larger part of a team's limit, as of the last pass.
-    const std::map<std::string, Resources>& short_of_share() const { return short_of_share_; }
+    const std::map<std::string, Resources>& short_of_quota() const { return short_of_quota_; }
 
   private:
     std::vector<Job*> queue(bool idle_turn);
@@ -65,15 +65,15 @@
     planning::Queued queued(const Job& job, std::size_t index) const;
     std::map<std::string, planning::TeamUse> team_uses() const;
     Resources used_with(const Job& job, int tasks) const;
-    void miss_share(const Job& job, int tasks);
+    void miss_quota(const Job& job, int tasks);
     void free_limit(const Job& job);
 
     bool keeps_off(const Job& job, const Machine& m) const;
     void weigh_idle_room();
     static Micros idle_pause(const Job& job);
-    bool spoils(const Job& job, Micros ran) const;
+    bool wastes_work(const Job& job, Micros ran) const;
     static Micros fetch_time(const Job& job, const Machine& m);
-    bool can_be_late(const Job& job) const;
+    bool can_wait(const Job& job) const;
 
     void preempt(Job& job);
     struct Victim {
@@ -86,7 +86,7 @@
     bool comes_back_first(const Job& job) const;
     std::optional<double> room_for(const Job& job, const Machine& m, bool may_waste, bool reclaims,
                                    bool hurries, std::vector<Victim>& taken) const;
-    void weigh_cards();
+    void evaluate_gpu_demand();
     void weigh_zones();
     policy::Tier tier(const Job& job) const;
     bool spares(const Job& job) const;
@@ -101,7 +101,7 @@
     struct Part {
         Image image;
         bool spot;  // none but spot machines
-        bool bare;  // none with cards
+        bool bare;  // none with GPUs
         std::vector<const Candidate*> candidates{};
         bool takes(const Candidate& c, const Machine& m) const;
     };
@@ -132,9 +132,9 @@
     static std::ptrdiff_t at(const Machine* better, const Job& job, const std::vector<const Candidate*>& open,
                              const std::vector<Machine*>& machines);
     void book(Candidate& c, const Job& job) const;
-    bool hopeless(const Job& job) const;
+    bool is_unschedulable(const Job& job) const;
     void remember_no_room(const Job& job, bool surplus);
-    bool in_vain(const Job& job, bool may_waste, bool reclaims) const;
+    bool is_futile(const Job& job, bool may_waste, bool reclaims) const;
     /// The operators' aims for a class, the shortest first.
     struct Goals {
         std::vector<Micros> wait, finished;
@@ -145,18 +145,18 @@
         bool spot;
         std::optional<std::string> zone;
         std::optional<std::vector<std::string>> types;
-        Resources need;
+        Resources request;
         bool surplus = false;  // it was looked for on machines that are being emptied as well
         bool within(const JobSpec& s) const;
     };
     static Room room_of(const Job& job);
 
-    OwnerContext& context_;
-    std::string domain_;
-    Ledger& ledger_;
-    Domain& of_;
-    std::map<std::string, Resources> short_of_share_;
-    std::vector<std::string> zones_;  // of the settings and of the domain's machines, in the current pass
+    ShardContext& context_;
+    std::string shard_;
+    ShardState& shard_state_;
+    Shard& of_;
+    std::map<std::string, Resources> short_of_quota_;
+    std::vector<std::string> zones_;  // of the settings and of the shard's machines, in the current pass
     Micros preempted_at_ = 0;
     int preemptions_left_ = 0;
     RateBudget idle_starts_;  // starts of idle work, which must not take the time that others need
@@ -165,7 +165,7 @@
     double peak_use_ = 0;  // of cores by other work, where idle work may run
     Micros peak_use_at_ = 0;
     std::ptrdiff_t spot_machines_ = 0;
-    /// What cards are asked for, in the current pass; nothing unless the policy packs them and some machine
+    /// What GPUs are asked for, in the current pass; nothing unless the policy packs them and some machine
     /// has any.
     std::optional<planning::Shapes> shapes_;
     bool idle_bound_ = false;                      // something of idle rank is bound
@@ -181,14 +181,14 @@
     /// either.
     std::vector<Room> no_room_;
     /// What nothing could be stopped for in the current pass, and nothing has been stopped since.
-    struct Vain {
+    struct FutilePreemption {
         Room room;
-        Rank rank;
+        PriorityClass rank;
         bool may_waste;
         bool reclaims;
         std::string team;
     };
-    std::vector<Vain> in_vain_;
+    std::vector<FutilePreemption> futile_preemptions_;
 };
 
 }  // namespace cottonway
