--- a/src/core/owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -1,10 +1,10 @@
-#include "core/owner.hpp"
+#include "shard/shard_owner.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/authority.hpp"
-#include "log/log.hpp"
+#include "cluster/lease_validity.hpp"
+#include "logging/log.hpp"
 
 namespace cottonway {
 
@@ -16,32 +16,34 @@
 
 }  // namespace
 
-Owner::Owner(OwnerContext& context, std::string domain, Revision mark, Micros former_authority_end)
+ShardOwner::ShardOwner(ShardContext& context, std::string shard, Revision mod_revision,
+                       Micros former_authority_end)
     : context_(context),
-      domain_(std::move(domain)),
-      mark_(mark),
+      shard_(std::move(shard)),
+      mod_revision_(mod_revision),
       former_end_(former_authority_end),
-      taken_at_(context.host().now()),
-      planner_(context, domain_, ledger_, *this),
-      mover_(context, domain_, mark, ledger_, *this) {}
+      taken_at_(context.runtime().now()),
+      scheduler_(context, shard_, shard_state_, *this),
+      rebalancer_(context, shard_, mod_revision, shard_state_, *this) {}
 
-Owner::~Owner() {
+ShardOwner::~ShardOwner() {
     *alive_ = false;
     // What of these is durable is in the store; whoever asked looks there.
-    for (auto& [ref, job] : ledger_.jobs)
+    for (auto& [ref, job] : shard_state_.jobs)
         if (job->admitting) job->admitting({CommitStatus::Unknown, 0, {}});
 }
 
 // ---------------------------------------------------------------- machines
 
-void Owner::on_machine(const Block& block, const Block::Machine& entry) {
-    auto& owned = ledger_.machines[entry.name];
+void ShardOwner::on_machine(const Block& block, const Block::Machine& entry) {
+    auto& owned = shard_state_.machines[entry.name];
     if (!owned) {
         owned = std::make_unique<Machine>();
         owned->name = entry.name;
-        owned->known_since = context_.host().now();
-        owned->listened = owned->report_listened = owned->idle_since = context_.host().listened();
-        owned->promises.resize(context_.settings().peers.size());
+        owned->known_since = context_.runtime().now();
+        owned->last_heartbeat_listening = owned->report_listened = owned->idle_since =
+            context_.runtime().listened();
+        owned->relinquishments.resize(context_.settings().peers.size());
     }
     Machine& m = *owned;
     m.block = block.id;
@@ -52,81 +54,82 @@
     m.retired = entry.retired;
     m.token = std::max<std::uint64_t>(m.token, entry.token);
     m.type = context_.machine_type(block.type);
-    if (m.token_seen < token(m)) poke(m);
+    if (m.token_seen < token(m)) request_dispatch(m);
 }
 
-void Owner::on_machine_gone(const std::string& name, const char* why) {
+void ShardOwner::on_machine_gone(const std::string& name, const char* why) {
     // A record stops listing a machine once the cloud has confirmed its deletion, or when it has been given
-    // to another domain while it was empty: whatever a job's record still lists there is gone.
-    auto it = ledger_.machines.find(name);
-    if (it == ledger_.machines.end()) return;
+    // to another shard while it was empty: whatever a job's record still lists there is gone.
+    auto it = shard_state_.machines.find(name);
+    if (it == shard_state_.machines.end()) return;
     void_machine(*it->second, why);
-    ledger_.machines.erase(it);
+    shard_state_.machines.erase(it);
 }
 
-void Owner::void_machine(Machine& m, const char* why) {
+void ShardOwner::void_machine(Machine& m, const char* why) {
     if (!m.tasks.empty()) spdlog::info("machine {}: {} tasks are gone: {}", m.name, m.tasks.size(), why);
     const auto tasks = m.tasks;
-    for (const auto& t : tasks) gone(*t.job, t.task, 0);
-    ledger_.forget_strays(m);
+    for (const auto& t : tasks) on_attempt_terminated(*t.job, t.task, 0);
+    shard_state_.forget_orphaned_tasks(m);
     m.exited.clear();
-    m.taints.clear();
-    m.answer_launches.clear();
-    m.carried_out.clear();
+    m.unacknowledged_launches.clear();
+    m.launches_in_responses.clear();
+    m.acknowledged_launches.clear();
 }
 
-Micros Owner::silent_for(const Machine& m) const {
-    return context_.host().listened() - m.listened;
+Micros ShardOwner::silent_for(const Machine& m) const {
+    return context_.runtime().listened() - m.last_heartbeat_listening;
 }
 
 /// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
 /// calls shows only the latter.
-Micros Owner::useless_for(const Machine& m) const {
-    const Micros listened = context_.host().listened();
+Micros ShardOwner::useless_for(const Machine& m) const {
+    const Micros listened = context_.runtime().listened();
     return std::max(listened - m.report_listened, m.suspect ? listened - m.suspect_since : 0);
 }
 
-Micros Owner::patience() const {
+Micros ShardOwner::patience() const {
     return context_.settings().report_every * 5 / 2 + kSecond;
 }
 
-void Owner::drain(const std::string& machine, bool on) {
-    auto it = ledger_.machines.find(machine);
-    if (it == ledger_.machines.end() || it->second->draining == on) return;
+void ShardOwner::drain(const std::string& machine, bool on) {
+    auto it = shard_state_.machines.find(machine);
+    if (it == shard_state_.machines.end() || it->second->draining == on) return;
     it->second->draining = on;
     plan_due_ = true;
     spdlog::info("machine {}: {}", machine, on ? "surplus, nothing new is bound to it" : "needed again");
 }
 
-bool Owner::passing(const Machine& m) const {
+bool ShardOwner::passing(const Machine& m) const {
     return std::all_of(m.tasks.begin(), m.tasks.end(), [](const TaskRef& t) {
         return t.job->spec.kind == JobKind::Array && t.job->spec.spot;
     });
 }
 
-bool Owner::bindable(const Machine& m) const {
-    const Micros now = context_.host().now();
+bool ShardOwner::bindable(const Machine& m) const {
+    const Micros now = context_.runtime().now();
     return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.leaving &&
-           !m.notice && !m.suspect && now >= m.avoid_until && m.strays.empty() && useless_for(m) < patience();
+           !m.notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
+           useless_for(m) < patience();
 }
 
 /// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
 /// granted as long as the worker has not shown our token, and what other controllers may have renewed on our
 /// behalf. Of the last only their promise tells, or that they can't have been entitled any more.
-bool Owner::lease_over(const Machine& m) const {
+bool ShardOwner::lease_over(const Machine& m) const {
     // A report that we answered renews the lease from when it was sent, which was before it was heard.
-    Micros last = std::max(m.heard, m.known_since);
-    if (m.token_seen < mark_) last = std::max(last, former_end_);
+    Micros last = std::max(m.last_heartbeat, m.known_since);
+    if (m.token_seen < mod_revision_) last = std::max(last, former_end_);
     return over_since(m, last);
 }
 
-/// The same, where the domain's holders can have granted none since `last`.
-bool Owner::over_since(const Machine& m, Micros last) const {
-    const Micros now = context_.host().now();
+/// The same, where the shard's holders can have granted none since `last`.
+bool ShardOwner::over_since(const Machine& m, Micros last) const {
+    const Micros now = context_.runtime().now();
     if (now <= last + with_drift(context_.settings().lease)) return false;
-    for (std::size_t peer = 0; peer < m.promises.size(); ++peer) {
-        if (m.promises[peer].until > now)
-            last = std::max(last, m.promises[peer].renewed);
+    for (std::size_t peer = 0; peer < m.relinquishments.size(); ++peer) {
+        if (m.relinquishments[peer].until > now)
+            last = std::max(last, m.relinquishments[peer].renewed);
         else if (auto ended = context_.peer_ended(peer))
             last = std::max(last, *ended);
         else
@@ -135,53 +138,55 @@
     return now > last + with_drift(context_.settings().lease);
 }
 
-std::vector<std::string> Owner::to_renounce(std::size_t peer) const {
+std::vector<std::string> ShardOwner::machines_to_relinquish(std::size_t peer) const {
     std::vector<std::string> names;
-    const Micros now = context_.host().now();
+    const Micros now = context_.runtime().now();
     const Micros half = context_.settings().lease / 2;
-    for (const auto& [name, m] : ledger_.machines) {
-        const bool unheard = silent_for(*m) > half || (m->token_seen < mark_ && now - taken_at_ > half);
-        if (unheard && !m->bare() && m->promises[peer].until < now + context_.settings().lease)
+    for (const auto& [name, m] : shard_state_.machines) {
+        const bool unheard =
+            silent_for(*m) > half || (m->token_seen < mod_revision_ && now - taken_at_ > half);
+        if (unheard && !m->bare() && m->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
     return names;
 }
 
-void Owner::renounced(std::size_t peer, const std::string& machine, Promise promise) {
-    auto it = ledger_.machines.find(machine);
-    if (it != ledger_.machines.end()) it->second->promises[peer] = promise;
+void ShardOwner::on_relinquished(std::size_t peer, const std::string& machine, LeaseRelinquishment promise) {
+    auto it = shard_state_.machines.find(machine);
+    if (it != shard_state_.machines.end()) it->second->relinquishments[peer] = promise;
 }
 
 // ---------------------------------------------------------------- the pass over everything
 
-void Owner::activate() {
+void ShardOwner::activate() {
     active_ = true;
-    for (auto& [ref, job] : ledger_.jobs)
+    for (auto& [ref, job] : shard_state_.jobs)
         if (job->spec.kind == JobKind::Gang && job->idle > 0 && job->bound > 0) settle_gang(*job);
     std::size_t bound = 0;
-    for (const auto& [name, m] : ledger_.machines) bound += m->tasks.size();
-    const Micros now = context_.host().now();
-    mover_.adopt();
-    startup_.began(now, now - taken_at_, ledger_.jobs.size(), ledger_.machines.size(), bound);
-    spdlog::info("domain {}: active with {} jobs and {} machines, token {}", domain_, ledger_.jobs.size(),
-                 ledger_.machines.size(), mark_);
+    for (const auto& [name, m] : shard_state_.machines) bound += m->tasks.size();
+    const Micros now = context_.runtime().now();
+    rebalancer_.adopt();
+    startup_.began(now, now - taken_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
+    spdlog::info("domain {}: active with {} jobs and {} machines, token {}", shard_, shard_state_.jobs.size(),
+                 shard_state_.machines.size(), mod_revision_);
 }
 
-void Owner::tick() {
-    const Micros now = context_.host().now();
-    for (auto& [name, owned] : ledger_.machines) {
+void ShardOwner::tick() {
+    const Micros now = context_.runtime().now();
+    for (auto& [name, owned] : shard_state_.machines) {
         Machine& m = *owned;
         if (!m.type) m.type = context_.machine_type(m.type_name);
-        if (m.token_seen < token(m) || (active_ && m.seq == 0)) poke(m);
+        if (m.token_seen < token(m) || (active_ && m.seq == 0)) request_dispatch(m);
         if (!active_) continue;
-        if (!m.strays.empty()) poke(m);
+        if (!m.orphaned_tasks.empty()) request_dispatch(m);
         // Where the worker is not heard its session ends by itself, unless another controller keeps it alive
         // on our behalf: then a launch of a job that has been cancelled since could arrive at any time.
         const bool heard = silent_for(m) < 2 * context_.settings().report_every;
-        const bool raises = std::any_of(m.taints.begin(), m.taints.end(), [&](const auto& t) {
-            return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
-                   (heard || !wanted(t.first.job));
-        });
+        const bool raises = std::any_of(
+            m.unacknowledged_launches.begin(), m.unacknowledged_launches.end(), [&](const auto& t) {
+                return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
+                       (heard || !wanted(t.first.job));
+            });
         if (raises) raise(m);
         if (m.bare()) continue;
         if (lease_over(m)) {
@@ -194,54 +199,54 @@
         for (const auto& t : m.tasks) {
             const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop || !slot.seen) poke(m);
+            if (slot.stop || !slot.seen) request_dispatch(m);
             // What is left of a gang that is done is never launched, since its others are not bound any more.
             if ((slot.stop || t.job->gang_done) && !slot.seen && !slot.foreign &&
                 !still_live(m, slot, {t.job->spec.ref, t.task, slot.attempt}))
                 dead.push_back(t);
         }
-        for (const auto& t : dead) gone(*t.job, t.task, 0);
+        for (const auto& t : dead) on_attempt_terminated(*t.job, t.task, 0);
         if (m.notice && now <= m.notice_end) drain_noticed(m);
     }
     flush_due_ = true;
     if (const std::string line = startup_.line(now); !line.empty())
-        spdlog::info("domain {}: {}", domain_, line);
+        spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
         drop_left_over();
         move_out_of_history();
-        mover_.tick();
+        rebalancer_.tick();
     }
-    if (std::any_of(ledger_.jobs.begin(), ledger_.jobs.end(), [now](const auto& j) {
+    if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& j) {
             const Job& job = *j.second;
             return job.stage == Stage::Queued && job.open && job.idle > 0 &&
-                   (!job.held || now >= job.try_after);
+                   (!job.backing_off || now >= job.try_after);
         }))
         plan_due_ = true;
     work();
 }
 
-void Owner::plan() {
-    const Micros now = context_.host().now();
-    startup_.waiting(std::any_of(ledger_.jobs.begin(), ledger_.jobs.end(),
+void ShardOwner::plan() {
+    const Micros now = context_.runtime().now();
+    startup_.waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
                                  [](const auto& j) { return j.second->waiting() > 0; }),
                      now);
-    planner_.plan();
+    scheduler_.plan();
 }
 
-void Owner::bound(Job& job, int task) {
-    startup_.bound(context_.host().now());
+void ShardOwner::bound(Job& job, int task) {
+    startup_.bound(context_.runtime().now());
     touch(job, static_cast<std::size_t>(task) / job.part_tasks);
 }
 
-void Owner::work() {
-    const Micros now = context_.host().now();
+void ShardOwner::work() {
+    const Micros now = context_.runtime().now();
     if (active_ && plan_due_) {
         if (now - planned_at_ >= kPlanEvery) {
             plan_due_ = false;
             planned_at_ = now;
             plan();
         } else {
-            context_.host().after(planned_at_ + kPlanEvery - now, [this, alive = alive_] {
+            context_.runtime().after(planned_at_ + kPlanEvery - now, [this, alive = alive_] {
                 if (*alive) context_.wake();
             });
         }
@@ -252,8 +257,8 @@
 
 /// On a machine that will be taken, work that can save itself is stopped in time, and so is what will hardly
 /// be done before: it starts elsewhere now, instead of being in doubt once the machine is silent.
-void Owner::drain_noticed(Machine& m) {
-    const Micros now = context_.host().now();
+void ShardOwner::drain_noticed(Machine& m) {
+    const Micros now = context_.runtime().now();
     const Micros left = std::max<Micros>(m.notice_end - now, 0);
     const auto tasks = m.tasks;
     for (const auto& [job, task] : tasks) {
--- a/src/core/owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Owner: what one controller decides as the holder of a domain. It knows the domain's machines (blocks) and
-// jobs, binds tasks to machines, and follows attempts until they are proven gone. See docs/design.md.
+// ShardOwner: what one controller decides as the holder of a shard. It knows the shard's machines (blocks)
+// and jobs, binds tasks to machines, and follows attempts until they are proven gone. See docs/design.md.
 
 #include <cstdint>
 #include <functional>
@@ -11,86 +11,86 @@
 #include <string>
 #include <vector>
 
-#include "core/host.hpp"
-#include "core/ledger.hpp"
-#include "core/mover.hpp"
-#include "core/planner.hpp"
-#include "peer/messages.hpp"
-#include "recovery/squaring.hpp"
-#include "recovery/startup.hpp"
-#include "replica/jobs.hpp"
-#include "replica/pipelines.hpp"
-#include "replica/plans.hpp"
-#include "settings/settings.hpp"
-#include "state/records.hpp"
-#include "state/store.hpp"
-#include "wire/wire.hpp"
+#include "base/runtime.hpp"
+#include "cache/dependency_graph.hpp"
+#include "cache/job_cache.hpp"
+#include "cache/plan_cache.hpp"
+#include "cluster/peer_messages.hpp"
+#include "config/settings.hpp"
+#include "kvstore/records.hpp"
+#include "kvstore/store_client.hpp"
+#include "protocol/protocol.hpp"
+#include "shard/rebalancer.hpp"
+#include "shard/reconciliation.hpp"
+#include "shard/scheduler.hpp"
+#include "shard/shard_state.hpp"
+#include "shard/startup.hpp"
 
 namespace cottonway {
 
 /// What the owner needs of the controller around it.
-class OwnerContext {
+class ShardContext {
   public:
-    virtual ~OwnerContext() = default;
-    virtual Host& host() = 0;
-    virtual Store& store() = 0;
+    virtual ~ShardContext() = default;
+    virtual Runtime& runtime() = 0;
+    virtual StoreClient& store() = 0;
     virtual const Settings& settings() = 0;
     /// The one in force; it may change at any time.
     virtual const policy::Policy& policy() const = 0;
     virtual const MachineType* machine_type(const std::string& name) = 0;
-    virtual void ousted(const std::string& domain) = 0;
+    virtual void ousted(const std::string& shard) = 0;
     virtual void wake() = 0;
-    /// The domain's stored part of a team's limit, less what is being given away.
-    virtual Resources share(const std::string& domain, const std::string& team) const = 0;
+    /// The shard's stored part of a team's limit, less what is being given away.
+    virtual Resources share(const std::string& shard, const std::string& team) const = 0;
     /// Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs.
     virtual bool within_guarantee(const std::string& ref) = 0;
     /// How the job stands among those that need one another.
-    virtual Standing standing(const std::string& ref) const = 0;
+    virtual DependencyStatus dependency_status(const std::string& ref) const = 0;
     /// Whether all controllers read a format, so that it may be written.
     virtual bool all_read(std::uint64_t format) const = 0;
     /// What our own commit has made final, ahead of the news of it.
-    virtual void settled(const std::string& ref, const Value& value, Revision mark) = 0;
+    virtual void settled(const std::string& ref, const Value& value, Revision mod_revision) = 0;
     /// From when on a peer that is not alive can renew no lease; nothing while it may.
     virtual std::optional<Micros> peer_ended(std::size_t peer) const = 0;
     /// A job that is not over, as the news has told of it; nullptr: of none.
     virtual const LiveJob* stored_job(const std::string& ref) const = 0;
-    /// What a domain has begun and not ended, as last read; nullptr: nothing ever.
-    virtual const PlanBook::Stored* stored_plan(const std::string& domain) const = 0;
-    /// How long no node has come or ended and each domain has had a holder that is alive, as far as the store
+    /// What a shard has begun and not ended, as last read; nullptr: nothing ever.
+    virtual const PlanCache::Stored* stored_plan(const std::string& shard) const = 0;
+    /// How long no node has come or ended and each shard has had a holder that is alive, as far as the store
     /// tells just now; 0: not now.
     virtual Micros steady_for() const = 0;
     /// Whether what is known of the store is fresh enough to renew leases and to start tasks (see
-    /// authority.hpp). Stopping needs no such thing.
-    virtual bool entitled() const = 0;
+    /// lease_validity.hpp). Stopping needs no such thing.
+    virtual bool has_valid_lease() const = 0;
     /// Orders to stop what runs there although its job is over, as far as is known here.
     virtual std::vector<Order> stops_of_what_is_over(const Report& report) const = 0;
 
     enum class MachineEdit { Raise, Retire, RetireNow };
     /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
-    virtual void edit_machine(const std::string& domain, const std::string& machine, MachineEdit edit,
+    virtual void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                               std::function<void(bool)> done) = 0;
 };
 
-class Owner : private Planner::Domain {
+class ShardOwner : private Scheduler::Shard {
   public:
-    Owner(OwnerContext& context, std::string domain, Revision mark, Micros former_authority_end);
-    ~Owner() override;
+    ShardOwner(ShardContext& context, std::string shard, Revision mod_revision, Micros former_authority_end);
+    ~ShardOwner() override;
 
-    const std::string& domain() const { return domain_; }
-    Revision mark() const { return mark_; }
+    const std::string& shard() const { return shard_; }
+    Revision mod_revision() const { return mod_revision_; }
     bool active() const { return active_; }
 
     // Loading: machines, then jobs, then their parts, then activate.
     void on_machine(const Block& block, const Block::Machine& entry);
     void on_machine_gone(const std::string& name, const char* why);
-    void on_job(const std::string& ref, Place place, const Value& value, Revision mark);
+    void on_job(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision);
     /// What stands under c/job/ besides a job's record under c/active/.
     void on_shadow(const std::string& ref, Revision shadow);
-    void on_part(const std::string& ref, std::size_t part, const Value& value, Revision mark);
+    void on_part(const std::string& ref, std::size_t part, const Value& value, Revision mod_revision);
     void activate();
 
     /// Admits a new job, with the first binds of its tasks in the same change where there is room for them.
-    void admit(JobSpec spec, std::int64_t submitted_ms, const Standing& standing,
+    void admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
                std::function<void(const Admission&)> done);
     /// The job stands differently among those that need one another.
     void reconsider(const std::string& ref);
@@ -110,9 +110,9 @@
     /// What follows from time passing; called about ten times a second.
     void tick();
 
-    // For the fleet and for other domains.
-    const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return ledger_.machines; }
-    const std::map<std::string, std::unique_ptr<Job>>& jobs() const { return ledger_.jobs; }
+    // For the fleet and for other shards.
+    const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return shard_state_.machines; }
+    const std::map<std::string, std::unique_ptr<Job>>& jobs() const { return shard_state_.jobs; }
     void retire(const std::string& machine, const char* why);
     Micros silent_for(const Machine& m) const;
     /// For how long it has not reported, or not shown that it hears us.
@@ -122,16 +122,16 @@
     void drain(const std::string& machine, bool on);
     /// Whether everything on it ends by itself before long and could have run elsewhere.
     bool passing(const Machine& m) const;
-    peer::DomainLoad load() const;
+    peer::ShardLoad load() const;
     /// What waits for room, if anything has for a while.
-    std::optional<peer::Want> want() const;
+    std::optional<peer::CapacityRequest> want() const;
     /// What waits for a larger part of a team's limit.
-    const std::map<std::string, Resources>& short_of_share() const { return planner_.short_of_share(); }
-    /// Idle machines that would hold such tasks, for another domain; from here on nothing is bound to them
+    const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.short_of_quota(); }
+    /// Idle machines that would hold such tasks, for another shard; from here on nothing is bound to them
     /// until `keep`.
-    std::vector<std::string> offer(const peer::Want& want);
+    std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& want);
     void keep(const std::vector<std::string>& machines);
-    /// Room in another domain, in thousandths of a core; the idle parts are on machines without any task.
+    /// Room in another shard, in thousandths of a core; the idle parts are on machines without any task.
     struct RoomElsewhere {
         Milli ordinary = 0;
         Milli spot = 0;
@@ -139,62 +139,64 @@
         Milli idle_spot = 0;
     };
     /// Gives away waiting jobs that have never been bound, as many as fit into that room.
-    void rehome(const std::string& to, RoomElsewhere room);
+    void transfer_jobs(const std::string& to, RoomElsewhere room);
     /// What of the team's share neither is in use nor waited for.
-    Resources spare_share(const std::string& team) const;
-    Resources unused_share(const std::string& team) const;
+    Resources spare_quota(const std::string& team) const;
+    Resources unused_quota(const std::string& team) const;
     /// The least that the team's share lacks for one waiting task more, or for a gang: nothing if one will
     /// start without, none if nothing waits.
     std::optional<Resources> short_by(const std::string& team) const;
     /// Machines with tasks that are silent, or don't hear us, for which `peer` has not promised to renew no
     /// leases.
-    std::vector<std::string> to_renounce(std::size_t peer) const;
-    void renounced(std::size_t peer, const std::string& machine, Promise promise);
+    std::vector<std::string> machines_to_relinquish(std::size_t peer) const;
+    void on_relinquished(std::size_t peer, const std::string& machine, LeaseRelinquishment promise);
     Value status() const;
-    const Mover& mover() const { return mover_; }
-    /// Why a job of the domain waits; null if it is none.
+    const Rebalancer& rebalancer() const { return rebalancer_; }
+    /// Why a job of the shard waits; null if it is none.
     Value explain(const std::string& ref) const;
 
   private:
     Value place_in_queue(const Job& job) const;
     Value room_by_zone(const Job& job) const;
-    Value cards_for(const Job& job) const;
+    Value gpus_for(const Job& job) const;
     std::vector<std::string> reasons(const Job& job, const Value& zones) const;
     Value waiting_by_tier() const;
     policy::Tier tier(const Job& job) const { return context_.policy().tier(job.spec, job.rank); }
 
-    std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mark_, m.token); }
-    // Planner::Domain.
+    std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mod_revision_, m.token); }
+    // Scheduler::Shard.
     bool usable(const Machine& m) const override { return !m.draining && bindable(m); }
     bool surplus(const Machine& m) const override { return m.draining && bindable(m); }
     bool bindable(const Machine& m) const;
     void bound(Job& job, int task) override;
     void stop(Slot& slot, Micros grace) override;
-    Resources kept_from(const Job& job, const Machine& m) const override { return mover_.kept_from(job, m); }
-    bool keeps_for(const Job& job) const override { return mover_.keeps_for(job); }
+    Resources kept_from(const Job& job, const Machine& m) const override {
+        return rebalancer_.kept_from(job, m);
+    }
+    bool keeps_for(const Job& job) const override { return rebalancer_.keeps_for(job); }
     const Machine* destination(const Job& job, int task) const override {
-        return mover_.destination(job, task);
+        return rebalancer_.destination(job, task);
     }
 
     bool lease_over(const Machine& m) const;
     /// Whether the job goes on.
     bool wanted(const std::string& ref) const {
-        const Job* job = ledger_.job(ref);
+        const Job* job = shard_state_.job(ref);
         return job && job->stage == Stage::Queued;
     }
     bool over_since(const Machine& m, Micros last) const;
     bool hears(const Machine& m, const Report& r) const;
 
-    void greet(Machine& m, const Report& report, bool is_report);
+    void register_incarnation(Machine& m, const Report& report, bool is_report);
     void suspect(Machine& m);
-    void absorb(Machine& m, const Report& report, bool is_report);
+    void apply_heartbeat(Machine& m, const Report& report, bool is_report);
     void absent(Machine& m, Job& job, int task, const Report& report, bool is_report);
     void exited(Machine& m, Job& job, int task, ExitCause cause);
     void completed(Job& job, int task);
-    void gone(Job& job, int task, Micros retry_in);
+    void on_attempt_terminated(Job& job, int task, Micros retry_in);
     Micros failed(Machine& m, Job& job, Slot& slot);
-    void proved(Job& job);
-    static void blame(Machine& m, const Job& job, Micros now);
+    void on_first_success(Job& job);
+    static void record_failure(Machine& m, const Job& job, Micros now);
     void void_machine(Machine& m, const char* why);
     static bool still_live(const Machine& m, const Slot& slot, const AttemptKey& key);
     static bool may_come(const Machine& m, const AttemptKey& key);
@@ -204,11 +206,11 @@
 
     /// A job as it begins here; `gate_ms`: when its gate opened, if its record tells.
     std::unique_ptr<Job> new_job(JobSpec spec, std::int64_t submitted_ms, std::optional<std::int64_t> gate_ms,
-                                 const Standing& standing);
+                                 const DependencyStatus& dependency_status);
     static void divide(Job& job, std::size_t part_tasks);
-    void take_standing(Job& job, const Standing& standing);
+    void apply_dependency_status(Job& job, const DependencyStatus& dependency_status);
     void open_gate(Job& job);
-    void set_rank(Job& job, Rank rank);
+    void set_rank(Job& job, PriorityClass rank);
     void mark_done(Job& job, int task);
     void set_idle(Job& job, Slot& slot);
     void cancel(Job& job);
@@ -230,20 +232,20 @@
     void flush_jobs();
     void write_part(Job& job, std::size_t part, Priority priority);
     void written(const std::string& ref, std::size_t part, const Value& value, bool final_record,
-                 const std::vector<AttemptKey>& binding, const std::vector<int>& done, Place place,
+                 const std::vector<AttemptKey>& binding, const std::vector<int>& done, RecordLocation place,
                  const CommitResult& result);
     void reload(const std::string& ref, std::size_t part);
     void reload_later(const std::string& ref, std::size_t part);
     void read_record(const std::string& ref, std::size_t part,
-                     std::function<void(const ReadResult&, Place, Revision shadow)> done);
-    void reloaded(const std::string& ref, std::size_t part, const ReadResult& r, Place place,
+                     std::function<void(const ReadResult&, RecordLocation, Revision shadow)> done);
+    void reloaded(const std::string& ref, std::size_t part, const ReadResult& r, RecordLocation place,
                   Revision shadow);
     Value part_value(const Job& job, std::size_t part, bool final_record) const;
-    void adopt_part(Job& job, std::size_t part, const Value& value, Revision mark);
+    void adopt_part(Job& job, std::size_t part, const Value& value, Revision mod_revision);
 
     std::vector<Order> orders_for(Machine& m, bool direct);
     bool probe_due(const Machine& m) const;
-    void poke(Machine& m);
+    void request_dispatch(Machine& m);
     void send_orders();
     void send_to(Machine& m);
     void not_sent(Machine& m, const std::set<AttemptKey>& launched);
@@ -251,16 +253,16 @@
                     std::uint64_t session);
     void raise(Machine& m);
 
-    OwnerContext& context_;
-    std::string domain_;
-    Revision mark_;
+    ShardContext& context_;
+    std::string shard_;
+    Revision mod_revision_;
     Micros former_end_;
     Micros taken_at_;
     bool active_ = false;
     recovery::Startup startup_;
-    Ledger ledger_;
-    Planner planner_;
-    Mover mover_;
+    ShardState shard_state_;
+    Scheduler scheduler_;
+    Rebalancer rebalancer_;
     std::uint64_t next_serial_ = 1;
     std::set<std::string> dirty_;
     std::vector<Condition> left_over_;  // records under c/active/ of jobs that are over, to be dropped
--- a/src/core/ledger.cpp
+++ b/src/shard/shard_state.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.hpp"
+#include "shard/shard_state.hpp"
 
 #include <algorithm>
 
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-Machine* Ledger::machine(const std::string& name) const {
+Machine* ShardState::machine(const std::string& name) const {
     auto it = machines.find(name);
     return it == machines.end() ? nullptr : it->second.get();
 }
 
-Job* Ledger::job(const std::string& ref) const {
+Job* ShardState::job(const std::string& ref) const {
     auto it = jobs.find(ref);
     return it == jobs.end() ? nullptr : it->second.get();
 }
 
-Resources Ledger::used(const std::string& team) const {
+Resources ShardState::used(const std::string& team) const {
     auto it = usage_.find(team);
     return it == usage_.end() ? Resources{} : it->second;
 }
 
-void Ledger::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
+void ShardState::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const int errors = slot.errors;
     slot = Slot{};
@@ -43,25 +43,25 @@
     auto& part = job.part_of(task);
     ++part.binding;
     part.bytes += binding_bytes(m);
-    m.booked += job.spec.need;
-    if (job.rank == Rank::Low) m.idle_work += job.spec.need.cores;
+    m.reserved += job.spec.request;
+    if (job.rank == PriorityClass::Low) m.idle_work += job.spec.request.cores;
     m.tasks.insert({&job, task});
-    usage_[job.spec.team] += job.spec.need;
+    usage_[job.spec.team] += job.spec.request;
     remember_image(m, job, false);
 }
 
-void Ledger::release(Job& job, Slot& slot, Micros listened) {
+void ShardState::release(Job& job, Slot& slot, Micros listened) {
     Machine& m = *slot.machine;
     const auto task = static_cast<int>(&slot - job.slots.data());
     auto& part = job.part_of(task);
     if (slot.state == SlotState::Binding) --part.binding;
     part.bytes -= binding_bytes(m);
-    m.booked -= job.spec.need;
-    if (job.rank == Rank::Low) m.idle_work -= job.spec.need.cores;
+    m.reserved -= job.spec.request;
+    if (job.rank == PriorityClass::Low) m.idle_work -= job.spec.request.cores;
     m.tasks.erase({&job, task});
     forget_fetch(m, job);
     if (m.tasks.empty()) m.idle_since = listened;
-    usage_[job.spec.team] -= job.spec.need;
+    usage_[job.spec.team] -= job.spec.request;
     slot.machine = nullptr;
     slot.state = SlotState::Idle;
     job.first_idle = std::min(job.first_idle, static_cast<std::size_t>(task));
@@ -70,18 +70,18 @@
     ++job.idle;
 }
 
-void Ledger::add_stray(Machine& m, const ReportedTask& t) {
-    m.strays.push_back(t);
-    ++stray_tasks_[{t.job, t.task}];
+void ShardState::add_orphaned_task(Machine& m, const ReportedTask& t) {
+    m.orphaned_tasks.push_back(t);
+    ++orphaned_task_counts_[{t.job, t.task}];
 }
 
-void Ledger::forget_strays(Machine& m) {
-    for (const auto& s : m.strays)
-        if (--stray_tasks_[{s.job, s.task}] <= 0) stray_tasks_.erase({s.job, s.task});
-    m.strays.clear();
+void ShardState::forget_orphaned_tasks(Machine& m) {
+    for (const auto& s : m.orphaned_tasks)
+        if (--orphaned_task_counts_[{s.job, s.task}] <= 0) orphaned_task_counts_.erase({s.job, s.task});
+    m.orphaned_tasks.clear();
 }
 
-void Ledger::remember_image(Machine& m, const Job& job, bool ready) {
+void ShardState::remember_image(Machine& m, const Job& job, bool ready) {
     auto known = std::find_if(m.images.begin(), m.images.end(),
                               [&](const Machine::Image& i) { return i.name == job.spec.image; });
     if (known != m.images.end()) {
@@ -99,7 +99,7 @@
 }
 
 /// A fetch is given up once no task waits for it any more.
-void Ledger::forget_fetch(Machine& m, const Job& job) {
+void ShardState::forget_fetch(Machine& m, const Job& job) {
     const bool waited_for = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& t) {
         return t.job->spec.image == job.spec.image;
     });
--- a/src/core/ledger.hpp
+++ b/src/shard/shard_state.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The books of a domain: its machines and jobs, what is bound where, and what each team uses. Every bind and
+// The books of a shard: its machines and jobs, what is bound where, and what each team uses. Every bind and
 // its end goes through here, so that the sums agree. It decides nothing and knows no clock.
 
 #include <map>
@@ -7,12 +7,12 @@
 #include <string>
 #include <utility>
 
-#include "core/job.hpp"
-#include "core/machine.hpp"
+#include "shard/job.hpp"
+#include "shard/machine.hpp"
 
 namespace cottonway {
 
-class Ledger {
+class ShardState {
   public:
     std::map<std::string, std::unique_ptr<Machine>> machines;
     std::map<std::string, std::unique_ptr<Job>> jobs;
@@ -29,9 +29,11 @@
     void release(Job& job, Slot& slot, Micros listened);
 
     /// A task that runs on a machine although it should not; it must not start elsewhere until it is gone.
-    void add_stray(Machine& m, const ReportedTask& t);
-    void forget_strays(Machine& m);
-    bool strays(const std::string& job, int task) const { return stray_tasks_.count({job, task}) > 0; }
+    void add_orphaned_task(Machine& m, const ReportedTask& t);
+    void forget_orphaned_tasks(Machine& m);
+    bool orphaned_tasks(const std::string& job, int task) const {
+        return orphaned_task_counts_.count({job, task}) > 0;
+    }
 
     /// The machine has the image from now on, or fetches it: then others that need the same had better wait
     /// for that one fetch than start another elsewhere.
@@ -41,7 +43,7 @@
     static void forget_fetch(Machine& m, const Job& job);
 
     std::map<std::string, Resources> usage_;  // by team
-    std::map<std::pair<std::string, int>, int> stray_tasks_;
+    std::map<std::pair<std::string, int>, int> orphaned_task_counts_;
 };
 
 }  // namespace cottonway
--- a/src/recovery/startup.cpp
+++ b/src/shard/startup.cpp
@@ -1,4 +1,4 @@
-#include "recovery/startup.hpp"
+#include "shard/startup.hpp"
 
 #include <fmt/format.h>
 
@@ -28,13 +28,13 @@
     if (heard_.size() >= machines_) all_heard_after_ = now - began_;
 }
 
-void Startup::squared(Verdict v, bool foreign) {
+void Startup::reconciled(ReconcileAction v, bool foreign) {
     if (!open()) return;
-    runs_ += v == Verdict::Runs && foreign;
-    ended_ += v == Verdict::Ended && foreign;
-    gone_ += v == Verdict::Gone && foreign;
-    results_ += v == Verdict::Result;
-    strays_ += v == Verdict::Stray;
+    runs_ += v == ReconcileAction::Runs && foreign;
+    ended_ += v == ReconcileAction::Ended && foreign;
+    gone_ += v == ReconcileAction::Gone && foreign;
+    results_ += v == ReconcileAction::Result;
+    orphaned_tasks_ += v == ReconcileAction::Stray;
 }
 
 void Startup::ordered(OrderKind kind, bool again) {
@@ -56,7 +56,7 @@
 
 std::string Startup::line(Micros now) {
     if (!open() || (now - began_ < kSumUpAfter && all_heard_after_ < 0)) return "";
-    // Orders for what has just been squared are still to come.
+    // Orders for what has just been reconciled are still to come.
     if (all_heard_after_ >= 0 && now - began_ < all_heard_after_ + kSecond) return "";
     told_ = true;
     return fmt::format(
@@ -66,7 +66,7 @@
         "{} "
         "launches, {} stops, {} clears, {} of them once more; first bind {} of waiting",
         taken_ / kMillisecond, jobs_, inherited_, heard_.size(), machines_, after(all_heard_after_), runs_,
-        ended_, gone_, results_, strays_, orders_[0], orders_[1], orders_[2], again_,
+        ended_, gone_, results_, orphaned_tasks_, orders_[0], orders_[1], orders_[2], again_,
         after(first_bind_after_));
 }
 
@@ -82,7 +82,7 @@
             {"ended", ended_},
             {"gone", gone_},
             {"results", results_},
-            {"strays", strays_},
+            {"strays", orphaned_tasks_},
             {"launches", orders_[0]},
             {"stops", orders_[1]},
             {"clears", orders_[2]},
--- a/src/recovery/startup.hpp
+++ b/src/shard/startup.hpp
@@ -1,23 +1,23 @@
 #pragma once
-// What it took a domain to start: read, heard, squared, ordered, and when. One line in the log once all of
-// its machines are heard or ten seconds have passed, and in `status` for as long as the domain is held.
+// What it took a shard to start: read, heard, reconciled, ordered, and when. One line in the log once all of
+// its machines are heard or ten seconds have passed, and in `status` for as long as the shard is held.
 
 #include <array>
 #include <cstddef>
 #include <set>
 #include <string>
 
-#include "recovery/squaring.hpp"
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
+#include "shard/reconciliation.hpp"
 
 namespace cottonway::recovery {
 
 class Startup {
   public:
-    /// The domain is active, `taken` microseconds after it was acquired.
+    /// The shard is active, `taken` microseconds after it was acquired.
     void began(Micros now, Micros taken, std::size_t jobs, std::size_t machines, std::size_t bound);
     void heard(const std::string& machine, Micros now);
-    void squared(Verdict v, bool foreign);
+    void reconciled(ReconcileAction v, bool foreign);
     /// `again`: the same had been sent before.
     void ordered(OrderKind kind, bool again);
     /// Whether work waits, at each planning pass; and the first bind after that.
@@ -37,7 +37,7 @@
     Micros all_heard_after_ = -1;  // -1: not yet
     Micros waits_since_ = 0;       // without a break, 0: nothing waits
     Micros first_bind_after_ = -1;
-    std::size_t runs_ = 0, ended_ = 0, results_ = 0, gone_ = 0, strays_ = 0;
+    std::size_t runs_ = 0, ended_ = 0, results_ = 0, gone_ = 0, orphaned_tasks_ = 0;
     std::array<std::size_t, 3> orders_{};  // by kind
     std::size_t again_ = 0;
     bool told_ = false;
--- a/src/lab/acceptance.cpp
+++ b/src/simulation/acceptance_checker.cpp
@@ -1,10 +1,10 @@
-#include "lab/acceptance.hpp"
+#include "simulation/acceptance_checker.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 namespace {
 
@@ -15,8 +15,8 @@
 /// Tasks that a limit allows at once.
 int at_once(const JobSpec& job, const Resources& limit) {
     Milli most = job.tasks;
-    if (job.need.cores > 0) most = std::min(most, limit.cores / job.need.cores);
-    if (job.need.cards > 0) most = std::min(most, limit.cards / job.need.cards);
+    if (job.request.cores > 0) most = std::min(most, limit.cores / job.request.cores);
+    if (job.request.gpus > 0) most = std::min(most, limit.gpus / job.request.gpus);
     return static_cast<int>(std::max<Milli>(most, 1));
 }
 
@@ -103,4 +103,4 @@
     for (const auto& line : other.broken) broken.push_back(run + line);
 }
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/acceptance.hpp
+++ b/src/simulation/acceptance_checker.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/waiting.hpp"
-#include "settings/settings.hpp"
-#include "wire/wire.hpp"
+#include "config/settings.hpp"
+#include "protocol/protocol.hpp"
+#include "simulation/starvation_checker.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 /// Accepted jobs get an answered poll at least this often once all troubles are over.
 constexpr Micros kAnsweredWithin = 75 * kSecond;
@@ -27,18 +27,18 @@
     JobSpec spec;
     Micros run = 0;  // of a task, with its fetch
     Micros accepted = 0;
-    Micros begun = -1;                 // the first task is on a machine
-    Micros all_begun = -1;             // every task has been on one
-    Micros done = -1;                  // the last task has completed
-    bool left_out = false;             // its user cancelled it, or submitted it with a mistake
-    Micros unanswered = 0;             // longest time without an answered poll since all troubles were over
-    LeftWaiting::Wait left_waiting{};  // the same, that it could have started
+    Micros begun = -1;      // the first task is on a machine
+    Micros all_begun = -1;  // every task has been on one
+    Micros done = -1;       // the last task has completed
+    bool left_out = false;  // its user cancelled it, or submitted it with a mistake
+    Micros unanswered = 0;  // longest time without an answered poll since all troubles were over
+    StarvationChecker::Wait left_waiting{};  // the same, that it could have started
 
     /// How long after its acceptance it has to be served: its run time for each time that the team's limit
     /// allows another part of an array, and kBegunWithin.
     Micros bound(const std::vector<Team>& teams) const;
     bool served(const std::vector<Team>& teams) const;
-    double size() const { return static_cast<double>(spec.need.cores) * spec.tasks; }
+    double size() const { return static_cast<double>(spec.request.cores) * spec.tasks; }
 };
 
 struct Share {
@@ -60,4 +60,4 @@
 
 Acceptance judge(const std::vector<Fate>& fates, const std::vector<Team>& teams, Micros end);
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/looks.cpp
+++ b/src/simulation/consistency_checker.cpp
@@ -1,10 +1,11 @@
-#include "lab/looks.hpp"
+#include "simulation/consistency_checker.hpp"
 
 #include <fmt/format.h>
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
-std::vector<std::string> Looks::hear(const std::string& ref, const Answer& a, const Truth& truth) {
+std::vector<std::string> ConsistencyChecker::hear(const std::string& ref, const Answer& a,
+                                                  const Truth& truth) {
     std::vector<std::string> broken;
     auto breach = [&](const char* rule, const std::string& what) {
         broken.push_back(fmt::format("{}: {} {}", rule, ref, what));
@@ -46,4 +47,4 @@
     return broken;
 }
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/looks.hpp
+++ b/src/simulation/consistency_checker.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 enum class Asked { State, Submission, Cancellation };
 
@@ -20,14 +20,14 @@
 
 struct Answer {
     Asked asked = Asked::State;
-    std::uint64_t begun = 0;  // the request: see Looks::begin
+    std::uint64_t begun = 0;  // the request: see ConsistencyChecker::begin
     int status = 0;
     std::string stage;
     /// Of a submission: whether what was sent may be accepted.
     bool right = true;
 };
 
-class Looks {
+class ConsistencyChecker {
   public:
     /// A moment later than all before, for a request that begins now.
     std::uint64_t begin() { return ++moment_; }
@@ -49,4 +49,4 @@
     std::size_t heard_ = 0, after_acceptance_ = 0, after_end_ = 0;
 };
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/experiment.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,13 +1,13 @@
-#include "lab/experiment.hpp"
+#include "simulation/scenario.hpp"
 
 #include <fmt/format.h>
 
 #include <set>
 
-#include "log/log.hpp"
-#include "settings/table.hpp"
+#include "config/table.hpp"
+#include "logging/log.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 namespace {
 
@@ -51,12 +51,12 @@
     j.kind =
         one_of<JobKind>("load.kind", x.text("kind", "array"),
                         {{"array", JobKind::Array}, {"gang", JobKind::Gang}, {"service", JobKind::Service}});
-    j.rank = one_of<Rank>("load.rank", x.text("rank", "normal"),
-                          {{"production", Rank::Production},
-                           {"high", Rank::High},
-                           {"normal", Rank::Normal},
-                           {"low", Rank::Low}});
-    j.need = {x.milli("cores", 1), x.milli("cards", 0), x.milli("ram_gb", 2)};
+    j.rank = one_of<PriorityClass>("load.rank", x.text("rank", "normal"),
+                                   {{"production", PriorityClass::Production},
+                                    {"high", PriorityClass::High},
+                                    {"normal", PriorityClass::Normal},
+                                    {"low", PriorityClass::Low}});
+    j.request = {x.milli("cores", 1), x.milli("cards", 0), x.milli("ram_gb", 2)};
     j.spot = x.flag("spot");
     j.spread = x.flag("spread");
     j.one_zone = x.flag("one_zone");
@@ -125,12 +125,12 @@
         f.commands = x.flag("commands");
     } else if (f.kind == "late_writes") {
         f.at_once = x.flag("at_once");
-        f.late = f.at_once ? 0 : World::kLatestWrite;
+        f.late = f.at_once ? 0 : Simulator::kLatestWrite;
     } else if (f.kind == "late_reports") {
         f.for_next = x.flag("for_next");
-        f.late = f.for_next ? 0 : World::latest_report(e.settings.lease);
+        f.late = f.for_next ? 0 : Simulator::latest_report(e.settings.lease);
     } else if (f.kind == "late_commands") {
-        f.late = World::kLatestCommand;
+        f.late = Simulator::kLatestCommand;
     } else if (f.kind == "slow_state") {
         f.late = x.seconds("late_s", 0.5);
     } else if (f.kind == "cancel_now") {
@@ -173,7 +173,7 @@
     return at + every * (times - 1) + span + apart * (node < 0 && who == Who::Node ? nodes - 1 : 0) + late;
 }
 
-Micros Experiment::calm() const {
+Micros Experiment::faults_end() const {
     Micros last = 0;
     for (const auto& f : faults) last = std::max(last, f.over(controllers));
     return last;
@@ -220,7 +220,7 @@
     });
     t.rows("load", [&](Table& x) { load_load(x, e); });
     t.rows("fault", [&](Table& x) { e.faults.push_back(load_fault(x, e)); });
-    if (e.acceptance && !e.faults.empty() && e.duration < e.calm() + kAnsweredWithin + 5 * kSecond)
+    if (e.acceptance && !e.faults.empty() && e.duration < e.faults_end() + kAnsweredWithin + 5 * kSecond)
         fail("duration_s", "must leave 80 s after the last fault, or set acceptance = false");
     if (!policy_file.empty())
         e.settings.ops.policy =
@@ -388,7 +388,7 @@
 /// Watches what controllers do, from outside.
 class Watcher {
   public:
-    Watcher(World& w, Results& into)
+    Watcher(Simulator& w, Results& into)
         : w_(w), into_(into), active_(static_cast<std::size_t>(w.node_count())) {}
 
     void ended(int node, Micros back) { back_at_[node] = w_.now() + back; }
@@ -401,7 +401,7 @@
                 continue;
             }
             for (const auto& [name, o] : c->owners()) {
-                if (!o || !o->active() || !active.insert({name, o->mark()}).second) continue;
+                if (!o || !o->active() || !active.insert({name, o->mod_revision()}).second) continue;
                 if (auto back = back_at_.find(i); back != back_at_.end() && o->machines().size() > 0)
                     into_.to_active.add(w_.now() - back->second);
             }
@@ -414,7 +414,7 @@
             if (!c) continue;
             for (const auto& [name, o] : c->owners()) {
                 if (!o || !o->active() || o->machines().empty() ||
-                    !collected.insert({name, o->mark()}).second)
+                    !collected.insert({name, o->mod_revision()}).second)
                     continue;
                 const Value s = o->status()["start"];
                 into_.launches += s["launches"].get<std::size_t>();
@@ -427,14 +427,14 @@
     }
 
   private:
-    World& w_;
+    Simulator& w_;
     Results& into_;
     std::vector<std::set<std::pair<std::string, Revision>>> active_;
     std::map<int, Micros> back_at_;
 };
 
 /// The nodes that it hits: where nobody leads or holds a machine, one is drawn.
-std::vector<int> nodes_of(World& w, const Fault& f) {
+std::vector<int> nodes_of(Simulator& w, const Fault& f) {
     int one = f.who == Fault::Who::Leader ? w.leader() : f.who == Fault::Who::Busiest ? w.busiest() : f.node;
     if (one < 0 && f.who != Fault::Who::Node)
         one = static_cast<int>(w.random() % static_cast<std::uint64_t>(w.node_count()));
@@ -445,7 +445,7 @@
 }
 
 /// The machines that it hits.
-std::vector<std::string> machines_of(World& w, const Fault& f) {
+std::vector<std::string> machines_of(Simulator& w, const Fault& f) {
     auto names = w.machine_names();
     if (kOfMachines.count(f.kind))
         std::erase_if(names, [&](const auto& m) { return !f.zone.empty() && w.worker(m)->zone() != f.zone; });
@@ -458,7 +458,7 @@
     return names;
 }
 
-void begin_fault(World& w, const Fault& f, Watcher& watcher, Results& into) {
+void begin_fault(Simulator& w, const Fault& f, Watcher& watcher, Results& into) {
     const std::vector<int> nodes = nodes_of(w, f);
     const std::vector<std::string> names = machines_of(w, f);
     auto host = [](int i) { return "loom-" + std::to_string(i); };
@@ -570,8 +570,8 @@
 }  // namespace
 
 void play(const Experiment& e, std::uint64_t seed, Results& into) {
-    World w(seed, e.settings, e.types);
-    standin::add_history(w.state(), e.history);
+    Simulator w(seed, e.settings, e.types);
+    fakes::add_history(w.state(), e.history);
     for (const auto& m : e.machines)
         for (int i = 0; i < m.count; ++i) w.add_machine(m.type, m.zone, m.spot);
     w.cloud().capacity = e.capacity;
@@ -603,7 +603,7 @@
     for (const auto& f : e.faults)
         for (int n = 0; n < f.times; ++n)
             w.at(f.at + n * f.every, [&w, &f, &watcher, &into] { begin_fault(w, f, watcher, into); });
-    w.at(e.calm(), [&w] { w.calm(); });
+    w.at(e.faults_end(), [&w] { w.quiesce(); });
     std::set<std::pair<std::string, Revision>> collected;
     for (Micros t = 0; t < e.duration; t += 20 * kMillisecond) w.at(t, [&] { watcher.look(); });
     // Twelve seconds after each end, when starts have summed themselves up, and at the very end.
@@ -636,4 +636,4 @@
     for (const auto& [name, t] : w.gaps()) into.gaps[name].add(t);
 }
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/experiment.hpp
+++ b/src/simulation/scenario.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 /// Jobs of a class, as they come.
 struct Load {
@@ -85,7 +85,7 @@
     /// Throws std::runtime_error with one line that names the key and the reason.
     static Experiment load(const std::string& path);
     /// When all troubles are over.
-    Micros calm() const;
+    Micros faults_end() const;
 };
 
 /// Microseconds, from a millisecond to ten minutes, for percentiles.
@@ -114,10 +114,10 @@
     std::map<std::string, Times> waits;   // by class: from acceptance to each task's first start
     std::map<std::string, Share> in_aim;  // by class: tasks that started within its wait aim
     std::map<std::string, Times> gaps;    // by class: time without a replica that started again
-    Times to_active;            // of domains: from the return of their process, or the end of another
+    Times to_active;            // of shards: from the return of their process, or the end of another
     Times to_first_bind;        // from active
-    std::size_t most_held = 0;  // domains with machines at one node, 2 s after all were back
-    std::size_t launches = 0, stops = 0, orders_again = 0;  // in the first ten seconds of domains
+    std::size_t most_held = 0;  // shards with machines at one node, 2 s after all were back
+    std::size_t launches = 0, stops = 0, orders_again = 0;  // in the first ten seconds of shards
     std::size_t requests_of_starts = 0;  // to the store, of all nodes in the 2 s after all were back
     std::size_t starts_of_all = 0;
     std::map<std::string, std::uint64_t> changes;  // by purpose
@@ -133,4 +133,4 @@
 /// Plays one seed and adds what it shows.
 void play(const Experiment& e, std::uint64_t seed, Results& into);
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/world.cpp
+++ b/src/simulation/simulator.cpp
@@ -1,15 +1,15 @@
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
-using standin::JobInfo;
-using standin::Worker;
+using fakes::JobInfo;
+using fakes::Worker;
 
 namespace {
 std::pair<std::string, std::string> link(const std::string& a, const std::string& b) {
@@ -47,28 +47,28 @@
 }
 
 /// A node's host: its clock drifts, and what it started dies with its process.
-class World::NodeHost : public Host, public std::enable_shared_from_this<NodeHost> {
+class Simulator::NodeHost : public Runtime, public std::enable_shared_from_this<NodeHost> {
   public:
-    NodeHost(World& world, int index, std::uint64_t seed)
-        : world_(world), index_(index), name_("loom-" + std::to_string(index)), random_(seed) {
+    NodeHost(Simulator& simulator, int index, std::uint64_t seed)
+        : simulator_(simulator), index_(index), name_("loom-" + std::to_string(index)), random_(seed) {
         drift_ppm_ = static_cast<Micros>(random_() % 500);
         offset_ = static_cast<Micros>(random_() % 1'000'000'000) + kSecond;
     }
-    Micros now() override { return offset_ + world_.now_ + world_.now_ / 1'000'000 * drift_ppm_; }
+    Micros now() override { return offset_ + simulator_.now_ + simulator_.now_ / 1'000'000 * drift_ppm_; }
     Micros listened() override {
         clock_.turn(now());
         return clock_.now();
     }
-    std::int64_t wall_ms() override { return 1'790'000'000'000 + world_.now_ / kMillisecond; }
+    std::int64_t wall_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
-        world_.at(world_.now_ + std::max<Micros>(delay, 0),
-                  [self = shared_from_this(), run = std::move(run)] { self->take(run, true); });
+        simulator_.at(simulator_.now_ + std::max<Micros>(delay, 0),
+                      [self = shared_from_this(), run = std::move(run)] { self->take(run, true); });
     }
     /// Runs in this process, if it has not ended meanwhile.
     void take(std::function<void()> what, bool timer) {
         if (!alive) return;
-        world_.hand(
+        simulator_.hand(
             index_,
             [self = shared_from_this(), what = std::move(what)] {
                 if (!self->alive) return;
@@ -78,9 +78,9 @@
             timer);
     }
     void call(Call call, ReplyHandler done) override {
-        if (world_.on_traffic)
-            world_.on_traffic(name_, call.method + " " + call.path,
-                              call.body.is_null() ? call.bytes : wire::encode(call.body));
+        if (simulator_.on_traffic)
+            simulator_.on_traffic(name_, call.method + " " + call.path,
+                                  call.body.is_null() ? call.bytes : wire::encode(call.body));
         auto pending = std::make_shared<Pending>();
         auto finish = [self = shared_from_this(), pending, done = std::move(done)](const Reply& r) {
             self->take(
@@ -89,29 +89,30 @@
                 },
                 false);
         };
-        give_up(listened() + call.timeout, pending, finish);
+        release_shard(listened() + call.timeout, pending, finish);
         std::string to = call.target == Target::State ? "state" : call.target == Target::Cloud ? "cloud" : "";
         if (call.target == Target::Worker)
-            if (auto at = world_.by_addr_.find(call.addr);
-                at != world_.by_addr_.end() && world_.worker(at->second))
+            if (auto at = simulator_.by_addr_.find(call.addr);
+                at != simulator_.by_addr_.end() && simulator_.worker(at->second))
                 to = at->second;
         if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.addr.substr(7)) - 1);
         auto back = [self = shared_from_this(), to, finish](Reply r) {
-            self->world_.send(to, self->name_, [finish, r = std::move(r)] { finish(r); });
+            self->simulator_.send(to, self->name_, [finish, r = std::move(r)] { finish(r); });
         };
         auto send = [self = shared_from_this(), call, to, back] {
-            self->world_.send(self->name_, to, [self, call, to, back] { self->arrive(call, to, back); });
+            self->simulator_.send(self->name_, to, [self, call, to, back] { self->arrive(call, to, back); });
         };
         if (call.target != Target::Worker && call.target != Target::Peer) return send();
         // A connection first: one that does not come about in time has carried nothing.
-        const bool refused = call.target == Target::Peer && !world_.node(std::stoi(to.substr(5)));
-        if (to.empty() || refused || world_.is_cut(name_, to)) {
-            world_.at(world_.now_ + (refused ? kMillisecond : std::min(call.timeout, kSecond)), [finish] {
-                finish(Reply{kNotSent, {}});
-            });
+        const bool refused = call.target == Target::Peer && !simulator_.node(std::stoi(to.substr(5)));
+        if (to.empty() || refused || simulator_.is_cut(name_, to)) {
+            simulator_.at(simulator_.now_ + (refused ? kMillisecond : std::min(call.timeout, kSecond)),
+                          [finish] {
+                              finish(Reply{kNotSent, {}});
+                          });
             return;
         }
-        world_.at(world_.now_ + world_.delay(), send);
+        simulator_.at(simulator_.now_ + simulator_.delay(), send);
     }
     bool alive = true;
 
@@ -120,17 +121,17 @@
         bool over = false;
     };
     /// Time-outs go by the time spent listening.
-    void give_up(Micros deadline, const std::shared_ptr<Pending>& pending,
-                 const std::function<void(const Reply&)>& finish) {
+    void release_shard(Micros deadline, const std::shared_ptr<Pending>& pending,
+                       const std::function<void(const Reply&)>& finish) {
         after(std::max<Micros>(deadline - listened(), kMillisecond),
               [self = shared_from_this(), deadline, pending, finish] {
                   if (pending->over) return;
-                  if (self->listened() < deadline) return self->give_up(deadline, pending, finish);
+                  if (self->listened() < deadline) return self->release_shard(deadline, pending, finish);
                   finish(Reply{});
               });
     }
     void arrive(const Call& call, const std::string& to, const std::function<void(Reply)>& back) {
-        World& w = world_;
+        Simulator& w = simulator_;
         // Bodies go through the codec, as they would on the wire.
         const Value body =
             call.body.is_null() ? Value() : wire::decode(wire::encode(call.body)).value_or(Value());
@@ -138,8 +139,7 @@
             ++w.nodes_[static_cast<std::size_t>(index_)].state_requests;
             if (w.nodes_[static_cast<std::size_t>(index_)].refused) return back(Reply{503, Value::object()});
             if (call.path.compare(0, 8, "/changes") == 0)
-                return wait_for_change(call.path, w.now_ + standin::StateService::block_time(call.path),
-                                       back);
+                return wait_for_change(call.path, w.now_ + fakes::StateService::block_time(call.path), back);
             if (call.method != "GET")
                 w.repeat([&w, call, body] { w.state_.handle(call.method, call.path, body, w.now_); });
             if (const auto late = call.path == "/commit" ? w.lateness(body) : std::nullopt)
@@ -192,16 +192,16 @@
             execute();
     }
     void wait_for_change(const std::string& path, Micros until, const std::function<void(Reply)>& back) {
-        const bool refused = world_.nodes_[static_cast<std::size_t>(index_)].refused;
-        auto reply = refused ? std::nullopt : world_.state_.watch(path, world_.now_ >= until);
+        const bool refused = simulator_.nodes_[static_cast<std::size_t>(index_)].refused;
+        auto reply = refused ? std::nullopt : simulator_.state_.watch(path, simulator_.now_ >= until);
         if (reply) return back(*reply);
-        if (world_.now_ > until + 60 * kSecond) return;
-        world_.at(world_.now_ + 10 * kMillisecond, [self = shared_from_this(), path, until, back] {
+        if (simulator_.now_ > until + 60 * kSecond) return;
+        simulator_.at(simulator_.now_ + 10 * kMillisecond, [self = shared_from_this(), path, until, back] {
             if (self->alive) self->wait_for_change(path, until, back);
         });
     }
 
-    World& world_;
+    Simulator& simulator_;
     int index_;
     std::string name_;
     std::mt19937_64 random_;
@@ -210,7 +210,7 @@
     ListeningClock clock_;
 };
 
-World::World(std::uint64_t seed, Settings s, std::vector<MachineType> types)
+Simulator::Simulator(std::uint64_t seed, Settings s, std::vector<MachineType> types)
     : settings(std::move(s)), random(seed), cloud_(std::move(types)) {
     // WORLD_LOG=1 prints the trace and the controllers' own log lines as they come.
     spdlog::set_level(std::getenv("WORLD_LOG") ? spdlog::level::info : spdlog::level::off);
@@ -219,7 +219,7 @@
     at(0, [this] { tick(); });
 }
 
-World::~World() {
+Simulator::~Simulator() {
     for (auto& n : nodes_) {
         if (n.host) n.host->alive = false;
         n.controller.reset();
@@ -228,11 +228,11 @@
     workers_.clear();  // they still tell what leaves them
 }
 
-void World::at(Micros when, std::function<void()> what) {
+void Simulator::at(Micros when, std::function<void()> what) {
     events_[{std::max(when, now_), ++order_}] = std::move(what);
 }
 
-void World::run(Micros span) {
+void Simulator::run(Micros span) {
     const Micros end = now_ + span;
     while (!events_.empty() && events_.begin()->first.first <= end) {
         auto event = events_.extract(events_.begin());
@@ -242,11 +242,11 @@
     now_ = end;
 }
 
-Micros World::delay() {
+Micros Simulator::delay() {
     return 500 + static_cast<Micros>(random() % 4500) + (slow_links > 0 ? between(0, slow_links) : 0);
 }
 
-void World::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
+void Simulator::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
     if (hold_next_.erase({from, to})) {
         note("a message from " + from + " to " + to + " is kept back");
         kept_back_.push_back(std::move(deliver));
@@ -262,7 +262,7 @@
     at(now_ + delay() + slow, std::move(deliver));
 }
 
-std::optional<Micros> World::lateness(const Value& transaction) {
+std::optional<Micros> Simulator::lateness(const Value& transaction) {
     const Value* then = wire::find(transaction, "then");
     for (auto it = late_next_.begin(); then && it != late_next_.end(); ++it) {
         const auto& [prefix, late] = *it;
@@ -282,7 +282,7 @@
     return std::nullopt;
 }
 
-void World::watch_leader() {
+void Simulator::watch_leader() {
     const Reply r = state_.handle("GET", "/store/c/leader", Value(), now_);
     const Value* data = r.status == 200 ? wire::find(r.body, "data") : nullptr;
     const std::string node = data ? wire::text(*data, "node").value_or("") : "";
@@ -298,17 +298,17 @@
             });
 }
 
-void World::repeat(std::function<void()> again) {
+void Simulator::repeat(std::function<void()> again) {
     if (drawn(repeats)) at(now_ + between(0, repeat_late), std::move(again));
 }
 
-void World::hand(int i, std::function<void()> what, bool timer) {
+void Simulator::hand(int i, std::function<void()> what, bool timer) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     if (!n.frozen) return what();
     (timer ? n.due : n.unread).push_back(std::move(what));
 }
 
-void World::freeze(int i, Micros span) {
+void Simulator::freeze(int i, Micros span) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     if (!n.controller || n.frozen) return;
     note("loom-" + std::to_string(i) + " stands still for " + std::to_string(span / kMillisecond) + " ms");
@@ -323,21 +323,21 @@
     });
 }
 
-void World::cut_one_way(const std::string& from, const std::string& to) {
+void Simulator::cut_one_way(const std::string& from, const std::string& to) {
     note("nothing passes from " + from + " to " + to);
     one_way_.insert({from, to});
 }
 
-void World::cut(const std::string& a, const std::string& b) {
+void Simulator::cut(const std::string& a, const std::string& b) {
     note("cut between " + a + " and " + b);
     cuts_.insert(link(a, b));
 }
 
-void World::heal(const std::string& a, const std::string& b) {
+void Simulator::heal(const std::string& a, const std::string& b) {
     heal({{a, b}});
 }
 
-void World::heal(const std::vector<std::pair<std::string, std::string>>& links) {
+void Simulator::heal(const std::vector<std::pair<std::string, std::string>>& links) {
     std::set<std::pair<std::string, std::string>> healed;
     for (const auto& [a, b] : links) {
         note("healed between " + a + " and " + b);
@@ -355,7 +355,7 @@
     }
 }
 
-void World::lose_zone(const std::string& zone, bool ends) {
+void Simulator::lose_zone(const std::string& zone, bool ends) {
     if (lost_zones_.count(zone)) return;
     note("zone " + zone + (ends ? " ends" : " is cut off"));
     LostZone& lost = lost_zones_[zone];
@@ -382,7 +382,7 @@
             }
 }
 
-void World::zone_back(const std::string& zone) {
+void Simulator::zone_back(const std::string& zone) {
     auto lost = lost_zones_.extract(zone);
     if (!lost) return;
     note("zone " + zone + " is back");
@@ -395,26 +395,26 @@
         }
 }
 
-void World::heal_all() {
+void Simulator::heal_all() {
     for (const auto& [a, b] : std::set(cuts_)) heal(a, b);
     for (const auto& [a, b] : std::set(one_way_)) heal(a, b);
 }
 
-void World::hold_next(const std::string& from, const std::string& to) {
+void Simulator::hold_next(const std::string& from, const std::string& to) {
     hold_next_.insert({from, to});
 }
 
-void World::release() {
+void Simulator::release() {
     note("what was kept back arrives");
     for (auto& deliver : std::exchange(kept_back_, {})) at(now_ + delay(), std::move(deliver));
 }
 
-void World::refuse(int i, bool on) {
+void Simulator::refuse(int i, bool on) {
     note("state service " + std::string(on ? "refuses" : "serves") + " loom-" + std::to_string(i));
     nodes_[static_cast<std::size_t>(i)].refused = on;
 }
 
-void World::cut_off(int i, bool on) {
+void Simulator::cut_off(int i, bool on) {
     std::vector<std::pair<std::string, std::string>> links;
     const std::string host = "loom-" + std::to_string(i);
     links.emplace_back(host, "state");
@@ -424,26 +424,26 @@
     for (const auto& [a, b] : links) cut(a, b);
 }
 
-void World::deafen(const std::string& machine, bool on) {
+void Simulator::deafen(const std::string& machine, bool on) {
     note("machine " + machine + (on ? " is deaf" : " hears again"));
     workers_[machine].deaf = on;
 }
 
-void World::mute(const std::string& machine, bool on) {
+void Simulator::mute(const std::string& machine, bool on) {
     note("machine " + machine + (on ? " reaches no controller" : " reaches controllers again"));
     workers_[machine].mute = on;
 }
 
 // ---------------------------------------------------------------- nodes and machines
 
-void World::start_nodes(int count, std::set<int> old) {
+void Simulator::start_nodes(int count, std::set<int> old) {
     nodes_.resize(static_cast<std::size_t>(count));
     for (int i : old) nodes_[static_cast<std::size_t>(i)].old = true;
     state_.limits = {settings.value_bytes_now, std::max<std::size_t>(settings.txn_ops, 8), 0};
     for (int i = 0; i < count; ++i) start_node(i);
 }
 
-void World::start_node(int i) {
+void Simulator::start_node(int i) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     Settings s = settings;
     s.node = "loom-" + std::to_string(i);
@@ -459,13 +459,13 @@
     n.controller->start();
 }
 
-void World::upgrade(int i, Micros back_after) {
+void Simulator::upgrade(int i, Micros back_after) {
     note("loom-" + std::to_string(i) + " is brought up to date");
     nodes_[static_cast<std::size_t>(i)].old = false;
     crash(i, back_after);
 }
 
-void World::crash(int i, Micros back_after) {
+void Simulator::crash(int i, Micros back_after) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     if (!n.controller) return;
     note("loom-" + std::to_string(i) + " ends");
@@ -482,19 +482,19 @@
     });
 }
 
-int World::leader() const {
+int Simulator::leader() const {
     for (int i = 0; i < node_count(); ++i)
         if (const auto& c = nodes_[static_cast<std::size_t>(i)].controller; c && c->leads()) return i;
     return -1;
 }
 
-int World::holder() {
+int Simulator::holder() {
     for (int i = 0; i < node_count(); ++i)
         if (owner_at(i)) return i;
     return -1;
 }
 
-int World::busiest() {
+int Simulator::busiest() {
     int found = -1;
     std::size_t most = 0;
     for (int i = 0; i < node_count(); ++i) {
@@ -507,24 +507,24 @@
     return found;
 }
 
-Owner* World::owner_at(int i) {
+ShardOwner* Simulator::owner_at(int i) {
     if (!node(i)) return nullptr;
     for (const auto& [name, owner] : node(i)->owners())
         if (owner && owner->active() && !owner->machines().empty()) return owner.get();
     return nullptr;
 }
 
-bool World::is_cut(const std::string& a, const std::string& b) const {
+bool Simulator::is_cut(const std::string& a, const std::string& b) const {
     return cuts_.count(link(a, b)) || one_way_.count({a, b}) || one_way_.count({b, a});
 }
 
-std::string World::add_machine(const std::string& type, const std::string& zone, bool spot) {
+std::string Simulator::add_machine(const std::string& type, const std::string& zone, bool spot) {
     const std::string name = cloud_.rent_one(type, zone, spot, now_, 0);
     boot_machines();
     return name;
 }
 
-void World::boot_machines() {
+void Simulator::boot_machines() {
     for (auto& [name, m] : cloud_.machines()) {
         if (m.up) continue;
         if (m.up_at > m.rented && seen_rented_.insert(name).second && drawn(swift_boots))
@@ -544,19 +544,19 @@
     }
 }
 
-Worker* World::worker(const std::string& name) {
+Worker* Simulator::worker(const std::string& name) {
     auto it = workers_.find(name);
     return it == workers_.end() ? nullptr : it->second.worker.get();
 }
 
-std::vector<std::string> World::machine_names() const {
+std::vector<std::string> Simulator::machine_names() const {
     std::vector<std::string> names;
     for (const auto& [name, r] : workers_)
         if (r.worker) names.push_back(name);
     return names;
 }
 
-void World::kill_machine(const std::string& name) {
+void Simulator::kill_machine(const std::string& name) {
     auto it = workers_.find(name);
     if (it == workers_.end() || !it->second.worker) return;
     note("machine " + name + " is gone");
@@ -568,7 +568,7 @@
     });
 }
 
-void World::hang(const std::string& name, bool on) {
+void Simulator::hang(const std::string& name, bool on) {
     auto& r = workers_[name];
     if (!r.worker || r.hung == on) return;
     note("machine " + name + (on ? " hangs" : " goes on"));
@@ -577,14 +577,14 @@
         for (auto& w : std::exchange(r.waiting, {})) w();
 }
 
-void World::answered(int node, const ApiResponse& response) const {
+void Simulator::answered(int node, const ApiResponse& response) const {
     if (on_traffic)
         on_traffic("loom-" + std::to_string(node),
                    std::to_string(response.status) + " " + std::to_string(response.retry_after),
                    wire::encode(response.body));
 }
 
-void World::tick() {
+void Simulator::tick() {
     at(now_ + kStep, [this] { tick(); });
     if (odd_requests && drawn(0.2)) odd_request();
     boot_machines();
@@ -605,7 +605,7 @@
     }
 }
 
-void World::report(const std::string& name) {
+void Simulator::report(const std::string& name) {
     auto& r = workers_[name];
     Worker& w = *r.worker;
     const Micros sent = now_;
@@ -618,7 +618,7 @@
     const std::string body = wire::encode(w.report(now_));
     const int target = r.node;
     const std::string host = "loom-" + std::to_string(target);
-    auto give_up = [this, name, generation](int to, Micros wait) {
+    auto release_shard = [this, name, generation](int to, Micros wait) {
         auto& x = workers_[name];
         if (!x.worker || x.generation != generation || !x.in_flight) return;
         x.in_flight = false;
@@ -633,18 +633,19 @@
     };
     if (keep_reports_.erase(name) || drawn(reports_for_next)) kept_reports_.push_back(body);
     if (r.mute) {
-        at(now_ + 4 * kSecond, [give_up, next = (target + 1) % node_count()] { give_up(next, kSecond); });
+        at(now_ + 4 * kSecond,
+           [release_shard, next = (target + 1) % node_count()] { release_shard(next, kSecond); });
         return;
     }
     repeat(again);
     if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.lease)), again);
     const int next = (target + 1) % node_count();
-    at(now_ + 4 * kSecond, [give_up, next] { give_up(next, kSecond); });
+    at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
     if (!nodes_[static_cast<std::size_t>(target)].controller) {
-        at(now_ + delay(), [give_up, next] { give_up(next, kSecond); });
+        at(now_ + delay(), [release_shard, next] { release_shard(next, kSecond); });
         return;
     }
-    send(name, host, [this, name, host, target, next, session, sent, generation, body, give_up] {
+    send(name, host, [this, name, host, target, next, session, sent, generation, body, release_shard] {
         hand(target, [=, this] {
             Node& n = nodes_[static_cast<std::size_t>(target)];
             if (!n.controller) return;
@@ -658,10 +659,10 @@
                         x.worker->answered(a.body, session, sent, now_);
                     } else if (a.status == 421 && wire::text(a.body, "overseer")) {
                         const std::string to = *wire::text(a.body, "overseer");
-                        give_up(std::atoi(to.c_str() + 5),
-                                static_cast<Micros>(random() % 500) * kMillisecond);
+                        release_shard(std::atoi(to.c_str() + 5),
+                                      static_cast<Micros>(random() % 500) * kMillisecond);
                     } else {
-                        give_up(next, kSecond);
+                        release_shard(next, kSecond);
                     }
                 });
             });
@@ -671,7 +672,7 @@
 
 // ---------------------------------------------------------------- users
 
-JobSpec World::job(int number, JobKind kind, int tasks, double cores) {
+JobSpec Simulator::job(int number, JobKind kind, int tasks, double cores) {
     JobSpec s;
     char ref[32];
     std::snprintf(ref, sizeof ref, "req-%06d", number);
@@ -679,26 +680,26 @@
     s.job_class = "class";
     s.team = "red";
     s.kind = kind;
-    s.rank = Rank::Normal;
+    s.rank = PriorityClass::Normal;
     s.tasks = tasks;
-    s.need = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
+    s.request = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
     s.image = "img-" + std::to_string(number % 3);
     s.image_gb = 500;
     s.spot = true;
     return s;
 }
 
-void World::submit(const JobSpec& spec, Micros run, Micros fetch, bool mistaken) {
+void Simulator::submit(const JobSpec& spec, Micros run, Micros fetch, bool mistaken) {
     users_[spec.ref].info = {spec, run, fetch, mistaken};
     try_submit(spec.ref);
 }
 
-void World::cancel(const std::string& ref) {
+void Simulator::cancel(const std::string& ref) {
     users_[ref].wants_cancel = true;
     try_cancel(ref);
 }
 
-std::vector<std::string> World::cancel_now(int count, Micros hang_for) {
+std::vector<std::string> Simulator::cancel_now(int count, Micros hang_for) {
     std::vector<std::string> chosen;
     for (const auto& [ref, u] : users_) {
         const bool long_to_go =
@@ -721,8 +722,8 @@
     return chosen;
 }
 
-void World::user_call(const std::string& method, const std::string& path, const Value& body,
-                      std::function<void(ApiResponse)> done, int target) {
+void Simulator::user_call(const std::string& method, const std::string& path, const Value& body,
+                          std::function<void(ApiResponse)> done, int target) {
     std::vector<int> up;
     for (int i = 0; i < node_count(); ++i)
         if (node(i)) up.push_back(i);
@@ -748,8 +749,8 @@
     });
 }
 
-void World::user_ask(Asked what, const std::string& ref, const Value& body,
-                     std::function<void(const ApiResponse&)> done, int target) {
+void Simulator::user_ask(Asked what, const std::string& ref, const Value& body,
+                         std::function<void(const ApiResponse&)> done, int target) {
     const auto user = users_.find(ref);
     const bool right = user != users_.end() && wire::parse_job(body).spec;
     const std::string path = "/v1/jobs" + (what == Asked::Submission     ? ""
@@ -775,7 +776,7 @@
         target);
 }
 
-void World::try_submit(const std::string& ref) {
+void Simulator::try_submit(const std::string& ref) {
     user_ask(Asked::Submission, ref, wire::job_value(users_[ref].info.spec),
              [this, ref](const ApiResponse& r) {
                  if (r.status == 200 || r.status == 201) {
@@ -788,14 +789,14 @@
              });
 }
 
-void World::try_cancel(const std::string& ref) {
+void Simulator::try_cancel(const std::string& ref) {
     user_ask(Asked::Cancellation, ref, Value::object(), [this, ref](const ApiResponse& r) {
         if (r.status == 200) return repeat([this, ref] { try_cancel(ref); });
         at(now_ + kSecond, [this, ref] { try_cancel(ref); });
     });
 }
 
-void World::poll(const std::string& ref) {
+void Simulator::poll(const std::string& ref) {
     if (users_[ref].polling) return;
     users_[ref].polling = true;
     const Micros pause = (poll_pause + static_cast<Micros>(random() % 2000) * poll_pause / 1000) / poll_rate;
@@ -812,7 +813,7 @@
     });
 }
 
-void World::look_closely(const std::string& ref) {
+void Simulator::look_closely(const std::string& ref) {
     const JobSpec& spec = users_.at(ref).info.spec;
     // Another job under the same name, which by itself may be refused.
     JobSpec other = spec;
@@ -833,22 +834,22 @@
             });
 }
 
-void World::look_at(const JobSpec& spec, int target) {
+void Simulator::look_at(const JobSpec& spec, int target) {
     submit_again(spec.ref, wire::job_value(spec), target);
     ask_about(spec.ref, target);
 }
 
-void World::ask_about(const std::string& ref, int target) {
+void Simulator::ask_about(const std::string& ref, int target) {
     user_ask(
         Asked::State, ref, Value::object(), [](const auto&) {}, target);
 }
 
-void World::submit_again(const std::string& ref, const Value& body, int target) {
+void Simulator::submit_again(const std::string& ref, const Value& body, int target) {
     user_ask(
         Asked::Submission, ref, body, [](const auto&) {}, target);
 }
 
-void World::submit_wrong(const Value& body, int target) {
+void Simulator::submit_wrong(const Value& body, int target) {
     if (target < 0)
         for (int i = 1; i < node_count(); ++i) submit_wrong(body, i);
     target = std::max(target, 0);
@@ -863,7 +864,7 @@
     if (!ref.empty()) ask_about(ref, target);
 }
 
-void World::odd_request() {
+void Simulator::odd_request() {
     const int target = static_cast<int>(random() % nodes_.size());
     if (!node(target)) return;
     const auto some = [this](const std::string& stage) -> const JobSpec* {
@@ -904,7 +905,7 @@
     }
 }
 
-void World::hear(const std::string& ref, Micros sent, const Value& body) {
+void Simulator::hear(const std::string& ref, Micros sent, const Value& body) {
     User& u = users_[ref];
     const std::string stage = wire::text(body, "stage").value_or("");
     if (const Micros told = cancel_told(ref);
@@ -923,16 +924,16 @@
     if (accepted && !u.wants_cancel && drawn(0.1)) cancel(ref);
 }
 
-Micros World::unanswered(const User& u) const {
+Micros Simulator::unanswered(const User& u) const {
     return calm_since_ < 0 ? 0 : now_ - std::max({calm_since_, u.answered, u.accepted_at});
 }
 
-void World::calm() {
+void Simulator::quiesce() {
     if (calm_since_ < 0) at(now_, [this] { watch_waiting(); });
     calm_since_ = now_;
 }
 
-Sight World::sight() {
+Sight Simulator::sight() {
     Sight s;
     for (const auto& t : settings.teams) s.left[t.name] = t.limit;
     std::map<std::pair<std::string, int>, std::string> held;  // tasks on machines, by their zones
@@ -941,8 +942,8 @@
         Room room{r.worker->type().name, r.worker->zone(), r.worker->spot(), r.worker->type().size};
         for (const auto& [ref, task] : r.worker->held()) {
             const JobSpec& spec = users_.at(ref).info.spec;
-            room.free -= spec.need;
-            s.left[spec.team] -= spec.need;
+            room.free -= spec.request;
+            s.left[spec.team] -= spec.request;
             held[{ref, task}] = room.zone;
         }
         bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->notice;
@@ -967,36 +968,36 @@
     return s;
 }
 
-void World::watch_waiting() {
+void Simulator::watch_waiting() {
     at(now_ + kSecond, [this] { watch_waiting(); });
-    left_waiting_.look(now_, sight());
+    starvation_checker_.look(now_, sight());
 }
 
-std::vector<Fate> World::fates() const {
+std::vector<Fate> Simulator::fates() const {
     std::vector<Fate> out;
     for (const auto& [ref, u] : users_) {
         if (u.told.empty()) continue;
         const bool left_out = u.info.broken || u.told == "cancelled" || cancel_wanted(ref);
         const Micros fetch = std::max<Micros>(u.info.fetch, 0);
         out.push_back({u.info.spec, u.info.run + fetch, u.accepted_at, u.begun, u.all_begun, u.finished,
-                       left_out, std::max(u.unanswered, unanswered(u)), left_waiting_.of(ref)});
+                       left_out, std::max(u.unanswered, unanswered(u)), starvation_checker_.of(ref)});
     }
     return out;
 }
 
-void World::remember_running() {
+void Simulator::remember_running() {
     running_before_.clear();
     for (const auto& [key, where] : on_) running_before_.insert(key);
 }
 
-std::vector<std::string> World::refs() const {
+std::vector<std::string> Simulator::refs() const {
     std::vector<std::string> out;
     for (const auto& [ref, u] : users_) out.push_back(ref);
     return out;
 }
 
-ApiResponse World::ask_raw(int i, const std::string& method, const std::string& path,
-                           const std::string& body) {
+ApiResponse Simulator::ask_raw(int i, const std::string& method, const std::string& path,
+                               const std::string& body) {
     auto result = std::make_shared<std::optional<ApiResponse>>();
     node(i)->handle({method, path, body, false}, [result](const ApiResponse& r) {
         if (!*result) *result = r;
@@ -1005,23 +1006,23 @@
     return result->value_or(ApiResponse{0, Value(), 0});
 }
 
-ApiResponse World::ask(int i, const std::string& method, const std::string& path, const Value& body) {
+ApiResponse Simulator::ask(int i, const std::string& method, const std::string& path, const Value& body) {
     return ask_raw(i, method, path, wire::encode(body));
 }
 
-std::string World::told(const std::string& ref) const {
+std::string Simulator::told(const std::string& ref) const {
     auto it = users_.find(ref);
     return it == users_.end() ? "" : it->second.told;
 }
 
-int World::running(const std::string& ref) const {
+int Simulator::running(const std::string& ref) const {
     int n = 0;
     for (const auto& [key, where] : on_)
         if (key.first == ref) n += static_cast<int>(where.size());
     return n;
 }
 
-std::set<std::string> World::machines_of(const std::string& ref) const {
+std::set<std::string> Simulator::machines_of(const std::string& ref) const {
     std::set<std::string> names;
     for (const auto& [key, where] : on_)
         if (key.first == ref)
@@ -1029,39 +1030,39 @@
     return names;
 }
 
-int World::starts(const std::string& ref) const {
+int Simulator::starts(const std::string& ref) const {
     auto it = users_.find(ref);
     return it == users_.end() ? 0 : it->second.starts;
 }
 
-int World::completed_tasks(const std::string& ref) const {
+int Simulator::completed_tasks(const std::string& ref) const {
     auto it = users_.find(ref);
     return it == users_.end() ? 0 : static_cast<int>(it->second.done.size());
 }
 
 // ---------------------------------------------------------------- the rules
 
-void World::note(const std::string& line) {
+void Simulator::note(const std::string& line) {
     char time[32];
     std::snprintf(time, sizeof time, "%9.3f ", static_cast<double>(now_) / 1e6);
     trace.push_back(time + line);
     spdlog::info("{}", trace.back());
 }
 
-std::string World::story(std::size_t last) const {
+std::string Simulator::story(std::size_t last) const {
     std::string out;
     for (std::size_t i = trace.size() > last ? trace.size() - last : 0; i < trace.size(); ++i)
         out += trace[i] + "\n";
     return out;
 }
 
-bool World::cancel_wanted(const std::string& ref) const {
+bool Simulator::cancel_wanted(const std::string& ref) const {
     const User& u = users_.at(ref);
     return u.wants_cancel || std::any_of(u.info.spec.needs.begin(), u.info.spec.needs.end(),
                                          [this](const auto& need) { return cancel_wanted(need); });
 }
 
-Micros World::cancel_told(const std::string& ref) const {
+Micros Simulator::cancel_told(const std::string& ref) const {
     const User& u = users_.at(ref);
     if (u.told == "cancelled") return u.cancelled_at;
     for (const auto& need : u.info.spec.needs)
@@ -1069,17 +1070,18 @@
     return 0;
 }
 
-void World::breach(const std::string& rule, const std::string& what) {
+void Simulator::breach(const std::string& rule, const std::string& what) {
     note("BROKEN " + rule + ": " + what);
     broken.push_back(rule + ": " + what);
 }
 
-const JobInfo* World::job(const std::string& ref) {
+const JobInfo* Simulator::job(const std::string& ref) {
     auto it = users_.find(ref);
     return it == users_.end() ? nullptr : &it->second.info;
 }
 
-void World::on_machine(const std::string& machine, const std::string& ref, int task, std::int64_t attempt) {
+void Simulator::on_machine(const std::string& machine, const std::string& ref, int task,
+                           std::int64_t attempt) {
     User& u = users_.at(ref);
     const JobSpec& s = u.info.spec;
     ++u.starts;
@@ -1099,12 +1101,12 @@
     started_again_ += running_before_.count({ref, task});
     if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel)
         breach("ran_cancelled", ref + " starts on " + machine);
-    const Resources used = used_[s.team] += s.need;
+    const Resources used = used_[s.team] += s.request;
     auto& zones = u.zones;
     ++zones[worker(machine)->zone()];
     for (const auto& t : settings.teams)
-        if (t.name == s.team && (used.cores > t.limit.cores || used.cards > t.limit.cards))
-            breach("quota", fmt::format("{} uses {} and {} cards", s.team, used.cores, used.cards));
+        if (t.name == s.team && (used.cores > t.limit.cores || used.gpus > t.limit.gpus))
+            breach("quota", fmt::format("{} uses {} and {} cards", s.team, used.cores, used.gpus));
     const Worker& w = *worker(machine);
     const bool type_ok =
         !s.types || std::find(s.types->begin(), s.types->end(), w.type().name) != s.types->end();
@@ -1113,19 +1115,20 @@
         breach("wrong_place", ref + " on " + machine);
 }
 
-void World::off_machine(const std::string& machine, const std::string& ref, int task, std::int64_t attempt) {
+void Simulator::off_machine(const std::string& machine, const std::string& ref, int task,
+                            std::int64_t attempt) {
     note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " leaves " + machine);
     auto it = on_.find({ref, task});
     if (it == on_.end() || it->second.erase(machine) == 0) return;
     User& u = users_.at(ref);
-    used_[u.info.spec.team] -= u.info.spec.need;
+    used_[u.info.spec.team] -= u.info.spec.request;
     auto zone = u.zones.find(cloud_zone(machine));
     if (zone != u.zones.end() && --zone->second == 0) u.zones.erase(zone);
     if (it->second.empty()) on_.erase(it);
     if (u.info.spec.kind == JobKind::Service && !on_.count({ref, task})) left_[{ref, task}] = now_;
 }
 
-void World::completed(const std::string& ref, int task, std::int64_t attempt) {
+void Simulator::completed(const std::string& ref, int task, std::int64_t attempt) {
     User& u = users_.at(ref);
     u.done.insert(task);
     if (u.info.spec.kind == JobKind::Gang) {
@@ -1139,7 +1142,7 @@
         at(now_ + between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
 }
 
-bool World::gang_complete(const std::string& ref, std::int64_t attempt) {
+bool Simulator::gang_complete(const std::string& ref, std::int64_t attempt) {
     const int tasks = users_.at(ref).info.spec.tasks;
     for (int i = 0; i < tasks; ++i) {
         auto it = on_.find({ref, i});
@@ -1148,8 +1151,8 @@
     return true;
 }
 
-bool World::gang_whole(const std::string& ref, std::int64_t attempt) {
+bool Simulator::gang_whole(const std::string& ref, std::int64_t attempt) {
     return finished_gangs_.count({ref, attempt}) || gang_complete(ref, attempt);
 }
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/world.hpp
+++ b/src/simulation/simulator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A simulated world around real controllers: stand-ins for the outside systems, a network that delays, loses
+// A simulated world around real controllers: fakes for the outside systems, a network that delays, loses
 // and holds messages, and users who check every rule of the protocol as they go. Same seed, same run.
 
 #include <map>
@@ -11,21 +11,21 @@
 #include <string>
 #include <vector>
 
-#include "core/controller.hpp"
-#include "lab/acceptance.hpp"
-#include "lab/looks.hpp"
-#include "standin/standins.hpp"
+#include "controller/controller.hpp"
+#include "fakes/fakes.hpp"
+#include "simulation/acceptance_checker.hpp"
+#include "simulation/consistency_checker.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 Settings small_site();
 std::vector<MachineType> small_types();
 
-class World : public standin::TaskObserver {
+class Simulator : public fakes::TaskObserver {
   public:
-    explicit World(std::uint64_t seed, Settings settings = small_site(),
-                   std::vector<MachineType> types = small_types());
-    ~World() override;
+    explicit Simulator(std::uint64_t seed, Settings settings = small_site(),
+                       std::vector<MachineType> types = small_types());
+    ~Simulator() override;
 
     // Time.
     Micros now() const { return now_; }
@@ -42,12 +42,12 @@
     int node_count() const { return static_cast<int>(nodes_.size()); }
     /// Index of the node that leads, or -1.
     int leader() const;
-    int holder();               // index of a node that holds machines and is active, or -1
-    int busiest();              // index of the node that holds the most machines, or -1
-    Owner* owner_at(int node);  // of the machines that it holds
-    standin::Worker* worker(const std::string& name);
-    standin::StateService& state() { return state_; }
-    standin::Cloud& cloud() { return cloud_; }
+    int holder();                    // index of a node that holds machines and is active, or -1
+    int busiest();                   // index of the node that holds the most machines, or -1
+    ShardOwner* owner_at(int node);  // of the machines that it holds
+    fakes::Worker* worker(const std::string& name);
+    fakes::StateService& state() { return state_; }
+    fakes::Cloud& cloud() { return cloud_; }
     std::vector<std::string> machine_names() const;
     void kill_machine(const std::string& name);
     void hang(const std::string& name, bool on);
@@ -118,7 +118,7 @@
     void lose_zone(const std::string& zone, bool ends);
     void zone_back(const std::string& zone);
 
-    // Users.
+    // JobService.
     JobSpec job(int number, JobKind kind, int tasks, double cores = 1);
     void submit(const JobSpec& spec, Micros run, Micros fetch = 200 * kMillisecond, bool mistaken = false);
     int users_at = -1;            // the node that users go to while it is up; -1: any
@@ -126,7 +126,7 @@
     Micros poll_pause = kSecond;  // at least, thrice as much at most
     /// All troubles are over: from now on accepted jobs are due an answered poll and, where there is room, a
     /// start.
-    void calm();
+    void quiesce();
     /// Of all accepted jobs.
     std::vector<Fate> fates() const;
     /// Requests of a node to the state service so far.
@@ -143,8 +143,8 @@
     void remember_running();
     std::vector<std::string> refs() const;
     void cancel(const std::string& ref);
-    /// Users call off so many jobs that run and have long to go (services, and what has at least half of its
-    /// run time left), within a fifth of a second; up to eight of their machines hang for so long. Those
+    /// JobService call off so many jobs that run and have long to go (services, and what has at least half of
+    /// its run time left), within a fifth of a second; up to eight of their machines hang for so long. Those
     /// jobs.
     std::vector<std::string> cancel_now(int count, Micros hang);
     /// Part of the jobs that end which their users call off at that moment.
@@ -157,13 +157,13 @@
     void look_closely(const std::string& ref);
     /// Asks about a job at one node, and submits it there again.
     void look_at(const JobSpec& spec, int node);
-    /// Users repeat submissions of unfinished jobs, also with another body, cancel jobs that are done, ask
-    /// about jobs that nobody submitted, and send jobs that fit no machine or lack a field.
+    /// JobService repeat submissions of unfinished jobs, also with another body, cancel jobs that are done,
+    /// ask about jobs that nobody submitted, and send jobs that fit no machine or lack a field.
     bool odd_requests = false;
     /// A job that nobody may accept, sent to a node until it answers 400 or 422; -1: to each.
     void submit_wrong(const Value& body, int node = -1);
     /// What users were told, as it is judged.
-    const Looks& looks() const { return looks_; }
+    const ConsistencyChecker& looks() const { return looks_; }
     ApiResponse ask(int node, const std::string& method, const std::string& path, const Value& body);
     ApiResponse ask_raw(int node, const std::string& method, const std::string& path,
                         const std::string& body);
@@ -186,7 +186,7 @@
     std::string story(std::size_t last = 60) const;
 
     // TaskObserver.
-    const standin::JobInfo* job(const std::string& ref) override;
+    const fakes::JobInfo* job(const std::string& ref) override;
     void on_machine(const std::string& machine, const std::string& ref, int task,
                     std::int64_t attempt) override;
     void off_machine(const std::string& machine, const std::string& ref, int task,
@@ -212,7 +212,7 @@
         std::vector<std::function<void()>> unread;  // what waits in its sockets
     };
     struct Reporting {
-        std::unique_ptr<standin::Worker> worker;
+        std::unique_ptr<fakes::Worker> worker;
         int node = 0;
         bool in_flight = false;
         bool hung = false;
@@ -224,7 +224,7 @@
         std::vector<std::function<void()>> waiting;  // what arrived while it hung
     };
     struct User {
-        standin::JobInfo info;
+        fakes::JobInfo info;
         std::string told;
         Micros cancelled_at = 0;
         bool wants_cancel = false;
@@ -263,7 +263,7 @@
     Micros unanswered(const User& u) const;
     void answered(int node, const ApiResponse& response) const;
     void tick();
-    /// What there is, for LeftWaiting.
+    /// What there is, for StarvationChecker.
     Sight sight();
     void watch_waiting();
     void report(const std::string& machine);
@@ -292,8 +292,8 @@
     Micros now_ = 0;
     std::uint64_t order_ = 0;
     std::map<std::pair<Micros, std::uint64_t>, std::function<void()>> events_;
-    standin::StateService state_;
-    standin::Cloud cloud_;
+    fakes::StateService state_;
+    fakes::Cloud cloud_;
     std::vector<Node> nodes_;
     std::map<std::string, Reporting> workers_;
     std::set<std::pair<std::string, std::string>> cuts_;
@@ -307,7 +307,7 @@
     std::set<std::string> seen_rented_;                      // whose time to boot is drawn
     std::vector<std::pair<std::string, Micros>> late_next_;  // prefix of a key, and how late
     std::map<std::string, User> users_;
-    Looks looks_;
+    ConsistencyChecker looks_;
     int odd_jobs_ = 0;  // sent so far, for their names
     std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> on_;
     std::map<std::string, Resources> used_;  // by team
@@ -320,8 +320,8 @@
     std::set<std::pair<std::string, int>> running_before_;
     std::size_t started_again_ = 0;
     Micros calm_since_ = -1;
-    LeftWaiting left_waiting_;
+    StarvationChecker starvation_checker_;
     std::map<std::string, LostZone> lost_zones_;
 };
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/waiting.cpp
+++ b/src/simulation/starvation_checker.cpp
@@ -1,16 +1,16 @@
-#include "lab/waiting.hpp"
+#include "simulation/starvation_checker.hpp"
 
 #include <algorithm>
 #include <set>
 
-#include "planning/constraints.hpp"
+#include "scheduling/constraints.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 namespace {
 
 Resources least(const Resources& a, const Resources& b) {
-    return {std::min(a.cores, b.cores), std::min(a.cards, b.cards), std::min(a.ram, b.ram)};
+    return {std::min(a.cores, b.cores), std::min(a.gpus, b.gpus), std::min(a.ram, b.ram)};
 }
 
 /// How many tasks have room.
@@ -26,7 +26,7 @@
     const JobSpec& s = job.spec;
     const bool gang = s.kind == JobKind::Gang;
     const int wanted = gang ? job.tasks : 1;
-    if (s.need.cores * wanted > left.cores || s.need.cards * wanted > left.cards) return "";
+    if (s.request.cores * wanted > left.cores || s.request.gpus * wanted > left.gpus) return "";
     struct Zone {
         int fit = 0;
         std::string machine;
@@ -39,7 +39,7 @@
         if (auto there = job.zones.find(room.zone); s.spread)
             most = std::min(most, (s.tasks + 1) / 2 - (there == job.zones.end() ? 0 : there->second));
         Zone& zone = zones[room.zone];
-        const int fit = fitting(s.need, room.free, most - zone.fit);
+        const int fit = fitting(s.request, room.free, most - zone.fit);
         if (fit > 0 && zone.machine.empty()) zone.machine = name;
         zone.fit += std::max(fit, 0);
     }
@@ -51,7 +51,7 @@
     return "";
 }
 
-void LeftWaiting::look(Micros now, Sight sight) {
+void StarvationChecker::look(Micros now, Sight sight) {
     const auto jobs = std::exchange(sight.jobs, {});
     sights_.emplace_back(now, std::move(sight));
     while (sights_.size() > 1 && sights_[1].first <= now - kSettled) sights_.pop_front();
@@ -80,9 +80,9 @@
         if (!jobs.count(ref)) k.waits_since = k.could_since = -1;
 }
 
-LeftWaiting::Wait LeftWaiting::of(const std::string& ref) const {
+StarvationChecker::Wait StarvationChecker::of(const std::string& ref) const {
     auto it = jobs_.find(ref);
     return it == jobs_.end() ? Wait{} : it->second.wait;
 }
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/lab/waiting.hpp
+++ b/src/simulation/starvation_checker.hpp
@@ -3,7 +3,7 @@
 // machines and by the teams' limits, not by any controller's books.
 //
 // A job is left waiting while a task of it is on no machine and not done, none of its tasks starts, and for
-// the last ten seconds one machine has had the cores, cards and RAM that a task needs (a gang: machines
+// the last ten seconds one machine has had the cores, GPUs and RAM that a task needs (a gang: machines
 // enough for all of it) where its types, zone, kind, one_zone and spread allow it, and its team that much of
 // its limit. Neither what waits beside it nor what room or limit is kept for excuses that.
 
@@ -11,9 +11,9 @@
 #include <map>
 #include <string>
 
-#include "wire/wire.hpp"
+#include "protocol/protocol.hpp"
 
-namespace cottonway::lab {
+namespace cottonway::simulation {
 
 /// Room and what is left of a limit count once they have lasted for so long: between an end and the next
 /// start lie a report, a pass and a change.
@@ -46,7 +46,7 @@
 };
 
 /// Is told about once a second what there is.
-class LeftWaiting {
+class StarvationChecker {
   public:
     void look(Micros now, Sight sight);
     /// The longest that the job could have started and was left waiting, and where at last.
@@ -67,4 +67,4 @@
     std::map<std::string, Kept> jobs_;
 };
 
-}  // namespace cottonway::lab
+}  // namespace cottonway::simulation
--- a/src/recovery/verify.cpp
+++ b/src/verify/verify.cpp
@@ -1,14 +1,14 @@
-#include "recovery/verify.hpp"
+#include "verify/verify.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <charconv>
 
-#include "planning/moves.hpp"
+#include "cache/format_cache.hpp"
+#include "kvstore/chunks.hpp"
 #include "policy/policy.hpp"
-#include "replica/formats.hpp"
-#include "state/pieces.hpp"
+#include "scheduling/migrations.hpp"
 
 namespace cottonway::recovery {
 
@@ -39,25 +39,25 @@
     findings_.push_back({Finding::Weight::Notice, key, std::move(what)});
 }
 
-void Verifier::take(const std::string& key, const Value& stored, Revision mark) {
+void Verifier::take(const std::string& key, const Value& stored, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-    if (starts_with(key, keys::piece)) return take_piece(key, stored);
+    if (starts_with(key, keys::chunk)) return take_piece(key, stored);
     const auto value = whole(key, stored);
     if (!value) return;
     if (!value->is_object()) return damage(key, "is no map");
     if (starts_with(key, keys::active)) {
-        take_job(key, rest(keys::active), Place::Active, *value);
+        take_job(key, rest(keys::active), RecordLocation::Active, *value);
     } else if (starts_with(key, keys::job)) {
-        take_job(key, rest(keys::job), Place::Job, *value);
+        take_job(key, rest(keys::job), RecordLocation::Job, *value);
     } else if (starts_with(key, keys::part)) {
         take_part(key, *value);
     } else if (starts_with(key, keys::block)) {
-        take_block(key, *value, mark);
-    } else if (starts_with(key, keys::domain)) {
+        take_block(key, *value, mod_revision);
+    } else if (starts_with(key, keys::shard)) {
         ++kinds_["domains"];
         const auto holder = wire::text(*value, "holder");
         if (!holder || holder->empty()) damage(key, "names no holder");
-        domains_[rest(keys::domain)] = holder.value_or("");
+        shards_[rest(keys::shard)] = holder.value_or("");
     } else if (starts_with(key, keys::share)) {
         ++kinds_["shares"];
         shared_.insert(rest(keys::share));
@@ -90,19 +90,19 @@
 
 /// A value that is stored in pieces is put together; with some missing it counts for nothing.
 std::optional<Value> Verifier::whole(const std::string& key, const Value& value) {
-    const auto named = pieces::named_by(value);
+    const auto named = chunks::named_by(value);
     if (!named) return value;
     named_pieces_.insert(named->first);
-    auto it = pieces_.find(named->first);
+    auto it = chunks_.find(named->first);
     std::vector<std::string> texts;
-    if (it != pieces_.end())
+    if (it != chunks_.end())
         for (const auto& [i, t] : it->second) texts.push_back(t);
     if (texts.size() != named->second) {
         damage(key,
                fmt::format("{} of its {} pieces are missing", named->second - texts.size(), named->second));
         return std::nullopt;
     }
-    auto joined = pieces::join(value, texts);
+    auto joined = chunks::join(value, texts);
     if (!joined) damage(key, "its pieces do not make a value");
     return joined;
 }
@@ -113,12 +113,13 @@
     auto text = wire::text(value, "t");
     if (!index || !text) return damage(key, "is no piece of a value");
     const auto slash = key.rfind('/');
-    const std::string name = key.substr(keys::piece.size(), slash - keys::piece.size());
-    pieces_[name][*index] = std::move(*text);
-    piece_of_[name] = key;
+    const std::string name = key.substr(keys::chunk.size(), slash - keys::chunk.size());
+    chunks_[name][*index] = std::move(*text);
+    chunk_of_[name] = key;
 }
 
-void Verifier::take_job(const std::string& key, const std::string& ref, Place place, const Value& value) {
+void Verifier::take_job(const std::string& key, const std::string& ref, RecordLocation place,
+                        const Value& value) {
     if (!wire::valid_ref(ref)) damage(key, "is not named like a job");
     const auto stage = wire::text(value, "s");
     const Value* spec = wire::find(value, "d");
@@ -126,7 +127,7 @@
     auto live = jobs_.find(ref);
     if (final) {
         ++(stage == "done" ? done_ : cancelled_);
-        if (place == Place::Active) return damage(key, "is final, which no record of a live job is");
+        if (place == RecordLocation::Active) return damage(key, "is final, which no record of a live job is");
         if (live == jobs_.end()) return;
         notice(live->second.key, "is left over: the job is " + *stage + "; dropped in a quiet moment");
         jobs_.erase(live);
@@ -136,7 +137,7 @@
     if (live != jobs_.end())
         return notice(key,
                       "came late, beside the record of the same job that counts; overwritten at its end");
-    if (place == Place::Job && apart_)
+    if (place == RecordLocation::Job && apart_)
         return damage(key, "is not over, although history is apart: no start reads it");
     if (!stage || (stage != "queued" && stage != "cancelled"))
         return damage(key, "tells no known state; the job is set aside");
@@ -149,7 +150,7 @@
         damage(key, fmt::format("counts {} tasks and describes {}", k.value_or(0), parsed.spec->tasks));
     KnownJob job;
     job.key = key;
-    job.domain = wire::text(value, "dom").value_or("");
+    job.shard = wire::text(value, "dom").value_or("");
     job.tasks = parsed.spec->tasks;
     job.part_tasks = std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1);
     job.cancelled = stage == "cancelled";
@@ -203,41 +204,41 @@
     }
 }
 
-void Verifier::take_block(const std::string& key, const Value& value, Revision mark) {
+void Verifier::take_block(const std::string& key, const Value& value, Revision mod_revision) {
     ++kinds_["blocks"];
     const std::string id = key.substr(keys::block.size());
-    const auto block = Block::parse(id, value, mark);
+    const auto block = Block::parse(id, value, mod_revision);
     if (!block) return damage(key, "is broken; it is ignored, and its machines with it");
-    domain_of_block_[key] = block->domain;
+    shard_of_block_[key] = block->shard;
     for (const auto& m : block->machines) {
         ++kinds_["machines"];
-        auto [it, added] = machines_.try_emplace(m.name, id, block->domain);
+        auto [it, added] = machines_.try_emplace(m.name, id, block->shard);
         if (!added)
             damage(key, fmt::format("machine {} is in block {} as well; the newer one counts", m.name,
                                     it->second.first));
-        if (m.token > mark) damage(key, fmt::format("machine {} has a token from the future", m.name));
+        if (m.token > mod_revision)
+            damage(key, fmt::format("machine {} has a token from the future", m.name));
     }
 }
 
 std::vector<Finding> Verifier::finish() {
-    for (const auto& [key, domain] : domain_of_block_)
-        if (!domains_.count(domain)) damage(key, "is of domain " + domain + ", which nobody holds");
+    for (const auto& [key, shard] : shard_of_block_)
+        if (!shards_.count(shard)) damage(key, "is of domain " + shard + ", which nobody holds");
     for (const auto& [ref, job] : jobs_) {
-        if (!domains_.count(job.domain))
-            damage(job.key, "is of domain \"" + job.domain + "\", which nobody holds: the job does not run");
+        if (!shards_.count(job.shard))
+            damage(job.key, "is of domain \"" + job.shard + "\", which nobody holds: the job does not run");
         for (const auto& [task, machine] : job.bound) {
             auto at = machines_.find(machine);
             if (at == machines_.end())
                 notice(job.key, fmt::format("task {} is bound to {}, which is in no block: it counts as gone",
                                             task, machine));
-            else if (at->second.second != job.domain)
+            else if (at->second.second != job.shard)
                 damage(job.key, fmt::format("task {} is bound to {} of domain {}, the job is of {}", task,
-                                            machine, at->second.second, job.domain));
+                                            machine, at->second.second, job.shard));
         }
     }
-    for (const auto& domain : shared_)
-        if (!domains_.count(domain))
-            damage(keys::share + domain, "is the share of a domain that nobody holds");
+    for (const auto& shard : shared_)
+        if (!shards_.count(shard)) damage(keys::share + shard, "is the share of a domain that nobody holds");
     for (const auto& t : settings_.teams) {
         auto compare = [&](Milli sum, Milli limit, const char* of) {
             if (limit == kNoLimit || shared_.empty() || sum == limit) return;
@@ -249,9 +250,9 @@
         };
         const Resources sum = sums_.count(t.name) ? sums_.at(t.name) : Resources{};
         compare(sum.cores, t.limit.cores, "cores");
-        compare(sum.cards, t.limit.cards, "cards");
+        compare(sum.gpus, t.limit.gpus, "cards");
     }
-    for (const auto& [name, key] : piece_of_)
+    for (const auto& [name, key] : chunk_of_)
         if (!named_pieces_.count(name)) notice(key, "no record names it; dropped after a minute");
     std::stable_sort(findings_.begin(), findings_.end(),
                      [](const Finding& a, const Finding& b) { return a.weight > b.weight; });
--- a/src/recovery/verify.hpp
+++ b/src/verify/verify.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "settings/settings.hpp"
-#include "state/records.hpp"
+#include "config/settings.hpp"
+#include "kvstore/records.hpp"
 
 namespace cottonway::recovery {
 
@@ -27,7 +27,7 @@
   public:
     explicit Verifier(const Settings& settings) : settings_(settings) {}
 
-    void take(const std::string& key, const Value& value, Revision mark);
+    void take(const std::string& key, const Value& value, Revision mod_revision);
     /// After the last record: what only all of them together tell. Damage first.
     std::vector<Finding> finish();
     /// Records by kind, and how many jobs are in which state.
@@ -36,7 +36,7 @@
   private:
     struct KnownJob {
         std::string key;
-        std::string domain;
+        std::string shard;
         int tasks = 0;
         std::size_t part_tasks = 64;
         std::uint64_t next_attempt = 1;
@@ -45,10 +45,10 @@
     };
     void damage(const std::string& key, std::string what);
     void notice(const std::string& key, std::string what);
-    void take_job(const std::string& key, const std::string& ref, Place place, const Value& value);
+    void take_job(const std::string& key, const std::string& ref, RecordLocation place, const Value& value);
     void take_part(const std::string& key, const Value& value);
     void take_bindings(KnownJob& job, const std::string& key, const Value& value, std::size_t first);
-    void take_block(const std::string& key, const Value& value, Revision mark);
+    void take_block(const std::string& key, const Value& value, Revision mod_revision);
     void take_piece(const std::string& key, const Value& value);
     std::optional<Value> whole(const std::string& key, const Value& value);
 
@@ -57,13 +57,13 @@
     std::map<std::string, std::size_t> kinds_;
     std::size_t done_ = 0, cancelled_ = 0;
     std::map<std::string, KnownJob> jobs_;                                 // that are not over
-    std::map<std::string, std::pair<std::string, std::string>> machines_;  // block and domain
-    std::map<std::string, std::string> domains_;                           // holder
-    std::map<std::string, std::string> domain_of_block_;
+    std::map<std::string, std::pair<std::string, std::string>> machines_;  // block and shard
+    std::map<std::string, std::string> shards_;                            // holder
+    std::map<std::string, std::string> shard_of_block_;
     Shares sums_;
-    std::set<std::string> shared_;  // domains that have a share
-    std::map<std::string, std::map<std::size_t, std::string>> pieces_;
-    std::map<std::string, std::string> piece_of_;
+    std::set<std::string> shared_;  // shards that have a share
+    std::map<std::string, std::map<std::size_t, std::string>> chunks_;
+    std::map<std::string, std::string> chunk_of_;
     std::set<std::string> named_pieces_;
     bool apart_ = false;
     std::map<std::string, std::uint64_t> reads_;
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -4,11 +4,11 @@
 
 #include <fstream>
 
-#include "lab/experiment.hpp"
+#include "simulation/scenario.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 const std::vector<Team> kTeams{{"red", {}, {8'000, kNoLimit, 0}}, {"guests", {}, {kNoLimit, kNoLimit, 0}}};
@@ -19,7 +19,7 @@
     f.spec.job_class = "batch";
     f.spec.team = "red";
     f.spec.tasks = tasks;
-    f.spec.need = {1'000, 0, 1'000};
+    f.spec.request = {1'000, 0, 1'000};
     f.run = 10 * kSecond;
     f.accepted = accepted;
     f.begun = begun;
@@ -33,7 +33,7 @@
                        [&](const auto& line) { return line.compare(0, rule.size(), rule) == 0; });
 }
 
-void start(World& w) {
+void start(Simulator& w) {
     for (int i = 0; i < 3; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(1);
 }
@@ -95,12 +95,12 @@
 
 TEST(Acceptance, ANodeThatAnswersNobodyForgets) {
     for (const bool deaf : {false, true}) {
-        World w(3);
+        Simulator w(3);
         start(w);
         w.submit(w.job(1, JobKind::Array, 2), 3 * kSecond);
         w.run(30 * kSecond);
         ASSERT_EQ(w.told("req-000001"), "done");
-        w.calm();
+        w.quiesce();
         if (deaf) w.cut("users", "loom-0");
         w.run(80 * kSecond);
         EXPECT_EQ(has(judge(w.fates(), w.settings.teams, w.now()), "forgotten"), deaf);
@@ -108,7 +108,7 @@
 }
 
 TEST(Acceptance, WhatNobodyPlacesIsNotServed) {
-    World w(4);
+    Simulator w(4);
     start(w);
     w.run(5 * kSecond);
     w.cloud().down = true;
@@ -136,13 +136,13 @@
     const std::vector<Case> cases{
         {"any", [](auto&) {}, "n-1", plenty},
         {"its limit", [](auto&) {}, "", {1'999, kNoLimit, 0}},
-        {"no card left of its limit", [](auto& j) { j.spec.need.cards = 500; }, "", {9'000, 0, 0}},
-        {"wide", [](auto& j) { j.spec.need.cores = 3'000; }, "", plenty},
-        {"wide, on spot", [](auto& j) { j.spec.need.cores = 3'000, j.spec.spot = true; }, "n-2", plenty},
-        {"RAM", [](auto& j) { j.spec.need.ram = 8'001; }, "", plenty},
+        {"no card left of its limit", [](auto& j) { j.spec.request.gpus = 500; }, "", {9'000, 0, 0}},
+        {"wide", [](auto& j) { j.spec.request.cores = 3'000; }, "", plenty},
+        {"wide, on spot", [](auto& j) { j.spec.request.cores = 3'000, j.spec.spot = true; }, "n-2", plenty},
+        {"RAM", [](auto& j) { j.spec.request.ram = 8'001; }, "", plenty},
         {"cards",
          [](auto& j) {
-             j.spec.need = {1'000, 1'000, 0};
+             j.spec.request = {1'000, 1'000, 0};
          },
          "n-3", plenty},
         {"its types", [](auto& j) { j.spec.types = {{"cards"}}; }, "", plenty},
@@ -161,7 +161,7 @@
     for (const auto& c : cases) {
         WaitingJob job;
         job.spec.tasks = job.tasks = 3;
-        job.spec.need = {2'000, 0, 1'000};
+        job.spec.request = {2'000, 0, 1'000};
         c.ask(job);
         EXPECT_EQ(could_start_on(job, rooms, c.left), c.on) << c.what;
     }
@@ -170,7 +170,7 @@
 /// Planted: the state service takes no change any more, so nobody binds what waits, and room comes about.
 TEST(Acceptance, AJobIsLeftWaitingWhereItsHolderIsKeptFromBinding) {
     for (const bool planted : {false, true}) {
-        World w(5);
+        Simulator w(5);
         start(w);
         w.run(5 * kSecond);
         w.submit(w.job(1, JobKind::Array, 24), 20 * kSecond);  // all there is
@@ -182,7 +182,7 @@
         ASSERT_EQ(w.told(waits.ref), "accepted");
         ASSERT_EQ(w.running(waits.ref), 0);
         if (planted) w.state().limits.txn_ops = 0;
-        w.calm();
+        w.quiesce();
         w.run(115 * kSecond);
         const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
         EXPECT_EQ(has(a, "left waiting: " + waits.ref), planted) << a.left_waiting << w.story();
@@ -192,7 +192,7 @@
 
 /// Idle work leaves room for what waits, but not for what its team's limit keeps from starting.
 TEST(Acceptance, WhatALimitKeepsWaitingTakesNoRoomFromIdleWork) {
-    World w(6);
+    Simulator w(6);
     for (int i = 0; i < 8; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3);
     w.run(6 * kSecond);
@@ -200,7 +200,7 @@
     w.run(10 * kSecond);
     JobSpec guests = w.job(2, JobKind::Array, 4);
     guests.team = "guests";
-    guests.rank = Rank::Low;
+    guests.rank = PriorityClass::Low;
     w.submit(guests, 3 * kSecond);
     w.run(40 * kSecond);
     EXPECT_EQ(w.told(guests.ref), "done") << w.story();
@@ -212,7 +212,7 @@
 TEST(Acceptance, WhatFindsNoRoomElsewhereStartsOnMachinesThatAreBeingEmptied) {
     Settings s = small_site();
     s.ops.idle_return = 12 * kSecond;
-    World w(8, s);
+    Simulator w(8, s);
     start(w);
     w.run(5 * kSecond);
     w.submit(w.job(1, JobKind::Array, 24), 60 * kSecond);
@@ -221,7 +221,7 @@
     for (const auto& [name, m] : w.owner_at(0)->machines()) emptied += m->draining;
     ASSERT_EQ(emptied, 2) << w.story();
     JobSpec service = w.job(2, JobKind::Service, 4, 2);
-    service.rank = Rank::Production;
+    service.rank = PriorityClass::Production;
     service.spread = true;
     service.team = "blue";
     w.submit(service, 0);
@@ -239,16 +239,16 @@
     write("duration_s = 100");
     EXPECT_THROW(Experiment::load(path), std::runtime_error);
     write("duration_s = 100\nacceptance = false");
-    EXPECT_EQ(Experiment::load(path).calm(), 40'300 * kMillisecond);
+    EXPECT_EQ(Experiment::load(path).faults_end(), 40'300 * kMillisecond);
     write("duration_s = 130");
     EXPECT_TRUE(Experiment::load(path).acceptance);
 }
 
-// ---------------------------------------------------------------- what the lab's world does
+// ---------------------------------------------------------------- what the simulator's world does
 
 TEST(LabWorld, AZoneThatEndsComesBackWithNewMachines) {
     for (const bool ends : {true, false}) {
-        World w(7);
+        Simulator w(7);
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes(3);
         w.run(10 * kSecond);
@@ -267,15 +267,15 @@
 }
 
 TEST(LabWorld, CardsAreBookedAndImagesTakeTheirSize) {
-    MachineType cards{"cards", {16'000, 4'000, 64'000}, 30'000, 2.0, 1, 1, kSecond, {"a", "b"}};
+    MachineType gpus{"cards", {16'000, 4'000, 64'000}, 30'000, 2.0, 1, 1, kSecond, {"a", "b"}};
     Settings s = small_site();
     s.teams = {{"red", {}, {kNoLimit, kNoLimit, 0}}};
-    World w(5, s, {cards});
+    Simulator w(5, s, {gpus});
     w.add_machine("cards", "a");
     w.start_nodes(1);
     w.run(5 * kSecond);
     JobSpec job = w.job(1, JobKind::Array, 3);
-    job.need = {1'000, 2'000, 1'000};
+    job.request = {1'000, 2'000, 1'000};
     job.image_gb = 20'000;  // ten seconds at 2 GB a second
     const Micros from = w.now();
     w.submit(job, 5 * kSecond, -1);
@@ -284,19 +284,19 @@
     const Fate f = w.fates().front();
     EXPECT_GE(f.begun - from, 10 * kSecond);
     EXPECT_LE(f.begun - from, 12 * kSecond);
-    EXPECT_GE(f.all_begun - f.begun, 5 * kSecond);  // only two at a time have cards
+    EXPECT_GE(f.all_begun - f.begun, 5 * kSecond);  // only two at a time have GPUs
     EXPECT_TRUE(w.broken.empty());
 }
 
 /// Two machines, one of which fails all that starts on it for a while, and every message arrives once more.
 std::vector<std::string> repeated(bool commands) {
-    World w(11);
+    Simulator w(11);
     for (const char* zone : {"a", "b"}) w.add_machine("small", zone);
     w.start_nodes(3);
     w.run(6 * kSecond);
     w.repeats = 1;
     w.repeat_commands = commands;
-    standin::Worker* faulty = w.worker(w.machine_names().front());
+    fakes::Worker* faulty = w.worker(w.machine_names().front());
     faulty->faulty = true;
     w.submit(w.job(1, JobKind::Array, 12), 12 * kSecond);
     w.run(2 * kSecond);
@@ -312,7 +312,7 @@
 
 /// A direct launch that was carried out arrives once more after its attempt has exited: token and session
 /// still match, so the worker would start it again beside the next attempt, had it been cleared
-/// (Owner::orders_for).
+/// (ShardOwner::orders_for).
 TEST(LabWorld, ALaunchOnceMoreAfterItsClearStartsNothing) {
     EXPECT_EQ(repeated(true), std::vector<std::string>());
 }
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -2,20 +2,19 @@
 // job is gone `cancel` after the answer that confirmed it, whoever is refused, cut off or down meanwhile. The
 // argument, step by step, is in docs/design.md, "Gone in time".
 
-#include "core/authority.hpp"
-
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "cluster/lease_validity.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 /// Three controllers and some machines of zone a, settled.
-std::unique_ptr<World> one_zone(std::uint64_t seed, int machines) {
-    auto w = std::make_unique<World>(seed);
+std::unique_ptr<Simulator> one_zone(std::uint64_t seed, int machines) {
+    auto w = std::make_unique<Simulator>(seed);
     for (int i = 0; i < machines; ++i) w->add_machine("small", "a");
     w->start_nodes();
     w->run(6 * kSecond);
@@ -24,7 +23,7 @@
 }
 
 /// Its user cancels the job and is told so by a controller other than this one.
-void cancel_beside(World& w, int node, const std::string& ref) {
+void cancel_beside(Simulator& w, int node, const std::string& ref) {
     w.cut("users", host(node));
     w.cancel(ref);
     w.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Value::object());
@@ -42,8 +41,8 @@
                 EXPECT_TRUE(fits) << s.lease << " " << s.cancel;
             else
                 EXPECT_LT(s.cancel, s.lease + s.lease / 500 + 5 * kSecond);
-            EXPECT_TRUE(entitled(authority(s) - 1, s));
-            EXPECT_FALSE(entitled(authority(s), s));
+            EXPECT_TRUE(has_valid_lease(authority(s) - 1, s));
+            EXPECT_FALSE(has_valid_lease(authority(s), s));
         }
 }
 
@@ -96,12 +95,12 @@
 }
 
 TEST(Authority, AHolderThatHasNotReadEverythingStopsWhatIsOver) {
-    // Between taking a domain and knowing all of it a holder answers reports, so that no lease runs out. An
+    // Between taking a shard and knowing all of it a holder answers reports, so that no lease runs out. An
     // outage may begin in that moment: then it renewed the leases of cancelled jobs, without a stop, by looks
     // of its own.
     auto w = one_zone(3, 2);
     const int old = w->holder();
-    const std::string domain = w->owner_at(old)->domain();
+    const std::string shard = w->owner_at(old)->shard();
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->run(3 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 2);
@@ -110,7 +109,7 @@
     ASSERT_EQ(w->running("req-000001"), 2) << "the old holder does not know";
     auto taken = [&] {
         for (int i = 0; i < 3; ++i)
-            if (const Owner* o = w->node(i)->owner(domain); i != old && o && !o->active()) return true;
+            if (const ShardOwner* o = w->node(i)->owner(shard); i != old && o && !o->active()) return true;
         return false;
     };
     for (int i = 0; i < 10'000 && !taken(); ++i) w->run(kMillisecond);
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -3,11 +3,11 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr int kMachines = 6;
@@ -15,7 +15,7 @@
 Settings gpu_site() {
     Settings s = small_site();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.005;  // several domains
+    s.cpu_share = 0.005;  // several shards
     return s;
 }
 
@@ -24,8 +24,8 @@
 }
 
 /// Six machines with two GPUs each, three controllers, settled.
-std::unique_ptr<World> gpu_world(std::uint64_t seed, int capacity) {
-    auto w = std::make_unique<World>(seed, gpu_site(), std::vector<MachineType>{gpu_type()});
+std::unique_ptr<Simulator> gpu_world(std::uint64_t seed, int capacity) {
+    auto w = std::make_unique<Simulator>(seed, gpu_site(), std::vector<MachineType>{gpu_type()});
     for (int i = 0; i < kMachines; ++i) w->add_machine("gpu", i % 2 ? "b" : "a");
     w->cloud().capacity = capacity;
     w->start_nodes();
@@ -33,29 +33,29 @@
     return w;
 }
 
-JobSpec gpu_job(World& w, int number, JobKind kind, int tasks, Rank rank) {
+JobSpec gpu_job(Simulator& w, int number, JobKind kind, int tasks, PriorityClass rank) {
     JobSpec job = w.job(number, kind, tasks, 5);
     job.team = "captions";
-    job.need = {5'000, 1'000, 38'000};
+    job.request = {5'000, 1'000, 38'000};
     job.rank = rank;
     job.spot = kind == JobKind::Array;
     return job;
 }
 
-std::size_t machines(World& w) {
+std::size_t machines(Simulator& w) {
     return w.machine_names().size();
 }
 
 /// Twelve GPUs; the services ask for sixteen, a gang for two whole machines.
-void submit_more_than_fits(World& w) {
-    w.submit(gpu_job(w, 1, JobKind::Service, 8, Rank::Production), 0);
-    w.submit(gpu_job(w, 2, JobKind::Service, 8, Rank::Production), 0);
-    JobSpec gang = gpu_job(w, 3, JobKind::Gang, 2, Rank::High);
-    gang.need = {14'000, 2'000, 100'000};
+void submit_more_than_fits(Simulator& w) {
+    w.submit(gpu_job(w, 1, JobKind::Service, 8, PriorityClass::Production), 0);
+    w.submit(gpu_job(w, 2, JobKind::Service, 8, PriorityClass::Production), 0);
+    JobSpec gang = gpu_job(w, 3, JobKind::Gang, 2, PriorityClass::High);
+    gang.request = {14'000, 2'000, 100'000};
     w.submit(gang, 20 * kSecond);
 }
 
-void expect_all_run(World& w) {
+void expect_all_run(Simulator& w) {
     EXPECT_EQ(w.running("req-000001"), 8) << w.story();
     EXPECT_EQ(w.running("req-000002"), 8) << w.story();
     EXPECT_EQ(w.told("req-000003"), "done") << w.story();
@@ -73,7 +73,7 @@
 
 TEST(Autoscaling, RentsNothingForBestEffortWorkOfATeamWithoutAGuarantee) {
     auto w = gpu_world(72, 40);
-    w->submit(gpu_job(*w, 1, JobKind::Array, 60, Rank::Low), 20 * kSecond);
+    w->submit(gpu_job(*w, 1, JobKind::Array, 60, PriorityClass::Low), 20 * kSecond);
     w->run(60 * kSecond);
     EXPECT_EQ(w->cloud().rentals().size(), 0U) << w->story();
     EXPECT_RULES(*w);
@@ -101,7 +101,8 @@
 TEST(Autoscaling, ReturnsNoMachineWhileWaitingWorkFitsIt) {
     auto w = gpu_world(75, 0);
     w->settings.ops.idle_return = 5 * kSecond;
-    for (int i = 1; i <= 8; ++i) w->submit(gpu_job(*w, i, JobKind::Array, 12, Rank::Normal), 15 * kSecond);
+    for (int i = 1; i <= 8; ++i)
+        w->submit(gpu_job(*w, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
     w->run(60 * kSecond);
     EXPECT_EQ(machines(*w), static_cast<std::size_t>(kMachines)) << w->story();
     EXPECT_RULES(*w);
@@ -110,7 +111,8 @@
 /// Cores are left on machines whose GPUs are all taken: no other controller takes them for room.
 TEST(Autoscaling, JobsDoNotMoveToControllersWhoseGpusAreTaken) {
     auto w = gpu_world(76, 0);
-    for (int i = 1; i <= 12; ++i) w->submit(gpu_job(*w, i, JobKind::Service, 2, Rank::Production), 0);
+    for (int i = 1; i <= 12; ++i)
+        w->submit(gpu_job(*w, i, JobKind::Service, 2, PriorityClass::Production), 0);
     w->run(40 * kSecond);
     int moves = 0;
     for (int i = 0; i < w->node_count(); ++i) {
--- a/tests/cards_sim_test.cpp
+++ b/tests/cards_sim_test.cpp
@@ -1,4 +1,4 @@
-// Machines with cards over an hour, simulated in small: what packing and moves change. The table is printed;
+// Machines with GPUs over an hour, simulated in small: what packing and moves change. The table is printed;
 // docs/policy.md has it for 200 machines (COTTONWAY_CARDS_MACHINES=200 COTTONWAY_CARDS_SEEDS=10).
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 #include <queue>
 #include <random>
 
-#include "core/placement.hpp"
-#include "planning/cards.hpp"
+#include "scheduling/gpu_packing.hpp"
+#include "scheduling/placement.hpp"
 
 namespace cottonway::test {
 namespace {
@@ -19,9 +19,9 @@
 using namespace planning;
 
 struct Measured {
-    double large = 0, large_soon = 0;         // of 8 cards; begun within 60 s while as many cards were free
+    double large = 0, large_soon = 0;         // of 8 GPUs; begun within 60 s while as many GPUs were free
     double mid = 0, mid_soon = 0;             // of 4
-    double used = 0, useless = 0, total = 0;  // card seconds
+    double used = 0, useless = 0, total = 0;  // GPU seconds
     double moves = 0, made = 0, most_moves = 0;
     double begun = 0, waited = 0;  // all tasks, seconds
     void add(const Measured& o) {
@@ -31,13 +31,13 @@
     }
 };
 
-/// One run by whole seconds. Shapes of 1, 2, 4 and 8 cards arrive so that each asks for as many cards; half
+/// One run by whole seconds. Shapes of 1, 2, 4 and 8 GPUs arrive so that each asks for as many GPUs; half
 /// are batch that saves every minute, the others replicas that may move, with weights of 20 to 140 GB.
 class Simulated {
   public:
     Simulated(int machines, double load, std::uint64_t seed, bool pack, bool moves)
         : load_(load), arrivals_(seed), random_(seed), pack_(pack) {
-        policy_.cards = {pack, moves, 5 * kSecond};
+        policy_.gpus = {pack, moves, 5 * kSecond};
         policy_.moves.push_back({{"", "model"}, true});
         for (int i = 0; i < machines; ++i) {
             MachineView m;
@@ -58,7 +58,7 @@
             leave();
             moved_arrive();
             start_waiting();
-            if (policy_.cards.make_room) make();
+            if (policy_.gpus.make_room) make();
             measure();
         }
         return out_;
@@ -81,7 +81,7 @@
         int tasks = 0;
         std::vector<std::pair<std::string, Resources>> kept;  // for whom
         Resources room(const std::string& by) const {
-            Resources r = view.size - view.booked;
+            Resources r = view.size - view.reserved;
             for (const auto& [ref, need] : kept)
                 if (ref != by) r -= need;
             return r;
@@ -93,8 +93,8 @@
     void arrive() {
         constexpr int kMean = 600;
         const double per_shape = 0.25 * load_ * 8 * static_cast<double>(machines_.size()) / kMean;
-        for (const int cards : {1, 2, 4, 8}) {
-            const int n = std::poisson_distribution<int>(per_shape / cards)(arrivals_);
+        for (const int gpus : {1, 2, 4, 8}) {
+            const int n = std::poisson_distribution<int>(per_shape / gpus)(arrivals_);
             for (int i = 0; i < n; ++i) {
                 Task t;
                 JobSpec& s = t.job.spec;
@@ -105,8 +105,8 @@
                 s.job_class = batch ? "train" : "model";
                 s.checkpoint = batch ? 60 * kSecond : 0;
                 s.save = batch ? 2 * kSecond : 0;
-                s.need = {cards * (4'000 + static_cast<Milli>(uniform() * 8'000)), cards * 1'000,
-                          cards * 64'000};
+                s.request = {gpus * (4'000 + static_cast<Milli>(uniform() * 8'000)), gpus * 1'000,
+                             gpus * 64'000};
                 s.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
                 s.image_gb = 20'000 * (1 + std::hash<std::string>{}(s.image) % 7);
                 t.job.since_moved = 3600 * kSecond;
@@ -119,8 +119,8 @@
     }
 
     void take(Task& t, Machine& m, int sign) {
-        if (sign > 0) m.view.booked += t.job.spec.need;
-        if (sign < 0) m.view.booked -= t.job.spec.need;
+        if (sign > 0) m.view.reserved += t.job.spec.request;
+        if (sign < 0) m.view.reserved -= t.job.spec.request;
         m.tasks += sign;
     }
 
@@ -183,11 +183,11 @@
         const Shapes asked = shapes();
         std::vector<std::size_t> still;
         Milli free = 0;
-        for (const auto& m : machines_) free += m.view.size.cards - m.view.booked.cards;
-        for (const std::size_t i : on_way_) free -= tasks_[i].job.spec.need.cards;
+        for (const auto& m : machines_) free += m.view.size.gpus - m.view.reserved.gpus;
+        for (const std::size_t i : on_way_) free -= tasks_[i].job.spec.request.gpus;
         for (const std::size_t i : waiting_) {
             Task& t = tasks_[i];
-            const Resources& need = t.job.spec.need;
+            const Resources& need = t.job.spec.request;
             std::vector<Candidate> list;
             for (std::size_t m = 0; m < machines_.size(); ++m) {
                 const Resources room = machines_[m].room(t.job.spec.ref);
@@ -195,18 +195,18 @@
                 Candidate c;
                 c.index = m;
                 c.size = machines_[m].view.size;
-                c.booked = c.size - room;
+                c.reserved = c.size - room;
                 c.tasks = machines_[m].tasks;
                 for (const auto& image : machines_[m].view.images)
                     c.has_image = c.has_image || image.name == t.job.spec.image;
-                if (pack_) c.penalty = card_penalty(c.size, c.booked, need, asked);
+                if (pack_) c.penalty = gpu_penalty(c.size, c.reserved, need, asked);
                 list.push_back(c);
             }
             const auto chosen = place(list, need, PlacementSettings{}, random_);
             // Each waiting task has a claim on what is free, the longest waiting first.
-            if (free >= need.cards) {
+            if (free >= need.gpus) {
                 ++t.free_for;
-                free -= need.cards;
+                free -= need.gpus;
             }
             judge(t, chosen >= 0);
             if (chosen < 0) {
@@ -219,14 +219,14 @@
         waiting_ = std::move(still);
     }
 
-    /// Once: begun, or not within 60 s in which as many cards were free.
+    /// Once: begun, or not within 60 s in which as many GPUs were free.
     void judge(Task& t, bool begins) {
         if (t.judged || (!begins && t.free_for <= 60)) return;
         t.judged = true;
         if (!counts_) return;
         const bool soon = begins && t.free_for <= 60;
-        if (t.job.spec.need.cards == 8'000) ++out_.large, out_.large_soon += soon;
-        if (t.job.spec.need.cards == 4'000) ++out_.mid, out_.mid_soon += soon;
+        if (t.job.spec.request.gpus == 8'000) ++out_.large, out_.large_soon += soon;
+        if (t.job.spec.request.gpus == 4'000) ++out_.mid, out_.mid_soon += soon;
     }
 
     void make() {
@@ -257,7 +257,7 @@
             tv.stopping = tv.moving = t.stopping;
             tv.ran = (now_ - t.begun) * kSecond;
             v.machines[tv.machine].tasks.push_back(v.tasks.size());
-            if (t.stopping) v.machines[tv.machine].stopping += t.job.spec.need;
+            if (t.stopping) v.machines[tv.machine].stopping += t.job.spec.request;
             v.tasks.push_back(tv);
             task_of.push_back(i);
         }
@@ -268,14 +268,14 @@
             for (auto& m : machines_)
                 if (m.view.name == plan.gather.machine)
                     m.kept.emplace_back(plan.gather.job,
-                                        tasks_[std::stoul(plan.gather.job.substr(2))].job.spec.need);
+                                        tasks_[std::stoul(plan.gather.job.substr(2))].job.spec.request);
             for (const auto& move : plan.moves) {
                 Task& t = tasks_[std::stoul(move.job.substr(2))];
                 t.stopping = true;
                 t.begun = now_ + 3;
                 t.to = move.to;
                 for (auto& m : machines_)
-                    if (m.view.name == move.to) m.kept.emplace_back(move.job, t.job.spec.need);
+                    if (m.view.name == move.to) m.kept.emplace_back(move.job, t.job.spec.request);
             }
             moves_in_minute_ += static_cast<int>(plan.moves.size());
             if (!counts_ || plan.moves.empty()) continue;
@@ -285,18 +285,18 @@
         }
     }
 
-    /// Free cards that nothing waiting can use while something waits for cards.
+    /// Free GPUs that nothing waiting can use while something waits for GPUs.
     void measure() {
         if (!counts_) return;
         Milli smallest = 0;
         for (const std::size_t i : waiting_) {
-            const Milli c = tasks_[i].job.spec.need.cards;
+            const Milli c = tasks_[i].job.spec.request.gpus;
             smallest = smallest == 0 ? c : std::min(smallest, c);
         }
         for (const auto& m : machines_) {
-            const Milli free = m.view.size.cards - m.view.booked.cards;
+            const Milli free = m.view.size.gpus - m.view.reserved.gpus;
             out_.total += 8;
-            out_.used += static_cast<double>(m.view.booked.cards) / 1000;
+            out_.used += static_cast<double>(m.view.reserved.gpus) / 1000;
             if (smallest > 0 && free < smallest) out_.useless += static_cast<double>(free) / 1000;
         }
     }
@@ -319,16 +319,16 @@
     return value ? std::atoi(value) : otherwise;
 }
 
-/// `domains` times as many machines, each domain with its own arrivals and its own holder.
-Measured measured(int domains, int machines, double load, bool pack, bool moves) {
+/// `shards` times as many machines, each shard with its own arrivals and its own holder.
+Measured measured(int shards, int machines, double load, bool pack, bool moves) {
     Measured sum;
     const int seeds = setting("COTTONWAY_CARDS_SEEDS", 2);
-    for (int s = 1; s <= seeds * domains; ++s)
+    for (int s = 1; s <= seeds * shards; ++s)
         sum.add(Simulated(machines, load, static_cast<std::uint64_t>(s), pack, moves).run(3600, 1800));
     std::printf(
         "| %d x %d, %.0f%% | %s | %.1f%% of %.0f | %.1f%% of %.0f | %.2f%% | %.1f%% | %.1f s | %.0f, %.2f, "
         "%.0f |\n",
-        domains, machines, 100 * load,
+        shards, machines, 100 * load,
         moves  ? "packing and moves"
         : pack ? "packing"
                : "before",
@@ -340,12 +340,12 @@
 
 TEST(CardsSimulated, PackingAndMovesLetLargeOnesBegin) {
     const bool all = setting("COTTONWAY_CARDS_ALL", 0) != 0;
-    for (const auto& [domains, machines] : all ? std::vector<std::pair<int, int>>{{1, 200}, {5, 40}}
-                                               : std::vector<std::pair<int, int>>{{1, 24}})
+    for (const auto& [shards, machines] : all ? std::vector<std::pair<int, int>>{{1, 200}, {5, 40}}
+                                              : std::vector<std::pair<int, int>>{{1, 24}})
         for (const double load : all ? std::vector<double>{0.9, 0.95, 1.0} : std::vector<double>{0.95}) {
-            const Measured before = measured(domains, machines, load, false, false);
-            const Measured packing = measured(domains, machines, load, true, false);
-            const Measured both = measured(domains, machines, load, true, true);
+            const Measured before = measured(shards, machines, load, false, false);
+            const Measured packing = measured(shards, machines, load, true, false);
+            const Measured both = measured(shards, machines, load, true, true);
             EXPECT_GE(packing.large_soon / packing.large, before.large_soon / before.large);
             EXPECT_GE(both.large_soon / both.large, packing.large_soon / packing.large);
             EXPECT_LE(both.most_moves, 3);
--- a/tests/cards_test.cpp
+++ b/tests/cards_test.cpp
@@ -1,6 +1,4 @@
-// Cards in pieces: what they are worth, and moves that make room for a large task.
-
-#include "planning/cards.hpp"
+// GpuSettings in pieces: what they are worth, and moves that make room for a large task.
 
 #include <glpk.h>
 #include <gtest/gtest.h>
@@ -11,22 +9,24 @@
 #include <random>
 #include <set>
 
+#include "scheduling/gpu_packing.hpp"
+
 namespace cottonway::test {
 namespace {
 
 using namespace planning;
 
-Resources part(int cards) {
-    return {cards * 12'000, cards * 1'000, cards * 96'000};
+Resources part(int gpus) {
+    return {gpus * 12'000, gpus * 1'000, gpus * 96'000};
 }
 
-/// A domain, put together in words.
+/// A shard, put together in words.
 struct Site {
     View view;
     policy::Policy policy;
 
     Site() {
-        policy.cards.make_room = true;
+        policy.gpus.make_room = true;
         policy.moves.push_back({{"", "model"}, true});
     }
     std::size_t machine(const std::string& zone = "a") {
@@ -40,13 +40,13 @@
         return view.machines.size() - 1;
     }
     /// A replica of a model that policy calls movable.
-    std::size_t job(int cards, const std::string& job_class = "model") {
+    std::size_t job(int gpus, const std::string& job_class = "model") {
         JobView j;
         j.spec.ref = "j-" + std::to_string(view.jobs.size());
         j.spec.job_class = job_class;
         j.spec.kind = JobKind::Service;
         j.spec.tasks = 1;
-        j.spec.need = part(cards);
+        j.spec.request = part(gpus);
         j.spec.image = "w-" + std::to_string(view.jobs.size());
         j.spec.image_gb = 40'000;
         j.tier = policy.tier(j.spec);
@@ -54,8 +54,8 @@
         view.jobs.push_back(j);
         return view.jobs.size() - 1;
     }
-    std::size_t batch(int cards, Micros ran, Micros checkpoint = 60 * kSecond) {
-        const std::size_t j = job(cards, "render");
+    std::size_t batch(int gpus, Micros ran, Micros checkpoint = 60 * kSecond) {
+        const std::size_t j = job(gpus, "render");
         view.jobs[j].spec.kind = JobKind::Array;
         view.jobs[j].spec.checkpoint = checkpoint;
         ran_[j] = ran;
@@ -70,14 +70,14 @@
         t.ran = ran_[j];
         view.tasks.push_back(t);
         view.machines[m].tasks.push_back(view.tasks.size() - 1);
-        view.machines[m].booked += view.jobs[j].spec.need;
+        view.machines[m].reserved += view.jobs[j].spec.request;
         view.machines[m].images.push_back({view.jobs[j].spec.image, true});
         ++view.jobs[j].bound;
         ++view.jobs[j].zones[view.machines[m].zone];
         return view.tasks.size() - 1;
     }
-    std::size_t waits(int cards, int tasks = 1, Micros for_time = 10 * kSecond) {
-        const std::size_t j = job(cards);
+    std::size_t waits(int gpus, int tasks = 1, Micros for_time = 10 * kSecond) {
+        const std::size_t j = job(gpus);
         view.jobs[j].spec.tasks = view.jobs[j].idle = tasks;
         view.jobs[j].waiting = for_time;
         return j;
@@ -88,7 +88,7 @@
     std::map<std::size_t, Micros> ran_;
 };
 
-/// Two machines, four cards free on each, by a model on either.
+/// Two machines, four GPUs free on each, by a model on either.
 struct Halves : Site {
     Halves() {
         machine();
@@ -116,14 +116,14 @@
     site.machine();
     site.on(0, site.job(4));
     site.waits(8);
-    // Four cards that run, eight that wait and count threefold.
+    // Four GPUs that run, eight that wait and count threefold.
     EXPECT_NEAR(shapes_of(site.view).useless(4000), 24.0 / 28.0, 1e-9);
 }
 
 TEST(CardsPacking, TheTightestMachineCostsLeast) {
     Shapes s;
     for (const int n : {1, 2, 4, 8}) s.add(n * 1000, 1);
-    auto cost = [&](int booked, int cards) { return card_penalty(part(8), part(booked), part(cards), s); };
+    auto cost = [&](int reserved, int gpus) { return gpu_penalty(part(8), part(reserved), part(gpus), s); };
     EXPECT_LT(cost(7, 1), cost(4, 1));
     EXPECT_LT(cost(4, 1), cost(0, 1));
     EXPECT_LT(cost(4, 4), cost(0, 4));
@@ -134,8 +134,8 @@
     Shapes s;
     s.add(1000, 1);
     const Resources cores{4'000, 0, 16'000};
-    EXPECT_EQ(card_penalty({96'000, 0, 768'000}, {}, cores, s), 0);
-    EXPECT_GT(card_penalty(part(8), {}, cores, s), 100);
+    EXPECT_EQ(gpu_penalty({96'000, 0, 768'000}, {}, cores, s), 0);
+    EXPECT_GT(gpu_penalty(part(8), {}, cores, s), 100);
 }
 
 TEST(CardsPacking, CoresThatFreeCardsNeedCost) {
@@ -143,8 +143,8 @@
     s.add(1000, 1);
     const Resources even = part(1);
     const Resources greedy{84'000, 1'000, 96'000};
-    EXPECT_LE(card_penalty(part(8), {}, even, s), 0);
-    EXPECT_GT(card_penalty(part(8), {}, greedy, s), 100);
+    EXPECT_LE(gpu_penalty(part(8), {}, even, s), 0);
+    EXPECT_GT(gpu_penalty(part(8), {}, greedy, s), 100);
 }
 
 // ---------------------------------------------------------------- moves
@@ -365,18 +365,18 @@
         const std::size_t m = site.machine(upto(2) == 0 ? "b" : "a");
         int free = 8;
         while (free > 0 && upto(5) > 0) {
-            const int cards = 1 << upto(2);
-            if (cards > free) continue;
-            free -= cards;
-            const std::size_t j = upto(1) ? site.job(cards, upto(5) ? "model" : "fixed")
-                                          : site.batch(cards, upto(100) * kSecond, upto(3) * 30 * kSecond);
+            const int gpus = 1 << upto(2);
+            if (gpus > free) continue;
+            free -= gpus;
+            const std::size_t j = upto(1) ? site.job(gpus, upto(5) ? "model" : "fixed")
+                                          : site.batch(gpus, upto(100) * kSecond, upto(3) * 30 * kSecond);
             JobView& job = site.view.jobs[j];
             if (upto(8) == 0) job.tier = policy::Tier::Live;
             if (upto(8) == 0) job.spec.zone = site.view.machines[m].zone;
             const std::size_t t = site.on(m, j);
             if (upto(12) == 0) {
                 site.view.tasks[t].stopping = true;
-                site.view.machines[m].stopping += job.spec.need;
+                site.view.machines[m].stopping += job.spec.request;
             }
             if (upto(12) == 0) site.view.tasks[t].moving = true;
         }
@@ -412,21 +412,21 @@
     std::vector<Resources> arrives(site.view.machines.size()), leaves = arrives, starts = arrives;
     for (const auto& p : plans) {
         for (const auto& m : p.moves) {
-            const Resources need = site.view.jobs[job_of(site.view, m.job)].spec.need;
+            const Resources need = site.view.jobs[job_of(site.view, m.job)].spec.request;
             arrives[index_of(site.view, m.to)] += need;
             leaves[index_of(site.view, m.from)] += need;
             RC_ASSERT(m.for_job == p.gather.job);
         }
         for (int i = 0; i < p.gather.tasks; ++i)
             starts[index_of(site.view, p.gather.machine)] +=
-                site.view.jobs[job_of(site.view, p.gather.job)].spec.need;
+                site.view.jobs[job_of(site.view, p.gather.job)].spec.request;
     }
     for (std::size_t m = 0; m < arrives.size(); ++m) {
         const MachineView& machine = site.view.machines[m];
-        RC_ASSERT(arrives[m].fits(machine.room()) || arrives[m].cards == 0);  // before anything has left
+        RC_ASSERT(arrives[m].fits(machine.room()) || arrives[m].gpus == 0);  // before anything has left
         const Resources used = arrives[m] + starts[m];
-        if (used.cards > 0) RC_ASSERT(used.fits(machine.room() + machine.stopping + leaves[m]));
-        if (used.cards > 0) RC_ASSERT(machine.usable);
+        if (used.gpus > 0) RC_ASSERT(used.fits(machine.room() + machine.stopping + leaves[m]));
+        if (used.gpus > 0) RC_ASSERT(machine.usable);
     }
 }
 
@@ -475,7 +475,7 @@
     const View& v = site.view;
     std::vector<Resources> free;
     for (const auto& m : v.machines) free.push_back(m.usable ? m.room() : Resources{});
-    const Resources need = v.jobs[job].spec.need;
+    const Resources need = v.jobs[job].spec.request;
     std::set<std::size_t> gone;
     auto tried = [&](auto&& self, Resources room, int left) -> bool {
         if (need.fits(room)) return true;
@@ -486,12 +486,12 @@
                 j.tier == policy::Tier::Live || !site.policy.movable(j.spec))
                 continue;
             for (std::size_t to = 0; to < free.size(); ++to) {
-                if (to == target || !j.spec.need.fits(free[to])) continue;
+                if (to == target || !j.spec.request.fits(free[to])) continue;
                 if (j.spec.zone && *j.spec.zone != v.machines[to].zone) continue;
                 gone.insert(t);
-                free[to] -= j.spec.need;
-                const bool found = self(self, room + j.spec.need, left - 1);
-                free[to] += j.spec.need;
+                free[to] -= j.spec.request;
+                const bool found = self(self, room + j.spec.request, left - 1);
+                free[to] += j.spec.request;
                 gone.erase(t);
                 if (found) return true;
             }
@@ -511,7 +511,7 @@
         bool fits = false, any = false;
         for (std::size_t m = 0; m < site.view.machines.size(); ++m) {
             const MachineView& machine = site.view.machines[m];
-            fits = fits || (machine.usable && site.view.jobs[job].spec.need.fits(machine.room()));
+            fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.room()));
             any = any || brute_force(site, job, m, moves);
         }
         RC_ASSERT(make_room(site.view, job, site.policy).has_value() == (any && !fits));
@@ -543,14 +543,14 @@
     glp_add_rows(lp, n + 1);
     for (int m = 0; m < n; ++m) {
         const MachineView& machine = v.machines[static_cast<std::size_t>(m)];
-        const Milli room = machine.room().cards + machine.stopping.cards;
+        const Milli room = machine.room().gpus + machine.stopping.gpus;
         glp_set_row_bnds(lp, m + 1, GLP_UP, 0, machine.usable ? static_cast<double>(room) / 1000 : 0);
     }
     glp_set_row_bnds(lp, n + 1, GLP_FX, 1, 1);
     for (int m = 0; m < n; ++m) {
         if (!v.machines[static_cast<std::size_t>(m)].usable) continue;
         const int c = binary(0);
-        set(m + 1, c, static_cast<double>(v.jobs[job].spec.need.cards) / 1000);
+        set(m + 1, c, static_cast<double>(v.jobs[job].spec.request.gpus) / 1000);
         set(n + 1, c, 1);
     }
     for (const auto& t : v.tasks) {
@@ -565,10 +565,10 @@
             if (static_cast<std::size_t>(m) == t.machine || !to.usable) continue;
             if (j.spec.zone && *j.spec.zone != to.zone) continue;
             const int c = binary(1);
-            const double cards = static_cast<double>(j.spec.need.cards) / 1000;
+            const double gpus = static_cast<double>(j.spec.request.gpus) / 1000;
             set(once, c, 1);
-            set(m + 1, c, cards);
-            set(static_cast<int>(t.machine) + 1, c, -cards);
+            set(m + 1, c, gpus);
+            set(static_cast<int>(t.machine) + 1, c, -gpus);
         }
     }
     glp_load_matrix(lp, static_cast<int>(rows.size()) - 1, rows.data(), cols.data(), values.data());
--- a/tests/changing_hands_test.cpp
+++ b/tests/changing_hands_test.cpp
@@ -5,11 +5,11 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr Micros kStep = 50 * kMillisecond;
@@ -17,24 +17,24 @@
 
 struct Change {
     const char* what;
-    bool several;   // domains
+    bool several;   // shards
     Micros before;  // how long before the sweep's origin it begins
-    void (*begin)(World&, int holder);
+    void (*begin)(Simulator&, int holder);
 };
 const Change kChanges[] = {
-    {"given by its holder", false, 0, [](World& w, int h) { hand_over(w, h, (h + 1) % 3); }},
+    {"given by its holder", false, 0, [](Simulator& w, int h) { transfer_shards(w, h, (h + 1) % 3); }},
     {"given and back", false, 0,
-     [](World& w, int h) {
-         hand_over(w, h, (h + 1) % 3);
+     [](Simulator& w, int h) {
+         transfer_shards(w, h, (h + 1) % 3);
          w.at(w.now() + 1500 * kMillisecond, [&w, h] {
-             if (w.owner_at((h + 1) % 3)) hand_over(w, (h + 1) % 3, h);
+             if (w.owner_at((h + 1) % 3)) transfer_shards(w, (h + 1) % 3, h);
          });
      }},
-    {"taken after an end", false, 2 * kSecond, [](World& w, int h) { w.crash(h, 60 * kSecond); }},
-    {"taken back after an end", false, 0, [](World& w, int h) { w.crash(h, 300 * kMillisecond); }},
-    {"taken, and handed back", true, 8 * kSecond, [](World& w, int h) { w.crash(h, 4 * kSecond); }},
+    {"taken after an end", false, 2 * kSecond, [](Simulator& w, int h) { w.crash(h, 60 * kSecond); }},
+    {"taken back after an end", false, 0, [](Simulator& w, int h) { w.crash(h, 300 * kMillisecond); }},
+    {"taken, and handed back", true, 8 * kSecond, [](Simulator& w, int h) { w.crash(h, 4 * kSecond); }},
     {"taken from one that is cut off", false, 2 * kSecond,
-     [](World& w, int h) {
+     [](Simulator& w, int h) {
          w.cut_off(h, true);
          w.at(w.now() + 20 * kSecond, [&w, h] { w.cut_off(h, false); });
      }},
@@ -43,29 +43,29 @@
 struct Beside {
     const char* what;
     bool held;  // commands or looks are late, so that a launch may come after the answer to its user
-    void (*begin)(World&, int holder);
+    void (*begin)(Simulator&, int holder);
 };
 const Beside kBeside[] = {
-    {"nothing", false, [](World&, int) {}},
+    {"nothing", false, [](Simulator&, int) {}},
     {"the next message to each machine is kept back", true,
-     [](World& w, int h) {
+     [](Simulator& w, int h) {
          for (const auto& m : w.machine_names()) w.hold_next(host(h), m);
          w.at(w.now() + 12 * kSecond, [&w] { w.release(); });
      }},
-    {"commands are late", true, [](World& w, int) { w.late_commands = 0.5; }},
+    {"commands are late", true, [](Simulator& w, int) { w.late_commands = 0.5; }},
     {"the record of the domain is written late", false,
-     [](World& w, int) { w.late_next("c/domain/", 3 * kSecond); }},
+     [](Simulator& w, int) { w.late_next("c/domain/", 3 * kSecond); }},
     {"the record of the domain is written unanswered", false,
-     [](World& w, int) { w.late_next("c/domain/", 0); }},
+     [](Simulator& w, int) { w.late_next("c/domain/", 0); }},
     {"records of jobs are written late", false,
-     [](World& w, int) {
+     [](Simulator& w, int) {
          for (int i = 0; i < 60; ++i) w.late_next("c/active/", i % 2 ? 2 * kSecond : 6 * kSecond);
      }},
     {"records of jobs are written unanswered", false,
-     [](World& w, int) {
+     [](Simulator& w, int) {
          for (int i = 0; i < 100; ++i) w.late_next("c/active/", 0);
      }},
-    {"the store is slow", true, [](World& w, int) { w.slow_state = 600 * kMillisecond; }},
+    {"the store is slow", true, [](Simulator& w, int) { w.slow_state = 600 * kMillisecond; }},
 };
 
 class ChangingHands : public testing::TestWithParam<int> {};
@@ -78,7 +78,7 @@
         Settings site = small_site();
         if (change.several) site.cpu_share = 0.001;
         site.ops.idle_return = 600 * kSecond;
-        auto w = calm(static_cast<std::uint64_t>(GetParam()), 6, site);
+        auto w = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
         const std::string name = fmt::format("{}, {}", change.what, beside.what);
         const int holder = w->holder();
         const Micros origin = w->now() + 4 * kSecond + change.before;
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -21,7 +21,7 @@
 LiveJob live_job(const std::string& team, Resources need, int tasks, bool spot = false) {
     LiveJob job;
     job.team = team;
-    job.need = need;
+    job.request = need;
     job.tasks = tasks;
     job.spot = spot;
     return job;
@@ -75,11 +75,11 @@
 
 TEST(Demand, OfBestEffortWorkIsNothingForATeamWithoutAGuarantee) {
     LiveJob job = live_job("guests", {4 * kCore, 0, 0}, 100, true);
-    for (const Rank rank : {Rank::Production, Rank::High, Rank::Normal}) {
+    for (const PriorityClass rank : {PriorityClass::Production, PriorityClass::High, PriorityClass::Normal}) {
         job.rank = rank;
         EXPECT_GT(demand_of({unlimited("guests")}, {job}).flexible, 0);
     }
-    job.rank = Rank::Low;
+    job.rank = PriorityClass::Low;
     EXPECT_EQ(demand_of({unlimited("guests")}, {job}).flexible, 0);
     EXPECT_EQ(demand_of({unlimited("guests")}, {job}).unlimited_flexible, 0);
     const Team guaranteed{"guests", {4 * kCore, 0, 0}, {kNoLimit, kNoLimit, 0}};
@@ -102,14 +102,14 @@
             elsewhere = cancelled;
     cancelled.cancelled = true;
     waits.open = false;
-    too_large.need.cores = 17 * kCore;
+    too_large.request.cores = 17 * kCore;
     elsewhere.types = {"other"};
     EXPECT_EQ(demand_of({unlimited("captions")}, {cancelled, waits, too_large, elsewhere}).ordinary, 0);
 }
 
 TEST(Demand, OfAJobInCrashLoopBackoffIsOneTask) {
     LiveJob job = live_job("captions", {kCore, 0, 0}, 50);
-    job.held = true;
+    job.backing_off = true;
     EXPECT_EQ(demand_of({unlimited("captions")}, {job}).ordinary, kCore);
 }
 
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -1,14 +1,14 @@
 // Experiments as files describe them: whom a fault hits, and until when it lasts.
 
-#include "lab/experiment.hpp"
-
 #include <gtest/gtest.h>
 
 #include <fstream>
 
+#include "simulation/scenario.hpp"
+
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 Experiment with_fault(const std::string& fault) {
@@ -32,14 +32,14 @@
 }
 
 TEST(Experiment, CalmCountsHowLateMessagesMayBe) {
-    EXPECT_EQ(with_fault("kind = \"cut_off\"").calm(), 15 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"late_writes\"\npart = 0.2").calm(), 27 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"late_reports\"").calm(), 65 * kSecond);  // two and a half leases
-    EXPECT_EQ(with_fault("kind = \"late_writes\"\nat_once = true").calm(), 15 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"late_reports\"\nfor_next = true").calm(), 15 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"late_commands\"").calm(), 31 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"cancel_now\"\ncount = 2\nhang_s = 7").calm(), 17 * kSecond);
-    EXPECT_EQ(with_fault("kind = \"deaf\"\ntimes = 3\nevery_s = 4").calm(), 23 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"cut_off\"").faults_end(), 15 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"late_writes\"\npart = 0.2").faults_end(), 27 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"late_reports\"").faults_end(), 65 * kSecond);  // two and a half leases
+    EXPECT_EQ(with_fault("kind = \"late_writes\"\nat_once = true").faults_end(), 15 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"late_reports\"\nfor_next = true").faults_end(), 15 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"late_commands\"").faults_end(), 31 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"cancel_now\"\ncount = 2\nhang_s = 7").faults_end(), 17 * kSecond);
+    EXPECT_EQ(with_fault("kind = \"deaf\"\ntimes = 3\nevery_s = 4").faults_end(), 23 * kSecond);
 }
 
 TEST(Experiment, WordsForNodesAreReadAndBadOnesNamed) {
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -5,13 +5,13 @@
 
 #include <fstream>
 
-#include "lab/world.hpp"
-#include "peer/messages.hpp"
-#include "state/pieces.hpp"
+#include "cluster/peer_messages.hpp"
+#include "kvstore/chunks.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
@@ -23,13 +23,13 @@
     return out;
 }
 
-std::vector<Value> records_of(World& w) {
+std::vector<Value> records_of(Simulator& w) {
     auto r = w.state().handle("GET", "/store?starts=c/&page=1000", Value(), w.now());
     return r.body["pairs"].get<std::vector<Value>>();
 }
 
 /// The night that the records in tests/data are from.
-void production_night(World& w, std::set<int> old) {
+void production_night(Simulator& w, std::set<int> old) {
     for (int i = 0; i < 6; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i >= 4);
     w.start_nodes(3, std::move(old));
     w.run(6 * kSecond);
@@ -53,7 +53,7 @@
     w.submit(broken, 0, 100 * kMillisecond, true);
     JobSpec wide = w.job(6, JobKind::Array, 250);
     wide.team = "guests";
-    wide.rank = Rank::Low;
+    wide.rank = PriorityClass::Low;
     w.submit(wide, 4 * kSecond);
     w.submit(w.job(7, JobKind::Service, 2), 0);
     w.run(8 * kSecond);
@@ -82,12 +82,12 @@
 }
 
 TEST(Formats, WhatIsWrittenWhileANodeMayBeOldLooksAsProductionWroteIt) {
-    World w(4711);
+    Simulator w(4711);
     production_night(w, {0, 1, 2});
     const auto theirs = shapes(production_records()), ours = shapes(records_of(w));
     EXPECT_EQ(ours, theirs);
     // With two nodes brought up to date there is their word for it besides, and nothing else.
-    World half(4711);
+    Simulator half(4711);
     production_night(half, {2});
     auto more = shapes(records_of(half));
     for (const char* said : {"c/format:object", "c/format.reads:number"}) more.erase(said);
@@ -98,7 +98,7 @@
     auto records = production_records();
     std::stable_sort(records.begin(), records.end(),
                      [](const Value& a, const Value& b) { return a["mark"] < b["mark"]; });
-    World w(1);
+    Simulator w(1);
     for (const auto& r : records) {
         const std::string key = r["k"];
         if (kind_of(key) == "c/live") continue;  // attached to leases that are over
@@ -109,9 +109,9 @@
     }
     w.start_nodes();
     w.run(4 * kSecond);
-    const Owner* owner = nullptr;
+    const ShardOwner* owner = nullptr;
     for (int i = 0; i < 3; ++i)
-        if (const Owner* o = w.node(i)->owner("loom-1"); o && o->active()) owner = o;
+        if (const ShardOwner* o = w.node(i)->owner("loom-1"); o && o->active()) owner = o;
     ASSERT_TRUE(owner) << w.story();
     EXPECT_EQ(owner->machines().size(), 5u);
     ASSERT_TRUE(owner->jobs().count("req-000006"));
@@ -119,7 +119,7 @@
     EXPECT_EQ(wide.done, 64);
     EXPECT_EQ(wide.bound, 10) << "in doubt until their machines are heard";
     EXPECT_EQ(wide.part_tasks, 145u);
-    EXPECT_TRUE(owner->jobs().at("req-000005")->held);
+    EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
     EXPECT_EQ(w.node(0)->share("loom-1", "red").cores, 24'000);
     EXPECT_EQ(wire::text(w.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
@@ -146,14 +146,14 @@
     for (std::string name, hex; in >> name >> hex;) messages[name] = bytes_of(hex);
     ASSERT_EQ(messages.size(), 8u);
     same<peer::State>(messages["State"]);
-    same<peer::Renounce>(messages["Renounce"]);
-    same<peer::Renounced>(messages["Renounced"]);
-    same<peer::Want>(messages["Want"]);
-    same<peer::ShareWant>(messages["Share"]);
-    same<peer::Granted>(messages["Granted"]);
+    same<peer::Relinquish>(messages["Renounce"]);
+    same<peer::Relinquished>(messages["Renounced"]);
+    same<peer::CapacityRequest>(messages["Want"]);
+    same<peer::QuotaRequest>(messages["Share"]);
+    same<peer::Grant>(messages["Granted"]);
     same<peer::Relay>(messages["Relay"]);
     same<peer::Relayed>(messages["Relayed"]);
-    EXPECT_EQ(peer::unpack<peer::State>(messages["State"])->domains.at(0).teams.at(0).used.cards, 5);
+    EXPECT_EQ(peer::unpack<peer::State>(messages["State"])->shards.at(0).teams.at(0).used.gpus, 5);
 }
 
 // ---------------------------------------------------------------- limits
@@ -161,22 +161,22 @@
 TEST(Pieces, AValueComesBackWhole) {
     Value v{{"s", "queued"}, {"k", 3}, {"d", {{"name", "a\"b\\c, d: e\nf\xc3\xa9"}}}, {"b", Value::array()}};
     for (int i = 0; i < 400; ++i) v["b"].push_back(Value::array({i, "n-000" + std::to_string(i)}));
-    const auto split = pieces::split(v, "feed", 1024);
+    const auto split = chunks::split(v, "feed", 1024);
     EXPECT_GT(split.texts.size(), 5u);
     EXPECT_EQ(split.head["s"], "queued") << "polls need no more";
     for (const auto& t : split.texts)
-        EXPECT_LE(pieces::stored_size(pieces::piece("c/job/req-000000000000000001", t)), 1024u);
-    EXPECT_EQ(pieces::join(split.head, split.texts), v);
-    pieces::Shelf shelf;
+        EXPECT_LE(chunks::stored_size(chunks::chunk("c/job/req-000000000000000001", t)), 1024u);
+    EXPECT_EQ(chunks::join(split.head, split.texts), v);
+    chunks::ChunkStore chunk_store;
     for (std::size_t i = 0; i < split.texts.size(); ++i) {
-        EXPECT_FALSE(shelf.whole("c/job/x", split.head)) << "some are missing";
-        const Value piece = pieces::piece("c/job/x", split.texts[i]);
-        shelf.take(pieces::key("feed", i), &piece, kSecond);
+        EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some are missing";
+        const Value chunk = chunks::chunk("c/job/x", split.texts[i]);
+        chunk_store.take(chunks::key("feed", i), &chunk, kSecond);
     }
-    EXPECT_EQ(shelf.whole("c/job/x", split.head), v);
-    EXPECT_TRUE(shelf.left_over(500 * kSecond).empty());
-    EXPECT_EQ(shelf.whole("c/job/x", Value{{"s", "done"}}), (Value{{"s", "done"}}));
-    EXPECT_EQ(shelf.left_over(500 * kSecond).size(), split.texts.size()) << "no longer named";
+    EXPECT_EQ(chunk_store.whole("c/job/x", split.head), v);
+    EXPECT_TRUE(chunk_store.left_over(500 * kSecond).empty());
+    EXPECT_EQ(chunk_store.whole("c/job/x", Value{{"s", "done"}}), (Value{{"s", "done"}}));
+    EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no longer named";
 }
 
 /// A site whose limits fall while it has records of every kind at their largest.
@@ -196,21 +196,21 @@
     Settings before = falling();
     before.value_bytes = 4096;
     before.txn_ops = 8;
-    World w(5, before);
+    Simulator w(5, before);
     for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3, {0, 1, 2});
     w.run(10 * kSecond);
     JobSpec wide = w.job(1, JobKind::Array, 60, 4);
     wide.team = std::string(48, 't');
-    wide.need.cores = 1600;
-    wide.need.ram = 20'000;  // one to a machine
+    wide.request.cores = 1600;
+    wide.request.ram = 20'000;  // one to a machine
     wide.job_class = std::string(250, 'c');
     wide.image = std::string(250, 'i');
     w.submit(wide, 25 * kSecond, 0);
     JobSpec other = wide;
     other.ref = "req-000002";
-    other.need.ram = 100;
-    other.need.cores = 10;
+    other.request.ram = 100;
+    other.request.cores = 10;
     w.submit(other, 25 * kSecond, 0);
     w.run(4 * kSecond);
     EXPECT_EQ(w.running("req-000001"), 60) << w.story();
@@ -236,12 +236,12 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Settings before = falling();
         before.value_bytes = 4096;
-        World w(seed, before);
+        Simulator w(seed, before);
         for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes(3, {0, 1, 2});
         w.run(10 * kSecond);
         JobSpec service = w.job(1, JobKind::Service, 60, 0.4);
-        service.need.ram = 20'000;  // one to a machine
+        service.request.ram = 20'000;  // one to a machine
         w.submit(service, 0, 0);
         w.run(3 * kSecond);
         EXPECT_EQ(w.running("req-000001"), 60) << w.story();
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -1,22 +1,22 @@
-// Two troubles at once: domains that go to and fro within a second, and machines that don't hear.
+// Two troubles at once: shards that go to and fro within a second, and machines that don't hear.
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
-#include "core/authority.hpp"
+#include "cluster/lease_validity.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 TEST(HandingOver, WhoeverHeldTheDomainBeforeIsCountedWith) {
-    // The record names the node that takes the domain, so it has been taken for its own former process's; but
+    // The record names the node that takes the shard, so it has been taken for its own former process's; but
     // it was given by another, which does not know that yet and goes on answering.
     for (const bool ends : {false, true}) {
         Settings site = small_site();
         site.ops.idle_return = 600 * kSecond;
-        auto w = calm(21, 2, site);
+        auto w = settled_simulator(21, 2, site);
         const int giver = w->holder(), taker = (giver + 1) % 3;
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(3 * kSecond);
@@ -27,7 +27,7 @@
         for (const auto& m : w->machine_names())  // nor does a machine tell it
             for (int i = 0; i < 3; ++i)
                 if ((i == giver) != (m == machine)) w->cut(host(i), m);
-        hand_over(*w, giver, taker);
+        transfer_shards(*w, giver, taker);
         w->run(400 * kMillisecond);
         if (ends) w->crash(taker, 100 * kMillisecond);
         w->run(45 * kSecond);
@@ -40,7 +40,7 @@
 TEST(HandingOver, AFormerProcessTakesNoKeyWithIt) {
     // The former process's put of its key is carried out late, while the lease that it names still lives.
     for (Micros when = kMillisecond; when < 12 * kMillisecond; when += 2 * kMillisecond) {
-        auto w = calm(23, 2);
+        auto w = settled_simulator(23, 2);
         const int node = (w->holder() + 1) % 3;
         w->crash(node, 3 * kSecond);
         w->run(3 * kSecond + when);
@@ -57,7 +57,7 @@
 }
 
 TEST(Deaf, WhatAMachineDoesNotHearRunsElsewhere) {
-    auto w = calm(24, 2);
+    auto w = settled_simulator(24, 2);
     w->submit(w->job(1, JobKind::Service, 1, 1), 0);
     w->run(3 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
@@ -79,7 +79,7 @@
 
 TEST(Deaf, WhatAFormerHolderLaunchedThereIsGoneWithItsLastLease) {
     // A machine that reports, but never shows the new holder's token.
-    auto w = calm(25, 2);
+    auto w = settled_simulator(25, 2);
     const int former = w->holder();
     const std::string machine = w->machine_names().front();
     w->deafen(machine, true);
@@ -97,8 +97,8 @@
 TEST(HandingOver, AllEndAndReturnWithinASecondTimeAndAgain) {
     for (std::uint64_t seed = 31; seed < 35; ++seed) {
         Settings site = small_site();
-        if (seed % 2) site.cpu_share = 0.001;  // several domains, so that some are handed back
-        auto w = calm(seed, 8, site);
+        if (seed % 2) site.cpu_share = 0.001;  // several shards, so that some are handed back
+        auto w = settled_simulator(seed, 8, site);
         w->submit(w->job(1, JobKind::Service, 3), 0);
         for (int i = 2; i <= 6; ++i) w->submit(w->job(i, JobKind::Array, 3), 15 * kSecond);
         w->run(2 * kSecond);
@@ -120,16 +120,16 @@
 }
 
 TEST(HandingOver, ACommandHeldUpWhileTheDomainGoesAndReturnsStartsNothingTwice) {
-    auto w = calm(41, 1);
+    auto w = settled_simulator(41, 1);
     const int giver = w->holder(), taker = (giver + 1) % 3;
     const std::string machine = w->machine_names().front();
     w->hold_next(host(giver), machine);  // the /do with the launch
     w->submit(w->job(1, JobKind::Array, 1), kSecond, 0);
     w->run(600 * kMillisecond);
-    hand_over(*w, giver, taker);
+    transfer_shards(*w, giver, taker);
     w->run(400 * kMillisecond);
     ASSERT_EQ(w->holder(), taker) << w->story();
-    hand_over(*w, taker, giver);
+    transfer_shards(*w, taker, giver);
     w->run(400 * kMillisecond);
     ASSERT_EQ(w->holder(), giver) << w->story();
     w->run(10 * kSecond);
@@ -144,15 +144,15 @@
     for (const Micros back : {100 * kMillisecond, kSecond})
         for (const Micros gone : {20 * kMillisecond, 400 * kMillisecond})
             for (int one = 0; one < 3; ++one) {
-                auto w = calm(42, 4);
+                auto w = settled_simulator(42, 4);
                 const int giver = w->holder(), taker = (giver + 1) % 3;
                 w->submit(w->job(1, JobKind::Service, 3), 0);
                 w->submit(w->job(2, JobKind::Array, 3), 15 * kSecond);
                 w->submit(w->job(3, JobKind::Gang, 2), 15 * kSecond);
                 w->run(3 * kSecond);
-                hand_over(*w, giver, taker);
+                transfer_shards(*w, giver, taker);
                 w->run(gone);
-                if (w->owner_at(taker)) hand_over(*w, taker, giver);
+                if (w->owner_at(taker)) transfer_shards(*w, taker, giver);
                 w->run(gone / 10);
                 for (int i = 0; i < 3; ++i) w->crash(i, i == one ? back : 40 * kSecond);
                 w->run(30 * kSecond);
@@ -173,7 +173,7 @@
         for (const bool apart : {false, true}) {
             Settings site = small_site();
             if (away > 30 * kSecond) site.cpu_share = 0.001;
-            auto w = calm(43, 6, site);
+            auto w = settled_simulator(43, 6, site);
             w->submit(w->job(1, JobKind::Service, 3), 0);
             w->submit(w->job(2, JobKind::Array, 30), 18 * kSecond);  // more than the limit has room for
             w->submit(w->job(3, JobKind::Gang, 3), 18 * kSecond);
@@ -186,7 +186,7 @@
             EXPECT_EQ(w->running("req-000001"), 0) << "their leases are over";
             w->run(8 * kSecond);
             EXPECT_EQ(w->running("req-000001"), 3) << w->story();
-            w->calm();
+            w->quiesce();
             w->run(75 * kSecond);
             for (const char* ref : {"req-000002", "req-000003"})
                 EXPECT_EQ(w->told(ref), "done") << w->story();
@@ -202,8 +202,8 @@
     for (const bool same : {true, false})
         for (const bool outage : {false, true}) {
             Settings site = small_site();
-            site.cpu_share = 0.001;  // several domains
-            auto w = calm(44, 9, site);
+            site.cpu_share = 0.001;  // several shards
+            auto w = settled_simulator(44, 9, site);
             w->submit(w->job(1, JobKind::Service, 3), 0);
             std::set<std::uint64_t> terms;
             for (int round = 0; round < 10; ++round) {
@@ -238,11 +238,11 @@
 }
 
 TEST(HeldUp, AStopEndsNoLaterAttemptOfItsTask) {
-    auto w = calm(47, 1);
+    auto w = settled_simulator(47, 1);
     const std::string machine = w->machine_names().front();
     JobSpec low = w->job(1, JobKind::Array, 1, 8), high = w->job(2, JobKind::Service, 1, 4);
-    low.rank = Rank::Low;
-    high.rank = Rank::Production;
+    low.rank = PriorityClass::Low;
+    high.rank = PriorityClass::Production;
     w->submit(low, 60 * kSecond);
     w->run(4 * kSecond);
     w->hold_next(host(w->holder()), machine);  // the /do with the stop
@@ -262,7 +262,7 @@
 
 TEST(HandingOver, AResultIsKeptUntilItIsDurable) {
     // Of two tasks one began later, so nothing is bound when the first ends, and its result is written later.
-    auto w = calm(48, 1);
+    auto w = settled_simulator(48, 1);
     w->submit(w->job(1, JobKind::Array, 2, 8), 20 * kSecond, 0);
     w->run(5 * kSecond);
     w->add_machine("small", "b");
@@ -278,7 +278,7 @@
 /// A holder that hears neither its machine nor the two others, one of which keeps the machine alive,
 /// `helper`; `next` is the one that the machine turns to after that.
 struct Apart {
-    explicit Apart(std::uint64_t seed, const Settings& site) : w(calm(seed, 2, site)) {
+    explicit Apart(std::uint64_t seed, const Settings& site) : w(settled_simulator(seed, 2, site)) {
         w->run(30 * kSecond);  // so long that others may renew leases
         holder = w->holder(), helper = (holder + 1) % 3, next = (holder + 2) % 3;
         w->submit(w->job(1, JobKind::Service, 1), 0);
@@ -293,7 +293,7 @@
         w->run(kSecond);
         w->heal(host(holder), host(helper));
     }
-    std::unique_ptr<World> w;
+    std::unique_ptr<Simulator> w;
     int holder, helper, next;
     std::string machine;
 };
@@ -307,7 +307,7 @@
 
 TEST(Promises, OfAProcessThatHasEndedCountNoLongerThanItsSuccessorWaits) {
     Apart a(45, patient());
-    World& w = *a.w;
+    Simulator& w = *a.w;
     w.run(8 * kSecond);  // `next` has promised by now
     w.cut(host(a.holder), host(a.next));
     w.crash(a.next, 200 * kMillisecond);
@@ -322,7 +322,7 @@
 
 TEST(Promises, NobodyIsTakenForEndedWhoMayBeBackSince) {
     Apart a(46, patient());
-    World& w = *a.w;
+    Simulator& w = *a.w;
     w.cut(host(a.holder), host(a.next));
     w.run(8 * kSecond);
     w.refuse(a.next, true);  // its new process has no key until the former one's is gone
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -3,43 +3,44 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
-std::unique_ptr<World> calm(std::uint64_t seed = 1, int machines = 4, std::set<int> old = {}) {
-    auto w = std::make_unique<World>(seed);
+std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, int machines = 4,
+                                             std::set<int> old = {}) {
+    auto w = std::make_unique<Simulator>(seed);
     for (int i = 0; i < machines; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes(3, std::move(old));
     w->run(6 * kSecond);
     return w;
 }
 
-int other_than_holder(World& w) {
+int other_than_holder(Simulator& w) {
     return (w.holder() + 1) % 3;
 }
 
-Value stored(World& w, const std::string& key) {
+Value stored(Simulator& w, const std::string& key) {
     auto r = w.state().handle("GET", "/store/" + key, Value(), w.now());
     return r.status == 200 ? r.body : Value();
 }
 
-std::size_t count_below(World& w, const std::string& prefix) {
+std::size_t count_below(Simulator& w, const std::string& prefix) {
     auto r = w.state().handle("GET", "/store?starts=" + prefix + "&page=1000", Value(), w.now());
     return r.body["pairs"].size();
 }
 
 /// Writes straight to the store, as a transaction of a process that has ended and is applied late.
-int late(World& w, const Value& when, const Value& then) {
+int late(Simulator& w, const Value& when, const Value& then) {
     return w.state().handle("POST", "/commit", Value{{"when", when}, {"then", then}}, w.now()).status;
 }
 
-void fill_history(World& w, int jobs) {
+void fill_history(Simulator& w, int jobs) {
     for (int i = 0; i < jobs; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%06d", 500'000 + i);
@@ -50,8 +51,8 @@
 }
 
 TEST(History, IsApartOnceAllReadItAndNoRecordOfOldFormIsLeft) {
-    auto w = calm();
-    EXPECT_TRUE(w->node(0)->replica().history_apart()) << w->story();
+    auto w = settled_simulator();
+    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
     w->submit(w->job(1, JobKind::Array, 3), 2 * kSecond);
     w->run(kSecond);
     EXPECT_FALSE(stored(*w, "c/active/req-000001").is_null());
@@ -64,15 +65,15 @@
 }
 
 TEST(History, AStartReadsWhatIsLiveOnly) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 3), 0);
     w->run(3 * kSecond);
     fill_history(*w, 5'000);
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(6 * kSecond);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_LT(w->node(i)->replica().jobs.views(), 20u) << "what is over is not kept in memory";
-        EXPECT_EQ(w->node(i)->replica().jobs.live().size(), 1u);
+        EXPECT_LT(w->node(i)->cache().jobs.views(), 20u) << "what is over is not kept in memory";
+        EXPECT_EQ(w->node(i)->cache().jobs.live().size(), 1u);
     }
     // Any of them is answered all the same, by any node, and stays what it is.
     auto r = w->ask(1, "GET", "/v1/jobs/req-504321", {});
@@ -88,14 +89,14 @@
     next.needs = {"req-502222"};
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(next)).status, 201);
     w->run(2 * kSecond);
-    EXPECT_TRUE(w->node(2)->replica().jobs.live().at("req-000002").open) << "what it needs was done long ago";
+    EXPECT_TRUE(w->node(2)->cache().jobs.live().at("req-000002").open) << "what it needs was done long ago";
     EXPECT_EQ(w->starts("req-000001"), 3);
     EXPECT_RULES(*w);
 }
 
 /// A finished job whose record under c/active/ is still there, as a process leaves it that ends before a
 /// quiet moment has come.
-void leave_over(World& w, const std::string& ref, const char* stage) {
+void leave_over(Simulator& w, const std::string& ref, const char* stage) {
     const Value active = stored(w, "c/active/" + ref);
     ASSERT_FALSE(active.is_null());
     ASSERT_EQ(late(w, Value::array({Value{{"k", "c/active/" + ref}, {"mark", active["mark"]}}}),
@@ -105,7 +106,7 @@
 }
 
 TEST(History, WhatIsLeftOverOfAFinishedJobDoesNotRunAgain) {
-    auto w = calm(2);
+    auto w = settled_simulator(2);
     JobSpec job = w->job(1, JobKind::Array, 2, 8);
     job.types = {"large"};  // there is none: it waits
     w->submit(job, 2 * kSecond);
@@ -132,7 +133,7 @@
 }
 
 TEST(History, ACancellationLosesAgainstAFinalRecordThatStandsElsewhere) {
-    auto w = calm(3);
+    auto w = settled_simulator(3);
     JobSpec job = w->job(1, JobKind::Array, 2, 8);
     job.types = {"large"};
     w->submit(job, 2 * kSecond);
@@ -146,7 +147,7 @@
 }
 
 TEST(History, AGateDoesNotOpenByWhatIsLeftOverOfACancelledJob) {
-    auto w = calm(4);
+    auto w = settled_simulator(4);
     JobSpec first = w->job(1, JobKind::Array, 2, 8);
     first.types = {"large"};
     w->submit(first, 2 * kSecond);
@@ -164,21 +165,21 @@
 }
 
 TEST(History, WhatIsLiveMovesWhileTheVersionsChange) {
-    auto w = calm(5, 6, {0, 1, 2});
+    auto w = settled_simulator(5, 6, {0, 1, 2});
     for (int i = 1; i <= 4; ++i) w->submit(w->job(i, JobKind::Service, 2), 0);
     w->submit(w->job(5, JobKind::Array, 3), 50 * kSecond);
     w->run(3 * kSecond);
     EXPECT_EQ(count_below(*w, "c/job/"), 5u);
     EXPECT_EQ(count_below(*w, "c/active/"), 0u);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_FALSE(w->node(i)->replica().history_closed());
+        EXPECT_FALSE(w->node(i)->cache().history_closed());
         w->upgrade(i, kSecond);
         w->run(5 * kSecond);
     }
     // Ends again in the middle of it.
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(15 * kSecond);
-    EXPECT_TRUE(w->node(0)->replica().history_apart()) << w->story();
+    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
     EXPECT_EQ(count_below(*w, "c/active/"), 5u);
     EXPECT_EQ(count_below(*w, "c/job/"), 0u);
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
@@ -190,7 +191,7 @@
 
 TEST(History, ALateAdmissionOfOldFormMakesNoSecondJob) {
     // Held in a cut for minutes, while its user came back and was accepted by others.
-    auto w = calm(6);
+    auto w = settled_simulator(6);
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->run(3 * kSecond);
     EXPECT_EQ(late(*w, Value::array({Value{{"k", "c/job/req-000001"}, {"mark", 0}}}),
@@ -209,17 +210,17 @@
 }
 
 TEST(History, ALateAdmissionIsAcceptedOnlyOnceItHasBeenMoved) {
-    auto w = calm(7);
+    auto w = settled_simulator(7);
     const JobSpec job = w->job(1, JobKind::Array, 1);
     Value record{{"s", "queued"}, {"dom", "loom-9"}, {"k", 1}, {"d", wire::job_value(job)}, {"at", 0}};
     ASSERT_EQ(late(*w, Value::array({Value{{"k", "c/job/req-000001"}, {"mark", 0}}}),
                    Value::array({Value{{"write", "c/job/req-000001"}, {"data", record}}})),
               200);
     w->run(kSecond);
-    // Nobody holds its domain, so nobody moves it; were it called accepted, the next start would forget it.
+    // Nobody holds its shard, so nobody moves it; were it called accepted, the next start would forget it.
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(job)).status, 503);
     EXPECT_EQ(w->ask(1, "GET", "/v1/jobs/req-000001", {}).status, 503);
-    record["dom"] = w->owner_at(w->holder())->domain();
+    record["dom"] = w->owner_at(w->holder())->shard();
     ASSERT_EQ(
         late(*w, Value::array(), Value::array({Value{{"write", "c/job/req-000001"}, {"data", record}}})),
         200);
@@ -231,7 +232,7 @@
 }
 
 TEST(History, NothingOfOldFormIsAdmittedOnceItIsClosed) {
-    auto w = calm(8, 4, {0, 1, 2});
+    auto w = settled_simulator(8, 4, {0, 1, 2});
     // As if the others had proven the format and closed history, before this node hears of it.
     for (int i = 0; i < 3; ++i) w->hold_next("state", "loom-" + std::to_string(i));
     ASSERT_EQ(
@@ -244,7 +245,7 @@
 }
 
 TEST(History, AJobThatEndsWhileTheNewsIsLostIsFoundToBeOver) {
-    auto w = calm(9);
+    auto w = settled_simulator(9);
     JobSpec job = w->job(1, JobKind::Array, 2, 8);
     job.types = {"large"};
     w->submit(job, 2 * kSecond);
@@ -258,7 +259,7 @@
         late(*w, Value::array(), Value::array({Value{{"write", "x/1"}, {"data", i}}}));
     w->heal_all();
     w->run(10 * kSecond);
-    EXPECT_EQ(w->node(node)->replica().jobs.live().size(), 0u) << w->story();
+    EXPECT_EQ(w->node(node)->cache().jobs.live().size(), 0u) << w->story();
     EXPECT_EQ(wire::text(w->ask(node, "GET", "/v1/jobs/req-000001", {}).body, "stage"), "done");
 }
 
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -3,12 +3,12 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
-#include "peer/messages.hpp"
+#include "cluster/peer_messages.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr int kMachines = 4000;
@@ -21,18 +21,18 @@
     s.cancel = 90 * kSecond;
     s.teams = {{"red", {kMachines * 8'000, 0, 0}, {kMachines * 8'000, 0, 0}}};
     s.ops.idle_return = 3600 * kSecond;
-    s.cpu_share = 0.2;  // several domains
+    s.cpu_share = 0.2;  // several shards
     return s;
 }
 
-std::size_t machines_at(World& w, int node) {
+std::size_t machines_at(Simulator& w, int node) {
     std::size_t n = 0;
     if (w.node(node))
         for (const auto& [shard, owner] : w.node(node)->owners()) n += owner ? owner->machines().size() : 0;
     return n;
 }
 
-std::size_t machines_known(World& w) {
+std::size_t machines_known(Simulator& w) {
     std::size_t n = 0;
     for (int i = 0; i < w.node_count(); ++i) n += machines_at(w, i);
     return n;
@@ -40,7 +40,7 @@
 
 TEST(LargeFleet, RegistersLosesAndRecoversMoreMachinesThanOneMessageHolds) {
     static_assert(kLost > peer::kMaxMachines);
-    World w(81, large_site());
+    Simulator w(81, large_site());
     for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3);
     w.run(45 * kSecond);
--- a/tests/late.hpp
+++ b/tests/late_messages.hpp
@@ -3,25 +3,25 @@
 
 #include <vector>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
 /// A report that is on its way from now on.
-inline Value on_its_way(lab::World& w, const std::string& machine) {
+inline Value on_its_way(simulation::Simulator& w, const std::string& machine) {
     return w.worker(machine)->report(w.now());
 }
 
-inline void arrives(lab::World& w, int node, const Value& report) {
+inline void arrives(simulation::Simulator& w, int node, const Value& report) {
     const std::string bytes = wire::encode(report);
     if (w.node(node)) w.node(node)->handle({"POST", "/v1/report", bytes, false}, [](const auto&) {});
 }
 
-inline void arrives_everywhere(lab::World& w, const Value& report) {
+inline void arrives_everywhere(simulation::Simulator& w, const Value& report) {
     for (int i = 0; i < w.node_count(); ++i) arrives(w, i, report);
 }
 
-inline bool leased(lab::World& w, const std::string& machine) {
+inline bool leased(simulation::Simulator& w, const std::string& machine) {
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
             for (const auto& [name, owner] : w.node(i)->owners())
@@ -29,7 +29,7 @@
     return false;
 }
 
-inline void cut_from_all(lab::World& w, const std::string& machine) {
+inline void cut_from_all(simulation::Simulator& w, const std::string& machine) {
     for (int i = 0; i < w.node_count(); ++i) w.cut(host(i), machine);
 }
 
@@ -39,7 +39,7 @@
     std::string machine;
     Value running;
 };
-inline Superseded supersede(lab::World& w) {
+inline Superseded supersede(simulation::Simulator& w) {
     w.submit(w.job(1, JobKind::Service, 1), 0);
     w.run(3 * kSecond);
     const std::string machine = *w.machines_of("req-000001").begin();
@@ -54,14 +54,14 @@
 
 /// Nothing is returned for being idle.
 inline Settings patient(double cpu_share = 1.0) {
-    Settings site = lab::small_site();
+    Settings site = simulation::small_site();
     site.ops.idle_return = 600 * kSecond;
-    site.cpu_share = cpu_share;  // where there is little: several domains
+    site.cpu_share = cpu_share;  // where there is little: several shards
     return site;
 }
 
 /// Lines of the story that tell this, e.g. starts on a machine.
-inline int told_times(const lab::World& w, const std::string& what) {
+inline int told_times(const simulation::Simulator& w, const std::string& what) {
     int n = 0;
     for (const auto& line : w.trace) n += line.find(what) != std::string::npos;
     return n;
@@ -69,7 +69,7 @@
 
 /// From now until the condition holds, at most so long; what it took.
 template <class F>
-Micros until(lab::World& w, Micros most, F holds) {
+Micros until(simulation::Simulator& w, Micros most, F holds) {
     const Micros from = w.now();
     while (!holds() && w.now() - from < most) w.run(100 * kMillisecond);
     return w.now() - from;
