--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -1,18 +1,18 @@
 // Messages that arrive late, or once more: old reports after newer ones, commands and their answers that are
 // held up, and jobs whose tasks end far apart while those who hear of it change.
 
+#include "late_messages.hpp"
+
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "late.hpp"
-
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 /// A copy of a direct launch that was carried out.
-void launch_again(World& w, const std::string& machine, std::uint64_t token, std::uint64_t session,
+void launch_again(Simulator& w, const std::string& machine, std::uint64_t token, std::uint64_t session,
                   const ReportedTask& task) {
     const Value body =
         wire::direct_orders(token, session, {{OrderKind::Launch, task.job, task.task, task.attempt, 0}});
@@ -20,14 +20,14 @@
     w.worker(machine)->handle("POST", "/do", body, w.now());
 }
 
-std::vector<ReportedTask> tasks_on(World& w, const std::string& machine) {
+std::vector<ReportedTask> tasks_on(Simulator& w, const std::string& machine) {
     return wire::parse_report(w.worker(machine)->report(w.now()))->tasks;
 }
 
 // ---------------------------------------------------------------- old reports
 
 TEST(LateMessages, AnOldReportOfAReturnedMachineLeasesNoGhost) {
-    auto w = calm(21, 4);
+    auto w = settled_simulator(21, 4);
     const std::string machine = w->machine_names().back();
     const Value old = on_its_way(*w, machine);
     w->owner_at(w->holder())->retire(machine, "the test wants it");
@@ -48,7 +48,7 @@
 
 /// A machine that nobody has leased reports: late or not, it exists, and is used.
 TEST(LateMessages, AMachineThatWasNeverLeasedIsLeasedByItsReport) {
-    auto w = calm(22, 2);
+    auto w = settled_simulator(22, 2);
     w->cloud().down = true;
     const std::string machine = w->add_machine("small", "a");
     w->run(8 * kSecond);
@@ -56,7 +56,7 @@
 }
 
 TEST(LateMessages, OldReportsRenewNoDoubt) {
-    auto w = calm(23, 4);
+    auto w = settled_simulator(23, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
@@ -78,7 +78,7 @@
 /// A report that its worker gave up arrives once more at a node that can't reach the holder: taken for a
 /// renewal on its behalf, it would keep the tasks in doubt for another lease.
 TEST(LateMessages, AnOldReportAtAnotherNodeRenewsNoDoubt) {
-    auto w = calm(24, 4);
+    auto w = settled_simulator(24, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(30 * kSecond);  // so long that other nodes may renew leases
     const std::string machine = *w->machines_of("req-000001").begin();
@@ -103,7 +103,7 @@
 /// hears.
 TEST(LateMessages, ANewHolderHearsOldReportsFirst) {
     for (Micros first = 0; first < 4 * kSecond; first += 1500 * kMillisecond) {
-        auto w = calm(25, 3);
+        auto w = settled_simulator(25, 3);
         const auto [machine, running] = supersede(*w);
         ASSERT_FALSE(testing::Test::HasFailure());
         for (int i = 0; i < 3; ++i) w->cut(host(i), machine);  // nothing newer arrives from it
@@ -130,7 +130,7 @@
 
 TEST(LateMessages, ACommandHeldByAMachineThatHangsIsCarriedOutOnce) {
     for (const Micros hung : {1, 6, 10, 14}) {
-        auto w = calm(26, 2);
+        auto w = settled_simulator(26, 2);
         w->submit(w->job(1, JobKind::Service, 2), 0);
         w->run(3 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
@@ -148,7 +148,7 @@
 }
 
 TEST(LateMessages, AStopHeldUpEndsNothingElse) {
-    auto w = calm(27, 1);
+    auto w = settled_simulator(27, 1);
     const std::string machine = w->machine_names().front();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
@@ -167,7 +167,7 @@
 
 /// However late: token and session still match, and a cancelled job must not be seen again.
 TEST(LateMessages, ALaunchMinutesAfterItsCancellationStartsNothing) {
-    auto w = calm(28, 1);
+    auto w = settled_simulator(28, 1);
     const std::string machine = w->machine_names().front();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
@@ -184,7 +184,7 @@
 
 /// What is not cleared fills the reports: then a higher token ends the doubt about all of them at once.
 TEST(LateMessages, WhatWaitsToBeClearedIsBounded) {
-    auto w = calm(29, 1);
+    auto w = settled_simulator(29, 1);
     const std::string machine = w->machine_names().front();
     const auto token = w->worker(machine)->token(), session = w->worker(machine)->session();
     std::vector<ReportedTask> all;
@@ -214,7 +214,7 @@
         for (const bool ends : {false, true})
             for (const Micros late : {1, 5, 16})
                 for (const Micros when : {0, 900, 1800}) {
-                    auto w = calm(31, 2);
+                    auto w = settled_simulator(31, 2);
                     const std::string machine = w->machine_names().front();
                     const int holder = w->holder();
                     w->submit(w->job(1, JobKind::Service, 2), 0);
@@ -255,7 +255,7 @@
 TEST(LateMessages, LateCommandsStartNothingTwiceAndEndNothingElse) {
     for (const double share : {0.5, 1.0})
         for (const bool ends : {false, true}) {
-            auto w = calm(32, 4);
+            auto w = settled_simulator(32, 4);
             w->late_commands = share;
             for (int i = 0; i < 10; ++i) {
                 w->submit(w->job(1 + i, i % 3 ? JobKind::Array : JobKind::Service, 3), 4 * kSecond);
@@ -279,7 +279,7 @@
 TEST(LateMessages, ACommandOfAFormerHolderAfterItsSuccessorsIsRefused) {
     for (const bool deposed : {false, true})
         for (const bool stop : {false, true}) {
-            auto w = calm(33, 2);
+            auto w = settled_simulator(33, 2);
             const auto story = [&] {
                 return fmt::format("deposed {} stop {}\n", deposed, stop) + w->story();
             };
@@ -319,7 +319,7 @@
     for (const bool all : {false, true})
         for (const bool lost : {false, true})
             for (const Micros after : {50, 1500}) {
-                auto w = calm(30, 1);
+                auto w = settled_simulator(30, 1);
                 const std::string machine = w->machine_names().front();
                 w->submit(w->job(1, JobKind::Array, 3, 8), 20 * kSecond, 0);
                 for (int n = 0; n < 1000 && w->completed_tasks("req-000001") == 0; ++n)
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -6,12 +6,12 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "lab/world.hpp"
-#include "state/records.hpp"
+#include "kvstore/records.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story(300)
@@ -20,7 +20,7 @@
 
 class LateWrites : public testing::TestWithParam<int> {};
 
-/// Several domains, so that machines, shares and jobs move; every third site has small values and few changes
+/// Several shards, so that machines, shares and jobs move; every third site has small values and few changes
 /// a transaction, so that jobs have many parts and lie in pieces.
 Settings site(int seed) {
     Settings s = small_site();
@@ -35,8 +35,8 @@
 /// Up to half of all transactions are late, or get no answer, alone and together with an end and a return
 /// within a second, a refusal, an outage, or a controller that stands still. Afterwards every job that was
 /// accepted is done, or cancelled and gone.
-void play(int seed, double World::*trouble) {
-    World w(static_cast<std::uint64_t>(seed), site(seed));
+void play(int seed, double Simulator::*trouble) {
+    Simulator w(static_cast<std::uint64_t>(seed), site(seed));
     auto pick = [&](int n) { return static_cast<int>(w.random() % static_cast<std::uint64_t>(n)); };
     for (int i = 0; i < 9; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "a" : "b", i % 6 >= 4);
     w.cloud().capacity = 4;
@@ -53,7 +53,7 @@
         const Micros span = static_cast<Micros>(1 + pick(10)) * kSecond;
         const Micros back = static_cast<Micros>(50 + pick(950)) * kMillisecond;
         const int node = pick(3);
-        switch (pick(trouble == &World::late_writes ? 5 : 6)) {
+        switch (pick(trouble == &Simulator::late_writes ? 5 : 6)) {
             case 0:
                 w.at(other, [&w, node, back] { w.crash(node, back); });
                 break;
@@ -87,7 +87,7 @@
                                                 : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 24 : 4));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<Rank>(pick(4));
+            s.rank = static_cast<PriorityClass>(pick(4));
             s.spot = kind != JobKind::Service;
             if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
             if (!before.empty() && !w.told(before).empty() && pick(4) == 0) s.needs.push_back(before);
@@ -99,7 +99,7 @@
         });
     w.run(end + 15 * kSecond);
     w.*trouble = 0;
-    w.calm();
+    w.quiesce();
     w.run(150 * kSecond);
     EXPECT_RULES(w);
     int accepted = 0;
@@ -117,13 +117,13 @@
 }
 
 TEST_P(LateWrites, LoseNothingAndRunNothingTwice) {
-    play(GetParam(), &World::late_writes);
+    play(GetParam(), &Simulator::late_writes);
 }
 
 class UnansweredWrites : public testing::TestWithParam<int> {};
 
 TEST_P(UnansweredWrites, LoseNothingAndRunNothingTwice) {
-    play(GetParam(), &World::unanswered_writes);
+    play(GetParam(), &Simulator::unanswered_writes);
 }
 
 /// WORLD_SEEDS="100 400" tries other seeds than the fixed ones.
@@ -144,7 +144,7 @@
 /// the record is not there yet, and the news of it comes before that is settled.
 TEST(LateWrite, AnAdmissionThatComesWhileItsOwnerLooksForItIsNotLost) {
     for (Micros late = 2002; late < 2014; ++late) {
-        World w(7);
+        Simulator w(7);
         w.add_machine("small", "a");
         w.start_nodes(1);
         w.run(5 * kSecond);
@@ -157,12 +157,12 @@
     }
 }
 
-/// The block of a new machine is created once more since nobody answered, its machine moves on to a domain
+/// The block of a new machine is created once more since nobody answered, its machine moves on to a shard
 /// with waiting tasks and the block is dropped: its first sending must not bring it back.
 TEST(LateWrite, ALeaseTakesNoMachineBackThatHasMovedOn) {
     Settings s = small_site();
-    s.cpu_share = 0.001;  // several domains
-    World w(1, s);
+    s.cpu_share = 0.001;  // several shards
+    Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
     w.run(6 * kSecond);
@@ -182,14 +182,14 @@
     EXPECT_RULES(w);
 }
 
-/// Nobody answers when a job is given to another domain. It is bound here then, and of its parts the one
+/// Nobody answers when a job is given to another shard. It is bound here then, and of its parts the one
 /// whose mark the giving away rests on is written last: until that is done nothing of the job may run here.
 TEST(LateWrite, AJobIsNotGivenAwayOnceTasksOfItRun) {
     Settings s = small_site();
     s.cpu_share = 0.001;
     s.value_bytes = 1024;  // three parts
     s.txn_ops = 2;         // which do not fit into one change
-    World w(1, s);
+    Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
     w.run(6 * kSecond);
@@ -201,13 +201,13 @@
     w.run(2 * kSecond);
     EXPECT_EQ(w.told(job.ref), "accepted");
     w.late_next("c/active/" + job.ref, 9 * kSecond);
-    const std::string machine = w.add_machine("large", "a");  // in another domain: the job goes there
+    const std::string machine = w.add_machine("large", "a");  // in another shard: the job goes there
     for (int i = 0; i < 100 && w.late_to_come() > 0; ++i) w.run(100 * kMillisecond);
     ASSERT_EQ(w.late_to_come(), 0U) << w.story();
     for (int i = 0; i < 4; ++i) w.late_next("c/active/" + job.ref, 30 * kSecond);
     w.run(8 * kSecond);
     for (int i = 0; i < 3; ++i) w.cut("loom-" + std::to_string(i), machine);
-    for (int i = 0; i < 3; ++i) w.add_machine("large", "b");  // one for each domain
+    for (int i = 0; i < 3; ++i) w.add_machine("large", "b");  // one for each shard
     w.run(25 * kSecond);
     w.heal_all();
     w.run(70 * kSecond);
@@ -215,7 +215,7 @@
     EXPECT_RULES(w);
 }
 
-Value stored(World& w, const std::string& key) {
+Value stored(Simulator& w, const std::string& key) {
     return w.state().handle("GET", key, Value(), w.now()).body;
 }
 
@@ -224,7 +224,7 @@
 TEST(LateWrite, NoPieceOfAHeadThatCameAtLastIsSwept) {
     Settings s = small_site();
     s.value_bytes = 1024;
-    World w(1, s);
+    Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
     w.run(6 * kSecond);
@@ -242,17 +242,17 @@
     for (int i = 0; i < 40; ++i) w.late_next("c/0/", 15 * kSecond);  // the dropping of each piece
     w.run(comes + 30 * kSecond - w.now());
     EXPECT_LT(w.late_to_come(), 40U) << "they were to be dropped";
-    const auto head = pieces::named_by(stored(w, "/store/c/policy")["data"]);
+    const auto head = chunks::named_by(stored(w, "/store/c/policy")["data"]);
     ASSERT_TRUE(head) << "it came";
     for (std::size_t i = 0; i < head->second; ++i)
-        EXPECT_TRUE(stored(w, "/store/" + pieces::key(head->first, i)).contains("data")) << i;
+        EXPECT_TRUE(stored(w, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
     EXPECT_RULES(w);
 }
 
-/// The first shares get no answer, and the domain that they are for is not the one that is to have them by
+/// The first shares get no answer, and the shard that they are for is not the one that is to have them by
 /// the time of the next try: both together would share out the limits twice.
 TEST(LateWrite, FirstSharesForTwoDomainsShareOutNothingTwice) {
-    World w(1);
+    Simulator w(1);
     w.add_machine("small", "a");
     w.late_next("c/share/", 8 * kSecond);
     w.start_nodes();
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -5,11 +5,11 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr Micros kUsedAgain = 90 * kSecond;
@@ -22,15 +22,15 @@
 }
 
 /// Cores that jobs which go on have on machines.
-Milli in_use(const World& w, const std::map<std::string, JobSpec>& jobs, const std::string& team) {
+Milli in_use(const Simulator& w, const std::map<std::string, JobSpec>& jobs, const std::string& team) {
     Milli sum = 0;
     for (const auto& [ref, s] : jobs)
-        if (s.team == team && w.told(ref) != "cancelled") sum += w.running(ref) * s.need.cores;
+        if (s.team == team && w.told(ref) != "cancelled") sum += w.running(ref) * s.request.cores;
     return sum;
 }
 
 /// Both teams have twice the work that their limits allow: arrays, gangs and services of tasks of one core.
-std::map<std::string, JobSpec> fill(World& w) {
+std::map<std::string, JobSpec> fill(Simulator& w) {
     std::map<std::string, JobSpec> jobs;
     int number = 1;
     for (const char* team : {"red", "blue"})
@@ -54,7 +54,7 @@
                             {"hang", 25 * kSecond}, {"deaf", 25 * kSecond}, {"mute", 25 * kSecond}};
 const char* const kChanges[] = {"none", "ends", "ends for long", "cut off", "refused", "stands still"};
 
-void unask(World& w, const Unasked& how, const std::set<std::string>& machines, bool on) {
+void unask(Simulator& w, const Unasked& how, const std::set<std::string>& machines, bool on) {
     for (const auto& m : machines) {
         const std::string what = how.what;
         if (what == "hang") w.hang(m, on);
@@ -64,7 +64,7 @@
     }
 }
 
-void change(World& w, const std::string& what, int node, Micros span) {
+void change(Simulator& w, const std::string& what, int node, Micros span) {
     if (what == "ends") w.crash(node, 300 * kMillisecond);
     if (what == "ends for long") w.crash(node, span);
     if (what == "stands still") w.freeze(node, span);
@@ -79,31 +79,31 @@
 }
 
 /// Whether a job waits though its team's limit has room for a task of it, or for all of a gang.
-bool waits(const World& w, const std::map<std::string, JobSpec>& jobs) {
+bool waits(const Simulator& w, const std::map<std::string, JobSpec>& jobs) {
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& j) {
         const auto& [ref, s] = j;
         const int missing = s.tasks - w.running(ref);
         const Milli at_once = s.kind == JobKind::Gang ? s.tasks : 1;
         return w.told(ref) != "cancelled" && missing > 0 &&
-               in_use(w, jobs, s.team) + s.need.cores * at_once <= (s.team == "red" ? 24'000 : 16'000);
+               in_use(w, jobs, s.team) + s.request.cores * at_once <= (s.team == "red" ? 24'000 : 16'000);
     });
 }
 
 /// Until no job waits that its team's limit has room for; how long that took, at most `most`.
-Micros until_full(World& w, const std::map<std::string, JobSpec>& jobs, Micros most) {
+Micros until_full(Simulator& w, const std::map<std::string, JobSpec>& jobs, Micros most) {
     const Micros since = w.now();
     while (w.now() - since < most && waits(w, jobs)) w.run(500 * kMillisecond);
     return w.now() - since;
 }
 
 TEST(SharesOfALimit, WhatIsTooLittleForATaskInEachDomainIsUsedTogether) {
-    // Three shares of 8 cores. A task of each domain's fits into all of what they don't use, and into none's
+    // Three shares of 8 cores. A task of each shard's fits into all of what they don't use, and into none's
     // alone; one that is too large for all of it holds none back.
     for (const int widest : {5, 10}) {
-        auto w = calm(static_cast<std::uint64_t>(widest), 9, site(true));
+        auto w = settled_simulator(static_cast<std::uint64_t>(widest), 9, site(true));
         for (int i = 1; i <= 9; ++i) {
             JobSpec s = w->job(i, JobKind::Gang, i == 7 ? widest / 5 : 1, 5);
-            w->submit(s, 400 * kSecond);  // all at once, so that some wait in each domain
+            w->submit(s, 400 * kSecond);  // all at once, so that some wait in each shard
         }
         w->run(20 * kSecond);
         int running = 0;
@@ -124,7 +124,7 @@
 }
 
 TEST(SharesOfALimit, WhatFindsNoRoomKeepsNoShareFromWhatWould) {
-    auto w = calm(3, 6, site(true));  // two machines of 8 cores a domain
+    auto w = settled_simulator(3, 6, site(true));  // two machines of 8 cores a shard
     const auto submit = [&](int number, const char* team, int tasks) {
         JobSpec s = w->job(number, JobKind::Array, tasks);
         s.team = team;
@@ -133,7 +133,7 @@
         return s.ref;
     };
     const std::string first = submit(1, "red", 14), other = submit(2, "red", 16);
-    submit(3, "guests", 16);  // so that no domain has machines to give
+    submit(3, "guests", 16);  // so that no shard has machines to give
     ASSERT_EQ(w->running(first), 14) << w->story();
     ASSERT_EQ(w->running(other), 10) << "all of the limit is in use\n" << w->story();
     w->kill_machine(*w->machines_of(first).begin());
@@ -155,7 +155,8 @@
     for (const std::string what : kChanges)
         for (const Micros cancelled : {-400 * kMillisecond, 600 * kMillisecond, 3 * kSecond}) {
             if ((++number + GetParam()) % 6 > 0 && !std::getenv("WORLD_ALL")) continue;
-            auto w = calm(static_cast<std::uint64_t>(100 * GetParam() + number), 12, site(several));
+            auto w =
+                settled_simulator(static_cast<std::uint64_t>(100 * GetParam() + number), 12, site(several));
             if (number % 2) w->late_next("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
             auto jobs = fill(*w);
             const Micros filled = number % 3 ? 60 * kSecond : kSecond;
@@ -182,7 +183,7 @@
             });
             w->at(begin + how.span, [&] { unask(*w, how, machines, false); });
             w->run(500 * kMillisecond + std::max(how.span, 20 * kSecond));
-            w->calm();
+            w->quiesce();
             const std::string name =
                 fmt::format("{} for {} s, leader: {}, cancelled {} ms after, {}", how.what,
                             how.span / kSecond, what, cancelled / kMillisecond, number);
--- a/tests/looks_test.cpp
+++ b/tests/looks_test.cpp
@@ -1,13 +1,13 @@
 // What users are told when they ask at all nodes within milliseconds: no answer may be older than one that
-// had been received before. Judged by lab::Looks, beside every other rule.
+// had been received before. Judged by lab::ConsistencyChecker, beside every other rule.
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr Micros kMs = kMillisecond;
@@ -28,7 +28,7 @@
 };
 constexpr Truth kWanted{true, false, true}, kCancelled{true, true, false};
 
-TEST(Looks, WhatMayNotFollowWhat) {
+TEST(ConsistencyChecker, WhatMayNotFollowWhat) {
     struct Case {
         Said first, then;
         Truth truth;
@@ -63,7 +63,7 @@
     };
     for (const auto& c : cases)
         for (const bool overtaken : {false, true}) {
-            Looks looks;
+            ConsistencyChecker looks;
             const auto early = looks.begin();
             const bool right = c.truth.submitted;
             looks.hear("req-000001", {c.first.asked, looks.begin(), c.first.status, c.first.stage, right},
@@ -87,24 +87,27 @@
 
 struct Trouble {
     const char* name;
-    std::function<void(World&, int node)> begin, end;
+    std::function<void(Simulator&, int node)> begin, end;
 };
-void nothing(World&, int) {}
+void nothing(Simulator&, int) {}
 const std::vector<Trouble> kTroubles{
     {"none", nothing, nothing},
-    {"just started", [](World& w, int i) { w.crash(i, 60 * kMs); }, nothing},
-    {"cut from the store", [](World& w, int i) { w.cut(host(i), "state"); },
-     [](World& w, int i) { w.heal(host(i), "state"); }},
-    {"stands still", [](World& w, int i) { w.freeze(i, 700 * kMs); }, nothing},
-    {"refused", [](World& w, int i) { w.refuse(i, true); }, [](World& w, int i) { w.refuse(i, false); }},
-    {"answers lost", [](World& w, int) { w.unanswered_writes = 0.4; },
-     [](World& w, int) { w.unanswered_writes = 0; }},
-    {"late writes", [](World& w, int) { w.late_writes = 0.3; }, [](World& w, int) { w.late_writes = 0; }},
-    {"slow store", [](World& w, int) { w.slow_state = 400 * kMs; }, [](World& w, int) { w.slow_state = 0; }},
+    {"just started", [](Simulator& w, int i) { w.crash(i, 60 * kMs); }, nothing},
+    {"cut from the store", [](Simulator& w, int i) { w.cut(host(i), "state"); },
+     [](Simulator& w, int i) { w.heal(host(i), "state"); }},
+    {"stands still", [](Simulator& w, int i) { w.freeze(i, 700 * kMs); }, nothing},
+    {"refused", [](Simulator& w, int i) { w.refuse(i, true); },
+     [](Simulator& w, int i) { w.refuse(i, false); }},
+    {"answers lost", [](Simulator& w, int) { w.unanswered_writes = 0.4; },
+     [](Simulator& w, int) { w.unanswered_writes = 0; }},
+    {"late writes", [](Simulator& w, int) { w.late_writes = 0.3; },
+     [](Simulator& w, int) { w.late_writes = 0; }},
+    {"slow store", [](Simulator& w, int) { w.slow_state = 400 * kMs; },
+     [](Simulator& w, int) { w.slow_state = 0; }},
 };
 
 /// Once what it needs is accepted.
-void submit_once_accepted(World& w, const JobSpec& s) {
+void submit_once_accepted(Simulator& w, const JobSpec& s) {
     if (w.told(s.needs[0]).empty()) return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
     w.submit(s, 300 * kMs, 100 * kMs);
 }
@@ -116,7 +119,7 @@
     const auto [index, apart] = GetParam();
     const bool scarce = index % 2 == apart;
     const Trouble& trouble = kTroubles[index];
-    auto w = calm(100 + index, 6, site(apart, scarce ? 25 : 200));
+    auto w = settled_simulator(100 + index, 6, site(apart, scarce ? 25 : 200));
     w->close_looks = true;
     int number = 0, cancelled = 0;
     for (int admitter = 0; admitter < 3; ++admitter)
@@ -157,8 +160,8 @@
 
 /// A repeat at a node that hasn't heard of the job reads its record, and hears of its cancellation before the
 /// answer to that is there.
-TEST(Looks, WhatWasReadBeforeACancellationBringsNothingBack) {
-    auto w = calm(7, 4, site(true));
+TEST(ConsistencyChecker, WhatWasReadBeforeACancellationBringsNothingBack) {
+    auto w = settled_simulator(7, 4, site(true));
     w->users_at = 0;
     std::vector<std::string> refs;
     for (int n = 1; n < 120; n += 2) {
@@ -195,7 +198,7 @@
 }
 
 /// It stands still while the state service carries out more changes than it keeps.
-void fall_behind(World& w, int node) {
+void fall_behind(Simulator& w, int node) {
     w.freeze(node, 1300 * kMs);
     for (int n = 0; n < 12'000; ++n)
         w.at(w.now() + n * 100, [&w, n] {
@@ -207,10 +210,10 @@
 
 /// What a node was told of a job when it was asked for it, while it read everything again, is not taken for
 /// news of it: the job's end was not among what it read.
-TEST(Looks, WhatWasAskedForWhileEverythingIsReadAgainIsNoNews) {
+TEST(ConsistencyChecker, WhatWasAskedForWhileEverythingIsReadAgainIsNoNews) {
     int met = 0;
     for (std::uint64_t seed = 0; seed < 4; ++seed) {
-        auto w = calm(seed, 4, site(true));
+        auto w = settled_simulator(seed, 4, site(true));
         const int other = (w->leader() + 1) % 3, node = (w->leader() + 2) % 3;
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(3 * kSecond);
@@ -235,8 +238,8 @@
 
 /// Jobs that a node knew of end unheard, and what they were outlasts their end where writes are scarce: it
 /// reads that they run.
-TEST(Looks, WhatEndedUnheardIsLookedFor) {
-    auto w = calm(12, 6, site(true, 25));
+TEST(ConsistencyChecker, WhatEndedUnheardIsLookedFor) {
+    auto w = settled_simulator(12, 6, site(true, 25));
     const int node = (w->holder() + 1) % 3;
     w->users_at = w->holder();
     for (int n = 1; n <= 16; ++n) w->submit(w->job(n, JobKind::Array, 1), 800 * kMs, 0);
@@ -257,8 +260,8 @@
 
 /// The job before it is over and out of the way, and only its own record, which waits for that one, is read
 /// by a node that starts.
-TEST(Looks, AJobIsNotAnsweredForBeforeItIsKnownWhatItNeeds) {
-    auto w = calm(13, 4, site(true));
+TEST(ConsistencyChecker, AJobIsNotAnsweredForBeforeItIsKnownWhatItNeeds) {
+    auto w = settled_simulator(13, 4, site(true));
     const int holder = w->holder(), node = (holder + 1) % 3;
     w->users_at = holder;
     const JobSpec first = w->job(1, JobKind::Service, 1);
@@ -286,9 +289,9 @@
 
 /// A repeat with another body, at the holder that hasn't heard of the job yet: its own admission waits for
 /// room, or gets no answer, while the job is there already.
-TEST(Looks, ARepeatWithAnotherBodyNeverTakesTheJobsPlace) {
+TEST(ConsistencyChecker, ARepeatWithAnotherBodyNeverTakesTheJobsPlace) {
     for (const bool waits : {false, true}) {
-        auto w = calm(11, 6, site(true, waits ? 25 : 200));
+        auto w = settled_simulator(11, 6, site(true, waits ? 25 : 200));
         const int holder = w->holder(), other = (holder + 1) % 3;
         for (int n = 1; n <= 6; ++n) {
             w->users_at = holder;
@@ -329,7 +332,7 @@
 constexpr Micros kRun = 1500 * kMs;
 
 /// Cancels it so long after its last task has completed; before, if `after` is negative.
-void cancel_about_the_end(World& w, const std::string& ref, Micros after) {
+void cancel_about_the_end(Simulator& w, const std::string& ref, Micros after) {
     const bool now = after < 0 ? w.starts(ref) > 0 : w.completed_tasks(ref) == w.job(ref)->spec.tasks;
     if (now) return w.at(w.now() + (after < 0 ? kRun + after : after), [&w, ref] { w.cancel(ref); });
     w.at(w.now() + 5 * kMs, [&w, ref, after] { cancel_about_the_end(w, ref, after); });
@@ -344,7 +347,7 @@
     Settings s = site(apart, scarce ? 40 : 200);
     s.value_bytes = s.value_bytes_now = 1024;
     s.teams = {{"red", {48'000, 0, 0}, {96'000, 0, 0}}};
-    auto w = calm(5, 12, s);
+    auto w = settled_simulator(5, 12, s);
     w->close_looks = true;
     if (scarce) w->users_at = w->holder();  // where both changes may wait for the same transaction
     int number = 0;
@@ -381,7 +384,7 @@
 }
 
 /// A state service that answers at once.
-class AtOnce : public Host {
+class AtOnce : public Runtime {
   public:
     Micros now() override { return now_; }
     Micros listened() override { return now_; }
@@ -401,7 +404,7 @@
             next.mapped()();
         }
     }
-    standin::StateService state;
+    fakes::StateService state;
     int requests = 0;
 
   private:
@@ -412,15 +415,15 @@
 
 /// A job's final record and its cancellation are written under different keys, and each rests on the other's
 /// not being there: in one transaction both would be carried out.
-TEST(Looks, WhatTwoChangesUndoOfEachOtherIsNotOneTransaction) {
+TEST(ConsistencyChecker, WhatTwoChangesUndoOfEachOtherIsNotOneTransaction) {
     for (const bool swapped : {false, true}) {
         AtOnce host;
         const Settings s = small_site();
-        Store store(host, s);
+        StoreClient store(host, s);
         const Value first{{"then", Value::array({{{"write", "c/active/x"}, {"data", 1}}})}};
-        const auto mark = wire::count(host.state.handle("POST", "/commit", first, 0).body, "ledger");
-        ASSERT_TRUE(mark);
-        const std::vector<Condition> as_known{{"c/active/x", *mark}, {"c/job/x", 0}};
+        const auto mod_revision = wire::count(host.state.handle("POST", "/commit", first, 0).body, "ledger");
+        ASSERT_TRUE(mod_revision);
+        const std::vector<Condition> as_known{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
         std::vector<Change> changes(3);
         changes[0].when = changes[1].when = as_known;
         changes[swapped].then.push_back({"c/active/x", {{"s", "cancelled"}}});
@@ -436,8 +439,8 @@
     }
 }
 
-TEST(Looks, JobsAreCalledOffAtTheMomentOfTheirEnd) {
-    auto w = calm(6, 12);
+TEST(ConsistencyChecker, JobsAreCalledOffAtTheMomentOfTheirEnd) {
+    auto w = settled_simulator(6, 12);
     w->close_looks = true;
     w->cancel_at_end = 0.7;
     for (int n = 1; n <= 40; ++n) {
@@ -465,8 +468,8 @@
 };
 /// Whatever is wrong with a job is told with the status that the protocol names, at every node, and a job
 /// that is known already is answered with its state all the same.
-TEST(Looks, OddRequestsAreRefusedAtEveryNode) {
-    auto w = calm(8, 4);
+TEST(ConsistencyChecker, OddRequestsAreRefusedAtEveryNode) {
+    auto w = settled_simulator(8, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
     const Value good = wire::job_value(w->job(1, JobKind::Array, 1));
@@ -526,8 +529,8 @@
 }
 
 /// While a node does not know the machine types it decides nothing that rests on them.
-TEST(Looks, ANodeThatKnowsNoMachineTypesAcceptsAndRefusesNothing) {
-    World w(9);
+TEST(ConsistencyChecker, ANodeThatKnowsNoMachineTypesAcceptsAndRefusesNothing) {
+    Simulator w(9);
     w.cloud().down = true;
     w.start_nodes();
     const Value fits = wire::job_value(w.job(1, JobKind::Array, 1));
@@ -549,9 +552,9 @@
 }
 
 /// Odd requests and close looks while nodes end and start all the time, one by one and all.
-TEST(Looks, OddRequestsMeetNodesThatHaveJustStarted) {
+TEST(ConsistencyChecker, OddRequestsMeetNodesThatHaveJustStarted) {
     for (const bool apart : {false, true}) {
-        auto w = calm(10, 6, site(apart));
+        auto w = settled_simulator(10, 6, site(apart));
         w->close_looks = w->odd_requests = true;
         for (int n = 1; n <= 30; ++n) {
             w->submit(w->job(n, n % 4 ? JobKind::Array : JobKind::Service, 1 + n % 3), 800 * kMs, 100 * kMs);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -3,20 +3,21 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr auto kRef = "req-000009";
 
-/// Users at every controller ask after a job and submit it again, ten times a second. No answer may be older
-/// than one that had been received when it was asked for, and nothing may be denied that anyone was told.
-class Looks {
+/// JobService at every controller ask after a job and submit it again, ten times a second. No answer may be
+/// older than one that had been received when it was asked for, and nothing may be denied that anyone was
+/// told.
+class ConsistencyChecker {
   public:
-    Looks(World& w, JobSpec spec, Micros span) : w_(w), spec_(std::move(spec)) {
+    ConsistencyChecker(Simulator& w, JobSpec spec, Micros span) : w_(w), spec_(std::move(spec)) {
         for (Micros t = 0; t < span; t += 100 * kMillisecond)
             w.at(w.now() + t, [this] {
                 for (int i = 0; i < w_.node_count(); ++i) ask(i);
@@ -40,14 +41,14 @@
         if (told_ == 0) return;  // its own user submits it first
         w_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false}, judge);
     }
-    World& w_;
+    Simulator& w_;
     JobSpec spec_;
     int told_ = 0;  // 1: accepted, 2: over
 };
 
 Settings narrow() {
     Settings s = small_site();
-    s.cpu_share = 0.001;  // several domains
+    s.cpu_share = 0.001;  // several shards
     s.value_bytes = 1024;
     s.txn_ops = 4;
     s.ops.idle_return = 600 * kSecond;
@@ -57,10 +58,10 @@
 struct Row {
     const char* change;
     std::vector<std::string> lost;  // keys that the changes write whose answers are lost
-    bool several = false;           // domains, and small values
+    bool several = false;           // shards, and small values
     /// What leads up to the change; it is asked for right after.
-    std::function<void(World&)> before;
-    std::function<void(World&)> act;
+    std::function<void(Simulator&)> before;
+    std::function<void(Simulator&)> act;
     int machines = 4;
 };
 
@@ -68,25 +69,25 @@
     *out << row.change;
 }
 
-JobSpec watched(World& w, int tasks = 2, double cores = 1) {
+JobSpec watched(Simulator& w, int tasks = 2, double cores = 1) {
     return w.job(9, JobKind::Array, tasks, cores);
 }
-void submit(World& w) {
+void submit(Simulator& w) {
     w.submit(watched(w), 3 * kSecond);
 }
-void nothing(World&) {}
+void nothing(Simulator&) {}
 /// All that runs for some seconds, and what is watched waits for room.
-void crowded(World& w) {
+void crowded(Simulator& w) {
     for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
     w.run(kSecond);
     w.submit(watched(w, 20), 3 * kSecond);
     w.run(1500 * kMillisecond);
 }
-void running(World& w) {
+void running(Simulator& w) {
     w.submit(watched(w), 8 * kSecond);
     w.run(2 * kSecond);
 }
-void publish(World& w) {
+void publish(Simulator& w) {
     policy::Policy p;
     p.revision = 3;
     for (int i = 0; i < 60; ++i) {  // more than a small value holds
@@ -101,11 +102,11 @@
 const std::string kRecord = std::string("c/active/") + kRef;
 
 const std::vector<Row> kRows = {
-    {"admission", {kRecord}, false, [](World& w) { w.cut("users", host(w.holder())); }, submit},
+    {"admission", {kRecord}, false, [](Simulator& w) { w.cut("users", host(w.holder())); }, submit},
     {"admission with its binds",
      {kRecord},
      false,
-     [](World& w) {
+     [](Simulator& w) {
          for (int i = 0; i < 3; ++i)
              if (i != w.holder()) w.cut("users", host(i));
      },
@@ -114,7 +115,7 @@
      {kRecord},
      false,
      nothing,
-     [](World& w) {
+     [](Simulator& w) {
          submit(w);
          w.run(300 * kMillisecond);
          w.cancel(kRef);
@@ -123,7 +124,7 @@
     {"the same in parts",
      {kRecord, kRecord, std::string("c/part/") + kRef, std::string("c/part/") + kRef},
      true,
-     [](World& w) {
+     [](Simulator& w) {
          for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
          w.run(kSecond);
          w.submit(watched(w, 60, 0.2), 2 * kSecond);
@@ -131,21 +132,21 @@
      },
      nothing},
     {"final record", {std::string("c/job/") + kRef}, false, running, nothing},
-    {"cancellation", {kRecord}, false, running, [](World& w) { w.cancel(kRef); }},
+    {"cancellation", {kRecord}, false, running, [](Simulator& w) { w.cancel(kRef); }},
     {"cancellation at the end",
      {kRecord},
      false,
-     [](World& w) {
+     [](Simulator& w) {
          w.cancel_at_end = 1;
          running(w);
          for (int i = 0; i < 900 && w.completed_tasks(kRef) < 2; ++i) w.run(20 * kMillisecond);
      },
      nothing},
-    {"lease", {"c/block/"}, false, nothing, [](World& w) { w.add_machine("small", "a"); }},
+    {"lease", {"c/block/"}, false, nothing, [](Simulator& w) { w.add_machine("small", "a"); }},
     {"raised token",
      {"c/block/"},
      false,
-     [](World& w) {
+     [](Simulator& w) {
          for (const auto& m : w.machine_names()) w.hold_next(host(w.holder()), m);
          submit(w);
          w.run(2 * kSecond);
@@ -155,19 +156,19 @@
      {"c/block/", "c/block/"},
      false,
      nothing,
-     [](World& w) { w.owner_at(w.holder())->retire(w.machine_names().back(), "a test"); }},
+     [](Simulator& w) { w.owner_at(w.holder())->retire(w.machine_names().back(), "a test"); }},
     {"leader and domain after an end",
      {"c/leader", "c/domain/"},
      false,
      running,
-     [](World& w) { w.crash(w.holder(), 20 * kSecond); }},
-    {"live key", {"c/live/"}, false, running, [](World& w) { w.crash(w.holder(), 200 * kMillisecond); }},
+     [](Simulator& w) { w.crash(w.holder(), 20 * kSecond); }},
+    {"live key", {"c/live/"}, false, running, [](Simulator& w) { w.crash(w.holder(), 200 * kMillisecond); }},
     {"policy", {"c/policy"}, false, nothing, publish},
     {"pieces and what names them", {"c/0/", "c/policy"}, true, nothing, publish},
     {"machines that move",
      {"c/block/"},
      true,
-     [](World& w) {
+     [](Simulator& w) {
          w.submit(watched(w, 16), 10 * kSecond);
          w.run(2 * kSecond);
          w.add_machine("small", "a");
@@ -178,7 +179,7 @@
     {"job that is given away",
      {kRecord},
      true,
-     [](World& w) {
+     [](Simulator& w) {
          w.submit(w.job(2, JobKind::Service, 6), 0);  // the rest of the machine
          w.run(3 * kSecond);
          JobSpec s = watched(w, 60, 0.08);
@@ -187,12 +188,12 @@
          w.run(2 * kSecond);
          w.at(w.now() + 25 * kSecond, [&w] { w.cancel("req-000002"); });
      },
-     [](World& w) { w.add_machine("large", "a"); },
+     [](Simulator& w) { w.add_machine("large", "a"); },
      1},
     {"share that is given",
      {"c/share/"},
      true,
-     [](World& w) {
+     [](Simulator& w) {
          JobSpec s = watched(w, 20);
          s.team = "blue";
          w.submit(s, 3 * kSecond);
@@ -201,7 +202,7 @@
     {"handing over",
      {"c/domain/"},
      true,
-     [](World& w) {
+     [](Simulator& w) {
          w.crash(w.busiest(), 8 * kSecond);
          w.run(9 * kSecond);
      },
@@ -214,12 +215,12 @@
 TEST_P(LostAnswers, LeaveTheWriterNoWiserThanTheOthers) {
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto w = calm(seed, row.machines, row.several ? narrow() : small_site());
+        auto w = settled_simulator(seed, row.machines, row.several ? narrow() : small_site());
         w->submit(w->job(1, JobKind::Service, 2), 0);
         w->run(2 * kSecond);
         row.before(*w);
         for (const auto& key : row.lost) w->late_next(key, 0);
-        Looks looks(*w, watched(*w), 6 * kSecond);
+        ConsistencyChecker looks(*w, watched(*w), 6 * kSecond);
         row.act(*w);
         w->run(12 * kSecond);
         w->heal_all();
@@ -248,7 +249,7 @@
 
 /// What a new machine's first report waits for is in the news as well.
 TEST(LostAnswer, AFirstReportIsAnsweredOnceItsMachineIsLeased) {
-    auto w = calm(8);
+    auto w = settled_simulator(8);
     const std::string machine = w->add_machine("small", "a");
     w->mute(machine,
             true);  // its first report is made below; it answers the call that proves that it is there
@@ -265,7 +266,7 @@
     const std::vector<std::string> keys{"c/live/",   "c/leader", "c/domain/", "c/share/",
                                         "c/format/", "c/types",  "c/history", "c/block/"};
     for (std::size_t i = 0; i <= keys.size(); ++i) {
-        World w(7, i % 2 ? narrow() : small_site());
+        Simulator w(7, i % 2 ? narrow() : small_site());
         for (int m = 0; m < 4; ++m) w.add_machine("small", m % 2 ? "b" : "a");
         for (std::size_t k = 0; k < keys.size(); ++k)
             if (i == k || i == keys.size()) w.late_next(keys[k], 0);
--- a/tests/moves_test.cpp
+++ b/tests/moves_test.cpp
@@ -1,8 +1,6 @@
 // The ledger of moves and gathered room: what it does by itself, and over histories that RapidCheck makes up,
 // in which holders end, writes are lost or come late, and tasks stop, vanish and start.
 
-#include "planning/moves.hpp"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -10,6 +8,8 @@
 #include <algorithm>
 #include <array>
 
+#include "scheduling/migrations.hpp"
+
 namespace cottonway::test {
 namespace {
 
@@ -183,7 +183,7 @@
 
 // ---------------------------------------------------------------- histories
 
-/// A domain with one holder at a time, and a store that takes writes on the mark of the record only.
+/// A shard with one holder at a time, and a store that takes writes on the mark of the record only.
 class History {
   public:
     void run(int what, unsigned arg) {
@@ -274,7 +274,7 @@
   private:
     struct Write {
         Value value;
-        int mark = 0;
+        int mod_revision = 0;
     };
     std::optional<Write> this_or_none() { return write_ ? *write_ : Write{Value(), -1}; }
 
@@ -297,12 +297,12 @@
         }
         if (!doing.store) return;
         RC_ASSERT(!write_);
-        write_ = Write{plan_.value(), mark_};
+        write_ = Write{plan_.value(), mod_revision_};
         plan_.writing();
     }
     bool apply(const Write& w) {
-        if (w.mark != mark_) return false;
-        ++mark_;
+        if (w.mod_revision != mod_revision_) return false;
+        ++mod_revision_;
         stored_ = w.value;
         return true;
     }
@@ -314,7 +314,7 @@
     }
     void take_over() {
         write_.reset();
-        late_.clear();  // what the former holder sent is refused: the domain's mark is another one
+        late_.clear();  // what the former holder sent is refused: the shard's mark is another one
         plan_ = Plan();
         if (stored_.has_value()) RC_ASSERT(plan_.take(*stored_));
     }
@@ -343,7 +343,7 @@
     Plan plan_;
     std::int64_t now_ = 0;
     std::optional<Value> stored_;
-    int mark_ = 0;
+    int mod_revision_ = 0;
     std::optional<Write> write_;
     std::vector<Write> late_;
     std::set<std::tuple<std::string, int, std::int64_t>> meant_;  // attempts that a move was planned for
--- a/tests/moves_world_test.cpp
+++ b/tests/moves_world_test.cpp
@@ -4,28 +4,28 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr Micros kFine = 5 * kMillisecond;
 constexpr auto kWeb = "req-000001";
 
-Value stored_plan(World& w) {
+Value stored_plan(Simulator& w) {
     const auto r = w.state().handle("GET", "/store?starts=c/plan/&page=10", Value(), w.now());
     return r.body["pairs"];
 }
 
-bool record_stands(World& w) {
+bool record_stands(Simulator& w) {
     return !stored_plan(w).empty();
 }
 
-const planning::Plan* plan_at(World& w, int node) {
-    Owner* owner = node >= 0 ? w.owner_at(node) : nullptr;
-    return owner ? &owner->mover().plan() : nullptr;
+const planning::Plan* plan_at(Simulator& w, int node) {
+    ShardOwner* owner = node >= 0 ? w.owner_at(node) : nullptr;
+    return owner ? &owner->rebalancer().plan() : nullptr;
 }
 
 policy::Policy asked() {
@@ -52,7 +52,7 @@
 
 /// A service of four, all in zone a as b has no machines; then b gets some, so that two have to move.
 struct Balance {
-    World w;
+    Simulator w;
     int least = 4;  // replicas that ran at a time
 
     explicit Balance(std::uint64_t seed) : w(seed, balanced_site()) {
@@ -60,7 +60,7 @@
         w.start_nodes();
         w.run(6 * kSecond);
         JobSpec web = w.job(1, JobKind::Service, 4);
-        web.rank = Rank::Production;
+        web.rank = PriorityClass::Production;
         w.submit(web, 0);
         w.run(4 * kSecond);
         for (int i = 0; i < 2; ++i) w.add_machine("small", "b");
@@ -230,26 +230,26 @@
 
 constexpr auto kLarge = "req-000009";
 
-/// Two machines of eight cards, half of each in use by batch that saves its progress; a task that needs a
+/// Two machines of eight GPUs, half of each in use by batch that saves its progress; a task that needs a
 /// whole one comes.
 struct Room {
-    World w;
+    Simulator w;
 
     static Settings site() {
         Settings s = small_site();
         s.teams[0].limit = {128'000, 64'000, 0};
         policy::Policy p = asked();
-        p.cards.make_room = true;
-        p.cards.after = 2 * kSecond;
+        p.gpus.make_room = true;
+        p.gpus.after = 2 * kSecond;
         s.ops.policy = p;
         return s;
     }
     static std::vector<MachineType> types() {
         return {{"g8", {32'000, 8'000, 128'000}, 200'000, 1.0, 4.0, 1.5, 10 * kSecond, {"a", "b"}}};
     }
-    JobSpec with_cards(int number, Milli cards) {
+    JobSpec with_gpus(int number, Milli gpus) {
         JobSpec s = w.job(number, JobKind::Array, 1);
-        s.need = {cards * 2, cards, cards * 8};
+        s.request = {gpus * 2, gpus, gpus * 8};
         s.estimate = 300 * kSecond;
         s.checkpoint = 10 * kSecond;
         s.save = kSecond;
@@ -261,14 +261,14 @@
         w.start_nodes();
         w.run(6 * kSecond);
         w.cloud().capacity = 0;
-        w.submit(with_cards(1, 4'000), 300 * kSecond);
-        w.submit(with_cards(2, 4'000), 12 * kSecond);  // only to fill the first machine
+        w.submit(with_gpus(1, 4'000), 300 * kSecond);
+        w.submit(with_gpus(2, 4'000), 12 * kSecond);  // only to fill the first machine
         w.run(4 * kSecond);
         w.add_machine("g8", "a");
         w.run(3 * kSecond);
-        w.submit(with_cards(3, 4'000), 300 * kSecond);
-        w.run(10 * kSecond);  // now each has four cards free
-        w.submit(with_cards(9, 8'000), 20 * kSecond);
+        w.submit(with_gpus(3, 4'000), 300 * kSecond);
+        w.run(10 * kSecond);  // now each has four GPUs free
+        w.submit(with_gpus(9, 8'000), 20 * kSecond);
     }
     bool until(const std::function<bool()>& there) {
         for (const Micros end = w.now() + 30 * kSecond; w.now() < end && !there();) w.run(kFine);
@@ -330,7 +330,7 @@
         const auto* p = plan_at(r.w, r.w.holder());
         return p && !p->kept().empty();
     }));
-    r.w.submit(r.with_cards(4, 4'000), 300 * kSecond);
+    r.w.submit(r.with_gpus(4, 4'000), 300 * kSecond);
     r.w.run(10 * kSecond);
     EXPECT_EQ(r.w.starts(kLarge), 1) << r.w.story();
     EXPECT_EQ(r.w.starts("req-000004"), 0) << "it waits its turn\n" << r.w.story();
@@ -354,7 +354,7 @@
     for (const bool with : {true, false}) {
         Settings s = balanced_site();
         if (!with) s.ops.policy.reset();
-        World w(8, s);
+        Simulator w(8, s);
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes();
         w.run(6 * kSecond);
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -4,16 +4,16 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "core/authority.hpp"
-#include "late.hpp"
+#include "cluster/lease_validity.hpp"
+#include "late_messages.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 /// The leader ends, which holds the machines, or part of them; or all do.
-void end(World& w, bool all) {
+void end(Simulator& w, bool all) {
     const int leader = w.leader();
     for (int i = 0; i < w.node_count(); ++i)
         if (all || i == leader) w.crash(i, all ? 300 * kMillisecond : 20 * kSecond);
@@ -22,7 +22,7 @@
 /// A machine is returned, then everybody ends who knows of it; its last report comes again and again.
 TEST(NextLeader, NoGhostIsLeasedWhoeverHasStartedSince) {
     for (const double share : {1.0, 0.001}) {
-        auto w = calm(41, 6, patient(share));
+        auto w = settled_simulator(41, 6, patient(share));
         const std::string machine = w->machine_names().back();
         const Value old = on_its_way(*w, machine);
         for (int i = 0; i < 3; ++i)
@@ -43,7 +43,7 @@
 /// The copy shows a task that was proven gone there and has been started elsewhere since. Its machine is not
 /// heard any more; when the task is to start again, that copy must not stand in its way for ever.
 TEST(NextLeader, WhatAnOldReportShowsHoldsATaskUpForALeaseAtMost) {
-    auto w = calm(42, 3, patient());
+    auto w = settled_simulator(42, 3, patient());
     const auto [machine, running] = supersede(*w);
     ASSERT_FALSE(testing::Test::HasFailure());
     cut_from_all(*w, machine);
@@ -59,7 +59,7 @@
 /// A gang is done while its machines are cut off, and nobody hears of it before their leases are over: it
 /// waits to run again. The next holder then hears one of the reports of that time.
 TEST(NextLeader, OneOldResultOfAGangIsTheWholeGangs) {
-    auto w = calm(43, 2, patient());
+    auto w = settled_simulator(43, 2, patient());
     w->submit(w->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
     w->run(3 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 2) << w->story();
@@ -86,7 +86,7 @@
     for (const bool all : {false, true})
         for (const double share : {1.0, 0.001})
             for (const Micros late : {2, 13, 30}) {
-                auto w = calm(44 + static_cast<std::uint64_t>(late), 6, patient(share));
+                auto w = settled_simulator(44 + static_cast<std::uint64_t>(late), 6, patient(share));
                 const auto story = [&] {
                     return fmt::format("all {} share {} late {}\n", all, share, late) + w->story();
                 };
@@ -125,7 +125,7 @@
 /// last of them.
 TEST(NextLeader, DoubtEndsALeaseAfterTheLastCopy) {
     for (const Micros last : {2, 12, 24}) {
-        auto w = calm(45, 4, patient());
+        auto w = settled_simulator(45, 4, patient());
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(10 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
@@ -153,7 +153,7 @@
 TEST(NextLeader, LongTasksOnMachinesThatCantBeReachedOrDontHear) {
     for (const bool deaf : {false, true})
         for (const Micros span : {4, 50}) {
-            auto w = calm(47, 4, patient());
+            auto w = settled_simulator(47, 4, patient());
             const auto story = [&] { return fmt::format("deaf {} span {}\n", deaf, span) + w->story(); };
             w->submit(w->job(1, JobKind::Array, 1, 4), 90 * kSecond);
             w->submit(w->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
@@ -184,7 +184,7 @@
 /// What a holder has proven by time alone its successor need not prove again, though nothing could take its
 /// place.
 TEST(NextLeader, WhatIsProvenGoneStaysProven) {
-    auto w = calm(48, 1, patient());
+    auto w = settled_simulator(48, 1, patient());
     const std::string machine = w->machine_names().front();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
@@ -201,7 +201,7 @@
 
 /// Machines that nobody hears are no reason to return idle ones, which are where their work has to go.
 TEST(NextLeader, RoomIsKeptForWhatIsInDoubt) {
-    auto w = calm(45, 4);
+    auto w = settled_simulator(45, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(10 * kSecond);
     cut_from_all(*w, *w->machines_of("req-000001").begin());
@@ -215,7 +215,7 @@
 /// copies follow: the end of the leader has every controller stand in.
 TEST(NextLeader, CopiesAtOthersRenewADoubtOnce) {
     for (const Micros last : {6, 24}) {
-        auto w = calm(46, 4, patient());
+        auto w = settled_simulator(46, 4, patient());
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(30 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -6,16 +6,16 @@
 #include <algorithm>
 #include <numeric>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr double kWriteRps = 25;
 
-std::uint64_t changes(World& w) {
+std::uint64_t changes(Simulator& w) {
     std::uint64_t n = 0;
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
@@ -30,9 +30,9 @@
     const auto [rate, ends] = GetParam();
     Settings s = small_site();
     s.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.02;  // several domains
+    s.cpu_share = 0.02;  // several shards
     s.state_write_rps = s.next_write_rps = kWriteRps;
-    World w(7, s, {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
+    Simulator w(7, s, {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
     for (int i = 0; i < 72; ++i) w.add_machine("wren", i % 2 ? "a" : "b");
     w.cloud().capacity = 200;
     w.start_nodes(5);
@@ -62,7 +62,7 @@
         });
     w.run(61 * kSecond);
     const double each = static_cast<double>(changes(w) - before) / jobs;
-    w.calm();
+    w.quiesce();
     w.run(40 * kSecond);
     EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
     Micros accept = 0, begin = 0;
@@ -98,7 +98,7 @@
     s.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}}, {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
     s.cpu_share = 0.02;
     s.state_write_rps = s.next_write_rps = kWriteRps;
-    World w(3, s);
+    Simulator w(3, s);
     w.slow_links = 150 * kMillisecond;
     for (int i = 0; i < 8; ++i) w.add_machine("small", i % 2 ? "a" : "b");
     w.start_nodes(3);
@@ -106,17 +106,17 @@
     w.run(10 * kSecond);
     struct Kind {
         const char* name;
-        Rank rank;
+        PriorityClass rank;
         int tasks;
         double cores;
         Micros run, every;
     };
     const Micros start = w.now(), span = 200 * kSecond;
     int number = 0;
-    for (const Kind& k : {Kind{"urgent", Rank::High, 2, 2, 8 * kSecond, kSecond},
-                          Kind{"batch", Rank::Normal, 4, 2, 10 * kSecond, 2 * kSecond},
-                          Kind{"large", Rank::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
-                          Kind{"idle", Rank::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
+    for (const Kind& k : {Kind{"urgent", PriorityClass::High, 2, 2, 8 * kSecond, kSecond},
+                          Kind{"batch", PriorityClass::Normal, 4, 2, 10 * kSecond, 2 * kSecond},
+                          Kind{"large", PriorityClass::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
+                          Kind{"idle", PriorityClass::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
         for (Micros t = 0; t < span; t += k.every)
             w.at(start + t, [&w, k, n = ++number] {
                 JobSpec job = w.job(n, JobKind::Array, k.tasks, k.cores);
@@ -128,7 +128,7 @@
             });
     w.at(start + 100 * kSecond, [&w] { w.crash(w.leader(), 2 * kSecond); });
     w.run(span);
-    w.calm();
+    w.quiesce();
     w.run(270 * kSecond);
     EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
     const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -5,11 +5,11 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 const std::vector<std::string> kKinds{
@@ -52,7 +52,7 @@
 /// Brings troubles about, and ends them; what two of them do to one thing lasts until both are over.
 class Troubles {
   public:
-    explicit Troubles(World& w) : w_(w) {}
+    explicit Troubles(Simulator& w) : w_(w) {}
 
     int pick(int n) { return static_cast<int>(w_.random() % static_cast<std::uint64_t>(n)); }
     /// Often one that leads or holds machines, often the one that is in trouble already.
@@ -193,7 +193,7 @@
         until(span, link(a, b), [this, a, b] { w_.heal(a, b); });
     }
 
-    World& w_;
+    Simulator& w_;
     std::map<std::string, int> lasting_;
 };
 
@@ -202,7 +202,7 @@
     s.teams = {{"red", {24'000, 0, 0}, {96'000, 0, 0}},
                {"blue", {16'000, 0, 0}, {56'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    if (random() % 2) s.cpu_share = 0.001;  // several domains
+    if (random() % 2) s.cpu_share = 0.001;  // several shards
     if (random() % 4 == 0) s.state_write_rps = 40;
     return s;
 }
@@ -212,7 +212,7 @@
 TEST_P(RulesHoldInPairs, WhicheverMeet) {
     const int seed = GetParam();
     std::mt19937_64 shape(static_cast<std::uint64_t>(seed) * 7919 + 5);
-    World w(static_cast<std::uint64_t>(seed), site(shape));
+    Simulator w(static_cast<std::uint64_t>(seed), site(shape));
     auto pick = [&w](int n) { return static_cast<int>(w.random() % static_cast<std::uint64_t>(n)); };
     auto ms = [pick](int from, int to) { return static_cast<Micros>(from + pick(to - from)) * kMillisecond; };
     const auto [one, other] = pair_of(seed);
@@ -270,14 +270,15 @@
             const JobKind kind = draw == 0 ? JobKind::Service : draw < 3 ? JobKind::Gang : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 6 : 3), 1 + pick(2));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<Rank>(pick(4));
+            s.rank = static_cast<PriorityClass>(pick(4));
             // Some run across a trouble, whatever its length.
             const bool lasting = kind != JobKind::Service && pick(3) == 0;
             s.job_class = kind == JobKind::Service ? "service"
                           : lasting                ? "lasting"
                           : kind == JobKind::Gang  ? "gang"
                                                    : "short";
-            if (kind == JobKind::Array && !lasting && pick(6) == 0) s.team = "guests", s.rank = Rank::Low;
+            if (kind == JobKind::Array && !lasting && pick(6) == 0)
+                s.team = "guests", s.rank = PriorityClass::Low;
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
@@ -296,7 +297,7 @@
     w.run(end);
     w.heal_all();
     // What still lasts is over by then: an end within a freeze, or copies and transactions that come late.
-    w.at(w.now() + World::latest_report(w.settings.lease) + 2 * kSecond, [&w] { w.calm(); });
+    w.at(w.now() + Simulator::latest_report(w.settings.lease) + 2 * kSecond, [&w] { w.quiesce(); });
     w.run(260 * kSecond);
     EXPECT_TRUE(w.broken.empty()) << "seed " << seed << ", " << one << " and " << other << ": "
                                   << w.broken.front() << "\n"
@@ -319,11 +320,11 @@
 }
 
 /// Found by seed 70 (an outage, while a controller stands still): a user asks two controllers at once, and
-/// both admit the job into the domain of one. That one loses, and the winner's record reached it before the
-/// answer to its own (Owner::take_again).
+/// both admit the job into the shard of one. That one loses, and the winner's record reached it before the
+/// answer to its own (ShardOwner::take_again).
 TEST(Pairs, AJobThatAnotherAdmitsIntoOurDomainMeanwhileRuns) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        World w(seed);
+        Simulator w(seed);
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes();
         w.run(6 * kSecond);
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -1,36 +1,36 @@
-// Pipelines: jobs that need others, as traces that people read. too_early and orphaned are checked by the
-// world.
+// DependencyGraph: jobs that need others, as traces that people read. too_early and orphaned are checked by
+// the world.
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
-/// Two domains that are used: the controllers may use too little processor time for one to hold all machines.
-std::unique_ptr<World> calm(std::uint64_t seed = 1, std::set<int> old = {}) {
+/// Two shards that are used: the controllers may use too little processor time for one to hold all machines.
+std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, std::set<int> old = {}) {
     Settings site = small_site();
     site.cpu_share = 0.001;
-    auto w = std::make_unique<World>(seed, site);
+    auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 8; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes(3, std::move(old));
     w->run(8 * kSecond);
     return w;
 }
 
-JobSpec needing(World& w, int number, std::vector<std::string> needs, int tasks = 2) {
+JobSpec needing(Simulator& w, int number, std::vector<std::string> needs, int tasks = 2) {
     JobSpec s = w.job(number, JobKind::Array, tasks);
     s.needs = std::move(needs);
     return s;
 }
 
-/// The node that holds the job's domain.
-int holder_of(World& w, const std::string& ref) {
+/// The node that holds the job's shard.
+int holder_of(Simulator& w, const std::string& ref) {
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
             for (const auto& [name, o] : w.node(i)->owners())
@@ -38,8 +38,8 @@
     return -1;
 }
 
-TEST(Pipelines, EachStepWaitsForTheOneBefore) {
-    auto w = calm();
+TEST(DependencyGraph, EachStepWaitsForTheOneBefore) {
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Array, 3), 3 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond);
@@ -54,8 +54,8 @@
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, WhatWaitsHoldsNothing) {
-    auto w = calm(2);
+TEST(DependencyGraph, WhatWaitsHoldsNothing) {
+    auto w = settled_simulator(2);
     JobSpec first = w->job(1, JobKind::Service, 1);
     w->submit(first, 0);
     w->run(kSecond);
@@ -68,17 +68,17 @@
     w->submit(other, 3 * kSecond);
     w->run(4 * kSecond);
     EXPECT_EQ(w->starts("req-000003"), 16) << w->story();
-    const Owner* owner = w->node(holder_of(*w, "req-000002"))->owners().begin()->second.get();
+    const ShardOwner* owner = w->node(holder_of(*w, "req-000002"))->owners().begin()->second.get();
     EXPECT_TRUE(owner->jobs().at("req-000002")->slots.empty()) << "nor memory";
     EXPECT_EQ(owner->jobs().at("req-000002")->waiting(), 0);
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, AGateOpensWhereverItsHolderEnds) {
+TEST(DependencyGraph, AGateOpensWhereverItsHolderEnds) {
     // At each moment around the end of what is needed: before it, while it is recorded, as the gate opens, as
     // the first bind is committed.
     for (const Micros at : {3'000, 4'400, 4'500, 4'550, 4'600, 4'700, 4'900, 5'300}) {
-        auto w = calm(3);
+        auto w = settled_simulator(3);
         w->submit(w->job(1, JobKind::Array, 2), 4 * kSecond, 0);
         w->run(300 * kMillisecond);
         w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond, 0);
@@ -93,8 +93,8 @@
     }
 }
 
-TEST(Pipelines, CancelledIsInheritedByAll) {
-    auto w = calm(4);
+TEST(DependencyGraph, CancelledIsInheritedByAll) {
+    auto w = settled_simulator(4);
     w->submit(w->job(1, JobKind::Array, 2), 20 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
@@ -120,7 +120,7 @@
     w->run(10 * kSecond);
     // The records follow, and it stays so after a restart of all.
     for (const char* ref : {"req-000002", "req-000003", "req-000004"})
-        EXPECT_FALSE(w->node(0)->replica().jobs.live().count(ref)) << ref;
+        EXPECT_FALSE(w->node(0)->cache().jobs.live().count(ref)) << ref;
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(6 * kSecond);
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
@@ -130,13 +130,13 @@
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, CancelledIsInheritedBeforeAndWhateverTheRecordSays) {
-    auto w = calm(13);
+TEST(DependencyGraph, CancelledIsInheritedBeforeAndWhateverTheRecordSays) {
+    auto w = settled_simulator(13);
     w->submit(w->job(1, JobKind::Array, 2), 30 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
     w->run(2 * kSecond);
-    // The holder of its domain can't write, so the record stays as it is.
+    // The holder of its shard can't write, so the record stays as it is.
     const int holder = holder_of(*w, "req-000002");
     w->refuse(holder, true);
     auto stage = [&](int node) {
@@ -157,11 +157,11 @@
     w->run(300 * kMillisecond);
     EXPECT_EQ(stage(other), "cancelled");
     w->run(12 * kSecond);
-    EXPECT_FALSE(w->node(other)->replica().jobs.live().count("req-000002")) << "its record has followed";
+    EXPECT_FALSE(w->node(other)->cache().jobs.live().count("req-000002")) << "its record has followed";
 }
 
-TEST(Pipelines, CancelledIsInheritedThroughDeathsBeforeAnyRecordFollows) {
-    auto w = calm(5);
+TEST(DependencyGraph, CancelledIsInheritedThroughDeathsBeforeAnyRecordFollows) {
+    auto w = settled_simulator(5);
     w->submit(w->job(1, JobKind::Array, 2), 20 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
@@ -176,10 +176,10 @@
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, ACancellationAndTheLastTasksEndAgreeWithWhatFollows) {
+TEST(DependencyGraph, ACancellationAndTheLastTasksEndAgreeWithWhatFollows) {
     // One order wins in the store, and every answer agrees with it.
     for (const Micros at : {2'900, 3'000, 3'050, 3'100, 3'200, 3'300, 3'400, 3'500}) {
-        auto w = calm(6);
+        auto w = settled_simulator(6);
         w->submit(w->job(1, JobKind::Array, 2), 3 * kSecond, 0);
         w->run(300 * kMillisecond);
         w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond, 0);
@@ -193,8 +193,8 @@
     }
 }
 
-TEST(Pipelines, AnOutageHidesNoCancellation) {
-    auto w = calm(7);
+TEST(DependencyGraph, AnOutageHidesNoCancellation) {
+    auto w = settled_simulator(7);
     w->submit(w->job(1, JobKind::Array, 2), 30 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
@@ -215,8 +215,8 @@
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, OnlyWhatWasAcceptedCanBeNeeded) {
-    auto w = calm(8);
+TEST(DependencyGraph, OnlyWhatWasAcceptedCanBeNeeded) {
+    auto w = settled_simulator(8);
     auto submit = [&](int node, const JobSpec& s) {
         return w->ask(node, "POST", "/v1/jobs", wire::job_value(s)).status;
     };
@@ -236,8 +236,8 @@
     EXPECT_EQ(submit(0, needing(*w, 3, {"req-000055"})), 503) << "nobody can tell";
 }
 
-TEST(Pipelines, WhatIsLongForgottenIsReadFromTheStore) {
-    auto w = calm(9);
+TEST(DependencyGraph, WhatIsLongForgottenIsReadFromTheStore) {
+    auto w = settled_simulator(9);
     for (int i = 1; i <= 2; ++i) w->submit(w->job(i, JobKind::Array, 1), kSecond);
     w->run(6 * kSecond);
     w->cancel("req-000003");
@@ -245,51 +245,51 @@
     w->run(3 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "done");
     // A pure function of final facts: what the caches have lost is Unknown until it is read.
-    Pipelines p;
+    DependencyGraph p;
     const auto sure = [](const std::string&) { return false; };
     JobSpec s = needing(*w, 10, {"req-000001", "req-000003"});
-    p.put(s, 5, [](const std::string&) { return Pipelines::Known{}; });
+    p.put(s, 5, [](const std::string&) { return DependencyGraph::Known{}; });
     EXPECT_TRUE(p.unclear("req-000010", sure));
-    EXPECT_FALSE(p.standing("req-000010").open);
+    EXPECT_FALSE(p.dependency_status("req-000010").open);
     p.over("req-000001", true, 77);
-    EXPECT_FALSE(p.standing("req-000010").open);
+    EXPECT_FALSE(p.dependency_status("req-000010").open);
     EXPECT_TRUE(p.unclear("req-000010", sure));
     p.over("req-000003", true, 99);
     EXPECT_FALSE(p.unclear("req-000010", sure));
-    EXPECT_TRUE(p.standing("req-000010").open);
-    EXPECT_EQ(p.standing("req-000010").since_ms, 99);
+    EXPECT_TRUE(p.dependency_status("req-000010").open);
+    EXPECT_EQ(p.dependency_status("req-000010").since_ms, 99);
 }
 
-TEST(Pipelines, RankAndDeadlineFlowBackwards) {
-    Pipelines p;
-    auto open = [](const std::string&) { return Pipelines::Known{Pipelines::Fate::Open, 0}; };
-    World w(1);
+TEST(DependencyGraph, RankAndDeadlineFlowBackwards) {
+    DependencyGraph p;
+    auto open = [](const std::string&) { return DependencyGraph::Known{DependencyGraph::Fate::Open, 0}; };
+    Simulator w(1);
     JobSpec first = w.job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
             last = needing(w, 3, {"req-000002"});
-    first.rank = second.rank = Rank::Low;
+    first.rank = second.rank = PriorityClass::Low;
     second.estimate = 30 * kSecond;
     p.put(first, 1000, open);
     p.put(second, 1000, open);
     p.weigh();
-    EXPECT_EQ(p.standing("req-000001").rank, Rank::Low);
-    last.rank = Rank::High;
+    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
+    last.rank = PriorityClass::High;
     last.deadline = 100 * kSecond;
     last.estimate = 9 * kSecond;
     p.put(last, 2000, open);
     p.weigh();
-    EXPECT_EQ(p.standing("req-000001").rank, Rank::High);
-    EXPECT_EQ(p.standing("req-000002").rank, Rank::High);
-    EXPECT_LT(p.standing("req-000002").due_ms, 102'000 - 9'000);
-    EXPECT_LT(p.standing("req-000001").due_ms, p.standing("req-000002").due_ms - 30'000);
+    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::High);
+    EXPECT_EQ(p.dependency_status("req-000002").rank, PriorityClass::High);
+    EXPECT_LT(p.dependency_status("req-000002").due_ms, 102'000 - 9'000);
+    EXPECT_LT(p.dependency_status("req-000001").due_ms, p.dependency_status("req-000002").due_ms - 30'000);
     // Cancelled: nothing is owed to it any more.
     p.over("req-000003", false, 0);
     p.weigh();
-    EXPECT_EQ(p.standing("req-000001").rank, Rank::Low);
-    EXPECT_EQ(p.standing("req-000001").due_ms, INT64_MAX);
+    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
+    EXPECT_EQ(p.dependency_status("req-000001").due_ms, INT64_MAX);
 }
 
-TEST(Pipelines, AGatesMomentSurvivesAnAdoption) {
-    auto w = calm(10);
+TEST(DependencyGraph, AGatesMomentSurvivesAnAdoption) {
+    auto w = settled_simulator(10);
     w->submit(w->job(1, JobKind::Array, 1), 5 * kSecond, 0);
     w->run(300 * kMillisecond);
     JobSpec wide = needing(*w, 2, {"req-000001"}, 40);  // more than there is room for
@@ -297,8 +297,8 @@
     w->run(12 * kSecond);
     auto since = [&]() -> std::int64_t {
         for (int i = 0; i < 3; ++i)
-            if (w->node(i) && w->node(i)->replica().jobs.live().count("req-000002"))
-                return w->node(i)->replica().jobs.live().at("req-000002").since_ms;
+            if (w->node(i) && w->node(i)->cache().jobs.live().count("req-000002"))
+                return w->node(i)->cache().jobs.live().at("req-000002").since_ms;
         return 0;
     };
     const auto before = since();
@@ -315,12 +315,12 @@
     EXPECT_RULES(*w);
 }
 
-TEST(Pipelines, AWideListOfNeedsIsStoredInPieces) {
-    auto w = calm(11);
+TEST(DependencyGraph, AWideListOfNeedsIsStoredInPieces) {
+    auto w = settled_simulator(11);
     std::vector<std::string> needs;
     for (int i = 1; i <= 300; ++i) {
         JobSpec s = w->job(i, JobKind::Array, 1, 0.1);
-        s.need.ram = 100;
+        s.request.ram = 100;
         w->submit(s, kSecond);
         needs.push_back(s.ref);
         w->run(20 * kMillisecond);
@@ -337,7 +337,7 @@
 // ---------------------------------------------------------------- the upgrade
 
 TEST(Upgrade, NothingNewIsWrittenWhileANodeMayBeOld) {
-    auto w = calm(12, {2});
+    auto w = settled_simulator(12, {2});
     w->submit(w->job(1, JobKind::Array, 1), 2 * kSecond);
     w->run(2 * kSecond);
     const Value job = wire::job_value(needing(*w, 2, {"req-000001"}));
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,6 +1,6 @@
 // The five steps, one by one.
 
-#include "core/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,11 +9,11 @@
 namespace cottonway::test {
 namespace {
 
-Candidate machine(std::size_t index, Milli cores, Milli booked, int tasks = 0) {
+Candidate machine(std::size_t index, Milli cores, Milli reserved, int tasks = 0) {
     Candidate c;
     c.index = index;
     c.size = {cores, 0, cores * 4};
-    c.booked = {booked, 0, booked * 4};
+    c.reserved = {reserved, 0, reserved * 4};
     c.tasks = tasks;
     return c;
 }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -9,18 +9,18 @@
 
 #include <fstream>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 using policy::Policy;
 using policy::Tier;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
-JobSpec job_of(const std::string& team, const std::string& job_class, Rank rank, JobKind kind) {
+JobSpec job_of(const std::string& team, const std::string& job_class, PriorityClass rank, JobKind kind) {
     JobSpec j;
     j.team = team;
     j.job_class = job_class;
@@ -34,37 +34,37 @@
 TEST(PolicyRules, WithoutRulesTheTierFollowsFromKindAndRank) {
     const Policy p = policy::default_policy(small_site());
     EXPECT_EQ(p.revision, 0u);
-    EXPECT_EQ(p.tier(job_of("red", "x", Rank::Production, JobKind::Service)), Tier::Live);
-    EXPECT_EQ(p.tier(job_of("red", "x", Rank::Production, JobKind::Array)), Tier::Urgent);
-    EXPECT_EQ(p.tier(job_of("red", "x", Rank::High, JobKind::Gang)), Tier::Urgent);
-    EXPECT_EQ(p.tier(job_of("red", "x", Rank::Normal, JobKind::Array)), Tier::Batch);
-    EXPECT_EQ(p.tier(job_of("red", "x", Rank::Low, JobKind::Service)), Tier::Leftover);
+    EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Production, JobKind::Service)), Tier::Live);
+    EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Production, JobKind::Array)), Tier::Urgent);
+    EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::High, JobKind::Gang)), Tier::Urgent);
+    EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Normal, JobKind::Array)), Tier::Batch);
+    EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Low, JobKind::Service)), Tier::BestEffort);
 }
 
 TEST(PolicyRules, OfSeveralRulesTheOneThatNamesMostGoes) {
     Policy p;
-    p.tiers = {{{"", ""}, Tier::Leftover},
+    p.tiers = {{{"", ""}, Tier::BestEffort},
                {{"red", ""}, Tier::Batch},
                {{"", "bridge"}, Tier::Urgent},
                {{"red", "bridge"}, Tier::Live}};
     auto tier = [&](const char* team, const char* job_class) {
-        return p.tier(job_of(team, job_class, Rank::Normal, JobKind::Service));
+        return p.tier(job_of(team, job_class, PriorityClass::Normal, JobKind::Service));
     };
     EXPECT_EQ(tier("red", "bridge"), Tier::Live);
     EXPECT_EQ(tier("blue", "bridge"), Tier::Urgent);
     EXPECT_EQ(tier("red", "x"), Tier::Batch);
-    EXPECT_EQ(tier("blue", "x"), Tier::Leftover);
+    EXPECT_EQ(tier("blue", "x"), Tier::BestEffort);
     p.zones = {{{"red", ""}, {"a"}, {}, 1, 1.0, policy::Survive::Nothing, false, false}};
-    EXPECT_EQ(p.zone_rule(job_of("blue", "x", Rank::Normal, JobKind::Service)), nullptr);
-    EXPECT_EQ(p.zone_rule(job_of("red", "x", Rank::Normal, JobKind::Service)), &p.zones[0]);
+    EXPECT_EQ(p.zone_rule(job_of("blue", "x", PriorityClass::Normal, JobKind::Service)), nullptr);
+    EXPECT_EQ(p.zone_rule(job_of("red", "x", PriorityClass::Normal, JobKind::Service)), &p.zones[0]);
 }
 
 TEST(PolicyRules, LiveWorkIsNeverMovedAndBatchThatSavesAlwaysMayBe) {
     Policy p;
     p.moves = {{{"red", ""}, true}, {{"", "fixed"}, false}};
-    EXPECT_FALSE(p.movable(job_of("red", "x", Rank::Production, JobKind::Service)));
-    EXPECT_TRUE(p.movable(job_of("red", "x", Rank::Normal, JobKind::Service)));
-    JobSpec batch = job_of("blue", "fixed", Rank::Normal, JobKind::Array);
+    EXPECT_FALSE(p.movable(job_of("red", "x", PriorityClass::Production, JobKind::Service)));
+    EXPECT_TRUE(p.movable(job_of("red", "x", PriorityClass::Normal, JobKind::Service)));
+    JobSpec batch = job_of("blue", "fixed", PriorityClass::Normal, JobKind::Array);
     EXPECT_FALSE(p.movable(batch));
     batch.checkpoint = kSecond;
     EXPECT_TRUE(p.movable(batch));
@@ -123,9 +123,9 @@
 TEST(PolicyFile, TheExampleLoadsForTheTeamsAndZonesOfAnySite) {
     const Settings site = small_site();
     const Policy p = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
-    EXPECT_EQ(p.tier(job_of("red", "bridge", Rank::Normal, JobKind::Service)), Tier::Live);
-    EXPECT_EQ(p.tier(job_of("red", "rush", Rank::Normal, JobKind::Array)), Tier::Urgent);
-    EXPECT_TRUE(p.zone_rule(job_of("red", "bridge", Rank::Normal, JobKind::Service))->rebalance);
+    EXPECT_EQ(p.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
+    EXPECT_EQ(p.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
+    EXPECT_TRUE(p.zone_rule(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service))->rebalance);
 }
 
 // ---------------------------------------------------------------- the record
@@ -171,8 +171,8 @@
     p.moves = rules<policy::MoveRule>([](auto& r) { r.movable = *rc::gen::arbitrary<bool>(); });
     p.budgets = {*rc::gen::inRange(0, 10'001), *rc::gen::inRange(0, 101),
                  *rc::gen::inRange<Micros>(0, 86'400 * kSecond), *rc::gen::inRange<Micros>(0, kSecond)};
-    p.cards = {*rc::gen::arbitrary<bool>(), *rc::gen::arbitrary<bool>(),
-               *rc::gen::inRange<Micros>(0, 86'400 * kSecond)};
+    p.gpus = {*rc::gen::arbitrary<bool>(), *rc::gen::arbitrary<bool>(),
+              *rc::gen::inRange<Micros>(0, 86'400 * kSecond)};
     return p;
 }
 
@@ -207,7 +207,7 @@
     if (!p) return;
     RC_ASSERT(p->revision > 0);
     RC_ASSERT(policy::problem_of(*p).empty());
-    for (const auto& r : p->tiers) RC_ASSERT(r.tier <= Tier::Leftover);
+    for (const auto& r : p->tiers) RC_ASSERT(r.tier <= Tier::BestEffort);
     for (const auto& r : p->zones) {
         RC_ASSERT(r.most_share > 0 && r.most_share <= 1);
         RC_ASSERT(r.least_zones >= 1);
@@ -244,7 +244,7 @@
         const auto sent = w.node(node)->status()["changes_sent"];
         return sent.value("policy", std::uint64_t{0});
     }
-    World w;
+    Simulator w;
 };
 
 TEST(SharedPolicy, NothingIsWrittenAndTheDefaultIsInForceWithoutAFile) {
@@ -281,14 +281,14 @@
     s.w.run(8 * kSecond);
     s.w.node(0)->set_policy_file(revision(5, Tier::Urgent));
     s.w.run(2 * kSecond);
-    s.w.node(1)->set_policy_file(revision(5, Tier::Leftover));
+    s.w.node(1)->set_policy_file(revision(5, Tier::BestEffort));
     s.w.run(20 * kSecond);
     EXPECT_TRUE(s.all_have(revision(5, Tier::Urgent)));
     EXPECT_EQ(s.w.node(1)->status()["policy"]["file"]["standing"], "differs");
     EXPECT_EQ(s.written(1), 0u);
     // Both at once: one of them is stored, and everybody goes by that one.
     s.w.node(0)->set_policy_file(revision(6, Tier::Urgent));
-    s.w.node(1)->set_policy_file(revision(6, Tier::Leftover));
+    s.w.node(1)->set_policy_file(revision(6, Tier::BestEffort));
     s.w.run(3 * kSecond);
     EXPECT_TRUE(s.all_have(s.w.node(2)->policy()));
     EXPECT_EQ(s.w.node(2)->policy().revision, 6u);
@@ -309,10 +309,10 @@
         return std::string("nobody knows");
     };
     EXPECT_EQ(tier(), "batch");
-    s.w.node(2)->set_policy_file(revision(1, Tier::Leftover));
+    s.w.node(2)->set_policy_file(revision(1, Tier::BestEffort));
     s.w.run(2 * kSecond);
     EXPECT_EQ(tier(), "leftover");
-    EXPECT_TRUE(s.all_have(revision(1, Tier::Leftover)));
+    EXPECT_TRUE(s.all_have(revision(1, Tier::BestEffort)));
     EXPECT_RULES(s.w);
 }
 
@@ -324,8 +324,8 @@
         s.w.start_nodes(5);
         s.w.run(static_cast<Micros>(s.w.random() % 4000) * kMillisecond);
         const int writer = static_cast<int>(s.w.random() % 5);
-        s.w.settings.ops.policy = revision(2, Tier::Leftover);
-        s.w.node(writer)->set_policy_file(revision(2, Tier::Leftover));
+        s.w.settings.ops.policy = revision(2, Tier::BestEffort);
+        s.w.node(writer)->set_policy_file(revision(2, Tier::BestEffort));
         s.w.run(static_cast<Micros>(s.w.random() % 60) * kMillisecond);
         if (seed % 2) {
             s.w.state().set_down(true, s.w.now());
@@ -337,7 +337,7 @@
         s.w.run(6 * kSecond);
         s.w.answers_lost = 0;
         s.w.run(45 * kSecond);
-        EXPECT_TRUE(s.all_have(revision(2, Tier::Leftover))) << "seed " << seed;
+        EXPECT_TRUE(s.all_have(revision(2, Tier::BestEffort))) << "seed " << seed;
         EXPECT_RULES(s.w);
     }
 }
--- a/tests/priority_test.cpp
+++ b/tests/priority_test.cpp
@@ -1,8 +1,6 @@
 // The priority plan: who goes first, and what of a team's limit is kept for whom. Each property is over
 // queues that RapidCheck makes up.
 
-#include "planning/priority.hpp"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -10,7 +8,8 @@
 #include <algorithm>
 #include <set>
 
-#include "settings/settings.hpp"
+#include "config/settings.hpp"
+#include "scheduling/queue_order.hpp"
 
 namespace cottonway::test {
 namespace {
@@ -25,10 +24,10 @@
     q.index = index;
     q.team = "red";
     q.tier = tier;
-    q.rank = tier == Tier::Live       ? Rank::Production
-             : tier == Tier::Urgent   ? Rank::High
-             : tier == Tier::Leftover ? Rank::Low
-                                      : Rank::Normal;
+    q.rank = tier == Tier::Live         ? PriorityClass::Production
+             : tier == Tier::Urgent     ? PriorityClass::High
+             : tier == Tier::BestEffort ? PriorityClass::Low
+                                        : PriorityClass::Normal;
     q.age = age;
     q.weight = static_cast<double>(cores);
     q.task = {cores * kCore, 0, 0};
@@ -95,7 +94,7 @@
 }
 
 TEST(Priority, LeftoverWorkIsDueNothingUntilItIsOverdue) {
-    std::vector<Queued> queue{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::Leftover, 4, 0)};
+    std::vector<Queued> queue{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::BestEffort, 4, 0)};
     EXPECT_EQ(most_of(turns(queue, red(20), {}), 0), 20);
     queue[1].age = 121 * kSecond;
     EXPECT_EQ(most_of(turns(queue, red(20), {}), 0), 16);
@@ -110,7 +109,7 @@
         JobView j;
         j.spec.ref = "run-" + std::to_string(v.jobs.size());
         j.spec.kind = kind;
-        j.spec.need = {4 * kCore, 0, 0};
+        j.spec.request = {4 * kCore, 0, 0};
         j.spec.estimate = estimate;
         j.bound = 1;
         TaskView t;
@@ -118,7 +117,7 @@
         t.machine = machine;
         v.jobs.push_back(j);
         v.machines[machine].tasks.push_back(v.tasks.size());
-        v.machines[machine].booked += j.spec.need;
+        v.machines[machine].reserved += j.spec.request;
         v.tasks.push_back(t);
     };
     for (const char* name : {"m1", "m2"}) {
@@ -138,7 +137,7 @@
 JobView large(Milli cores, Micros waited) {
     JobView j;
     j.spec.ref = "large";
-    j.spec.need = {cores * kCore, 0, 0};
+    j.spec.request = {cores * kCore, 0, 0};
     j.spec.tasks = j.idle = 1;
     j.waiting = waited;
     return j;
@@ -185,7 +184,7 @@
     std::vector<Queued> queue;
     const int n = *rc::gen::inRange(0, 12);
     for (int i = 0; i < n; ++i) {
-        const auto tier = *rc::gen::element(Tier::Live, Tier::Urgent, Tier::Batch, Tier::Leftover);
+        const auto tier = *rc::gen::element(Tier::Live, Tier::Urgent, Tier::Batch, Tier::BestEffort);
         auto q = waiting(static_cast<std::size_t>(i), tier, *rc::gen::inRange(1, 40),
                          *rc::gen::inRange(0, 300) * kSecond, *rc::gen::inRange(1, 9));
         q.team = *rc::gen::element<std::string>("red", "blue", "guest");
@@ -203,7 +202,7 @@
     for (const char* team : {"red", "blue"}) {
         TeamUse& u = teams[team];
         u.limit.cores = *rc::gen::inRange(0, 100) * kCore;
-        for (const Tier t : {Tier::Live, Tier::Urgent, Tier::Batch, Tier::Leftover})
+        for (const Tier t : {Tier::Live, Tier::Urgent, Tier::Batch, Tier::BestEffort})
             u.used[t].cores = *rc::gen::inRange(0, 30) * kCore;
     }
     teams["guest"].limit = {kNoLimit, kNoLimit, 0};
@@ -252,7 +251,7 @@
 RC_GTEST_PROP(PriorityAlways, TheOrderIsThatOfRankWhereNothingIsOverdue, ()) {
     auto queue = some_queue();
     for (auto& q : queue) q.age %= 120 * kSecond;
-    Rank last = Rank::Production;
+    PriorityClass last = PriorityClass::Production;
     for (const auto& t : turns(queue, some_teams(), {})) {
         RC_ASSERT(queue[t.index].rank >= last);
         last = queue[t.index].rank;
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -6,9 +6,9 @@
 
 #include <deque>
 
-#include "recovery/dividing.hpp"
-#include "recovery/squaring.hpp"
-#include "replica/jobs.hpp"
+#include "cache/job_cache.hpp"
+#include "cluster/failover.hpp"
+#include "shard/reconciliation.hpp"
 
 namespace cottonway::test {
 namespace {
@@ -25,7 +25,7 @@
 }
 
 RC_GTEST_PROP(DividingAlways, EveryOrphanIsTakenByExactlyOneNode, ()) {
-    Situation s;
+    FailoverState s;
     s.alive = some_nodes();
     const int n = *rc::gen::inRange(1, 9);
     for (int i = 0; i < n; ++i)
@@ -34,13 +34,13 @@
     std::map<std::string, std::size_t> load = s.alive;
     for (const auto& [node, machines] : s.alive) {
         s.self = node;
-        for (const auto& d : to_take(s)) {
+        for (const auto& d : shards_to_take(s)) {
             ++taken[d];
             for (const auto& o : s.orphans)
-                if (o.domain == d) load[node] += o.machines;
+                if (o.shard == d) load[node] += o.machines;
         }
     }
-    for (const auto& o : s.orphans) RC_ASSERT(taken[o.domain] == 1);
+    for (const auto& o : s.orphans) RC_ASSERT(taken[o.shard] == 1);
     // Nobody is given more while another has less by more than the largest orphan.
     std::size_t largest = 0, least = SIZE_MAX;
     for (const auto& o : s.orphans) largest = std::max(largest, o.machines);
@@ -50,17 +50,17 @@
 }
 
 RC_GTEST_PROP(DividingAlways, NothingThatWasThereBeforeUsIsTakenTooSoon, ()) {
-    Situation s;
+    FailoverState s;
     s.alive = some_nodes();
     s.self = s.alive.begin()->first;
     s.come_back = *rc::gen::inRange<Micros>(0, 5 * kSecond);
     s.now = *rc::gen::inRange<Micros>(0, 10 * kSecond);
     const Micros since = *rc::gen::inRange<Micros>(0, 10 * kSecond);
     s.orphans.push_back({"d", 10, since, true});
-    if (s.now - since < s.come_back) RC_ASSERT(to_take(s).empty());
+    if (s.now - since < s.come_back) RC_ASSERT(shards_to_take(s).empty());
     // And it is never left for good.
     s.now = since + s.come_back + static_cast<Micros>(s.alive.size()) * kSecond;
-    RC_ASSERT(to_take(s).size() == 1u);
+    RC_ASSERT(shards_to_take(s).size() == 1u);
 }
 
 RC_GTEST_PROP(DividingAlways, WhatIsHandedOverLeavesOneAndGoesToEachOnce, ()) {
@@ -72,10 +72,10 @@
     std::vector<Receiver> receivers;
     for (int i = 1; i <= m; ++i)
         receivers.push_back({"n" + std::to_string(i), *rc::gen::inRange<Micros>(0, 6 * kSecond)});
-    const auto moves = to_hand_over("n0", held, receivers);
-    std::set<std::string> domains, nodes;
-    for (const auto& [domain, node] : moves) {
-        RC_ASSERT(domains.insert(domain).second);
+    const auto moves = shards_to_transfer("n0", held, receivers);
+    std::set<std::string> shards, nodes;
+    for (const auto& [shard, node] : moves) {
+        RC_ASSERT(shards.insert(shard).second);
         RC_ASSERT(nodes.insert(node).second);
     }
     const auto with_machines =
@@ -83,7 +83,7 @@
     RC_ASSERT(static_cast<std::ptrdiff_t>(moves.size()) < std::max<std::ptrdiff_t>(with_machines, 1));
 }
 
-// ---------------------------------------------------------------- squaring
+// ---------------------------------------------------------------- reconciliation
 
 /// One task, one worker, and a network that delays: the holder launches, hears, and concludes by `square`.
 /// Messages arrive in any order; a `/do` may be executed at any later time as long as token and session
@@ -106,12 +106,12 @@
     std::uint64_t our_token = 1;
     bool launched = false, seen = false, stopping = false, gone = false;
     std::uint64_t launch_token = 0, launch_session = 0;
-    std::vector<Launch> taints;  // sent and not known to be settled
+    std::vector<Launch> unacknowledged_launches;  // sent and not known to be settled
     std::uint64_t last_session = 1, last_seq = 0;
 
     void send() {
         under_way.push_back({our_token, last_session});
-        taints.push_back({our_token, last_session});
+        unacknowledged_launches.push_back({our_token, last_session});
         launched = true;
         launch_token = our_token;
         launch_session = last_session;
@@ -125,13 +125,14 @@
     }
     void tell(bool is_report) { messages.push_back({session, ++seq, token, on, is_report}); }
     /// Returns the verdict, if the message is news.
-    std::optional<Verdict> hear(std::size_t i) {
+    std::optional<ReconcileAction> hear(std::size_t i) {
         const Message m = messages[i];
         messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(i));
         if (!is_news({m.session, m.seq}, {last_session, last_seq}, 0)) return std::nullopt;
         last_session = m.session;
         last_seq = m.seq;
-        std::erase_if(taints, [&](const Launch& t) { return t.token < m.token || t.session < m.session; });
+        std::erase_if(unacknowledged_launches,
+                      [&](const Launch& t) { return t.token < m.token || t.session < m.session; });
         Stored stored;
         stored.state = gone ? Stored::State::Waiting : Stored::State::Bound;
         stored.seen = seen;
@@ -140,11 +141,11 @@
         Proof proof;
         proof.later_session = m.session > launch_session;
         proof.higher_token = m.token > launch_token;
-        proof.may_still_come = !taints.empty();
-        const Verdict v = square(stored, {m.shown, false, ExitCause::Stopped}, proof);
-        if (v == Verdict::Runs) seen = true;
-        if (v == Verdict::LaunchAgain) launched = false;
-        if (v == Verdict::Gone) gone = true;
+        proof.may_still_come = !unacknowledged_launches.empty();
+        const ReconcileAction v = reconcile(stored, {m.shown, false, ExitCause::Stopped}, proof);
+        if (v == ReconcileAction::Runs) seen = true;
+        if (v == ReconcileAction::LaunchAgain) launched = false;
+        if (v == ReconcileAction::Gone) gone = true;
         return v;
     }
     bool may_run() const {
@@ -175,7 +176,7 @@
                 ++m.session;
                 m.on = false;
                 break;
-            case 5:  // the domain's token is raised and shown
+            case 5:  // the shard's token is raised and shown
                 ++m.our_token;
                 m.token = std::max(m.token, m.our_token);
                 break;
@@ -214,7 +215,7 @@
     Proof p;
     p.later_session = *rc::gen::arbitrary<bool>();
     p.higher_token = *rc::gen::arbitrary<bool>();
-    RC_ASSERT(square(s, {true, false, ExitCause::Stopped}, p) == Verdict::Runs);
+    RC_ASSERT(reconcile(s, {true, false, ExitCause::Stopped}, p) == ReconcileAction::Runs);
 }
 
 // ---------------------------------------------------------------- news in any order
@@ -225,40 +226,43 @@
     spec.ref = "req-000001";
     spec.team = "red";
     spec.tasks = 3;
-    spec.need = {1000, 0, 1000};
+    spec.request = {1000, 0, 1000};
     spec.image = "i";
     spec.job_class = "c";
     struct News {
-        Place place;
+        RecordLocation place;
         Value value;
-        Revision mark;
+        Revision mod_revision;
     };
     std::vector<News> all;
-    Revision mark = 10;
+    Revision mod_revision = 10;
     auto live = [&](int running) {
         return Value{{"s", "queued"}, {"dom", "d"},   {"k", 3}, {"d", wire::job_value(spec)},
                      {"at", 5},       {"fr", running}};
     };
     const bool was_old = *rc::gen::arbitrary<bool>();
-    if (was_old) all.push_back({Place::Job, live(0), ++mark});
+    if (was_old) all.push_back({RecordLocation::Job, live(0), ++mod_revision});
     const int changes = *rc::gen::inRange(1, 4);
-    for (int i = 0; i < changes; ++i) all.push_back({Place::Active, live(i + 1), ++mark});
+    for (int i = 0; i < changes; ++i) all.push_back({RecordLocation::Active, live(i + 1), ++mod_revision});
     const bool over = *rc::gen::arbitrary<bool>();
-    if (over) all.push_back({Place::Job, Value{{"s", "done"}, {"dom", "d"}, {"k", 3}, {"fd", 3}}, ++mark});
+    if (over)
+        all.push_back(
+            {RecordLocation::Job, Value{{"s", "done"}, {"dom", "d"}, {"k", 3}, {"fd", 3}}, ++mod_revision});
     Settings settings;
-    JobBook book(settings);
+    JobCache book(settings);
     std::vector<std::size_t> order;
     const int tellings = *rc::gen::inRange(0, 12);
     for (int i = 0; i < tellings; ++i) order.push_back(*rc::gen::inRange<std::size_t>(0, all.size()));
     for (std::size_t i = 0; i < all.size(); ++i) order.push_back(i);  // each at least once
-    for (const std::size_t i : order) book.take(spec.ref, all[i].place, all[i].value, all[i].mark, kSecond);
+    for (const std::size_t i : order)
+        book.take(spec.ref, all[i].place, all[i].value, all[i].mod_revision, kSecond);
     const JobView* view = book.known(spec.ref);
     RC_ASSERT(view != nullptr);
-    RC_ASSERT(view->mark == mark);
+    RC_ASSERT(view->mod_revision == mod_revision);
     RC_ASSERT(view->final() == over);
     RC_ASSERT((book.find(spec.ref) == nullptr) == over);
     if (!over) {
-        RC_ASSERT(book.find(spec.ref)->place == Place::Active);
+        RC_ASSERT(book.find(spec.ref)->place == RecordLocation::Active);
         RC_ASSERT(book.find(spec.ref)->running == changes);
     }
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,40 +1,40 @@
-// The start after all controllers went down: who takes what, what a start reads, and squaring what workers
-// report with what is stored.
+// The start after all controllers went down: who takes what, what a start reads, and reconciliation what
+// workers report with what is stored.
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
-#include "recovery/dividing.hpp"
+#include "cluster/failover.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
+using recovery::FailoverState;
 using recovery::Holding;
 using recovery::Orphan;
 using recovery::Receiver;
-using recovery::Situation;
 using Moves = std::vector<std::pair<std::string, std::string>>;
 
 TEST(Dividing, OneOrphanGoesToWhoeverHasTheFewestMachines) {
-    Situation s{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
-    EXPECT_EQ(recovery::to_take(s), std::vector<std::string>{"d"});
+    FailoverState s{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
+    EXPECT_EQ(recovery::shards_to_take(s), std::vector<std::string>{"d"});
     s.self = "b";
-    EXPECT_TRUE(recovery::to_take(s).empty());
+    EXPECT_TRUE(recovery::shards_to_take(s).empty());
     s.now = 400 * kMillisecond;  // it is still there, so "a" does not come to it
-    EXPECT_EQ(recovery::to_take(s).size(), 1u);
+    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
 }
 
 TEST(Dividing, SeveralOrphansAreDividedEvenly) {
-    Situation s{"", {{"a", 100}, {"b", 100}}, {}, 0, 0};
+    FailoverState s{"", {{"a", 100}, {"b", 100}}, {}, 0, 0};
     for (const char* d : {"v", "w", "x", "y"}) s.orphans.push_back({d, 100, 0, false});
     std::set<std::string> all;
     for (const char* self : {"a", "b"}) {
         s.self = self;
-        const auto mine = recovery::to_take(s);
+        const auto mine = recovery::shards_to_take(s);
         EXPECT_EQ(mine.size(), 2u) << self;
         all.insert(mine.begin(), mine.end());
     }
@@ -42,37 +42,39 @@
 }
 
 TEST(Dividing, WhatWasThereBeforeUsIsLeftToItsHolderForAWhile) {
-    Situation s{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
-    EXPECT_TRUE(recovery::to_take(s).empty());
+    FailoverState s{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
+    EXPECT_TRUE(recovery::shards_to_take(s).empty());
     s.now = 3 * kSecond;
-    EXPECT_EQ(recovery::to_take(s).size(), 1u);
+    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
 }
 
 TEST(Dividing, OwnDomainsGoBackAllInOneStep) {
     const std::vector<Holding> held{
         {"a", 10, true, false}, {"b", 30, true, true}, {"c", 20, true, true}, {"d", 5, true, true}};
     const std::vector<Receiver> back{{"c", kSecond}, {"b", kSecond}};
-    EXPECT_EQ(recovery::to_hand_over("a", held, back), (Moves{{"c", "c"}, {"b", "b"}}));
+    EXPECT_EQ(recovery::shards_to_transfer("a", held, back), (Moves{{"c", "c"}, {"b", "b"}}));
     // One of another name, and one that has not been there for long enough.
-    EXPECT_EQ(recovery::to_hand_over("a", held, {{"x", kSecond}, {"y", kSecond / 2}}), (Moves{{"d", "x"}}));
+    EXPECT_EQ(recovery::shards_to_transfer("a", held, {{"x", kSecond}, {"y", kSecond / 2}}),
+              (Moves{{"d", "x"}}));
     auto later = held;
     for (auto& h : later) h.at_start = false;
-    EXPECT_TRUE(recovery::to_hand_over("a", later, back).empty()) << "those have to settle";
-    EXPECT_EQ(recovery::to_hand_over("a", {{"a", 10, true, false}}, back), Moves{}) << "the last one stays";
+    EXPECT_TRUE(recovery::shards_to_transfer("a", later, back).empty()) << "those have to settle";
+    EXPECT_EQ(recovery::shards_to_transfer("a", {{"a", 10, true, false}}, back), Moves{})
+        << "the last one stays";
 }
 
-/// Nine machines over the domains of three controllers, settled.
-std::unique_ptr<World> spread(std::uint64_t seed) {
+/// Nine machines over the shards of three controllers, settled.
+std::unique_ptr<Simulator> spread(std::uint64_t seed) {
     Settings site = small_site();
     site.cpu_share = 0.001;
-    auto w = std::make_unique<World>(seed, site);
+    auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 9; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
     w->run(8 * kSecond);
     return w;
 }
 
-std::size_t held_at(World& w, int node) {
+std::size_t held_at(Simulator& w, int node) {
     std::size_t n = 0;
     if (w.node(node))
         for (const auto& [name, o] : w.node(node)->owners()) n += o && !o->machines().empty();
@@ -135,7 +137,7 @@
 // ---------------------------------------------------------------- hard cases
 
 /// Services and batch work on machines, a gang, a pipeline half done and a queue.
-void fill(World& w) {
+void fill(Simulator& w) {
     w.submit(w.job(1, JobKind::Service, 4), 0);
     w.submit(w.job(2, JobKind::Array, 6), 12 * kSecond);
     JobSpec gang = w.job(3, JobKind::Gang, 3, 2);
@@ -152,7 +154,7 @@
     w.run(kSecond);
 }
 
-void expect_unharmed(World& w, const std::string& what) {
+void expect_unharmed(Simulator& w, const std::string& what) {
     EXPECT_EQ(w.starts("req-000001"), 4) << what << "\n" << w.story();
     EXPECT_EQ(w.starts("req-000002"), 6) << what;
     EXPECT_EQ(w.starts("req-000003"), 3) << what;
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -4,11 +4,11 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 constexpr int kLong = 10, kService = 11, kGang = 12, kNeeded = 13, kWaits = 14, kEnds = 15, kAdmitted = 16;
@@ -51,8 +51,8 @@
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         Settings site = small_site();
-        if (seed == 2) site.cpu_share = 0.001;  // several domains
-        auto w = calm(seed, 5, site);
+        if (seed == 2) site.cpu_share = 0.001;  // several shards
+        auto w = settled_simulator(seed, 5, site);
         const int leader = w->leader();
         w->poll_rate = 4;
         w->submit(w->job(kLong, JobKind::Array, 4), 90 * kSecond);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,16 +3,16 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 class RulesHold : public testing::TestWithParam<int> {};
 
-/// Every second world is one of several domains: its controllers may use too little processor time for one to
+/// Every second world is one of several shards: its controllers may use too little processor time for one to
 /// hold all machines.
 Settings site(int seed) {
     Settings s = small_site();
@@ -27,7 +27,7 @@
 }
 
 TEST_P(RulesHold, WhateverFails) {
-    World w(static_cast<std::uint64_t>(GetParam()), site(GetParam()));
+    Simulator w(static_cast<std::uint64_t>(GetParam()), site(GetParam()));
     auto pick = [&](int n) { return static_cast<int>(w.random() % static_cast<std::uint64_t>(n)); };
     const int machines = GetParam() % 2 == 0 ? 12 : 6;
     // In every fifth world processes are back within a second, their old keys still standing, often twice in
@@ -57,7 +57,7 @@
     }
     const Micros end = 150 * kSecond;
     int number = 1;
-    // Pipelines: each job is submitted as soon as those that it needs are accepted.
+    // DependencyGraph: each job is submitted as soon as those that it needs are accepted.
     std::function<void(std::vector<JobSpec>)> submit_chain = [&](std::vector<JobSpec> chain) {
         if (chain.empty()) return;
         const bool ready = std::all_of(chain.front().needs.begin(), chain.front().needs.end(),
@@ -77,7 +77,9 @@
             std::vector<JobSpec> chain;
             for (int i = 0, stages = 2 + pick(4); i < stages; ++i) {
                 JobSpec s = w.job(number++, pick(4) == 0 ? JobKind::Gang : JobKind::Array, 1 + pick(3));
-                s.rank = i + 1 == stages ? Rank::High : pick(2) ? Rank::Low : Rank::Normal;
+                s.rank = i + 1 == stages ? PriorityClass::High
+                         : pick(2)       ? PriorityClass::Low
+                                         : PriorityClass::Normal;
                 if (i + 1 == stages) s.deadline = 40 * kSecond;
                 for (const auto& before : chain)
                     if (&before == &chain.back() || pick(3) == 0) s.needs.push_back(before.ref);
@@ -93,17 +95,17 @@
                                                 : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Service ? 3 : 6), 1 + pick(3));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<Rank>(pick(4));
+            s.rank = static_cast<PriorityClass>(pick(4));
             if (pick(6) == 0 && kind != JobKind::Service) {  // a guest's, now and then one of many tasks
                 s.team = "guests";
-                s.rank = Rank::Low;
+                s.rank = PriorityClass::Low;
                 if (kind == JobKind::Array && pick(3) == 0) s.tasks = 60;
             }
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
             if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
-            s.need.cores = std::min<Milli>(s.need.cores, 16'000 / s.tasks);
+            s.request.cores = std::min<Milli>(s.request.cores, 16'000 / s.tasks);
             const bool broken = pick(12) == 0;
             w.submit(s, static_cast<Micros>(2000 + pick(9000)) * kMillisecond,
                      static_cast<Micros>(pick(1500)) * kMillisecond, broken);
@@ -199,7 +201,7 @@
     w.run(end);
     w.heal_all();
     w.repeats = 0;
-    w.at(w.now() + 20 * kSecond, [&w] { w.calm(); });  // whatever still lasts is over by then
+    w.at(w.now() + 20 * kSecond, [&w] { w.quiesce(); });  // whatever still lasts is over by then
     w.run(100 * kSecond);
     const Acceptance acceptance = judge(w.fates(), w.settings.teams, w.now());
     EXPECT_LT(acceptance.unanswered, kAnsweredWithin) << w.story(400);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,6 +1,6 @@
 // Settings: one clear line that names the key and the reason.
 
-#include "settings/settings.hpp"
+#include "config/settings.hpp"
 
 #include <gtest/gtest.h>
 
@@ -79,7 +79,7 @@
         write("platform.toml", with("cpus = 64.0\ncpus_max = 184.0", "cpus = 0.0\ncpus_max = 0.0")), "");
     EXPECT_EQ(s.teams.at(0).guarantee.cores, 0);
     EXPECT_EQ(s.teams.at(0).limit.cores, kNoLimit);
-    EXPECT_EQ(s.teams.at(0).limit.cards, kNoLimit);
+    EXPECT_EQ(s.teams.at(0).limit.gpus, kNoLimit);
 }
 
 TEST(SettingsFile, ErrorsNameTheKeyAndTheReason) {
--- a/tests/calm.hpp
+++ b/tests/settled_simulator.hpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string>
 
-#include "lab/world.hpp"
-#include "state/records.hpp"
+#include "kvstore/records.hpp"
+#include "simulation/simulator.hpp"
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
@@ -19,9 +19,9 @@
 }
 
 /// Some machines in two zones, three controllers, settled.
-inline std::unique_ptr<lab::World> calm(std::uint64_t seed = 1, int machines = 4,
-                                        const Settings& site = lab::small_site()) {
-    auto w = std::make_unique<lab::World>(seed, site);
+inline std::unique_ptr<simulation::Simulator> settled_simulator(
+    std::uint64_t seed = 1, int machines = 4, const Settings& site = simulation::small_site()) {
+    auto w = std::make_unique<simulation::Simulator>(seed, site);
     for (int i = 0; i < machines; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
     w->run(6 * kSecond);
@@ -30,7 +30,7 @@
 }
 
 /// How often each machine stands in the block records.
-inline std::map<std::string, int> leased(lab::World& w) {
+inline std::map<std::string, int> leased(simulation::Simulator& w) {
     std::map<std::string, int> times;
     const auto page = w.state().handle("GET", "/store?starts=c/block/&page=1000", Value(), w.now());
     for (const auto& p : page.body["pairs"]) {
@@ -41,7 +41,7 @@
 }
 
 /// Every machine that there is stands in one block, once; and no block lists one that is gone.
-inline void expect_each_machine_leased_once(lab::World& w, const char* when = "") {
+inline void expect_each_machine_leased_once(simulation::Simulator& w, const char* when = "") {
     auto times = leased(w);
     for (const auto& name : w.machine_names())
         EXPECT_EQ(times[name], 1) << name << " " << when << "\n" << w.story();
@@ -50,11 +50,11 @@
 }
 
 /// What the holder's hand-over is, carried out though its answer is lost.
-inline void hand_over(lab::World& w, int from, int to) {
-    const std::string key = "c/domain/" + w.owner_at(from)->domain();
+inline void transfer_shards(simulation::Simulator& w, int from, int to) {
+    const std::string key = "c/domain/" + w.owner_at(from)->shard();
     w.note(host(from) + " hands over to " + host(to));
     Value write{{"write", key}, {"data", {{"holder", host(to)}}}};
-    Value change{{"when", Value::array({Value{{"k", key}, {"mark", w.owner_at(from)->mark()}}})},
+    Value change{{"when", Value::array({Value{{"k", key}, {"mark", w.owner_at(from)->mod_revision()}}})},
                  {"then", Value::array({write})}};
     ASSERT_EQ(w.state().handle("POST", "/commit", change, w.now()).status, 200);
 }
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -4,14 +4,14 @@
 
 #include <algorithm>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
-JobSpec ranked(World& w, int number, Rank rank, JobKind kind, int tasks, double cores) {
+JobSpec ranked(Simulator& w, int number, PriorityClass rank, JobKind kind, int tasks, double cores) {
     JobSpec s = w.job(number, kind, tasks, cores);
     s.rank = rank;
     s.job_class = s.ref;  // by which the world tells waits
@@ -20,14 +20,14 @@
 }
 
 /// How long a job waited for its first start; more than the run if none came.
-Micros began(const World& w, const std::string& ref) {
+Micros began(const Simulator& w, const std::string& ref) {
     for (const auto& [of, wait] : w.waits())
         if (of == ref) return wait;
     return 3600 * kSecond;
 }
 
 /// One of the controllers ends now and then, and is back soon.
-void end_some(World& w, Micros from, Micros until, Micros every) {
+void end_some(Simulator& w, Micros from, Micros until, Micros every) {
     for (Micros t = from; t < until; t += every)
         w.at(t, [&w] { w.crash(static_cast<int>(w.random() % 3), 300 * kMillisecond + 2 * kSecond); });
 }
@@ -35,22 +35,25 @@
 /// A team at its limit: 16 of 24 cores are its live work's, and more high work arrives than the rest can run.
 /// Large normal work needs 6 of the 8 cores at once.
 TEST(Starvation, EndlessHighWorkOfATeamAtItsLimitLeavesHalfToNormalWorkAndItsLargestBegin) {
-    auto w = calm(5, 8);
-    w->submit(ranked(*w, 1, Rank::Production, JobKind::Service, 4, 4), 0);
+    auto w = settled_simulator(5, 8);
+    w->submit(ranked(*w, 1, PriorityClass::Production, JobKind::Service, 4, 4), 0);
     w->run(4 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 4) << w->story();
     const Micros start = w->now();
     std::vector<std::string> high, normal, large;
     int number = 100;
-    auto later = [&](Micros at, std::vector<std::string>& list, Rank rank, int tasks, double cores,
+    auto later = [&](Micros at, std::vector<std::string>& list, PriorityClass rank, int tasks, double cores,
                      Micros run) {
         auto spec = ranked(*w, number++, rank, JobKind::Array, tasks, cores);
         list.push_back(spec.ref);
         w->at(start + at, [&w, spec, run] { w->submit(spec, run); });
     };
-    for (int i = 0; i < 100; ++i) later(i * 2500 * kMillisecond, high, Rank::High, 4, 1, 6 * kSecond);
-    for (int i = 0; i < 20; ++i) later((i * 12 + 1) * kSecond, normal, Rank::Normal, 1, 1, 5 * kSecond);
-    for (int i = 0; i < 2; ++i) later((5 + 30 * i) * kSecond, large, Rank::Normal, 1, 6, 10 * kSecond);
+    for (int i = 0; i < 100; ++i)
+        later(i * 2500 * kMillisecond, high, PriorityClass::High, 4, 1, 6 * kSecond);
+    for (int i = 0; i < 20; ++i)
+        later((i * 12 + 1) * kSecond, normal, PriorityClass::Normal, 1, 1, 5 * kSecond);
+    for (int i = 0; i < 2; ++i)
+        later((5 + 30 * i) * kSecond, large, PriorityClass::Normal, 1, 6, 10 * kSecond);
     end_some(*w, start + 10 * kSecond, start + 230 * kSecond, 45 * kSecond);
     w->run(260 * kSecond);
     auto done = [&](const std::vector<std::string>& refs) {
@@ -65,11 +68,11 @@
 }
 
 TEST(Starvation, LiveWorkGoesBeforeBatchInsideTheLimitOfItsTeam) {
-    auto w = calm(6, 8);
-    w->submit(ranked(*w, 1, Rank::Normal, JobKind::Array, 24, 1), 120 * kSecond);
+    auto w = settled_simulator(6, 8);
+    w->submit(ranked(*w, 1, PriorityClass::Normal, JobKind::Array, 24, 1), 120 * kSecond);
     w->run(4 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 24) << w->story();
-    w->submit(ranked(*w, 2, Rank::Production, JobKind::Service, 4, 2), 0);
+    w->submit(ranked(*w, 2, PriorityClass::Production, JobKind::Service, 4, 2), 0);
     w->run(15 * kSecond);
     EXPECT_EQ(w->running("req-000002"), 4) << w->story();
     EXPECT_EQ(w->running("req-000001"), 16) << "no more than it needs";
@@ -82,17 +85,17 @@
     s.ops.policy.emplace();
     s.ops.policy->revision = 1;
     s.ops.policy->priority.reserve = 0.5;
-    World w(7, s);
+    Simulator w(7, s);
     for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
     w.run(8 * kSecond);
-    w.submit(ranked(w, 1, Rank::Normal, JobKind::Array, 40, 1), 300 * kSecond);
+    w.submit(ranked(w, 1, PriorityClass::Normal, JobKind::Array, 40, 1), 300 * kSecond);
     w.run(8 * kSecond);
     EXPECT_EQ(w.running("req-000001"), 16) << w.story();
     ASSERT_GE(w.holder(), 0);
     w.crash(w.holder(), 3 * kSecond);
-    w.submit(ranked(w, 2, Rank::Production, JobKind::Service, 8, 1), 0);
-    w.submit(ranked(w, 3, Rank::Normal, JobKind::Array, 1, 2), 20 * kSecond);
+    w.submit(ranked(w, 2, PriorityClass::Production, JobKind::Service, 8, 1), 0);
+    w.submit(ranked(w, 3, PriorityClass::Normal, JobKind::Array, 1, 2), 20 * kSecond);
     w.run(12 * kSecond);
     EXPECT_EQ(w.running("req-000002"), 8) << w.story();
     EXPECT_EQ(w.starts("req-000001"), 16) << "nothing had to make way";
@@ -105,23 +108,23 @@
 /// The room of what has begun since it was overdue is not taken back for another team's guarantee: it would
 /// be overdue again, come back to the same room first, and neither would run.
 TEST(Starvation, WhatBeganForBeingOverdueIsNotStoppedForAGuarantee) {
-    auto w = calm(9, 2);
+    auto w = settled_simulator(9, 2);
     w->cloud().capacity = 0;
     int number = 100;
-    auto later = [&](Micros at, const std::string& team, Rank rank, JobKind kind, int tasks, double cores,
-                     Micros run) {
+    auto later = [&](Micros at, const std::string& team, PriorityClass rank, JobKind kind, int tasks,
+                     double cores, Micros run) {
         JobSpec s = ranked(*w, number++, rank, kind, tasks, cores);
         s.team = team;
         if (kind == JobKind::Service) s.zone = "a";  // one of the two machines
         w->at(w->now() + at, [&w, s, run] { w->submit(s, run); });
     };
-    later(0, "red", Rank::Production, JobKind::Service, 8, 1, 0);  // red's guarantee
+    later(0, "red", PriorityClass::Production, JobKind::Service, 8, 1, 0);  // red's guarantee
     for (int i = 0; i < 100; ++i)
-        later((1 + 2 * i) * kSecond, "red", Rank::Normal, JobKind::Array, 1, 4, 7 * kSecond);
+        later((1 + 2 * i) * kSecond, "red", PriorityClass::Normal, JobKind::Array, 1, 4, 7 * kSecond);
     for (int i = 0; i < 40; ++i)
-        later((40 + 6 * i) * kSecond, "blue", Rank::Normal, JobKind::Array, 1, 4, 5 * kSecond);
+        later((40 + 6 * i) * kSecond, "blue", PriorityClass::Normal, JobKind::Array, 1, 4, 5 * kSecond);
     // What is overdue longest; by the work that is left it stands last until then.
-    JobSpec large = ranked(*w, 1, Rank::Normal, JobKind::Array, 1, 4);
+    JobSpec large = ranked(*w, 1, PriorityClass::Normal, JobKind::Array, 1, 4);
     large.estimate = 900 * kSecond;
     w->at(w->now() + 20 * kSecond, [&] { w->submit(large, 40 * kSecond); });
     w->run(280 * kSecond);
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -3,21 +3,21 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
-#include "core/authority.hpp"
+#include "cluster/lease_validity.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
-Milli rented_cores(World& w) {
+Milli rented_cores(Simulator& w) {
     Milli cores = 0;
     for (const auto& [name, m] : w.cloud().machines()) cores += w.cloud().type(m.info.type)->size.cores;
     return cores;
 }
 
-int rentals_of_term(World& w, Revision term) {
+int rentals_of_term(Simulator& w, Revision term) {
     const std::string prefix = "r-" + std::to_string(term) + "-";
     return static_cast<int>(
         std::count_if(w.cloud().rentals().begin(), w.cloud().rentals().end(),
@@ -26,13 +26,13 @@
 
 struct Writes {
     const char* name;
-    double World::*part;  // of all transactions
+    double Simulator::*part;  // of all transactions
     double much;
     Micros slow;
 };
 const std::vector<Writes> kWrites{{"all well", nullptr, 0, 0},
-                                  {"late writes", &World::late_writes, 0.4, 0},
-                                  {"lost answers", &World::unanswered_writes, 0.5, 0},
+                                  {"late writes", &Simulator::late_writes, 0.4, 0},
+                                  {"lost answers", &Simulator::unanswered_writes, 0.5, 0},
                                   {"slow answers", nullptr, 0, 1500 * kMillisecond}};
 
 class SwiftMachines : public testing::TestWithParam<int> {};
@@ -45,7 +45,7 @@
         Settings site = small_site();
         site.lease = 30 * kSecond;
         site.cancel = 60 * kSecond;
-        World w(static_cast<std::uint64_t>(moment + 1), site);
+        Simulator w(static_cast<std::uint64_t>(moment + 1), site);
         const std::string first = w.add_machine("small", "a");
         w.swift_boots = 1;
         w.cloud().capacity = 30;
@@ -77,7 +77,7 @@
         };
         for (int i = 0; i < 6000 && !there(); ++i) w.run(5 * kMillisecond);
         ASSERT_TRUE(there()) << writes.name << "\n" << w.story();
-        const std::string leader = w.node(0)->replica().members.leader().holder;
+        const std::string leader = w.node(0)->cache().membership.leader().holder;
         w.crash(leader.back() - '0', moment % 2 ? 20 * kSecond : 300 * kMillisecond);
         w.run(20 * kSecond);
         w.slow_state = 0;
@@ -99,7 +99,7 @@
 
 /// They take longer to boot than the new leader takes to look what there is, and are not in the list yet.
 TEST(Leader, CountsWhatTheOneBeforeHasRented) {
-    World w(13);
+    Simulator w(13);
     w.add_machine("small", "a");
     w.cloud().capacity = 30;
     w.cloud().list_lag = w.settings.list_lag;
@@ -119,9 +119,9 @@
 
 /// It can't hear that another leads, and would go on renting for what was missing when it was cut off.
 TEST(Leader, ThatIsCutOffLeavesTheCloudAloneBeyondItsAuthority) {
-    auto w = calm(11, 2);
+    auto w = settled_simulator(11, 2);
     const int old = w->leader();
-    const Revision term = w->node(old)->replica().members.leader().mark;
+    const Revision term = w->node(old)->cache().membership.leader().mod_revision;
     w->cut_off(old, true);
     w->run(authority(w->settings) + 2 * kSecond);
     ASSERT_NE(w->leader(), -1);
@@ -138,7 +138,7 @@
 
 /// A machine that comes up at last, just as a leader that is cut off counts it as one that never will.
 TEST(Leader, ThatIsCutOffDeletesNoMachineThatAnotherHasLeased) {
-    auto w = calm(12, 1);
+    auto w = settled_simulator(12, 1);
     w->cloud().list_lag = w->settings.list_lag;
     const int old = w->leader();
     w->submit(w->job(1, JobKind::Service, 8), 0);  // all of the machine that is there
@@ -158,11 +158,11 @@
 /// Work waits for a machine that is coming no longer than such a one may take; one that never comes up, and
 /// is returned a good deal later, is replaced by then.
 TEST(LateMachines, OneThatNeverComesUpHoldsNobodyUp) {
-    auto w = calm(3, 2);
+    auto w = settled_simulator(3, 2);
     w->cloud().capacity = 30;
     const auto before = w->machine_names();
     JobSpec s = w->job(1, JobKind::Service, 20);
-    s.rank = Rank::Production;
+    s.rank = PriorityClass::Production;
     s.spot = false;
     w->submit(s, 0);
     std::size_t stuck = 0;
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -2,11 +2,11 @@
 
 #include <gtest/gtest.h>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 int other_than(int holder) {
@@ -14,7 +14,7 @@
 }
 
 TEST(Traces, AnArrayRunsAndIsDone) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Array, 5), 3 * kSecond);
     w->run(9 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "done") << w->story();
@@ -23,7 +23,7 @@
 }
 
 TEST(Traces, AHolderThatEndsIsReplacedAndItsTasksGoOn) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 3), 0);
     w->run(3 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 3);
@@ -39,7 +39,7 @@
 }
 
 TEST(Traces, ARestartOfAllLosesNothing) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->submit(w->job(2, JobKind::Array, 4), 8 * kSecond);
     w->run(3 * kSecond);
@@ -52,7 +52,7 @@
 }
 
 TEST(Traces, AnOustedHolderBindsNothingAndItsTokenIsOutdated) {
-    auto w = calm();
+    auto w = settled_simulator();
     const int old = w->holder();
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->run(3 * kSecond);
@@ -61,7 +61,7 @@
     int active = 0;
     for (int i = 0; i < 3; ++i) active += i != old && w->owner_at(i);
     EXPECT_EQ(active, 1) << w->story();
-    const auto token = w->owner_at(old) ? w->owner_at(old)->mark() : 0;
+    const auto token = w->owner_at(old) ? w->owner_at(old)->mod_revision() : 0;
     for (const auto& m : w->machine_names()) EXPECT_GT(w->worker(m)->token(), token) << "shown the new token";
     w->submit(w->job(2, JobKind::Array, 4), 3 * kSecond);
     w->run(15 * kSecond);
@@ -71,7 +71,7 @@
 }
 
 TEST(Traces, AStateOutageWithinTheAuthorityTimeKillsNothing) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 3), 0);
     w->run(3 * kSecond);
     w->state().set_down(true, w->now());
@@ -84,7 +84,7 @@
 }
 
 TEST(Traces, NothingIsAnsweredFromAStoreThatIsOutOfReach) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
     w->state().set_down(true, w->now());
@@ -97,7 +97,7 @@
 }
 
 TEST(Traces, TasksOfACutMachineStayInDoubtUntilItsLeaseIsOver) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
@@ -113,7 +113,7 @@
 }
 
 TEST(Traces, ALaunchHeldInACutIsNeverExecutedTwice) {
-    auto w = calm(3, 1);
+    auto w = settled_simulator(3, 1);
     const std::string machine = w->machine_names().front();
     for (int i = 0; i < 3; ++i) w->cut("loom-" + std::to_string(i), machine);
     w->submit(w->job(1, JobKind::Array, 2), 2 * kSecond);  // bound to the machine, its launch is held
@@ -128,7 +128,7 @@
 }
 
 TEST(Traces, AnUnansweredLaunchIsNotClearedBeforeTheTokenIsRaised) {
-    auto w = calm(5, 1);
+    auto w = settled_simulator(5, 1);
     const std::string machine = w->machine_names().front();
     const auto token = w->worker(machine)->token();
     w->hold_next("loom-" + std::to_string(w->holder()), machine);  // the /do with the launch
@@ -143,15 +143,15 @@
 }
 
 TEST(Traces, AHolderThatHasNotHeardOfItsSuccessorBindsNothing) {
-    auto w = calm(12);
+    auto w = settled_simulator(12);
     const int holder = w->holder();
     const std::string node = "loom-" + std::to_string(holder);
     w->hold_next("state", node);  // the watch's answer that would tell
-    const auto mark = w->owner_at(holder)->mark();
-    const std::string domain = w->owner_at(holder)->domain();
+    const auto mod_revision = w->owner_at(holder)->mod_revision();
+    const std::string shard = w->owner_at(holder)->shard();
     Value live{{"write", "c/live/loom-9"}, {"data", {{"node", "loom-9"}}}};
-    Value write{{"write", "c/domain/" + domain}, {"data", {{"holder", "loom-9"}}}};
-    Value change{{"when", Value::array({Value{{"k", "c/domain/" + domain}, {"mark", mark}}})},
+    Value write{{"write", "c/domain/" + shard}, {"data", {{"holder", "loom-9"}}}};
+    Value change{{"when", Value::array({Value{{"k", "c/domain/" + shard}, {"mark", mod_revision}}})},
                  {"then", Value::array({live, write})}};
     ASSERT_EQ(w->state().handle("POST", "/commit", change, w->now()).status, 200);
     w->run(50 * kMillisecond);
@@ -160,17 +160,18 @@
     w->submit(job, 2 * kSecond, 0);
     w->ask(holder, "POST", "/v1/jobs", wire::job_value(job));
     w->run(500 * kMillisecond);
-    // It may take the domain back, since it has not heard that the other is alive; under its old token it
+    // It may take the shard back, since it has not heard that the other is alive; under its old token it
     // binds nothing.
-    const Owner* owner = w->node(holder)->owner(domain);
-    EXPECT_TRUE(w->starts("req-000001") == 0 || (owner && owner->mark() > mark)) << w->story();
+    const ShardOwner* owner = w->node(holder)->owner(shard);
+    EXPECT_TRUE(w->starts("req-000001") == 0 || (owner && owner->mod_revision() > mod_revision))
+        << w->story();
 }
 
 TEST(Traces, AnOustedHolderDoesNotTakeAnothersBindForItsOwn) {
     // Found by the random world: the bind of a holder got no answer; its successor had bound the same attempt
     // elsewhere by the time when the record could be read, and both were launched.
     for (Micros heal = 8 * kSecond; heal < 12 * kSecond; heal += 100 * kMillisecond) {
-        auto w = calm(14, 2);
+        auto w = settled_simulator(14, 2);
         const int old = w->holder();
         auto in_zone = [&](const char* zone) {
             for (const auto& name : w->machine_names())
@@ -201,7 +202,7 @@
 }
 
 TEST(Traces, CancellationReachesTasksInEveryState) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 2), 0, 3 * kSecond);  // still fetching
     w->submit(w->job(2, JobKind::Service, 2), 0);               // running
     w->submit(w->job(3, JobKind::Service, 3, 8), 0);            // partly waiting for room
@@ -222,7 +223,7 @@
 }
 
 TEST(Traces, ACancellationUnheardByAHolderCutFromTheStoreStillEndsEveryTask) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->run(3 * kSecond);
     const int old = w->holder();
@@ -239,7 +240,7 @@
 }
 
 TEST(Traces, AGangStartsWholeOrNotAtAll) {
-    auto w = calm(2, 2);
+    auto w = settled_simulator(2, 2);
     JobSpec gang = w->job(1, JobKind::Gang, 3, 6);  // only two fit
     w->submit(gang, 4 * kSecond);
     w->run(6 * kSecond);
@@ -252,7 +253,7 @@
 }
 
 TEST(Traces, AGangThatLosesATaskStartsAgainAsAWhole) {
-    auto w = calm(4, 4);
+    auto w = settled_simulator(4, 4);
     w->submit(w->job(1, JobKind::Gang, 3, 5), 10 * kSecond);
     w->run(4 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 3);
@@ -264,7 +265,7 @@
 }
 
 TEST(Traces, ZonesAreJudgedWithTasksInDoubt) {
-    auto w = calm(6, 4);
+    auto w = settled_simulator(6, 4);
     JobSpec spread = w->job(1, JobKind::Service, 2);
     spread.spread = true;
     JobSpec together = w->job(2, JobKind::Array, 4, 2);
@@ -281,7 +282,7 @@
 }
 
 TEST(Traces, ATeamNeverUsesMoreThanItsLimit) {
-    auto w = calm(7, 6);
+    auto w = settled_simulator(7, 6);
     JobSpec wide = w->job(1, JobKind::Array, 40, 1);
     wide.team = "blue";  // at most 16 cores
     w->submit(wide, 2 * kSecond);
@@ -291,7 +292,7 @@
 }
 
 TEST(Traces, AJobOfManyPartsIsStoredInPieces) {
-    World w(8);
+    Simulator w(8);
     for (int i = 0; i < 6; ++i) w.add_machine("large", i % 2 ? "b" : "a");
     w.start_nodes();
     w.run(6 * kSecond);
@@ -306,15 +307,15 @@
 }
 
 TEST(Traces, HigherRankMakesRoomAndSavedWorkIsNotLost) {
-    auto w = calm(9, 1);
+    auto w = settled_simulator(9, 1);
     JobSpec low = w->job(1, JobKind::Array, 1, 8);
-    low.rank = Rank::Low;
+    low.rank = PriorityClass::Low;
     low.checkpoint = kSecond;
     low.save = kSecond;
     w->submit(low, 20 * kSecond);
     w->run(4 * kSecond);
     JobSpec high = w->job(2, JobKind::Service, 1, 4);
-    high.rank = Rank::Production;
+    high.rank = PriorityClass::Production;
     w->submit(high, 0);
     w->run(6 * kSecond);
     EXPECT_EQ(w->running("req-000002"), 1) << w->story();
@@ -325,29 +326,29 @@
 TEST(Traces, TheEchoOfAnOlderRecordDoesNotBringAFinishedJobBack) {
     // Found by the random world (seed 3): the echo re-created the job, and its final record, which holds no
     // tasks, was then taken as an ordinary one.
-    auto w = calm(10);
+    auto w = settled_simulator(10);
     w->submit(w->job(1, JobKind::Array, 2), 2 * kSecond);
     w->run(2 * kSecond);
-    Owner* owner = w->owner_at(w->holder());
+    ShardOwner* owner = w->owner_at(w->holder());
     ASSERT_EQ(owner->jobs().size(), 1u);
-    const auto mark = owner->jobs().begin()->second->parts[0].mark;
+    const auto mod_revision = owner->jobs().begin()->second->parts[0].mod_revision;
     Value old{{"s", "queued"},
-              {"dom", owner->domain()},
+              {"dom", owner->shard()},
               {"k", 2},
               {"d", wire::job_value(w->job(1, JobKind::Array, 2))},
               {"at", 0}};
     w->run(6 * kSecond);
     ASSERT_EQ(w->told("req-000001"), "done");
-    owner->on_job("req-000001", Place::Active, old, mark);
-    owner->on_job("req-000001", Place::Job, Value{{"s", "done"}, {"dom", owner->domain()}, {"k", 2}},
-                  mark + 1);
+    owner->on_job("req-000001", RecordLocation::Active, old, mod_revision);
+    owner->on_job("req-000001", RecordLocation::Job, Value{{"s", "done"}, {"dom", owner->shard()}, {"k", 2}},
+                  mod_revision + 1);
     w->run(8 * kSecond);
     EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
     EXPECT_RULES(*w);
 }
 
 TEST(Traces, UnexpectedMachinesAreUsedAndSilentOnesReturned) {
-    auto w = calm(11, 2);
+    auto w = settled_simulator(11, 2);
     const std::string extra = w->add_machine("large", "a");
     w->submit(w->job(1, JobKind::Service, 1, 12), 0);  // fits the unexpected one only
     w->run(6 * kSecond);
@@ -360,8 +361,8 @@
 
 // ---------------------------------------------------------------- users
 
-TEST(Users, TheAdmissionTable) {
-    auto w = calm();
+TEST(JobService, TheAdmissionTable) {
+    auto w = settled_simulator();
     auto submit = [&](const JobSpec& s) { return w->ask(1, "POST", "/v1/jobs", wire::job_value(s)).status; };
     JobSpec s = w->job(1, JobKind::Array, 2);
     EXPECT_EQ(submit(s), 201);
@@ -392,8 +393,8 @@
     EXPECT_EQ(w->ask(1, "GET", "/healthz", {}).status, 200);
 }
 
-TEST(Users, WithoutMachineTypesNothingCanBeDecided) {
-    World w(1);
+TEST(JobService, WithoutMachineTypesNothingCanBeDecided) {
+    Simulator w(1);
     w.cloud().down = true;
     w.start_nodes();
     w.run(3 * kSecond);
@@ -405,7 +406,7 @@
     Settings site = small_site();
     site.lease = 20 * kSecond;  // long enough to try the holder in vain and come back
     site.cancel = 50 * kSecond;
-    auto w = calm(1, 4, site);
+    auto w = settled_simulator(1, 4, site);
     w->run(15 * kSecond);  // whoever a worker asked at first is forgotten
     const int holder = w->holder();
     const std::string machine = w->machine_names().front();
@@ -426,7 +427,7 @@
 TEST(Workers, AreHelpedAtOnceWhereTheirLeaseLeavesNoTime) {
     // Found at a deployment with a lease of 10 s: sent back to a holder that it can't reach, a worker has
     // lost its lease before it is here again.
-    auto w = calm();
+    auto w = settled_simulator();
     const int holder = w->holder();
     w->submit(w->job(1, JobKind::Service, 3), 0);
     w->run(3 * kSecond);
@@ -441,14 +442,14 @@
 
 TEST(BadNights, WorkersAreNotJudgedSilentByAProcessThatJustWoke) {
     // While a process stands still it does not listen: that it heard nothing tells nothing.
-    auto w = calm();
+    auto w = settled_simulator();
     const int holder = w->holder();
     const std::string node = "loom-" + std::to_string(holder);
     w->run(3 * kSecond);
     w->freeze(holder, 1'900 * kMillisecond);  // shorter than its lease at the store
     w->run(1'500 * kMillisecond);
     w->submit(w->job(1, JobKind::Array, 4), 30 * kSecond);
-    Owner* owner = nullptr;
+    ShardOwner* owner = nullptr;
     Micros silent = 0;
     w->at(w->now() + 401 * kMillisecond, [&] {
         owner = w->owner_at(holder);
@@ -462,9 +463,9 @@
 }
 
 TEST(BadNights, AHolderThatStoodStillPastItsAuthorityStartsAndEndsNothing) {
-    // It goes on with a commit, launches and reports' answers in hand; its domain has long been adopted.
+    // It goes on with a commit, launches and reports' answers in hand; its shard has long been adopted.
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        auto w = calm(seed);
+        auto w = settled_simulator(seed);
         const int holder = w->holder();
         w->submit(w->job(1, JobKind::Service, 3), 0);
         w->run(3 * kSecond);
@@ -484,7 +485,7 @@
 }
 
 TEST(BadNights, BrokenJobsCondemnNoMachineAndAreTriedSeldom) {
-    auto w = calm(1, 6);
+    auto w = settled_simulator(1, 6);
     for (int i = 1; i <= 4; ++i) w->submit(w->job(i, JobKind::Array, 12, 0.5), kSecond, 0, true);
     w->run(60 * kSecond);
     for (int i = 1; i <= 4; ++i) {
@@ -504,7 +505,7 @@
 }
 
 TEST(BadNights, AFaultyMachineIsFoundAmongHealthyOnes) {
-    auto w = calm(1, 4);
+    auto w = settled_simulator(1, 4);
     const std::string bad = w->machine_names().front();
     w->worker(bad)->faulty = true;
     for (int i = 1; i <= 6; ++i) w->submit(w->job(i, JobKind::Array, 16, 0.5), 2 * kSecond);
@@ -517,15 +518,15 @@
 }
 
 TEST(BadNights, AWideIdleArrayDoesNotDelayAService) {
-    auto w = calm(1, 2);
+    auto w = settled_simulator(1, 2);
     JobSpec wide = w->job(1, JobKind::Array, 400, 0.25);
     wide.team = "guests";
-    wide.rank = Rank::Low;
+    wide.rank = PriorityClass::Low;
     w->submit(wide, 4 * kSecond);
     w->run(8 * kSecond);
     EXPECT_GT(w->running("req-000001"), 30) << "it has all of both machines";
     JobSpec service = w->job(2, JobKind::Service, 2, 6);
-    service.rank = Rank::Production;
+    service.rank = PriorityClass::Production;
     service.spot = false;
     w->submit(service, 0);
     JobSpec usual = w->job(3, JobKind::Array, 1, 2);
@@ -539,8 +540,8 @@
 
 TEST(BadNights, TheDeadDomainsShareIsUsedAgain) {
     Settings site = small_site();
-    site.cpu_share = 0.001;  // several domains
-    auto w = calm(3, 9, site);
+    site.cpu_share = 0.001;  // several shards
+    auto w = settled_simulator(3, 9, site);
     w->run(4 * kSecond);
     w->crash(0, 120 * kSecond);
     w->crash(1, 120 * kSecond);
@@ -553,7 +554,7 @@
 }
 
 TEST(BadNights, ControllersThatStartWhileTheCloudIsDownTakeTheirDomainsBack) {
-    auto w = calm();
+    auto w = settled_simulator();
     w->submit(w->job(1, JobKind::Service, 3), 0);
     w->run(3 * kSecond);
     w->cloud().down = true;
@@ -566,7 +567,7 @@
 TEST(BadNights, PollsAreTurnedAwayBeforeReports) {
     Settings site = small_site();
     site.cpu_share = 0.02;
-    auto w = calm(1, 4, site);
+    auto w = settled_simulator(1, 4, site);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
     const int node = w->holder();
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -6,11 +6,11 @@
 
 #include <boost/uuid/detail/sha1.hpp>
 
-#include "calm.hpp"
+#include "settled_simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 class TrafficDigest {
@@ -41,13 +41,13 @@
 };
 
 /// Jobs of every kind and priority class, of teams with and without a limit.
-void submit_jobs(World& w, int count) {
+void submit_jobs(Simulator& w, int count) {
     for (int i = 1; i <= count; ++i)
         w.at((5 + i) * kSecond, [&w, i] {
             const JobKind kind = i % 5 == 0 ? JobKind::Service : i % 4 == 0 ? JobKind::Gang : JobKind::Array;
             JobSpec job = w.job(i, kind, 1 + i % 4, 1 + i % 3);
             job.team = i % 6 == 0 ? "guests" : i % 3 == 0 ? "blue" : "red";
-            job.rank = static_cast<Rank>(i % 4);
+            job.rank = static_cast<PriorityClass>(i % 4);
             job.spot = kind != JobKind::Service;
             job.spread = kind == JobKind::Service;
             job.one_zone = kind == JobKind::Gang;
@@ -59,7 +59,7 @@
 }
 
 /// Ends of controllers and machines, cuts, an outage, and machines that hang.
-void schedule_faults(World& w) {
+void schedule_faults(Simulator& w) {
     w.at(20 * kSecond, [&w] { w.crash(w.leader(), 3 * kSecond); });
     w.at(32 * kSecond, [&w] { w.hang(w.machine_names().front(), true); });
     w.at(40 * kSecond, [&w] { w.cut("loom-1", "state"); });
@@ -77,8 +77,8 @@
 TEST_P(Traffic, OfControllersIsAsPinned) {
     const auto [seed, expected] = GetParam();
     Settings site = small_site();
-    if (seed % 2 == 0) site.cpu_share = 0.001;  // several domains
-    World w(static_cast<std::uint64_t>(seed), site);
+    if (seed % 2 == 0) site.cpu_share = 0.001;  // several shards
+    Simulator w(static_cast<std::uint64_t>(seed), site);
     TrafficDigest digest;
     w.on_traffic = [&digest](const std::string& who, const std::string& what, const std::string& body) {
         digest.add(who);
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -1,21 +1,21 @@
 // What `cottonway verify` finds in a store, and what controllers make of the same damage.
 
-#include "recovery/verify.hpp"
+#include "verify/verify.hpp"
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
 using recovery::Finding;
 
-std::vector<Finding> verify(World& w) {
+std::vector<Finding> verify(Simulator& w) {
     recovery::Verifier v(w.settings);
     std::string since;
     for (;;) {
@@ -37,19 +37,19 @@
     return out;
 }
 
-void write(World& w, const std::string& key, const Value& value) {
+void write(Simulator& w, const std::string& key, const Value& value) {
     w.state().handle(
         "POST", "/commit",
         Value{{"when", Value::array()}, {"then", Value::array({Value{{"write", key}, {"data", value}}})}},
         w.now());
 }
 
-Value read(World& w, const std::string& key) {
+Value read(Simulator& w, const std::string& key) {
     return w.state().handle("GET", "/store/" + key, {}, w.now()).body["data"];
 }
 
-std::unique_ptr<World> busy(std::uint64_t seed) {
-    auto w = std::make_unique<World>(seed);
+std::unique_ptr<Simulator> busy(std::uint64_t seed) {
+    auto w = std::make_unique<Simulator>(seed);
     for (int i = 0; i < 4; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
     w->run(6 * kSecond);
@@ -74,10 +74,10 @@
 TEST(Verify, EachDamageIsOneClearLineAndTheRestServes) {
     struct Case {
         const char* line;
-        std::function<void(World&)> damage;
+        std::function<void(Simulator&)> damage;
         bool runs_on = true;  // the service of job 1
     };
-    auto block_key = [](World& w) {
+    auto block_key = [](Simulator& w) {
         return w.state()
             .handle("GET", "/store?starts=c/block/&page=1", {}, w.now())
             .body["pairs"][0]["k"]
@@ -85,60 +85,61 @@
     };
     const std::vector<Case> cases{
         {"its description is broken",
-         [](World& w) {
+         [](Simulator& w) {
              Value v = read(w, "c/active/req-000002");
              v["d"]["threads"] = "many";
              write(w, "c/active/req-000002", v);
          }},
         {"has no description",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/active/req-000002", {{"s", "queued"}, {"k", 3}});
          }},
-        {"is no map", [](World& w) { write(w, "c/active/req-000002", 7); }},
+        {"is no map", [](Simulator& w) { write(w, "c/active/req-000002", 7); }},
         {"is not over, although history is apart",
-         [](World& w) {
+         [](Simulator& w) {
              Value v = read(w, "c/active/req-000002");
              v["d"]["ref"] = "req-000009";
              write(w, "c/job/req-000009", v);
          }},
         {"is bound twice",
-         [](World& w) {
+         [](Simulator& w) {
              Value v = read(w, "c/active/req-000002");
              v["b"].push_back(Value::array({v["b"][0][0], v["b"][0][1], v["b"][0][2]}));
              write(w, "c/active/req-000002", v);
          }},
         {"is left of a job that is over",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/part/req-000077/1", {{"n", 1}});
          }},
         {"is broken; it is ignored",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/block/9-1", {{"dom", 5}});
          }},
-        {"as well; the newer one counts", [&](World& w) { write(w, "c/block/9-1", read(w, block_key(w))); }},
+        {"as well; the newer one counts",
+         [&](Simulator& w) { write(w, "c/block/9-1", read(w, block_key(w))); }},
         {"which nobody holds",
-         [&](World& w) {
+         [&](Simulator& w) {
              Value v = read(w, block_key(w));
              v["dom"] = "nowhere";
              v["m"] = Value::array({Value::array({"n-009999", "10.9.9.9:9000"})});
              write(w, "c/block/9-1", v);
          }},
         {"add up to",
-         [](World& w) {
-             Value v = read(w, "c/share/" + w.owner_at(w.holder())->domain());
+         [](Simulator& w) {
+             Value v = read(w, "c/share/" + w.owner_at(w.holder())->shard());
              v["red"][0] = 50'000;
-             write(w, "c/share/" + w.owner_at(w.holder())->domain(), v);
+             write(w, "c/share/" + w.owner_at(w.holder())->shard(), v);
          }},
         {"newer than this program's",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/format/loom-1", {{"reads", 99}});
          }},
         {"of a kind that this program does not know",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/zebra/1", {{"x", 1}});
          }},
         {"pieces are missing",
-         [](World& w) {
+         [](Simulator& w) {
              write(w, "c/active/req-000002", {{"s", "queued"}, {"x", Value::array({"feed", 3U})}});
          }},
     };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,11 +1,11 @@
 // What the wire lets in: every malformed body is refused, none crashes.
 
-#include "wire/wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <limits>
 
+#include "protocol/protocol.hpp"
+
 namespace cottonway::test {
 namespace {
 
@@ -21,8 +21,8 @@
     auto r = wire::parse_job(good_job());
     ASSERT_TRUE(r.spec) << r.error;
     EXPECT_EQ(r.spec->kind, JobKind::Gang);
-    EXPECT_EQ(r.spec->rank, Rank::High);
-    EXPECT_EQ(r.spec->need.ram, 64'000);
+    EXPECT_EQ(r.spec->rank, PriorityClass::High);
+    EXPECT_EQ(r.spec->request.ram, 64'000);
     EXPECT_EQ(r.spec->deadline, 900 * kSecond);
     EXPECT_FALSE(r.spec->zone);
     EXPECT_EQ(wire::parse_job(wire::job_value(*r.spec)).spec->tasks, 16);
@@ -118,9 +118,9 @@
 TEST(Wire, NeedsAreNeverRoundedDown) {
     Value v = good_job();
     v["cores"] = 0.0004;
-    EXPECT_EQ(wire::parse_job(v).spec->need.cores, 1);
+    EXPECT_EQ(wire::parse_job(v).spec->request.cores, 1);
     v["cores"] = 0.3;
-    EXPECT_EQ(wire::parse_job(v).spec->need.cores, 300);
+    EXPECT_EQ(wire::parse_job(v).spec->request.cores, 300);
 }
 
 }  // namespace
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -3,19 +3,19 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "core/authority.hpp"
-#include "late.hpp"
+#include "cluster/lease_validity.hpp"
+#include "late_messages.hpp"
 
 namespace cottonway::test {
 
-using namespace lab;
+using namespace simulation;
 namespace {
 
 enum class Binds { Zone, OneZone, Spread };
 
 /// Four tasks of 2 cores, so that a zone of the calm world, of two machines with 8 cores each, holds them
 /// all.
-JobSpec bound_job(World& w, int number, JobKind kind, Binds binds) {
+JobSpec bound_job(Simulator& w, int number, JobKind kind, Binds binds) {
     JobSpec job = w.job(number, kind, 4, 2);
     if (binds == Binds::Zone) job.zone = "a";
     job.one_zone = binds == Binds::OneZone;
@@ -23,23 +23,23 @@
     return job;
 }
 
-std::vector<std::string> machines_in(World& w, const std::string& zone) {
+std::vector<std::string> machines_in(Simulator& w, const std::string& zone) {
     std::vector<std::string> names;
     for (const auto& m : w.machine_names())
         if (w.worker(m)->zone() == zone) names.push_back(m);
     return names;
 }
 
-int running_in(World& w, const std::string& ref, const std::string& zone) {
+int running_in(Simulator& w, const std::string& ref, const std::string& zone) {
     int n = 0;
     for (const auto& m : w.machines_of(ref)) n += w.worker(m) && w.worker(m)->zone() == zone;
     return n;
 }
 
-/// The leader holds all machines, or part of them where there are several domains. Where it is in the wrong
+/// The leader holds all machines, or part of them where there are several shards. Where it is in the wrong
 /// zone for the test, another one takes its place.
-std::unique_ptr<World> with(const std::string& zone, bool leads, double cpu_share) {
-    auto w = calm(61, 6, patient(cpu_share));
+std::unique_ptr<Simulator> with(const std::string& zone, bool leads, double cpu_share) {
+    auto w = settled_simulator(61, 6, patient(cpu_share));
     auto in_zone = [&] { return w->settings.zones[static_cast<std::size_t>(w->leader()) % 2] == zone; };
     if (in_zone() != leads) {
         w->crash(w->leader(), 5 * kSecond);
@@ -110,7 +110,7 @@
 TEST(ZonesLost, BoundJobsWaitOrMoveAsTheySayAndAllRun) {
     for (const Row& row : kRows)
         for (const bool cut : {false, true}) {
-            auto w = calm(62, 4, patient());
+            auto w = settled_simulator(62, 4, patient());
             const auto story = [&] {
                 return fmt::format("kind {} binds {} cut {}\n", static_cast<int>(row.kind),
                                    static_cast<int>(row.binds), cut) +
@@ -157,7 +157,7 @@
 /// is empty. What is bound to the zone waits its turn, and none of it is forgotten.
 TEST(ZonesLost, WhatIsBoundToAFullZoneWaitsForRoomThere) {
     for (const JobKind kind : {JobKind::Array, JobKind::Gang}) {
-        auto w = calm(63, 4, patient());
+        auto w = settled_simulator(63, 4, patient());
         for (int i = 0; i < 8; ++i) {
             JobSpec job = w->job(10 + i, JobKind::Array, 2, 2);
             job.zone = "a";
@@ -180,7 +180,7 @@
 TEST(ZonesLost, AZoneWithoutTheTypeIsRefusedAndOneWithoutTheMachineIsWaitedFor) {
     auto types = small_types();
     types[1].zones = {"b"};
-    World w(64, small_site(), types);
+    Simulator w(64, small_site(), types);
     for (const char* zone : {"a", "b"}) w.add_machine("small", zone);
     w.start_nodes();
     w.run(6 * kSecond);
@@ -204,7 +204,7 @@
 /// All machines of a zone are lost while the cloud has none to give there, and others take their place
 /// elsewhere. Once it has some again, what is bound to that zone runs.
 TEST(ZonesLost, AZoneIsRentedInAgainForWhatIsBoundToIt) {
-    World w(65);
+    Simulator w(65);
     for (int i = 0; i < 6; ++i) w.add_machine("small", "b", true);
     w.start_nodes();
     w.run(10 * kSecond);
--- a/tests/zones_placement_test.cpp
+++ b/tests/zones_placement_test.cpp
@@ -3,12 +3,12 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/world.hpp"
+#include "simulation/simulator.hpp"
 
 namespace cottonway::test {
 namespace {
 
-using namespace lab;
+using namespace simulation;
 using policy::Survive;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
@@ -43,7 +43,7 @@
     }
     JobSpec service(int replicas) {
         JobSpec s = w.job(1, JobKind::Service, replicas);
-        s.rank = Rank::Production;
+        s.rank = PriorityClass::Production;
         return s;
     }
     /// Its replicas by zone, as the holder counts them.
@@ -65,7 +65,7 @@
         }
     }
     std::map<std::string, std::string> zone_of;  // by machine
-    World w;
+    Simulator w;
 };
 
 TEST(ZonePlacement, AServiceIsSpreadAsItsRuleAsks) {
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -1,7 +1,5 @@
 // Zones by policy: where a service's next replica may go, and how it comes back into balance.
 
-#include "planning/zones.hpp"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -9,6 +7,8 @@
 #include <algorithm>
 #include <set>
 
+#include "scheduling/topology_spread.hpp"
+
 namespace cottonway::test {
 namespace {
 
@@ -25,9 +25,9 @@
     s.ref = ref;
     s.team = "red";
     s.kind = JobKind::Service;
-    s.rank = Rank::Production;
+    s.rank = PriorityClass::Production;
     s.tasks = replicas;
-    s.need = {1'000, 0, 1'000};
+    s.request = {1'000, 0, 1'000};
     s.image = "img";
     return s;
 }
@@ -57,12 +57,12 @@
     return as_asked;
 }
 
-/// A domain in which every move that is asked for is carried out before the next look.
-struct Domain {
+/// A shard in which every move that is asked for is carried out before the next look.
+struct Shard {
     View view;
     policy::Policy policy;
 
-    Domain() { policy.zones.emplace_back().rebalance = true; }
+    Shard() { policy.zones.emplace_back().rebalance = true; }
     ZoneRule& rule() { return policy.zones.front(); }
     void machine(const std::string& name, const std::string& zone, Milli cores = 8'000) {
         MachineView m;
@@ -87,7 +87,7 @@
         job.since_moved = 3600 * kSecond;
         for (std::size_t i = 0; i < on.size(); ++i) {
             const std::size_t m = index(on[i]);
-            view.machines[m].booked += spec.need;
+            view.machines[m].reserved += spec.request;
             ++job.zones[view.machines[m].zone];
             view.machines[m].tasks.push_back(view.tasks.size());
             view.tasks.push_back({view.jobs.size(), static_cast<int>(i), m, true, false, false, 0});
@@ -104,8 +104,8 @@
         TaskView& t = task(m);
         JobView& job = view.jobs[t.job];
         MachineView &from = view.machines[t.machine], &to = view.machines[index(m.to)];
-        from.booked -= job.spec.need;
-        to.booked += job.spec.need;
+        from.reserved -= job.spec.request;
+        to.reserved += job.spec.request;
         if (--job.zones[from.zone] == 0) job.zones.erase(from.zone);
         ++job.zones[to.zone];
         t.machine = index(m.to);
@@ -260,8 +260,8 @@
 
 /// Three zones of two machines, a service of six that is to survive a zone, all of whose replicas came back
 /// in two of them.
-Domain after_a_loss() {
-    Domain d;
+Shard after_a_loss() {
+    Shard d;
     for (const auto& zone : kAll)
         for (int i = 0; i < 2; ++i) d.machine(zone + std::to_string(i), zone);
     d.rule().most_share = 1.0 / 3;
@@ -270,7 +270,7 @@
 }
 
 TEST(Rebalancing, AZoneThatIsBackGetsItsPartOneReplicaAtATime) {
-    Domain d = after_a_loss();
+    Shard d = after_a_loss();
     d.zone_down("c");
     EXPECT_EQ(d.imbalance_of(0), 0) << "as good as it can be";
     EXPECT_TRUE(d.look().empty());
@@ -289,46 +289,46 @@
 }
 
 TEST(Rebalancing, OnlyWhileAllRunAndNothingIsTroubled) {
-    const Domain d = after_a_loss();
+    const Shard d = after_a_loss();
     ASSERT_EQ(d.look().size(), 1u);
-    const std::vector<std::pair<const char*, std::function<void(Domain&)>>> hinders{
-        {"one waits", [](Domain& x) { x.view.jobs[0].idle = 1; }},
-        {"one is on its way out", [](Domain& x) { x.view.tasks[3].stopping = true; }},
-        {"one moves", [](Domain& x) { x.view.tasks[3].moving = true; }},
-        {"one fetches", [](Domain& x) { x.view.tasks[3].running = false; }},
-        {"one is missing", [](Domain& x) { x.view.tasks.pop_back(); }},
-        {"it is cancelled", [](Domain& x) { x.view.jobs[0].cancelled = true; }},
-        {"a zone is troubled", [](Domain& x) { x.view.troubled = {"b"}; }},
-        {"it was moved just now", [](Domain& x) { x.view.jobs[0].since_moved = kSecond; }},
-        {"its rule does not ask for it", [](Domain& x) { x.rule().rebalance = false; }},
+    const std::vector<std::pair<const char*, std::function<void(Shard&)>>> hinders{
+        {"one waits", [](Shard& x) { x.view.jobs[0].idle = 1; }},
+        {"one is on its way out", [](Shard& x) { x.view.tasks[3].stopping = true; }},
+        {"one moves", [](Shard& x) { x.view.tasks[3].moving = true; }},
+        {"one fetches", [](Shard& x) { x.view.tasks[3].running = false; }},
+        {"one is missing", [](Shard& x) { x.view.tasks.pop_back(); }},
+        {"it is cancelled", [](Shard& x) { x.view.jobs[0].cancelled = true; }},
+        {"a zone is troubled", [](Shard& x) { x.view.troubled = {"b"}; }},
+        {"it was moved just now", [](Shard& x) { x.view.jobs[0].since_moved = kSecond; }},
+        {"its rule does not ask for it", [](Shard& x) { x.rule().rebalance = false; }},
         {"it is no service",
-         [](Domain& x) {
+         [](Shard& x) {
              x.view.jobs[0].spec.kind = JobKind::Array;
              x.rule().allowed = {"c"};
          }},
-        {"no budget", [](Domain& x) { x.policy.budgets.moves_per_minute = 0; }},
+        {"no budget", [](Shard& x) { x.policy.budgets.moves_per_minute = 0; }},
         {"no machine to bind to",
-         [](Domain& x) { x.view.machines[4].usable = x.view.machines[5].usable = false; }},
+         [](Shard& x) { x.view.machines[4].usable = x.view.machines[5].usable = false; }},
         {"no room",
-         [](Domain& x) {
-             x.view.machines[4].kept = x.view.machines[5].booked = {8'000, 0, 0};
+         [](Shard& x) {
+             x.view.machines[4].kept = x.view.machines[5].reserved = {8'000, 0, 0};
          }},
         {"another type",
-         [](Domain& x) {
+         [](Shard& x) {
              x.view.machines[4].type = x.view.machines[5].type = "other";
              x.view.jobs[0].spec.types = {{"small"}};
          }},
-        {"spot", [](Domain& x) { x.view.machines[4].spot = x.view.machines[5].spot = true; }},
+        {"spot", [](Shard& x) { x.view.machines[4].spot = x.view.machines[5].spot = true; }},
     };
     for (const auto& [what, hinder] : hinders) {
-        Domain x = d;
+        Shard x = d;
         hinder(x);
         EXPECT_TRUE(x.look().empty()) << what;
     }
 }
 
 TEST(Rebalancing, ToTheMachineWithTheImage) {
-    Domain d = after_a_loss();
+    Shard d = after_a_loss();
     d.view.machines[5].images = {{"img", true}};
     EXPECT_EQ(d.look().at(0).to, "c1");
     d.view.machines[4].images = {{"img", true}};
@@ -337,7 +337,7 @@
 }
 
 TEST(Rebalancing, ServicesOfOneCallDoNotCountOnTheSameRoom) {
-    Domain d = after_a_loss();
+    Shard d = after_a_loss();
     d.add(service(6, "req-000002"), {"a0", "a1", "b0", "b1", "a0", "b0"});
     d.view.machines[4].size.cores = 1'000;
     d.view.machines[5].size.cores = 0;
@@ -345,14 +345,14 @@
 }
 
 TEST(Rebalancing, TheMostHurtGoesFirst) {
-    Domain d = after_a_loss();
+    Shard d = after_a_loss();
     d.add(service(6, "req-000002"), {"a0", "a1", "a0", "a1", "a0", "a1"});
     d.policy.budgets.moves_per_minute = 1;
     EXPECT_EQ(d.look().at(0).job, "req-000002");
 }
 
 TEST(Rebalancing, SpreadHoldsWhileTheOldOneIsThere) {
-    Domain d;
+    Shard d;
     for (const auto& zone : kAll) d.machine(zone + "0", zone);
     JobSpec job = service(5);
     job.spread = true;
@@ -365,7 +365,7 @@
 }
 
 TEST(Rebalancing, ReplicasOnOneMachineMoveApart) {
-    Domain d;
+    Shard d;
     for (int i = 0; i < 3; ++i) d.machine("a" + std::to_string(i), "a");
     d.add(service(3), {"a0", "a0", "a0"});
     EXPECT_TRUE(d.look().empty());
@@ -381,7 +381,7 @@
 }
 
 TEST(Rebalancing, OfReplicasThatShareAMachineOneLeavesTheZoneFirst) {
-    Domain d;
+    Shard d;
     for (const char* name : {"a0", "a1", "b0"}) d.machine(name, std::string(1, name[0]));
     d.rule().least_zones = 2;
     d.rule().survive = Survive::Machine;
@@ -499,8 +499,8 @@
     RC_ASSERT(imbalance(job, &rule, there, kAll, kAll) == 0);
 }
 
-Domain any_domain(bool tight) {
-    Domain d;
+Shard any_shard(bool tight) {
+    Shard d;
     const int machines = *rc::gen::inRange(1, 9);
     for (int i = 0; i < machines; ++i)
         d.machine("m" + std::to_string(i), *rc::gen::elementOf(kAll),
@@ -528,7 +528,7 @@
 
 RC_GTEST_PROP(ZonesAlways, MendingEndsAndNothingComesBackToWhereItWas, ()) {
     const bool tight = *rc::gen::arbitrary<bool>();
-    Domain d = any_domain(tight);
+    Shard d = any_shard(tight);
     std::map<std::pair<std::string, int>, std::set<std::string>> been;
     for (int round = 0;; ++round) {
         RC_ASSERT(round < 200);
@@ -541,7 +541,7 @@
             const JobView& job = d.view.jobs[t.job];
             RC_ASSERT(d.view.machines[t.machine].name == m.from);
             const MachineView& to = d.view.machines[d.index(m.to)];
-            RC_ASSERT(job.spec.need.fits(to.room()));
+            RC_ASSERT(job.spec.request.fits(to.room()));
             if (to.zone != d.view.machines[t.machine].zone) {
                 const auto plain = choose_zones(job.spec, nullptr, job.zones, kAll, kAll);
                 auto there = job.zones.find(to.zone);
@@ -569,8 +569,8 @@
 }
 
 RC_GTEST_PROP(ZonesAlways, TheOrderOfMachinesDoesNotMatter, ()) {
-    const Domain d = any_domain(true);
-    Domain turned = d;
+    const Shard d = any_shard(true);
+    Shard turned = d;
     const std::size_t n = d.view.machines.size();
     std::reverse(turned.view.machines.begin(), turned.view.machines.end());
     for (auto& t : turned.view.tasks) t.machine = n - 1 - t.machine;
--- a/tools/cottonway.cpp
+++ b/tools/cottonway.cpp
@@ -7,9 +7,9 @@
 
 #include "cli/client.hpp"
 #include "cli/verify.hpp"
-#include "log/log.hpp"
+#include "config/settings.hpp"
+#include "logging/log.hpp"
 #include "net/service.hpp"
-#include "settings/settings.hpp"
 
 using namespace cottonway;
 
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -4,8 +4,8 @@
 #include <fstream>
 #include <iostream>
 
-#include "lab/experiment.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
+#include "simulation/scenario.hpp"
 
 using namespace cottonway;
 
@@ -27,12 +27,13 @@
         ->capture_default_str();
     CLI11_PARSE(app, argc, argv);
     try {
-        lab::Experiment e = lab::Experiment::load(file);
+        simulation::Experiment e = simulation::Experiment::load(file);
         if (seed >= 0) e.seed = static_cast<std::uint64_t>(seed);
         if (seeds > 0) e.seeds = seeds;
         if (!start_logging("lab", level)) throw std::runtime_error("--log: must be error, info or debug");
-        lab::Results results;
-        for (int i = 0; i < e.seeds; ++i) lab::play(e, e.seed + static_cast<std::uint64_t>(i), results);
+        simulation::Results results;
+        for (int i = 0; i < e.seeds; ++i)
+            simulation::play(e, e.seed + static_cast<std::uint64_t>(i), results);
         if (json)
             std::cout << results.value().dump(2) << "\n";
         else
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -6,15 +6,15 @@
 
 #include <memory>
 
-#include "core/owner.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
+#include "shard/shard_owner.hpp"
 
 using namespace cottonway;
 
 namespace {
 
 /// A clock that is set by hand, and calls that nobody answers.
-class StillHost : public Host {
+class StillHost : public Runtime {
   public:
     Micros now() override { return now_; }
     Micros listened() override { return now_; }
@@ -29,11 +29,11 @@
     std::mt19937_64 random_{7};
 };
 
-class Context : public OwnerContext {
+class Context : public ShardContext {
   public:
-    Context() : settings_(site()), store_(host_, settings_) {}
-    Host& host() override { return host_; }
-    Store& store() override { return store_; }
+    Context() : settings_(site()), store_(runtime_, settings_) {}
+    Runtime& runtime() override { return runtime_; }
+    StoreClient& store() override { return store_; }
     const Settings& settings() override { return settings_; }
     const MachineType* machine_type(const std::string&) override { return &type_; }
     void ousted(const std::string&) override {}
@@ -42,13 +42,13 @@
         return {kNoLimit, kNoLimit, kNoLimit};
     }
     bool within_guarantee(const std::string&) override { return true; }
-    Standing standing(const std::string&) const override { return {}; }
+    DependencyStatus dependency_status(const std::string&) const override { return {}; }
     bool all_read(std::uint64_t) const override { return true; }
     void settled(const std::string&, const Value&, Revision) override {}
     std::optional<Micros> peer_ended(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
                       std::function<void(bool)>) override {}
-    void pass(Micros span) { host_.pass(span); }
+    void pass(Micros span) { runtime_.pass(span); }
 
   private:
     static Settings site() {
@@ -57,23 +57,23 @@
         s.objectives = {{"wait", "push", 2 * kSecond}, {"finished", "push", 100 * kSecond}};
         return s;
     }
-    StillHost host_;
+    StillHost runtime_;
     Settings settings_;
-    Store store_;
+    StoreClient store_;
     MachineType type_{"small", {16'000, 0, 64'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
 };
 
 /// An owner whose machines are all up, each with an image of one of five.
-std::unique_ptr<Owner> owner_of(Context& context, int machines) {
-    auto owner = std::make_unique<Owner>(context, "d", 1, 0);
+std::unique_ptr<ShardOwner> owner_of(Context& context, int machines) {
+    auto owner = std::make_unique<ShardOwner>(context, "d", 1, 0);
     for (int i = 0; i < machines; ++i) {
         Block block;
         block.id = fmt::format("b-{}", i);
-        block.domain = "d";
+        block.shard = "d";
         block.type = "small";
         block.zone = i % 2 ? "a" : "b";
         block.spot = i % 3 == 0;
-        block.mark = 1;
+        block.mod_revision = 1;
         owner->on_machine(block, {fmt::format("m-{}", i), "10.0.0.1:1", 1, false, false});
     }
     owner->activate();
@@ -89,22 +89,22 @@
 }
 
 /// Arrays of fifty tasks, one core each unless `cores` says more.
-void add_jobs(Owner& owner, int tasks, int cores, int first) {
+void add_jobs(ShardOwner& owner, int tasks, int cores, int first) {
     for (int i = 0; i < tasks / 50; ++i) {
         JobSpec s;
         s.ref = fmt::format("req-{}", first + i);
         s.job_class = "push";
         s.team = "red";
-        s.rank = Rank::High;
+        s.rank = PriorityClass::High;
         s.tasks = 50;
-        s.need = {cores * 1000, 0, cores * 3000};
+        s.request = {cores * 1000, 0, cores * 3000};
         s.spot = true;
         s.image = fmt::format("push-{}", i % 5);
         s.image_gb = 500;
         s.estimate = 30 * kSecond;
         const Value record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
                            {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
-        owner.on_job(s.ref, Place::Active, record, 1);
+        owner.on_job(s.ref, RecordLocation::Active, record, 1);
     }
 }
 
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -1,12 +1,11 @@
-// Stand-ins for the outside systems on loopback, to try a controller without a platform: a state service, a
+// Fakes for the outside systems on loopback, to try a controller without a platform: a state service, a
 // cloud and a few workers, all in memory. Every task runs for the same time.
 
-#include "standin/standins.hpp"
-
 #include <CLI/CLI.hpp>
 #include <iostream>
 #include <map>
 
+#include "fakes/fakes.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 
@@ -14,10 +13,10 @@
 
 namespace {
 
-class Tasks : public standin::TaskObserver {
+class Tasks : public fakes::TaskObserver {
   public:
     explicit Tasks(Micros run) : info_{{}, run, 500 * kMillisecond} {}
-    const standin::JobInfo* job(const std::string&) override { return &info_; }
+    const fakes::JobInfo* job(const std::string&) override { return &info_; }
     void on_machine(const std::string& m, const std::string& job, int task, std::int64_t) override {
         std::cout << job << "/" << task << " starts on " << m << std::endl;
     }
@@ -29,7 +28,7 @@
     bool gang_whole(const std::string&, std::int64_t) override { return true; }
 
   private:
-    standin::JobInfo info_;
+    fakes::JobInfo info_;
 };
 
 Micros now() {
@@ -41,8 +40,7 @@
 /// One worker: its server, and its reports to the controllers.
 class LiveWorker {
   public:
-    LiveWorker(asio::io_context& io, std::unique_ptr<standin::Worker> worker,
-               std::vector<Endpoint> controllers)
+    LiveWorker(asio::io_context& io, std::unique_ptr<fakes::Worker> worker, std::vector<Endpoint> controllers)
         : worker_(std::move(worker)),
           controllers_(std::move(controllers)),
           client_(io, 1, 1),
@@ -76,7 +74,7 @@
     }
 
   private:
-    std::unique_ptr<standin::Worker> worker_;
+    std::unique_ptr<fakes::Worker> worker_;
     std::vector<Endpoint> controllers_;
     net::HttpClient client_;
     net::HttpServer server_;
@@ -107,10 +105,10 @@
     CLI11_PARSE(app, argc, argv);
 
     asio::io_context io(1);
-    standin::StateService state;
-    standin::add_history(state, history);
+    fakes::StateService state;
+    fakes::add_history(state, history);
     const MachineType small{"small", {8'000, 0, 32'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
-    standin::Cloud cloud({small});
+    fakes::Cloud cloud({small});
     cloud.capacity = 0;
     Tasks tasks(static_cast<Micros>(run_s * 1e6));
     auto loopback = [](int port) { return Endpoint{"127.0.0.1", static_cast<std::uint16_t>(port)}; };
@@ -126,7 +124,7 @@
     net::HttpServer state_server(
         io, loopback(state_port), {}, [&](const net::Request& r, const net::Responder& respond) {
             if (r.path.rfind("/changes", 0) == 0)
-                return watch(r.path, now() + standin::StateService::block_time(r.path), respond);
+                return watch(r.path, now() + fakes::StateService::block_time(r.path), respond);
             const Reply reply = state.handle(r.method, r.path, wire::decode(r.body).value_or(Value()), now());
             respond({reply.status, wire::encode(reply.body), "application/msgpack", 0});
         });
@@ -149,8 +147,8 @@
         cloud.machines()[name].info.state = CloudState::Running;
         live.push_back(std::make_unique<LiveWorker>(
             io,
-            std::make_unique<standin::Worker>(name, addr, small, zone, false, 10 * kSecond, 30 * kSecond,
-                                              tasks, now()),
+            std::make_unique<fakes::Worker>(name, addr, small, zone, false, 10 * kSecond, 30 * kSecond, tasks,
+                                            now()),
             nodes));
     }
     std::cout << "state on " << state_port << ", cloud on " << cloud_port << ", " << workers
