--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -176,7 +176,7 @@
     }
     // Up and with an address: leased at once, so that its first report finds its holder.
     if (m.state == CloudState::Running && !m.addr.empty() && !never_registered_.count(m.name))
-        machine_allocator_.lease({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
+        machine_allocator_.allocate({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
     const MachineType* type = cache_.types.find(m.type);
     const Micros boot = type ? type->boot : 60 * kSecond;
     // Far beyond its type's time: it will hardly come up, and it is charged all the while.
@@ -304,7 +304,7 @@
                     ours(balance.total - balance.wanted_total)};
     // What is of no use now is no reason to return what is, to which its work will have to go.
     for (const auto& [name, m] : owner.machines()) {
-        if (m->retired || !m->type || owner.useless_for(*m) <= owner.patience()) continue;
+        if (m->retired || !m->type || owner.unreachable_for(*m) <= owner.patience()) continue;
         surplus.total -= m->type->size.cores;
         if (!m->spot) surplus.ordinary -= m->type->size.cores;
     }
@@ -335,7 +335,8 @@
     for (const auto& [name, m] : owner.machines()) {
         if (m->retired || m->retiring || m->leaving) continue;
         const Micros silent = owner.silent_for(*m);
-        if (m->tasks.empty() && now - holding_since_ > s.lease && owner.useless_for(*m) > s.lease + kSilent) {
+        if (m->tasks.empty() && now - holding_since_ > s.lease &&
+            owner.unreachable_for(*m) > s.lease + kSilent) {
             owner.retire(name, m->suspect ? "it does not hear us" : "it does not report");
         } else if (m->notice && now > m->notice_end + 2 * kSecond &&
                    silent > s.report_every * 5 / 4 + kSecond) {
@@ -436,7 +437,7 @@
             !allocation::rents_machines(*team->second, job.rank) ||
             (first && first->since_ms <= job.since_ms))
             continue;
-        const Value* spec = wire::find(job.record, "d");
+        const Json* spec = wire::find(job.record, "d");
         if (!spec) continue;
         auto may_use = [&job = job](const Shape& shape) {
             return (!shape.spot || job.spot) && (!job.zone || *job.zone == shape.zone) &&
@@ -466,7 +467,8 @@
         looked_for_left_out_ = now;
         if (const auto left = find_unschedulable()) {
             const auto found = offers([&](const MachineType& t, const Shape& s) {
-                return planning::may_use(left->job, s.type, s.zone, s.spot) && left->job.request.fits(t.size);
+                return scheduling::may_use(left->job, s.type, s.zone, s.spot) &&
+                       left->job.request.fits(t.size);
             });
             if (!found.empty()) {
                 const Offer& o = found.front();
@@ -550,7 +552,7 @@
     }
 }
 
-Value Autoscaler::status() const {
+Json Autoscaler::status() const {
     return {{"leading", was_leading_}, {"rentals", rentals_.size()}, {"booting", pending_instances_.size()}};
 }
 
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -29,7 +29,7 @@
     /// Called ten times a second by every controller. The leader deals with the cloud; every holder returns
     /// its part of what is too much.
     void tick();
-    Value status() const;
+    Json status() const;
     Micros leading_since() const { return leading_since_; }
     /// Machines that the cloud has listed, as far as the leader has read.
     std::size_t known() const { return first_listed_.size(); }
--- a/src/allocation/demand.cpp
+++ b/src/allocation/demand.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 #include <cmath>
-#include <optional>
+
+#include "scheduling/machine_occupancy.hpp"
 
 namespace cottonway::allocation {
 
@@ -12,11 +13,6 @@
     return {request.cores * tasks, request.gpus * tasks, request.ram * tasks};
 }
 
-/// Cores that a request of one resource occupies. Rounded up, so that nothing that is requested is lost.
-Milli cores_for(Milli request, Milli capacity, Milli cores) {
-    return capacity > 0 ? (request * cores + capacity - 1) / capacity : 0;
-}
-
 /// The part of the requests that a limit admits at once, from 0 to 1. Memory has no limit.
 double admitted_part(const Resources& requests, const Resources& limit) {
     double part = 1;
@@ -37,30 +33,6 @@
 
 }  // namespace
 
-Milli occupied_cores(const Resources& requests, const Resources& capacity) {
-    return std::max({requests.cores, cores_for(requests.gpus, capacity.gpus, capacity.cores),
-                     cores_for(requests.ram, capacity.ram, capacity.cores)});
-}
-
-Milli gpu_bound_cores(const Resources& requests, const Resources& capacity) {
-    return std::max(requests.cores, cores_for(requests.gpus, capacity.gpus, capacity.cores));
-}
-
-Milli gpu_bound_cores(const Resources& request, const std::deque<MachineType>& types) {
-    std::optional<Milli> least;
-    for (const MachineType& type : types) {
-        if (!request.fits(type.size)) continue;
-        const Milli cores = gpu_bound_cores(request, type.size);
-        least = std::min(least.value_or(cores), cores);
-    }
-    return least.value_or(request.cores);
-}
-
-Milli available_cores(const Resources& available, const Resources& capacity) {
-    if (capacity.gpus <= 0) return available.cores;
-    return std::min(available.cores, capacity.cores * available.gpus / capacity.gpus);
-}
-
 bool rents_machines(const Team& team, PriorityClass rank) {
     return team.guarantee.cores > 0 || rank != PriorityClass::Low;
 }
@@ -83,7 +55,7 @@
     double lowest = 0;
     for (const MachineType& type : types_) {
         if (type.size.cores <= 0 || !job.request.fits(type.size) || !may_use_type(job, type.name)) continue;
-        const double share = static_cast<double>(occupied_cores(job.request, type.size)) /
+        const double share = static_cast<double>(scheduling::occupied_cores(job.request, type.size)) /
                              static_cast<double>(type.size.cores);
         const double price = share * type.price;
         if (cheapest && price >= lowest) continue;
@@ -121,9 +93,9 @@
     for (const auto& [type, sums] : requests.by_type) {
         ordinary_sum += sums.ordinary;
         flexible_sum += sums.flexible;
-        ordinary += occupied_cores(sums.ordinary, type->size);
-        flexible += occupied_cores(sums.flexible, type->size);
-        flexible_in_full += occupied_cores(sums.flexible_in_full, type->size);
+        ordinary += scheduling::occupied_cores(sums.ordinary, type->size);
+        flexible += scheduling::occupied_cores(sums.flexible, type->size);
+        flexible_in_full += scheduling::occupied_cores(sums.flexible_in_full, type->size);
     }
     // What a team may not run at once needs no machines at once.
     const Resources left{std::max<Milli>(limit.cores - ordinary_sum.cores, 0),
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -86,7 +86,7 @@
     change.priority = waits ? Priority::Deferrable : Priority::Normal;
     if (!store_.room(change.priority)) return;
     change.when.push_back({keys::block + id, next.mod_revision});
-    const Value value = next.machines.empty() ? Value() : next.value();
+    const Json value = next.machines.empty() ? Json() : next.value();
     change.then.push_back({keys::block + id, value});
     change.purpose = "block";
     edits.in_flight = true;
@@ -105,7 +105,7 @@
             e.waiting.insert(e.waiting.begin(), std::make_move_iterator(list.begin()),
                              std::make_move_iterator(list.end()));
         };
-        feed_.after_look(std::move(again));
+        feed_.after_next_refresh(std::move(again));
     });
 }
 
@@ -176,7 +176,7 @@
     change.when = {{keys::shard + block.shard, o.mod_revision()},
                    {keys::block + block.id, block.mod_revision}};
     // The new ones first: a machine that is in another block already has not left when the old one loses it.
-    std::vector<std::pair<std::string, Value>> writes;
+    std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
         change.when.push_back({keys::block + part.id, 0});
         writes.emplace_back(part.id, part.value());
@@ -213,30 +213,31 @@
 
 // ---------------------------------------------------------------- leasing
 
-void MachineAllocator::lease(const Block::Machine& machine, const std::string& type, const std::string& zone,
-                             bool spot, std::function<void()> done) {
-    auto [it, added] = unleased_.try_emplace(machine.name);
-    Unleased& u = it->second;
+void MachineAllocator::allocate(const Block::Machine& machine, const std::string& type,
+                                const std::string& zone, bool spot, std::function<void()> done) {
+    auto [it, added] = unallocated_.try_emplace(machine.name);
+    UnallocatedMachine& u = it->second;
     if (added) u = {machine, type, zone, spot, false, {}};
     if (u.machine.addr.empty()) u.machine.addr = machine.addr;
     if (done) u.done.push_back(std::move(done));
 }
 
-void MachineAllocator::not_leased(const std::string& machine) {
-    auto u = unleased_.extract(machine);
+void MachineAllocator::forget_unallocated(const std::string& machine) {
+    auto u = unallocated_.extract(machine);
     if (!u) return;
     // Once all that the news tells has been taken in.
     for (auto& done : u.mapped().done) runtime_.after(0, std::move(done));
 }
 
 void MachineAllocator::left(const std::string& machine) {
-    not_leased(machine);
+    forget_unallocated(machine);
     returned_.insert(machine);
     if (returned_.size() > kMaxReturned) returned_.erase(returned_.begin());  // names come in order
 }
 
 bool MachineAllocator::spread_out() const {
-    const std::size_t machines = std::max(cache_.blocks.machines() + unleased_.size(), autoscaler_.known());
+    const std::size_t machines =
+        std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.known());
     const double reports = static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
     return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_share;
 }
@@ -259,22 +260,22 @@
     return ours.empty() ? std::vector<std::string>{} : std::vector{ours};
 }
 
-void MachineAllocator::lease_blocks() {
+void MachineAllocator::allocate_blocks() {
     const Micros now = runtime_.now();
     if (!election_.leading()) {
-        while (!unleased_.empty()) not_leased(std::string(unleased_.begin()->first));
+        while (!unallocated_.empty()) forget_unallocated(std::string(unallocated_.begin()->first));
         return;
     }
-    if (unleased_.empty() || now - leased_at_ < kLeaseEvery) return;
+    if (unallocated_.empty() || now - allocated_at_ < kLeaseEvery) return;
     if (now - autoscaler_.leading_since() < kLeadPause || !store_.room(Priority::Normal)) return;
-    leased_at_ = now;
+    allocated_at_ = now;
     struct Shape {
         std::string type, zone;
         bool spot;
         auto operator<=>(const Shape&) const = default;
     };
     std::map<Shape, std::vector<std::string>> fresh;
-    for (const auto& [name, u] : unleased_)
+    for (const auto& [name, u] : unallocated_)
         if (!u.in_flight) fresh[{u.type, u.zone, u.spot}].push_back(name);
     const auto shards = targets();
     if (fresh.empty() || shards.empty()) return;
@@ -339,7 +340,7 @@
                 block.zone = shape.zone;
                 block.spot = shape.spot;
                 for (const auto& name : chunk) {
-                    auto& u = unleased_.at(name);
+                    auto& u = unallocated_.at(name);
                     u.in_flight = true;
                     block.machines.push_back(u.machine);
                 }
@@ -358,7 +359,7 @@
     Change change;
     change.when.push_back({keys::leader, term});
     change.when.push_back({keys::block + block.id, 0});
-    const Value value = block.value();
+    const Json value = block.value();
     change.then.push_back({keys::block + block.id, value});
     change.purpose = "lease";
     store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& r) {
@@ -369,13 +370,13 @@
         }
         const bool unsent = r.status == CommitStatus::Unavailable;
         if (!unsent && r.status != CommitStatus::Unknown) {
-            for (const auto& name : machines) not_leased(name);  // they come up again
+            for (const auto& name : machines) forget_unallocated(name);  // they come up again
             return;
         }
-        feed_.after_look([this, block, machines, term, unsent](bool) {
+        feed_.after_next_refresh([this, block, machines, term, unsent](bool) {
             const bool still = election_.leading() && election_.term() == term;
             if (unsent && still) return lease_block(block, machines);
-            for (const auto& name : machines) not_leased(name);
+            for (const auto& name : machines) forget_unallocated(name);
             if (!still || cache_.blocks.find(block.id)) return;  // carried out after all
             spdlog::info("block {}: whether it was leased is not known: a new term begins", block.id);
             election_.close_term(term);
@@ -389,7 +390,7 @@
 /// change. Only the holder does this, and only with machines that nothing is on, so nothing is in doubt.
 void MachineAllocator::give(ShardOwner& from, const peer::CapacityRequest& want,
                             std::function<void(peer::Grant)> done) {
-    const Held* to = cache_.membership.shard(want.shard);
+    const ShardRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !to || to->mod_revision != want.mod_revision || want.shard == from.shard() ||
         !store_.room(Priority::Normal))
         return done({});
@@ -422,17 +423,17 @@
         std::erase_if(source.machines, [&](const Block::Machine& x) { return x.name == name; });
         moved.push_back(name);
     }
-    from.keep(kept);
+    from.withdraw_offer(kept);
     if (moved.empty()) return done({});
     next.id = next_id(from.mod_revision());
     next.shard = want.shard;
     Change change;
     change.when.push_back({keys::shard + from.shard(), from.mod_revision()});
     change.when.push_back({keys::block + next.id, 0});
-    std::vector<std::pair<std::string, Value>> writes{{next.id, next.value()}};
+    std::vector<std::pair<std::string, Json>> writes{{next.id, next.value()}};
     for (auto& [id, source] : sources) {
         change.when.push_back({keys::block + id, source.mod_revision});
-        writes.emplace_back(id, source.machines.empty() ? Value() : source.value());
+        writes.emplace_back(id, source.machines.empty() ? Json() : source.value());
         edits_[id].in_flight = true;  // nothing else rewrites it meanwhile
     }
     for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
@@ -448,7 +449,7 @@
                 for (const auto& [id, value] : writes)
                     cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
             // Whatever is still here stays.
-            if (ShardOwner* o = assignment_.find(shard)) o->keep(moved);
+            if (ShardOwner* o = assignment_.find(shard)) o->withdraw_offer(moved);
             done({{}, r.status == CommitStatus::Ok ? static_cast<std::uint32_t>(moved.size()) : 0});
         });
 }
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -32,12 +32,12 @@
           peers_(peers) {}
 
     /// Machines that are in no block yet, to be leased soon.
-    void lease(const Block::Machine& machine, const std::string& type, const std::string& zone, bool spot,
-               std::function<void()> done);
-    bool leasing(const std::string& machine) const { return unleased_.count(machine) > 0; }
+    void allocate(const Block::Machine& machine, const std::string& type, const std::string& zone, bool spot,
+                  std::function<void()> done);
+    bool is_allocating(const std::string& machine) const { return unallocated_.count(machine) > 0; }
     /// A block lists it. Whoever waits for that is told, also where our own change got no answer.
     void leased(const std::string& machine) {
-        not_leased(machine);
+        forget_unallocated(machine);
         returned_.erase(machine);
     }
     /// No block lists it any more, or none ever has: the cloud has confirmed that it is deleted.
@@ -61,7 +61,7 @@
     void give(ShardOwner& from, const peer::CapacityRequest& want, std::function<void(peer::Grant)> done);
 
     // Called ten times a second.
-    void lease_blocks();
+    void allocate_blocks();
     /// Blocks of the time when values could be larger are split, in quiet moments: rewritten in pieces they
     /// would cost several changes each time.
     void split_blocks();
@@ -80,7 +80,7 @@
         Micros since = 0;
         bool urgent = false;
     };
-    struct Unleased {
+    struct UnallocatedMachine {
         Block::Machine machine;
         std::string type;
         std::string zone;
@@ -95,7 +95,7 @@
     void split(const Block& block, const ShardOwner& o);
     void lease_block(Block block, std::vector<std::string> machines);
     /// Not to be leased any more, or not now: whoever waits for it looks what stands there.
-    void not_leased(const std::string& machine);
+    void forget_unallocated(const std::string& machine);
     std::string next_id(Revision mod_revision) {
         return std::to_string(mod_revision) + "-" + std::to_string(++block_counter_);
     }
@@ -110,9 +110,9 @@
     const Autoscaler& autoscaler_;
     const PeerDirectory& peers_;
     std::map<std::string, Edits> edits_;
-    std::map<std::string, Unleased> unleased_;
+    std::map<std::string, UnallocatedMachine> unallocated_;
     std::set<std::string> returned_;  // the latest names
-    Micros leased_at_ = 0;
+    Micros allocated_at_ = 0;
     Micros split_at_ = 0;
     std::uint64_t block_counter_ = 0;
 };
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -21,7 +21,7 @@
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::leader, election_.term()});
-    std::vector<std::pair<std::string, Shares>> next;
+    std::vector<std::pair<std::string, QuotaAllocation>> next;
     const auto& stored = cache_.shares.all();
     if (stored.empty()) {
         auto targets = machine_allocator_.targets();
@@ -29,7 +29,7 @@
         if (targets.empty()) return;
         const auto n = static_cast<Milli>(targets.size());
         for (const auto& shard : targets) {
-            Shares shares;
+            QuotaAllocation shares;
             for (const auto& t : settings_.teams)
                 shares[t.name] = {to_share(t.limit.cores) / n, to_share(t.limit.gpus) / n, 0};
             next.emplace_back(shard, shares);
@@ -43,7 +43,7 @@
         for (const auto& [shard, held] : stored) {
             const ShardOwner* o = assignment_.find(shard);
             if (!o || cache_.shares.busy(shard)) continue;
-            Shares shares = held.shares;
+            QuotaAllocation shares = held.shares;
             bool more = false;
             for (const auto& t : settings_.teams) {
                 const Resources sum = cache_.shares.shared_out(t.name);
@@ -68,12 +68,12 @@
     store_.commit(std::move(change), [this, next, term](const CommitResult& r) {
         if (r.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
-                const Value v = shares_value(shares);
+                const Json v = shares_value(shares);
                 cache_.take(keys::share + shard, &v, r.revision);
             }
         // Carried out after others were made for other shards, the limits would be shared out twice.
         const bool unknown = r.status == CommitStatus::Unknown;
-        feed_.after_look([this, term, unknown](bool) {
+        feed_.after_next_refresh([this, term, unknown](bool) {
             sharing_first_ = false;
             if (unknown && cache_.shares.all().empty()) election_.close_term(term);
         });
@@ -87,7 +87,7 @@
     const std::string shard = from.shard();
     QuotaCache& book = cache_.shares;
     const auto* ours = book.find(shard);
-    const Held* to = cache_.membership.shard(want.shard);
+    const ShardRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !ours || !to || to->mod_revision != want.mod_revision || want.shard == shard ||
         book.busy(shard) || book.busy(want.shard))
         return done({});
@@ -95,7 +95,7 @@
     const Resources grant{part(spare.cores, std::max<Milli>(want.amount.cores, 0)),
                           part(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
-    Shares less = ours->shares, more;
+    QuotaAllocation less = ours->shares, more;
     Revision their_mark = 0;
     if (const auto* theirs = book.find(want.shard)) {
         more = theirs->shares;
@@ -116,7 +116,7 @@
     auto settle = [this, shard, want, grant, less, more, done = std::move(done)](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
         if (ok) {
-            const Value l = shares_value(less), m = shares_value(more);
+            const Json l = shares_value(less), m = shares_value(more);
             cache_.take(keys::share + shard, &l, r.revision);
             cache_.take(keys::share + want.shard, &m, r.revision);
         }
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "logging/log.hpp"
 #include "shard/reconciliation.hpp"
 
@@ -50,7 +50,7 @@
 void HeartbeatRouter::report(const std::string& bytes, ApiResponder respond) {
     auto body = wire::decode(bytes);
     auto parsed = body ? wire::parse_report(*body) : std::nullopt;
-    if (!parsed) return respond({400, Value::object()});
+    if (!parsed) return respond({400, Json::object()});
     const Report& r = *parsed;
     const Block* block = cache_.blocks.of(r.machine);
     if (!block) return unknown_machine(r, std::move(respond));
@@ -68,7 +68,7 @@
         return respond(unavailable());
     }
     const bool asks =
-        !machine_allocator_.leasing(r.machine) && !r.addr.empty() && probing_.size() < kMaxProbes;
+        !machine_allocator_.is_allocating(r.machine) && !r.addr.empty() && probing_.size() < kMaxProbes;
     if (!lease_is_valid() || machine_allocator_.returned(r.machine) || !asks ||
         !probing_.insert(r.machine).second)
         return respond(unavailable());
@@ -90,17 +90,18 @@
 
 /// MachineAllocator a machine, answers its report if its block is ours, or sends it to the holder.
 void HeartbeatRouter::lease(const Report& r, const ApiResponder& respond) {
-    if (machine_allocator_.leasing(r.machine)) return respond(unavailable());
-    machine_allocator_.lease({r.machine, r.addr, 0, false, false}, r.type, r.zone, r.spot,
-                             [this, r, respond] {
-                                 const Block* block = cache_.blocks.of(r.machine);
-                                 if (!block) return respond(unavailable());
-                                 ShardOwner* o = assignment_.find(block->shard);
-                                 if (auto a = o ? answer(*o, r) : std::nullopt) return respond(std::move(*a));
-                                 const Held* d = cache_.membership.shard(block->shard);
-                                 if (o || !d) return respond(unavailable());
-                                 respond({421, wire::redirect(d->holder)});
-                             });
+    if (machine_allocator_.is_allocating(r.machine)) return respond(unavailable());
+    machine_allocator_.allocate({r.machine, r.addr, 0, false, false}, r.type, r.zone, r.spot,
+                                [this, r, respond] {
+                                    const Block* block = cache_.blocks.of(r.machine);
+                                    if (!block) return respond(unavailable());
+                                    ShardOwner* o = assignment_.find(block->shard);
+                                    if (auto a = o ? answer(*o, r) : std::nullopt)
+                                        return respond(std::move(*a));
+                                    const ShardRecord* d = cache_.membership.shard(block->shard);
+                                    if (o || !d) return respond(unavailable());
+                                    respond({421, wire::redirect(d->holder)});
+                                });
 }
 
 /// A worker whose holder is another node. It is sent there; if it comes back, it can't reach it: then its
@@ -108,7 +109,7 @@
 void HeartbeatRouter::help(const Report& r, const Block& block, const std::string& bytes,
                            ApiResponder respond) {
     const Micros now = runtime_.now();
-    const Held* d = cache_.membership.shard(block.shard);
+    const ShardRecord* d = cache_.membership.shard(block.shard);
     if (!d || d->holder == settings_.node) return respond(unavailable());
     ProxiedWorker& proxied = proxied_workers_[r.machine];
     // A worker has one report in flight, so one that is older than another, or its copy, was given up:
@@ -172,7 +173,7 @@
 /// authority, so that a cancellation ends every task in time.
 void HeartbeatRouter::renew_on_behalf(const Report& r, const Block& block, const ApiResponder& respond) {
     const Micros now = runtime_.now();
-    const Held* d = cache_.membership.shard(block.shard);
+    const ShardRecord* d = cache_.membership.shard(block.shard);
     ProxiedWorker& proxied = proxied_workers_[r.machine];
     // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
     const bool may = membership_lease_.announced() && cache_.membership.alive(settings_.node) &&
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "allocation/demand.hpp"
 #include "logging/log.hpp"
+#include "scheduling/machine_occupancy.hpp"
 
 namespace cottonway {
 
@@ -61,7 +61,7 @@
     return ReconcileAction::Never;
 }
 
-void JobService::submit(const Value& body, ApiResponder respond) {
+void JobService::submit(const Json& body, ApiResponder respond) {
     auto parsed = wire::parse_job(body);
     // Names of types that don't exist would only fill the record.
     if (parsed.spec && parsed.spec->types && !cache_.types.empty())
@@ -70,15 +70,15 @@
     if (verdict == ReconcileAction::Fits && !known(parsed.spec->ref) && parsed.spec->needs.empty())
         return create(std::move(*parsed.spec), std::move(respond));
     const auto ref = wire::ref_of(body);
-    if (!ref) return respond({400, Value{{"error", parsed.error}}});
+    if (!ref) return respond({400, Json{{"error", parsed.error}}});
     // Whatever the request looks like, a job that is known is answered with its state.
     check(*ref, [this, ref = *ref, parsed, verdict, respond = std::move(respond)](
                     bool ok, const std::optional<JobView>& view) mutable {
         if (!ok) return respond(unavailable());
         if (view) return respond({200, wire::job_answer(ref, stage_name(*view))});
-        if (!parsed.spec) return respond({400, Value{{"error", parsed.error}}});
-        if (verdict == ReconcileAction::TooLong) return respond({400, Value{{"error", "too long"}}});
-        if (verdict == ReconcileAction::Never) return respond({422, Value{{"error", "can never run"}}});
+        if (!parsed.spec) return respond({400, Json{{"error", parsed.error}}});
+        if (verdict == ReconcileAction::TooLong) return respond({400, Json{{"error", "too long"}}});
+        if (verdict == ReconcileAction::Never) return respond({422, Json{{"error", "can never run"}}});
         if (verdict == ReconcileAction::NotYet) return respond(unavailable(2));
         if (!parsed.spec->needs.empty()) return resolve(std::move(*parsed.spec), std::move(respond));
         create(std::move(*parsed.spec), std::move(respond));
@@ -91,7 +91,7 @@
     // As long as a controller may be of the version before, it would lose what the job waits for.
     if (!cache_.formats.common(format::kPipelines)) return respond(unavailable(2));
     auto never = [](const std::string& ref) {
-        return ApiResponse{422, Value{{"error", "was never accepted: " + ref}}};
+        return ApiResponse{422, Json{{"error", "was never accepted: " + ref}}};
     };
     if (std::find(spec.needs.begin(), spec.needs.end(), spec.ref) != spec.needs.end())
         return respond(never(spec.ref));
@@ -169,12 +169,12 @@
     if (ShardOwner* o = assignment_.find(shard);
         o && o->active() && !dependency_status.cancelled_by_dependency)
         return o->admit(std::move(spec), runtime_.wall_ms(), dependency_status, answer);
-    Value record{{"s", "queued"},
-                 {"dom", shard},
-                 {"k", spec.tasks},
-                 {"d", wire::job_value(spec)},
-                 {"at", runtime_.wall_ms()},
-                 {"ps", part_tasks_for(settings_.value_bytes, size + kRecordBytes)}};
+    Json record{{"s", "queued"},
+                {"dom", shard},
+                {"k", spec.tasks},
+                {"d", wire::job_value(spec)},
+                {"at", runtime_.wall_ms()},
+                {"ps", part_tasks_for(settings_.value_bytes, size + kRecordBytes)}};
     // Cancelled with one before it already: accepted, and over.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
@@ -199,7 +199,7 @@
 void JobService::poll(const std::string& ref, ApiResponder respond) {
     check(ref, [ref, respond = std::move(respond)](bool ok, const std::optional<JobView>& view) {
         if (!ok) return respond(unavailable());
-        if (!view) return respond({404, Value::object()});
+        if (!view) return respond({404, Json::object()});
         respond({200, wire::job_state(ref, stage_name(*view), view->done, view->running)});
     });
 }
@@ -209,7 +209,7 @@
         return respond({200, wire::job_answer(ref, stage_name(*v))});
     if (tries >= kMaxAbortTries || out_of_reach()) return respond(unavailable());
     if (const LiveJob* live = cache_.jobs.find(ref); tries == 0 && live && !cache_.stray(ref))
-        return cancel(ref, {live->place, live->record, live->mod_revision, live->shadow}, tries,
+        return cancel(ref, {live->place, live->record, live->mod_revision, live->legacy_revision}, tries,
                       std::move(respond));
     read_either(
         ref, [this, ref, tries, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
@@ -218,7 +218,7 @@
                 return check(ref, [this, ref, tries, respond = std::move(respond)](
                                       bool known, const std::optional<JobView>& view) mutable {
                     if (!known) return respond(unavailable());
-                    if (!view) return respond({404, Value::object()});
+                    if (!view) return respond({404, Json::object()});
                     abort(ref, tries + 1, std::move(respond));
                 });
             const JobView view = JobView::of(found->record, found->mod_revision);
@@ -256,7 +256,7 @@
     job.record["s"] = "cancelled";
     const std::string key = record_key(job.place, ref);
     Change change;
-    change.when = JobCache::as_known(ref, job.place, job.mod_revision, job.shadow);
+    change.when = JobCache::as_known(ref, job.place, job.mod_revision, job.legacy_revision);
     change.then.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
@@ -318,7 +318,7 @@
         });
     if (view) {
         // The next look at the store proves that what is known then is current, also of the jobs before it.
-        feed_.after_look([this, ref, done = std::move(done)](bool ok) {
+        feed_.after_next_refresh([this, ref, done = std::move(done)](bool ok) {
             const JobView* now = known(ref);
             const auto doubted = [this](const std::string& name) { return cache_.jobs.unproven(name); };
             if (!ok || !now || cache_.jobs.dependency_graph().unclear(ref, doubted))
@@ -344,7 +344,7 @@
         const JobView view = JobView::of(found->record, found->mod_revision);
         if (!view.final() && found->place == RecordLocation::Job && cache_.history_apart())
             return done(false, std::nullopt);
-        const Value* spec = wire::find(found->record, "d");
+        const Json* spec = wire::find(found->record, "d");
         if (!view.final() && spec && wire::find(*spec, "warp")) {
             // Whether one before it is cancelled is not in its record. What is in the news already is not
             // taken from elsewhere: an owner here relies on their order.
@@ -369,10 +369,10 @@
     // With what it needs: there the change that ends that can begin this.
     for (const auto& need : spec.needs) {
         const LiveJob* live = cache_.jobs.find(need);
-        const Held* at = live ? cache_.membership.shard(live->shard) : nullptr;
+        const ShardRecord* at = live ? cache_.membership.shard(live->shard) : nullptr;
         if (at && cache_.membership.alive(at->holder)) return live->shard;
     }
-    const Milli need = allocation::gpu_bound_cores(spec.request, cache_.types.types()) * spec.tasks;
+    const Milli need = scheduling::gpu_bound_cores(spec.request, cache_.types.types()) * spec.tasks;
     std::vector<std::string> all;
     std::string best;
     double best_room = 0;
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "api/responses.hpp"
+#include "cluster/job_archiver.hpp"
 #include "cluster/peer_directory.hpp"
 #include "cluster/shard_assignment.hpp"
-#include "shard/job_archiver.hpp"
 
 namespace cottonway {
 
@@ -27,7 +27,7 @@
           peers_(peers),
           history_(history) {}
 
-    void submit(const Value& body, ApiResponder respond);
+    void submit(const Json& body, ApiResponder respond);
     void poll(const std::string& ref, ApiResponder respond);
     void abort(const std::string& ref, ApiResponder respond) { abort(ref, 0, std::move(respond)); }
     /// Whether users had better come here.
@@ -47,9 +47,9 @@
     void abort(const std::string& ref, int tries, ApiResponder respond);
     struct Found {
         RecordLocation place = RecordLocation::Job;
-        Value record;
+        Json record;
         Revision mod_revision = 0;
-        Revision shadow = 0;
+        Revision legacy_revision = 0;
     };
     void cancel(const std::string& ref, Found job, int tries, ApiResponder respond);
     /// Reads a job's record under either key; none found proves nothing, since it may be on its way from one
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -19,7 +19,7 @@
 
 struct ApiResponse {
     int status = 200;
-    Value body;
+    Json body;
     int retry_after = 0;  // seconds
 };
 
@@ -27,7 +27,7 @@
 
 /// What can't be served now, with when to come back, in seconds.
 inline ApiResponse unavailable(int retry_after = 1) {
-    return {503, Value::object(), retry_after};
+    return {503, Json::object(), retry_after};
 }
 
 }  // namespace cottonway
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <string>
 
+#include "base/json.hpp"
 #include "base/units.hpp"
-#include "protocol/protocol.hpp"
 
 namespace cottonway {
 
@@ -18,7 +18,7 @@
 
 struct Reply {
     int status = kNoAnswer;
-    Value body;
+    Json body;
     std::string bytes{};  // peers only
 };
 
@@ -29,7 +29,7 @@
     std::string addr;  // workers and peers only
     std::string method;
     std::string path;
-    Value body;         // null: none
+    Json body;          // null: none
     std::string bytes;  // peers only: a packed message
     Micros timeout = 2 * kSecond;
 };
--- a/src/cache/block_cache.cpp
+++ b/src/cache/block_cache.cpp
@@ -40,7 +40,7 @@
     if (at != block_of_.end() && at->second == into && !blocks_.count(into)) left(machine);
 }
 
-void BlockCache::take(const std::string& id, const Value* value, Revision mod_revision) {
+void BlockCache::take(const std::string& id, const Json* value, Revision mod_revision) {
     auto it = blocks_.find(id);
     if (it != blocks_.end() && it->second.mod_revision >= mod_revision) return;
     std::optional<Block> next;
--- a/src/cache/block_cache.hpp
+++ b/src/cache/block_cache.hpp
@@ -23,7 +23,7 @@
     explicit BlockCache(Listener& listener) : listener_(listener) {}
 
     /// News of a record; null: it is gone. A broken one is ignored with a line in the log.
-    void take(const std::string& id, const Value* value, Revision mod_revision);
+    void take(const std::string& id, const Json* value, Revision mod_revision);
 
     const std::map<std::string, Block>& all() const { return blocks_; }
     const Block* find(const std::string& id) const;
--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -78,7 +78,7 @@
             runtime_.after(150 * kMillisecond, [this] { look(); });
             return;
         }
-        if (const Value* news = wire::find(r.body, "news"); news && news->is_array()) {
+        if (const Json* news = wire::find(r.body, "news"); news && news->is_array()) {
             for (const auto& n : *news) {
                 const Revision mod_revision = wire::count(n, "mark").value_or(0);
                 store_.observe(mod_revision);
@@ -105,12 +105,12 @@
     for (auto& done : ready) done(true);
 }
 
-void ChangeFeed::after_look(std::function<void(bool)> done) {
+void ChangeFeed::after_next_refresh(std::function<void(bool)> done) {
     waiters_.push_back({runtime_.now(), std::move(done)});
 }
 
 void ChangeFeed::once_known(std::function<void()> done) {
-    after_look([this, done = std::move(done)](bool ok) mutable {
+    after_next_refresh([this, done = std::move(done)](bool ok) mutable {
         if (ok) return done();
         runtime_.after(kRetry, [this, done = std::move(done)]() mutable { once_known(std::move(done)); });
     });
--- a/src/cache/change_feed.hpp
+++ b/src/cache/change_feed.hpp
@@ -17,7 +17,7 @@
       public:
         virtual ~Reader() = default;
         /// A record as it is, or as it has become; null: it is gone.
-        virtual void take(const std::string& key, const Value* value, Revision mod_revision) = 0;
+        virtual void take(const std::string& key, const Json* value, Revision mod_revision) = 0;
         /// Everything is about to be read, and `take` is called for each record until `reread`.
         virtual void on_resync_begin() = 0;
         /// From where to go on after a key that has been read: the key itself, or one beyond what need not be
@@ -45,7 +45,7 @@
     Micros confirmed() const { return confirmed_; }
     Micros confirmed_ago() const { return runtime_.now() - confirmed_; }
     /// Calls back once a look that was begun after now has been taken in; false: none was for long.
-    void after_look(std::function<void(bool)> done);
+    void after_next_refresh(std::function<void(bool)> done);
     /// The same, however long that takes: what a conflict means is in the news.
     void once_known(std::function<void()> done);
     /// How many wait for a look.
--- a/src/cache/format_cache.cpp
+++ b/src/cache/format_cache.cpp
@@ -9,7 +9,7 @@
     return it == reads_.end() ? 0 : it->second;
 }
 
-bool FormatCache::take(const std::string& node, const Value& value) {
+bool FormatCache::take(const std::string& node, const Json& value) {
     auto& reads = reads_[node];
     reads = std::max(reads, wire::count(value, "reads").value_or(0));
     std::uint64_t least = std::min(read_by(settings_.node), format::kNewest);
--- a/src/cache/format_cache.hpp
+++ b/src/cache/format_cache.hpp
@@ -27,7 +27,7 @@
   public:
     explicit FormatCache(const Settings& settings) : settings_(settings) {}
     /// True if more has become common knowledge by this.
-    bool take(const std::string& node, const Value& value);
+    bool take(const std::string& node, const Json& value);
     /// Somebody has proven that much before, and rests on it. True if it is news.
     bool proven(std::uint64_t format);
     /// What every controller that the settings name is proven to read.
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -11,7 +11,7 @@
 constexpr Micros kWeighGuarantees = 100 * kMillisecond;
 }  // namespace
 
-JobView JobView::of(const Value& record, Revision mod_revision) {
+JobView JobView::of(const Json& record, Revision mod_revision) {
     JobView v;
     const auto stage = wire::text(record, "s");
     v.stage = stage == "done" ? Stage::Done : stage == "cancelled" ? Stage::Cancelled : Stage::Queued;
@@ -31,9 +31,9 @@
 }
 
 std::vector<Condition> JobCache::as_known(const std::string& ref, RecordLocation place, Revision mod_revision,
-                                          Revision shadow) {
+                                          Revision legacy_revision) {
     std::vector<Condition> when{{record_key(place, ref), mod_revision}};
-    if (place == RecordLocation::Active) when.push_back({keys::job + ref, shadow});
+    if (place == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
     return when;
 }
 
@@ -41,19 +41,19 @@
     Change change;
     change.priority = Priority::Deferrable;
     change.when.push_back(left);
-    change.then.push_back({left.key, Value()});
+    change.then.push_back({left.key, Json()});
     change.purpose = "history";
     return change;
 }
 
-bool JobCache::take(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision,
+bool JobCache::take(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
                     Micros now) {
     JobView view = JobView::of(value, mod_revision);
     if (auto live = live_.find(ref); live != live_.end() && place == RecordLocation::Job &&
                                      live->second.place == RecordLocation::Active && !view.final()) {
         // News of what it was before it was moved may come after the result of that.
         if (mod_revision > live->second.moved)
-            live->second.shadow = std::max(live->second.shadow, mod_revision);
+            live->second.legacy_revision = std::max(live->second.legacy_revision, mod_revision);
         return false;
     }
     const JobView* old = known(ref);
@@ -61,7 +61,7 @@
     if (old && old->mod_revision > mod_revision) return false;
     if (view.final()) dependency_graph_.over(ref, view.stage == Stage::Done, view.ended_ms);
     guarantees_due_ = true;
-    const Value* spec = wire::find(value, "d");
+    const Json* spec = wire::find(value, "d");
     if (!spec || view.stage == Stage::Done) {
         live_.erase(ref);
         lost_.erase(ref);
@@ -95,7 +95,7 @@
         job.mod_revision = mod_revision;
         // What stood under c/job/ was dropped by the change that moved it.
         if (place == RecordLocation::Active && job.place == RecordLocation::Job) {
-            job.shadow = 0;
+            job.legacy_revision = 0;
             if (!reading_) job.moved = mod_revision;
         }
         job.place = place;
@@ -113,8 +113,7 @@
     return true;
 }
 
-bool JobCache::take_part(const std::string& ref, std::size_t part, const Value* value,
-                         Revision mod_revision) {
+bool JobCache::take_part(const std::string& ref, std::size_t part, const Json* value, Revision mod_revision) {
     auto job = live_.find(ref);
     if (job == live_.end()) return false;
     if (!value) {
@@ -147,10 +146,10 @@
     }
 }
 
-void JobCache::prove(const std::string& ref, Revision shadow) {
+void JobCache::prove(const std::string& ref, Revision legacy_revision) {
     auto live = live_.find(ref);
     if (live == live_.end() || live->second.place != RecordLocation::Active) return;
-    live->second.shadow = shadow;
+    live->second.legacy_revision = legacy_revision;
     live->second.proven = true;
 }
 
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -27,7 +27,7 @@
     Revision mod_revision = 0;
     std::int64_t ended_ms = 0;  // by the time of day, if its record tells
 
-    static JobView of(const Value& record, Revision mod_revision);
+    static JobView of(const Json& record, Revision mod_revision);
     /// What users are told of it once one before it is cancelled, whatever its record says.
     JobView as_cancelled() const;
     bool final() const { return stage != Stage::Queued; }
@@ -35,12 +35,12 @@
 
 /// A job that is not over, as the store has it.
 struct LiveJob {
-    Value record;
+    Json record;
     Revision mod_revision = 0;
     RecordLocation place = RecordLocation::Job;
     /// Under c/active/: the mark of what stands under c/job/ besides, 0: nothing. That is a record of old
     /// form that came late and counts for nothing; it is in the way of the final record, which must name it.
-    Revision shadow = 0;
+    Revision legacy_revision = 0;
     Revision moved = 0;  // the change that brought it under c/active/, if this process has seen that
     /// Under c/active/: whether it is proven that the job is not over as of what was read. Its final record
     /// stands elsewhere and is not read with the others; the record under c/active/ may outlast it a while.
@@ -62,7 +62,7 @@
     bool cancelled = false;
     bool backing_off = false;  // its owner takes it to be broken
     bool guaranteed = false;   // see JobCache::within_guarantee
-    std::map<std::size_t, std::pair<Value, Revision>> parts;
+    std::map<std::size_t, std::pair<Json, Revision>> parts;
 };
 
 class JobCache {
@@ -70,7 +70,7 @@
     explicit JobCache(const Settings& settings) : settings_(settings) {}
 
     /// News of a job's record. False if it is older than what is known, or counts for nothing.
-    bool take(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision,
+    bool take(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
               Micros now);
     /// A record under c/active/ is gone: the job is over, or about to be heard of.
     void on_record_removed(const std::string& ref);
@@ -83,20 +83,20 @@
     /// Live jobs that may be over by what is known; their final records must be looked for.
     const std::set<std::string>& lost() const { return lost_; }
     /// As of some moment after the job was last read, nothing stood under c/job/ but what `shadow` says.
-    void prove(const std::string& ref, Revision shadow);
+    void prove(const std::string& ref, Revision legacy_revision);
     /// Whether it may be over without our knowing.
     bool unproven(const std::string& ref) const;
     /// Jobs that others need and that are not proven to go on.
     std::vector<std::string> needed_unproven() const;
     /// Conditions on which a change of the job's record rests: it is as known, and the job is not over.
     static std::vector<Condition> as_known(const std::string& ref, RecordLocation place,
-                                           Revision mod_revision, Revision shadow);
+                                           Revision mod_revision, Revision legacy_revision);
     /// Drops what is left over under c/active/ of a job that is over.
     static Change dropped(const Condition& left);
     /// Live jobs whose record is of old form.
     std::size_t in_old_form() const;
     /// News of a further part; null: it is gone. True if the job is live and this is new.
-    bool take_part(const std::string& ref, std::size_t part, const Value* value, Revision mod_revision);
+    bool take_part(const std::string& ref, std::size_t part, const Json* value, Revision mod_revision);
 
     const std::map<std::string, LiveJob>& live() const { return live_; }
     const LiveJob* find(const std::string& ref) const;
--- a/src/cache/machine_type_catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -6,7 +6,7 @@
 
 namespace cottonway {
 
-bool MachineTypeCatalog::merge(const Value& answer) {
+bool MachineTypeCatalog::merge(const Json& answer) {
     auto types = wire::parse_types(answer);
     if (!types || types->empty()) return false;
     for (const auto& t : *types) {
@@ -20,13 +20,13 @@
     return true;
 }
 
-bool MachineTypeCatalog::learn(const Value& answer) {
+bool MachineTypeCatalog::learn(const Json& answer) {
     if (!merge(answer)) return false;
     answer_ = answer;
     return true;
 }
 
-bool MachineTypeCatalog::take(const Value& stored, Revision mod_revision) {
+bool MachineTypeCatalog::take(const Json& stored, Revision mod_revision) {
     if (mod_revision <= stored_.second) return false;
     stored_ = {stored, mod_revision};
     return types_.empty() && merge(stored);
@@ -39,7 +39,7 @@
 }
 
 bool MachineTypeCatalog::outdated() const {
-    auto fixed = [](const Value& answer) {
+    auto fixed = [](const Json& answer) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
         if (auto types = wire::parse_types(answer))
             for (const auto& t : *types) out.emplace(t.name, t.size.cores, t.size.gpus, t.size.ram, t.zones);
--- a/src/cache/machine_type_catalog.hpp
+++ b/src/cache/machine_type_catalog.hpp
@@ -13,26 +13,26 @@
 class MachineTypeCatalog {
   public:
     /// An answer of the cloud. False if it tells nothing.
-    bool learn(const Value& answer);
+    bool learn(const Json& answer);
     /// News of the record that the leader keeps. True if something was learnt from it.
-    bool take(const Value& stored, Revision mod_revision);
+    bool take(const Json& stored, Revision mod_revision);
 
     const MachineType* find(const std::string& name) const;
     /// Addresses in it stay valid.
     const std::deque<MachineType>& types() const { return types_; }
     bool empty() const { return types_.empty(); }
     /// The cloud's last answer, null: none yet.
-    const Value& answer() const { return answer_; }
+    const Json& answer() const { return answer_; }
     Revision stored_mark() const { return stored_.second; }
     /// Whether the store's record differs from the cloud's answer in anything but prices and times.
     bool outdated() const;
 
   private:
-    bool merge(const Value& answer);
+    bool merge(const Json& answer);
 
     std::deque<MachineType> types_;
-    Value answer_;
-    std::pair<Value, Revision> stored_;
+    Json answer_;
+    std::pair<Json, Revision> stored_;
 };
 
 }  // namespace cottonway
--- a/src/cache/membership.cpp
+++ b/src/cache/membership.cpp
@@ -21,14 +21,14 @@
     if (!alive(node)) silent_since_.try_emplace(node, now);
 }
 
-bool Membership::apply_shard(const std::string& name, const Value& value, Revision mod_revision) {
-    Held& d = shards_[name];
+bool Membership::apply_shard(const std::string& name, const Json& value, Revision mod_revision) {
+    ShardRecord& d = shards_[name];
     if (mod_revision <= d.mod_revision) return false;
     d = {wire::text(value, "holder").value_or(""), mod_revision};
     return true;
 }
 
-bool Membership::take_leader(const Value& value, Revision mod_revision) {
+bool Membership::take_leader(const Json& value, Revision mod_revision) {
     if (mod_revision <= leader_.mod_revision) return false;
     leader_ = {wire::text(value, "node").value_or(""), mod_revision};
     return true;
@@ -45,7 +45,7 @@
     return it->second;
 }
 
-const Held* Membership::shard(const std::string& name) const {
+const ShardRecord* Membership::shard(const std::string& name) const {
     auto it = shards_.find(name);
     return it == shards_.end() ? nullptr : &it->second;
 }
--- a/src/cache/membership.hpp
+++ b/src/cache/membership.hpp
@@ -12,7 +12,7 @@
 namespace cottonway {
 
 /// Who holds something (a shard, the lead), and since which change.
-struct Held {
+struct ShardRecord {
     std::string holder;
     Revision mod_revision = 0;
 };
@@ -24,11 +24,11 @@
     /// A node that was not there when everything was read: nothing is known of it from before.
     void missed(const std::string& node, Micros now);
     /// True if this is newer than what is known.
-    bool apply_shard(const std::string& name, const Value& value, Revision mod_revision);
-    bool take_leader(const Value& value, Revision mod_revision);
+    bool apply_shard(const std::string& name, const Json& value, Revision mod_revision);
+    bool take_leader(const Json& value, Revision mod_revision);
     /// What we have just committed ourselves.
-    void set_shard(const std::string& name, Held held) { shards_[name] = std::move(held); }
-    void set_leader(Held held) { leader_ = std::move(held); }
+    void set_shard(const std::string& name, ShardRecord held) { shards_[name] = std::move(held); }
+    void set_leader(ShardRecord held) { leader_ = std::move(held); }
 
     bool alive(const std::string& node) const { return alive_.count(node) > 0; }
     const std::set<std::string>& alive() const { return alive_; }
@@ -40,17 +40,17 @@
     /// first read proves nothing: an outage of the state service may have kept it for long.
     void heard(const std::string& node) { heard_.insert(node); }
     bool ever_heard(const std::string& node) const { return heard_.count(node) > 0; }
-    const Held& leader() const { return leader_; }
-    const std::map<std::string, Held>& shards() const { return shards_; }
-    const Held* shard(const std::string& name) const;
+    const ShardRecord& leader() const { return leader_; }
+    const std::map<std::string, ShardRecord>& shards() const { return shards_; }
+    const ShardRecord* shard(const std::string& name) const;
 
   private:
     std::set<std::string> alive_;
     std::set<std::string> heard_;
     std::map<std::string, Micros> alive_since_;
     std::map<std::string, Micros> silent_since_;
-    Held leader_;
-    std::map<std::string, Held> shards_;
+    ShardRecord leader_;
+    std::map<std::string, ShardRecord> shards_;
 };
 
 }  // namespace cottonway
--- a/src/cache/plan_cache.hpp
+++ b/src/cache/plan_cache.hpp
@@ -11,13 +11,13 @@
 class PlanCache {
   public:
     struct Stored {
-        Value value;                // null: there is no record
+        Json value;                 // null: there is no record
         Revision mod_revision = 0;  // of the record; of its removal where there is none
     };
-    void take(const std::string& shard, const Value* value, Revision mod_revision) {
+    void take(const std::string& shard, const Json* value, Revision mod_revision) {
         if (auto it = stored_.find(shard); it != stored_.end() && mod_revision <= it->second.mod_revision)
             return;
-        stored_[shard] = {value ? *value : Value(), mod_revision};
+        stored_[shard] = {value ? *value : Json(), mod_revision};
     }
     const Stored* find(const std::string& shard) const {
         auto it = stored_.find(shard);
--- a/src/cache/policy_cache.cpp
+++ b/src/cache/policy_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway {
 
-bool PolicyCache::take(const Value* value, Revision mod_revision) {
+bool PolicyCache::take(const Json* value, Revision mod_revision) {
     if (mod_revision <= seen_) return false;
     seen_ = mod_revision;
     mod_revision_ = value ? mod_revision : 0;
--- a/src/cache/policy_cache.hpp
+++ b/src/cache/policy_cache.hpp
@@ -16,7 +16,7 @@
 
     /// True if another policy is in force by this. A damaged record puts the default in force, the same on
     /// all nodes whatever stood there before.
-    bool take(const Value* value, Revision mod_revision);
+    bool take(const Json* value, Revision mod_revision);
     const policy::Policy& in_force() const { return stored_ ? *stored_ : default_; }
     /// Of the record, 0: there is none. A damaged record may still tell one, and so may one of a newer
     /// version that this one can't read.
--- a/src/cache/quota_cache.cpp
+++ b/src/cache/quota_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway {
 
-void QuotaCache::take(const std::string& shard, const Value* value, Revision mod_revision) {
+void QuotaCache::take(const std::string& shard, const Json* value, Revision mod_revision) {
     Stored& s = stored_[shard];
     if (value && mod_revision > s.mod_revision) s = {parse_shares(*value), mod_revision};
 }
--- a/src/cache/quota_cache.hpp
+++ b/src/cache/quota_cache.hpp
@@ -14,12 +14,12 @@
 class QuotaCache {
   public:
     struct Stored {
-        Shares shares;
+        QuotaAllocation shares;
         Revision mod_revision = 0;
     };
     explicit QuotaCache(const std::vector<Team>& teams) : teams_(teams) {}
 
-    void take(const std::string& shard, const Value* value, Revision mod_revision);
+    void take(const std::string& shard, const Json* value, Revision mod_revision);
     const std::map<std::string, Stored>& all() const { return stored_; }
     const Stored* find(const std::string& shard) const;
     /// What a shard may use of a team's limit: its stored part less what is being given away, and less in
@@ -38,7 +38,7 @@
   private:
     const std::vector<Team>& teams_;
     std::map<std::string, Stored> stored_;
-    std::map<std::string, Shares> giving_;
+    std::map<std::string, QuotaAllocation> giving_;
     std::set<std::string> busy_;
 };
 
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -26,10 +26,10 @@
       settings_(settings),
       listener_(listener) {}
 
-void StateCache::take(const std::string& key, const Value* value, Revision mod_revision) {
+void StateCache::take(const std::string& key, const Json* value, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
     if (starts_with(key, keys::chunk)) return store_.chunk_store().take(key, value, runtime_.now());
-    std::optional<Value> whole;
+    std::optional<Json> whole;
     if (!value || !chunks::named_by(*value)) {
         store_.chunk_store().on_record_removed(key);
     } else if (whole = store_.chunk_store().whole(key, *value); whole) {
@@ -86,7 +86,7 @@
 
 /// Closed at first: from then on no record of old form is admitted, since that rests on this one not being
 /// there. Apart once a look after that has shown that none is left.
-void StateCache::take_history(const Value& value, Revision mod_revision) {
+void StateCache::take_history(const Json& value, Revision mod_revision) {
     if (mod_revision <= history_mark_) return;
     history_mark_ = mod_revision;
     history_ = wire::flag(value, "apart").value_or(false) ? History::Apart : History::Closed;
@@ -134,7 +134,7 @@
     }
 }
 
-void StateCache::learn(const Value& answer) {
+void StateCache::learn(const Json& answer) {
     if (!types.learn(answer)) return;
     jobs.weigh_again();
     listener_.on_news();
@@ -150,7 +150,8 @@
 std::size_t StateCache::machines_at(const std::string& node) const {
     std::size_t n = 0;
     for (const auto& [id, block] : blocks.all())
-        if (const Held* d = membership.shard(block.shard); d && d->holder == node) n += block.machines.size();
+        if (const ShardRecord* d = membership.shard(block.shard); d && d->holder == node)
+            n += block.machines.size();
     return n;
 }
 
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -23,9 +23,9 @@
     /// Told of changes, after they have been taken in.
     class Listener : public BlockCache::Listener {
       public:
-        virtual void on_job(const std::string& ref, RecordLocation place, const Value& value,
+        virtual void on_job(const std::string& ref, RecordLocation place, const Json& value,
                             Revision mod_revision) = 0;
-        virtual void on_part(const std::string& ref, std::size_t part, const Value& value,
+        virtual void on_part(const std::string& ref, std::size_t part, const Json& value,
                              Revision mod_revision) = 0;
         /// The job stands differently among those that need one another.
         virtual void on_dependency_status(const std::string& ref) = 0;
@@ -38,7 +38,7 @@
     };
     StateCache(Runtime& runtime, StoreClient& store, const Settings& settings, Listener& listener);
 
-    void take(const std::string& key, const Value* value, Revision mod_revision) override;
+    void take(const std::string& key, const Json* value, Revision mod_revision) override;
     void on_resync_begin() override;
     std::string go_on_after(const std::string& key) override;
     void on_resync_end(const std::set<std::string>& seen, Revision store_revision) override;
@@ -53,7 +53,7 @@
     /// Passes on what has changed for jobs that need others, or are needed.
     void settle();
     /// Machine types, as the cloud has just told them.
-    void learn(const Value& answer);
+    void learn(const Json& answer);
 
     /// Machines of a shard, and of all shards that a node holds.
     std::size_t machines_in(const std::string& shard) const;
@@ -73,10 +73,10 @@
 
     /// How far the records of live jobs have been moved out of history: see keys::history.
     enum class History { Open, Closed, Apart };
-    static Value history_value(History h) { return {{"apart", h == History::Apart}}; }
+    static Json history_value(History h) { return {{"apart", h == History::Apart}}; }
 
   private:
-    void take_history(const Value& value, Revision mod_revision);
+    void take_history(const Json& value, Revision mod_revision);
 
     History history_ = History::Open;
     Revision history_mark_ = 0;
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-void print(const Value& value) {
-    std::cout << value.dump(2, ' ', false, Value::error_handler_t::replace) << "\n";
+void print(const Json& value) {
+    std::cout << value.dump(2, ' ', false, Json::error_handler_t::replace) << "\n";
 }
 
 /// Tells what went wrong; true if something did.
@@ -26,28 +26,28 @@
 
 }  // namespace
 
-Answer ask(const Endpoint& to, const std::string& method, const std::string& path, const Value& body) {
+Answer ask(const Endpoint& to, const std::string& method, const std::string& path, const Json& body) {
     asio::io_context io(1);
     net::HttpClient client(io, 1, 1);
     Answer answer;
     client.call(to, method, path, body.is_null() ? std::string() : wire::encode(body), 5 * kSecond,
                 [&](const net::ClientReply& r) {
                     answer.status = r.status;
-                    if (!r.body.empty()) answer.body = wire::decode(r.body).value_or(Value());
+                    if (!r.body.empty()) answer.body = wire::decode(r.body).value_or(Json());
                 });
     io.run();
     return answer;
 }
 
-int request(const Endpoint& to, const std::string& method, const std::string& path, const Value& body) {
+int request(const Endpoint& to, const std::string& method, const std::string& path, const Json& body) {
     const Answer a = ask(to, method, path, body);
     if (a.status != 0) print(a.body);
     return complain(to, path, a) ? 1 : 0;
 }
 
-int submit(const Endpoint& to, const Value& jobs) {
+int submit(const Endpoint& to, const Json& jobs) {
     if (!jobs.is_array()) return request(to, "POST", "/v1/jobs", jobs);
-    Value answers = Value::array();
+    Json answers = Json::array();
     int code = 0;
     for (const auto& job : jobs) {
         const Answer a = ask(to, "POST", "/v1/jobs", job);
@@ -61,10 +61,10 @@
 }
 
 int show(const Endpoint& to, const std::vector<std::string>& refs) {
-    Value answers = Value::array();
+    Json answers = Json::array();
     int code = 0;
     for (const auto& ref : refs) {
-        const Answer a = ask(to, "GET", "/v1/jobs/" + ref, Value());
+        const Answer a = ask(to, "GET", "/v1/jobs/" + ref, Json());
         if (complain(to, ref, a)) code = 1;
         if (a.status == 200) answers.push_back(a.body);
     }
@@ -77,10 +77,10 @@
 
 namespace {
 /// The entry of a controller's status; nothing, with the reason told, if there is none.
-std::optional<Value> policy_of(const Endpoint& to) {
-    const Answer a = ask(to, "GET", "/status", Value());
+std::optional<Json> policy_of(const Endpoint& to) {
+    const Answer a = ask(to, "GET", "/status", Json());
     if (complain(to, "/status", a)) return std::nullopt;
-    const Value* found = wire::find(a.body, "policy");
+    const Json* found = wire::find(a.body, "policy");
     if (found && found->is_object() && found->contains("value")) return *found;
     std::cerr << "cottonway: " << to.host << ":" << to.port << " is of a version without policies\n";
     return std::nullopt;
@@ -102,10 +102,10 @@
 }
 
 int policy_diff(const std::string& file, const Endpoint& to) {
-    const Value ours = policy::describe(policy::load(file, nullptr));
+    const Json ours = policy::describe(policy::load(file, nullptr));
     const auto entry = policy_of(to);
     if (!entry) return 1;
-    const Value changes = Value::diff(entry->at("value"), ours);
+    const Json changes = Json::diff(entry->at("value"), ours);
     print(changes);
     return changes.empty() ? 0 : 1;
 }
--- a/src/cli/client.hpp
+++ b/src/cli/client.hpp
@@ -13,16 +13,16 @@
 /// The answer to one request; status 0: none.
 struct Answer {
     int status = 0;
-    Value body;
+    Json body;
 };
-Answer ask(const Endpoint& to, const std::string& method, const std::string& path, const Value& body);
+Answer ask(const Endpoint& to, const std::string& method, const std::string& path, const Json& body);
 
 /// Sends one request and prints the answer's body. Returns the process's exit code: 0 for an answer below
 /// 300, 1 for any other, or none.
-int request(const Endpoint& to, const std::string& method, const std::string& path, const Value& body);
+int request(const Endpoint& to, const std::string& method, const std::string& path, const Json& body);
 /// Submits a job, or the jobs of a list one after another, each as soon as those before it are accepted;
 /// prints the answer, or a list of them.
-int submit(const Endpoint& to, const Value& jobs);
+int submit(const Endpoint& to, const Json& jobs);
 /// Prints a job, or a list of them.
 int show(const Endpoint& to, const std::vector<std::string>& refs);
 
--- a/src/cli/verify.cpp
+++ b/src/cli/verify.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-void print(const std::vector<recovery::Finding>& findings, const Value& summary, bool json) {
+void print(const std::vector<recovery::Finding>& findings, const Json& summary, bool json) {
     auto weight = [](const recovery::Finding& f) {
         return f.weight == recovery::Finding::Weight::Damage ? "damage" : "notice";
     };
     if (json) {
-        Value list = Value::array();
+        Json list = Json::array();
         for (const auto& f : findings)
             list.push_back({{"weight", weight(f)}, {"key", f.key}, {"what", f.what}});
-        std::cout << Value{{"findings", std::move(list)}, {"read", summary}}.dump(2) << "\n";
+        std::cout << Json{{"findings", std::move(list)}, {"read", summary}}.dump(2) << "\n";
         return;
     }
     for (const auto& f : findings) std::cout << weight(f) << ": " << f.key << " " << f.what << "\n";
--- a/src/shard/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -1,4 +1,4 @@
-#include "shard/job_archiver.hpp"
+#include "cluster/job_archiver.hpp"
 
 #include <memory>
 #include <utility>
@@ -25,13 +25,13 @@
     };
     for (const auto& ref : refs) {
         const LiveJob* job = cache_.jobs.find(ref);
-        const Revision shadow = job ? job->shadow : 0;
+        const Revision legacy_revision = job ? job->legacy_revision : 0;
         // Many of these make one request, and none is a change.
         Change compare;
-        compare.when.push_back({keys::job + ref, shadow});
-        store_.commit(std::move(compare), [this, ref, shadow, drop, one](const CommitResult& r) {
+        compare.when.push_back({keys::job + ref, legacy_revision});
+        store_.commit(std::move(compare), [this, ref, legacy_revision, drop, one](const CommitResult& r) {
             if (r.status == CommitStatus::Conflict) return read_final(ref, drop, one);
-            if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, shadow);
+            if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
             one(r.status == CommitStatus::Ok);
         });
     }
@@ -43,7 +43,7 @@
         if (!r.ok || !job) return done(r.ok);
         if (r.found && !wire::find(r.value, "d")) {
             if (drop && job->place == RecordLocation::Active)
-                left_over_.push_back({keys::active + ref, job->mod_revision});
+                stale_records_.push_back({keys::active + ref, job->mod_revision});
             cache_.take(keys::job + ref, &r.value, r.mod_revision);
         } else if (job->place == RecordLocation::Active) {
             cache_.jobs.prove(ref, r.mod_revision);  // of old form, and late: it counts for nothing
@@ -56,7 +56,7 @@
     if (!feed_.loaded()) return;
     look_for_lost();
     prove_needed();
-    drop_left_over();
+    drop_stale_records();
     set_apart();
 }
 
@@ -88,10 +88,10 @@
     prove(refs, false, [this](bool) { proving_ = false; });
 }
 
-void JobArchiver::drop_left_over() {
-    while (!left_over_.empty() && store_.room(Priority::Deferrable)) {
-        const Condition left = left_over_.back();
-        left_over_.pop_back();
+void JobArchiver::drop_stale_records() {
+    while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
+        const Condition left = stale_records_.back();
+        stale_records_.pop_back();
         store_.commit(JobCache::dropped(left), [](const CommitResult&) {});
     }
 }
@@ -108,7 +108,7 @@
     if (cache_.history_closed()) {
         if (closed_seen_ != mod_revision) {
             writing_ = true;
-            return feed_.after_look([this, mod_revision](bool ok) {
+            return feed_.after_next_refresh([this, mod_revision](bool ok) {
                 writing_ = false;
                 if (ok) closed_seen_ = mod_revision;
             });
@@ -117,7 +117,7 @@
         next = State::Apart;
     }
     writing_ = true;
-    const Value value = StateCache::history_value(next);
+    const Json value = StateCache::history_value(next);
     Change change;
     change.when = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
     change.then.push_back({keys::history, value});
@@ -128,7 +128,7 @@
             spdlog::info("history is {}", next == State::Apart ? "apart: a start reads live jobs only"
                                                                : "closed to records of old form");
         }
-        feed_.after_look([this](bool) { writing_ = false; });
+        feed_.after_next_refresh([this](bool) { writing_ = false; });
     });
 }
 
--- a/src/shard/job_archiver.hpp
+++ b/src/cluster/job_archiver.hpp
@@ -34,7 +34,7 @@
   private:
     void look_for_lost();
     void prove_needed();
-    void drop_left_over();
+    void drop_stale_records();
     void set_apart();
     void read_final(const std::string& ref, bool drop, std::function<void(bool known)> done);
 
@@ -45,7 +45,7 @@
     StateCache& cache_;
     const LeaderElection& election_;
     std::set<std::string> reading_;
-    std::vector<Condition> left_over_;
+    std::vector<Condition> stale_records_;
     bool proving_ = false;
     bool writing_ = false;
     Revision closed_seen_ = 0;  // the closing that a look was begun and taken in after
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -13,7 +13,7 @@
     const Micros now = runtime_.now();
     if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty() || taking_) return;
     if (feed_.confirmed_ago() > 2 * kSecond) return;
-    const Held& leader = cache_.membership.leader();
+    const ShardRecord& leader = cache_.membership.leader();
     if (leader.mod_revision != 0 && leader.holder == settings_.node) {
         if (led_mark_ != leader.mod_revision) lead();
         return;
@@ -33,13 +33,13 @@
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::leader, term()});
-    change.then.push_back({keys::leader, Value{{"node", settings_.node}}});
+    change.then.push_back({keys::leader, Json{{"node", settings_.node}}});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
         if (ok && r.revision > term()) cache_.membership.set_leader({settings_.node, r.revision});
         if (ok) led_mark_ = r.revision;
         // Only what a look begun by now tells includes all that the former leader has done.
-        feed_.after_look([this, ok, mod_revision = r.revision](bool looked) {
+        feed_.after_next_refresh([this, ok, mod_revision = r.revision](bool looked) {
             taking_ = false;
             leaderless_since_ = 0;
             if (!ok) return;
@@ -64,7 +64,8 @@
     change.then.push_back({keys::types, types.answer()});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         // One that the store does not take is not tried again.
-        if (r.status != CommitStatus::Rejected) feed_.after_look([this](bool) { storing_types_ = false; });
+        if (r.status != CommitStatus::Rejected)
+            feed_.after_next_refresh([this](bool) { storing_types_ = false; });
     });
 }
 
--- a/src/cluster/leader_election.hpp
+++ b/src/cluster/leader_election.hpp
@@ -3,8 +3,8 @@
 // mark is the term.
 
 #include "cache/state_cache.hpp"
-#include "cluster/lease_validity.hpp"
 #include "cluster/membership_lease.hpp"
+#include "config/lease_validity.hpp"
 
 namespace cottonway {
 
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -26,7 +26,7 @@
 void MembershipLease::put(Revision mod_revision) {
     Change change;
     change.when.push_back({keys::live + settings_.node, mod_revision});
-    change.then.push_back({keys::live + settings_.node, Value{{"node", settings_.node}}, lease_});
+    change.then.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_});
     change.priority = Priority::Urgent;
     store_.commit(std::move(change), [this](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "cluster/leader_election.hpp"
-#include "cluster/peer_messages.hpp"
 #include "cluster/shard_assignment.hpp"
+#include "peer/messages.hpp"
 
 namespace cottonway {
 
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -51,7 +51,7 @@
 void PolicyPublisher::publish() {
     const Micros now = runtime_.now();
     if (now < not_before_ || !store_.room(Priority::Normal)) return;
-    const Value value = policy::to_value(*file_);
+    const Json value = policy::to_value(*file_);
     if (chunks::stored_size(value) > settings_.value_bytes && !cache_.formats.common(format::kPipelines)) {
         spdlog::info("policy: larger than a value, which not all controllers read yet: it waits");
         return later();
@@ -70,7 +70,7 @@
         }
         // What stands there now, a write of ours without an answer included, is in the news.
         later();
-        feed_.after_look([this](bool) { writing_ = false; });
+        feed_.after_next_refresh([this](bool) { writing_ = false; });
     });
 }
 
@@ -88,12 +88,12 @@
         spdlog::info("policy: the default is in force");
 }
 
-Value PolicyPublisher::status() const {
+Json PolicyPublisher::status() const {
     const PolicyCache& book = cache_.policies;
-    Value v{{"revision", book.in_force().revision},
-            {"value", policy::describe(book.in_force())},
-            {"stored", book.revision()},
-            {"damaged", book.damaged()}};
+    Json v{{"revision", book.in_force().revision},
+           {"value", policy::describe(book.in_force())},
+           {"stored", book.revision()},
+           {"damaged", book.damaged()}};
     if (file_) {
         const DependencyStatus is = standing();
         v["file"] = {{"revision", file_->revision},
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -27,7 +27,7 @@
     void tick();
     /// The policy in force has changed.
     void changed() const;
-    Value status() const;
+    Json status() const;
 
   private:
     enum class DependencyStatus { None, Newer, Stored, Older, Differs };
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -4,9 +4,9 @@
 
 #include "allocation/machine_allocator.hpp"
 #include "cluster/failover.hpp"
-#include "cluster/lease_validity.hpp"
+#include "cluster/job_archiver.hpp"
+#include "config/lease_validity.hpp"
 #include "logging/log.hpp"
-#include "shard/job_archiver.hpp"
 
 namespace cottonway {
 
@@ -77,21 +77,21 @@
 void ShardAssignment::acquire(const std::string& name, bool create) {
     acquiring_.insert(name);
     const std::string& self = context_.settings().node;
-    const Held before = create ? Held{} : cache_.membership.shards().at(name);
+    const ShardRecord before = create ? ShardRecord{} : cache_.membership.shards().at(name);
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::shard + name, before.mod_revision});
-    change.then.push_back({keys::shard + name, Value{{"holder", self}}});
+    change.then.push_back({keys::shard + name, Json{{"holder", self}}});
     context_.store().commit(std::move(change), [this, name, before, self, create](const CommitResult& r) {
         if (r.status != CommitStatus::Ok) {
             // The news tells who holds it, and whether our change was carried out after all.
-            feed_.after_look([this, name](bool) { acquiring_.erase(name); });
+            feed_.after_next_refresh([this, name](bool) { acquiring_.erase(name); });
             return;
         }
         acquiring_.erase(name);
         spdlog::info("domain {}: acquired from {}, token {}", name,
                      before.holder.empty() ? "nobody" : before.holder, r.revision);
-        if (const Held* d = cache_.membership.shard(name); d && d->mod_revision > r.revision)
+        if (const ShardRecord* d = cache_.membership.shard(name); d && d->mod_revision > r.revision)
             return;  // lost again
         cache_.membership.set_shard(name, {self, r.revision});
         // Whoever held it before may still answer workers that we can't reach. That the record names this
@@ -111,7 +111,7 @@
 }
 
 void ShardAssignment::activate(const std::string& name, Revision mod_revision) {
-    feed_.after_look([this, name, mod_revision](bool ok) {
+    feed_.after_next_refresh([this, name, mod_revision](bool ok) {
         const ShardOwner* o = find(name);
         if (!o || o->mod_revision() != mod_revision) return;
         if (!ok) return activate(name, mod_revision);
@@ -141,7 +141,7 @@
     for (const auto& [ref, job] : cache_.jobs.live()) {
         if (job.shard != name) continue;
         o->on_job(ref, job.place, job.record, job.mod_revision);
-        o->on_shadow(ref, job.shadow);
+        o->on_legacy_revision(ref, job.legacy_revision);
         for (const auto& [part, value] : job.parts) o->on_part(ref, part, value.first, value.second);
     }
     o->activate();
@@ -151,7 +151,7 @@
 void ShardAssignment::on_shard(const std::string& name) {
     ownerless_.erase(name);
     const ShardOwner* o = find(name);
-    const Held& held = cache_.membership.shards().at(name);
+    const ShardRecord& held = cache_.membership.shards().at(name);
     if (!o || held.mod_revision <= o->mod_revision()) return;
     spdlog::info("domain {} is held by {} now", name, held.holder);
     release_shard(name);
@@ -192,11 +192,11 @@
     handed_over_at_ = now;
     Change change;
     change.priority = Priority::Urgent;
-    std::vector<std::pair<std::string, Value>> writes;
+    std::vector<std::pair<std::string, Json>> writes;
     for (const auto& [name, node] : moves) {
         spdlog::info("domain {}: handed over to {}", name, node);
         change.when.push_back({keys::shard + name, find(name)->mod_revision()});
-        writes.emplace_back(keys::shard + name, Value{{"holder", node}});
+        writes.emplace_back(keys::shard + name, Json{{"holder", node}});
         change.then.push_back({writes.back().first, writes.back().second});
     }
     context_.store().commit(std::move(change), [this, writes](const CommitResult& r) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "logging/log.hpp"
 
 namespace cottonway {
@@ -77,7 +77,7 @@
     peers_.gossip();
     heartbeat_router_.request_relinquishments();
     capacity_broker_.tick();
-    machine_allocator_.lease_blocks();
+    machine_allocator_.allocate_blocks();
     quota_allocator_.allocate_initial_quota();
     election_.store_types();
     announce_format();
@@ -139,14 +139,13 @@
 
 // ---------------------------------------------------------------- news
 
-void Controller::on_job(const std::string& ref, RecordLocation place, const Value& value,
+void Controller::on_job(const std::string& ref, RecordLocation place, const Json& value,
                         Revision mod_revision) {
     for (const auto& [name, owner] : assignment_.all())
         if (owner && owner->active()) owner->on_job(ref, place, value, mod_revision);
 }
 
-void Controller::on_part(const std::string& ref, std::size_t part, const Value& value,
-                         Revision mod_revision) {
+void Controller::on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) {
     for (const auto& [name, owner] : assignment_.all())
         if (owner && owner->active()) owner->on_part(ref, part, value, mod_revision);
 }
@@ -207,7 +206,7 @@
         return;
     announcing_ = true;
     const std::string key = keys::format + settings_.node;
-    const Value value{{"reads", reads}};
+    const Json value{{"reads", reads}};
     Change change;
     change.then.push_back({key, value});
     change.purpose = "format";
@@ -233,7 +232,7 @@
     for (const auto& [key, list] : by_record)
         store_.read(key, [this, list = list](const ReadResult& r) {
             if (!r.ok) return;
-            feed_.after_look([this, list, mod_revision = r.mod_revision](bool looked) {
+            feed_.after_next_refresh([this, list, mod_revision = r.mod_revision](bool looked) {
                 for (const auto& left : list)
                     if (looked && !store_.chunk_store().named(left.name, left.of))
                         drop_piece(left, mod_revision);
@@ -245,7 +244,7 @@
     Change change;
     change.priority = Priority::Deferrable;
     change.when.push_back({left.of, mod_revision});
-    change.then.push_back({left.key, Value()});
+    change.then.push_back({left.key, Json()});
     change.purpose = "cleanup";
     store_.commit(std::move(change), [](const CommitResult&) {});
 }
@@ -253,18 +252,18 @@
 // ---------------------------------------------------------------- requests
 
 void Controller::handle(ApiRequest request, ApiResponder respond) {
-    if (request.too_large) return respond({413, Value::object()});
+    if (request.too_large) return respond({413, Json::object()});
     // What nobody waits for any more costs no more than this, so that a process that stood still does not
     // fall behind a second time.
     if (request.waited >= (request.method == "GET" ? kPollPatience : kPatience))
         return respond(unavailable());
     const std::string path = request.path.substr(0, request.path.find('?'));
     const bool get = request.method == "GET", post = request.method == "POST";
-    auto wrong_method = [&] { respond({405, Value::object()}); };
+    auto wrong_method = [&] { respond({405, Json::object()}); };
     auto body = [&]() { return wire::decode(request.body); };
     if (path == "/healthz") {
         if (!get) return wrong_method();
-        return respond({job_service_.healthy() ? 200 : 503, Value::object()});
+        return respond({job_service_.healthy() ? 200 : 503, Json::object()});
     }
     if (path == "/v1/report") {
         if (!post) return wrong_method();
@@ -274,7 +273,7 @@
     if (path == jobs) {
         if (!post) return wrong_method();
         auto v = body();
-        return v ? job_service_.submit(*v, std::move(respond)) : respond({400, Value::object()});
+        return v ? job_service_.submit(*v, std::move(respond)) : respond({400, Json::object()});
     }
     if (starts_with(path, jobs + "/")) {
         if (get && job_service_.too_busy_for_polls(late_))
@@ -286,12 +285,12 @@
         if (aborting) ref.resize(ref.size() - abort_end.size());
         if (ref.find('/') == std::string::npos) {
             if (aborting ? !post : !get) return wrong_method();
-            if (!wire::valid_ref(ref)) return respond({404, Value::object()});
+            if (!wire::valid_ref(ref)) return respond({404, Json::object()});
             return aborting ? job_service_.abort(ref, std::move(respond))
                             : job_service_.poll(ref, std::move(respond));
         }
     }
-    respond({404, Value::object()});
+    respond({404, Json::object()});
 }
 
 void Controller::handle_peer(const std::string& bytes, std::function<void(std::string)> respond) {
@@ -337,18 +336,18 @@
     }
 }
 
-Value Controller::explain(const std::string& ref) const {
+Json Controller::explain(const std::string& ref) const {
     const LiveJob* live = cache_.jobs.find(ref);
     const JobView* view = cache_.jobs.known(ref);
     if (!live && !view) return {};
-    Value v{{"ref", ref}, {"policy", policy().revision}};
+    Json v{{"ref", ref}, {"policy", policy().revision}};
     if (!live) {
         v["why"] = {view->stage == Stage::Done        ? "it is done"
                     : view->stage == Stage::Cancelled ? "it is cancelled"
                                                       : "it is over, or about to be heard of again"};
         return v;
     }
-    const Held* shard = cache_.membership.shard(live->shard);
+    const ShardRecord* shard = cache_.membership.shard(live->shard);
     v["domain"] = live->shard;
     v["holder"] = shard ? shard->holder : "";
     const ShardOwner* owner = assignment_.find(live->shard);
@@ -359,7 +358,7 @@
                         : "nobody holds its domain yet"};
         return v;
     }
-    const Value known = owner->explain(ref);
+    const Json known = owner->explain(ref);
     if (known.is_null()) {
         v["why"] = {"its holder has not taken it in yet"};
         return v;
@@ -369,30 +368,30 @@
     return v;
 }
 
-Value Controller::status() {
+Json Controller::status() {
     const Membership& membership = cache_.membership;
-    Value v{{"node", settings_.node},
-            {"version", COTTONWAY_VERSION},
-            {"ledger", feed_.store_revision()},
-            {"alive", membership.alive()},
-            {"jobs_known", cache_.jobs.views()},
-            {"jobs_live", cache_.jobs.live().size()},
-            {"leader", membership.leader().holder},
-            {"confirmed_ms_ago", feed_.confirmed_ago() / kMillisecond}};
-    v["domains"] = Value::array();
+    Json v{{"node", settings_.node},
+           {"version", COTTONWAY_VERSION},
+           {"ledger", feed_.store_revision()},
+           {"alive", membership.alive()},
+           {"jobs_known", cache_.jobs.views()},
+           {"jobs_live", cache_.jobs.live().size()},
+           {"leader", membership.leader().holder},
+           {"confirmed_ms_ago", feed_.confirmed_ago() / kMillisecond}};
+    v["domains"] = Json::array();
     for (const auto& [name, d] : membership.shards()) {
         const auto* stored = cache_.shares.find(name);
         v["domains"].push_back({{"name", name},
                                 {"holder", d.holder},
                                 {"mark", d.mod_revision},
                                 {"cores", cache_.capacity_of(name) / 1000},
-                                {"share", stored ? shares_value(stored->shares) : Value::object()}});
+                                {"share", stored ? shares_value(stored->shares) : Json::object()}});
     }
-    v["held"] = Value::array();
+    v["held"] = Json::array();
     for (const auto& [name, o] : assignment_.all())
         if (o) v["held"].push_back(o->status());
     const DependencyGraph& dependency_graph = cache_.jobs.dependency_graph();
-    v["waiting"] = Value::object();
+    v["waiting"] = Json::object();
     for (const auto& ref : dependency_graph.waiting()) v["waiting"][ref] = dependency_graph.waits_for(ref);
     v["format"] = {{"all_new", cache_.formats.common(format::kPipelines)}, {"reads", cache_.formats.all()}};
     v["policy"] = policies_.status();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -11,9 +11,9 @@
 #include "allocation/capacity_broker.hpp"
 #include "api/heartbeat_router.hpp"
 #include "api/job_service.hpp"
-#include "cluster/lease_validity.hpp"
+#include "cluster/job_archiver.hpp"
 #include "cluster/policy_publisher.hpp"
-#include "shard/job_archiver.hpp"
+#include "config/lease_validity.hpp"
 
 namespace cottonway {
 
@@ -27,9 +27,9 @@
     void handle(ApiRequest request, ApiResponder respond);
     /// A packed message of another controller; answered with "" if there is nothing to say.
     void handle_peer(const std::string& bytes, std::function<void(std::string)> respond);
-    Value status();
+    Json status();
     /// Why a job waits, or who would know; null if it is not known to be there.
-    Value explain(const std::string& ref) const;
+    Json explain(const std::string& ref) const;
     /// The policy of this node's file, which has changed while we run.
     void set_policy_file(policy::Policy file) { policies_.set_file(std::move(file)); }
 
@@ -45,7 +45,7 @@
     const Settings& settings() override { return settings_; }
     const policy::Policy& policy() const override { return cache_.policies.in_force(); }
     const MachineType* machine_type(const std::string& name) override { return cache_.types.find(name); }
-    void ousted(const std::string& shard) override { assignment_.release_shard(shard); }
+    void on_ownership_lost(const std::string& shard) override { assignment_.release_shard(shard); }
     void wake() override;
     Resources share(const std::string& shard, const std::string& team) const override {
         return cache_.shares.part(shard, team);
@@ -57,7 +57,7 @@
         return cache_.jobs.dependency_graph().dependency_status(ref);
     }
     bool all_read(std::uint64_t format) const override { return cache_.formats.common(format); }
-    void settled(const std::string& ref, const Value& value, Revision mod_revision) override {
+    void settled(const std::string& ref, const Json& value, Revision mod_revision) override {
         cache_.take(keys::job + ref, &value, mod_revision);
     }
     std::optional<Micros> peer_ended(std::size_t peer) const override;
@@ -76,10 +76,9 @@
     }
 
     // StateCache::Listener.
-    void on_job(const std::string& ref, RecordLocation place, const Value& value,
+    void on_job(const std::string& ref, RecordLocation place, const Json& value,
                 Revision mod_revision) override;
-    void on_part(const std::string& ref, std::size_t part, const Value& value,
-                 Revision mod_revision) override;
+    void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) override;
     void on_dependency_status(const std::string& ref) override;
     void on_machine(const Block& block, const Block::Machine& machine) override;
     void on_machine_left(const std::string& machine) override;
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -30,7 +30,7 @@
 
 // ---------------------------------------------------------------- state service
 
-void StateService::note(const std::string& key, const Value& value) {
+void StateService::note(const std::string& key, const Json& value) {
     events_.push_back({key, value, store_revision_});
     if (events_.size() > kEvents) events_.pop_front();
 }
@@ -44,7 +44,7 @@
     ++store_revision_;
     for (const auto& key : attached) {
         items_.erase(key);
-        note(key, Value());
+        note(key, Json());
     }
 }
 
@@ -71,8 +71,8 @@
     if (down_) return std::nullopt;
     const std::string prefix = query(path, "starts");
     const auto since = std::stoull(query(path, "since"));
-    if (events_.size() >= kEvents && since < events_.front().mod_revision) return Reply{410, Value::object()};
-    Value news = Value::array();
+    if (events_.size() >= kEvents && since < events_.front().mod_revision) return Reply{410, Json::object()};
+    Json news = Json::array();
     // In the order of their marks.
     auto e = std::upper_bound(
         events_.begin(), events_.end(), since,
@@ -80,27 +80,26 @@
     for (; e != events_.end(); ++e) {
         if (!starts_with(e->key, prefix)) continue;
         if (e->value.is_null())
-            news.push_back(Value{{"drop", e->key}, {"mark", e->mod_revision}});
+            news.push_back(Json{{"drop", e->key}, {"mark", e->mod_revision}});
         else
-            news.push_back(Value{{"write", e->key}, {"data", e->value}, {"mark", e->mod_revision}});
+            news.push_back(Json{{"write", e->key}, {"data", e->value}, {"mark", e->mod_revision}});
     }
     if (news.empty() && !last) return std::nullopt;
-    return Reply{200, Value{{"ledger", store_revision_}, {"news", std::move(news)}}};
+    return Reply{200, Json{{"ledger", store_revision_}, {"news", std::move(news)}}};
 }
 
-Reply StateService::handle(const std::string& method, const std::string& path, const Value& body,
-                           Micros now) {
-    if (down_) return {503, Value::object()};
+Reply StateService::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
+    if (down_) return {503, Json::object()};
     expire(now);
     if (method == "GET" && starts_with(path, "/store/")) {
         auto it = items_.find(path.substr(7));
-        if (it == items_.end()) return {404, Value{{"ledger", store_revision_}}};
-        return {200, Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}}};
+        if (it == items_.end()) return {404, Json{{"ledger", store_revision_}}};
+        return {200, Json{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}}};
     }
     if (method == "GET" && starts_with(path, "/store?")) {
         const std::string prefix = query(path, "starts"), since = query(path, "since");
         const auto page = std::stoul(query(path, "page"));
-        Value pairs = Value::array();
+        Json pairs = Json::array();
         bool more = false;
         for (auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(since);
              it != items_.end() && starts_with(it->first, prefix); ++it) {
@@ -109,69 +108,69 @@
                 break;
             }
             pairs.push_back(
-                Value{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}});
+                Json{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}});
         }
-        return {200, Value{{"pairs", std::move(pairs)}, {"has_next", more}, {"ledger", store_revision_}}};
+        return {200, Json{{"pairs", std::move(pairs)}, {"has_next", more}, {"ledger", store_revision_}}};
     }
     if (method == "POST" && path == "/commit") return commit(body, now);
     if (method == "POST" && path == "/grants") {
         const auto ttl = static_cast<Micros>(wire::count(body, "ttl_ms").value_or(0)) * kMillisecond;
         leases_[next_lease_] = {ttl, now + ttl};
-        return {200, Value{{"lien", next_lease_++}}};
+        return {200, Json{{"lien", next_lease_++}}};
     }
     if (method == "POST" && starts_with(path, "/grants/")) {
         auto it = leases_.find(std::stoull(path.substr(8)));
-        if (it == leases_.end()) return {404, Value::object()};
+        if (it == leases_.end()) return {404, Json::object()};
         it->second.until = now + it->second.ttl;
-        return {200, Value::object()};
+        return {200, Json::object()};
     }
-    return {400, Value::object()};
+    return {400, Json::object()};
 }
 
-Reply StateService::commit(const Value& body, Micros now) {
-    const Value* ops = wire::find(body, "then");
-    const Value* conditions = wire::find(body, "when");
+Reply StateService::commit(const Json& body, Micros now) {
+    const Json* ops = wire::find(body, "then");
+    const Json* conditions = wire::find(body, "when");
     const std::size_t count = ops ? ops->size() : 0;
     if (count > limits.txn_ops || (conditions && conditions->size() > 4 * limits.txn_ops))
-        return {400, Value{{"error", "too many operations"}}};
+        return {400, Json{{"error", "too many operations"}}};
     for (std::size_t i = 0; i < count; ++i)
-        if (const Value* data = wire::find((*ops)[i], "data");
+        if (const Json* data = wire::find((*ops)[i], "data");
             data && data->dump().size() > limits.value_bytes)
-            return {400, Value{{"error", "value too large"}}};
+            return {400, Json{{"error", "value too large"}}};
     if (limits.write_rps > 0 && count > 0) {
         writes_left_ = std::min(
             limits.write_rps, writes_left_ + limits.write_rps * static_cast<double>(now - writes_at_) / 1e6);
         writes_at_ = now;
-        if (writes_left_ < static_cast<double>(count)) return {429, Value::object()};
+        if (writes_left_ < static_cast<double>(count)) return {429, Json::object()};
         writes_left_ -= static_cast<double>(count);
     }
-    Value failed = Value::array();
-    if (const Value* when = wire::find(body, "when"))
+    Json failed = Json::array();
+    if (const Json* when = wire::find(body, "when"))
         for (const auto& c : *when) {
             const std::string key = wire::text(c, "k").value_or("");
             auto it = items_.find(key);
             if ((it == items_.end() ? 0 : it->second.mod_revision) != wire::count(c, "mark").value_or(0))
                 failed.push_back(key);
         }
-    if (!failed.empty()) return {409, Value{{"failed", failed}, {"ledger", store_revision_}}};
-    const Value* then = wire::find(body, "then");
-    if (!then) return {200, Value{{"ledger", store_revision_}}};
+    if (!failed.empty()) return {409, Json{{"failed", failed}, {"ledger", store_revision_}}};
+    const Json* then = wire::find(body, "then");
+    if (!then) return {200, Json{{"ledger", store_revision_}}};
     for (const auto& op : *then)
         if (auto lease = wire::count(op, "lien"); lease && !leases_.count(*lease))
-            return {400, Value{{"error", "no such lease"}}};
+            return {400, Json{{"error", "no such lease"}}};
     ++store_revision_;
     // All are one change, so the news may tell of them in any order: the last first.
     for (auto op = then->rbegin(); op != then->rend(); ++op) {
         if (auto key = wire::text(*op, "write")) {
-            const Value* data = wire::find(*op, "data");
-            items_[*key] = {data ? *data : Value(), store_revision_, wire::count(*op, "lien").value_or(0)};
+            const Json* data = wire::find(*op, "data");
+            items_[*key] = {data ? *data : Json(), store_revision_, wire::count(*op, "lien").value_or(0)};
             note(*key, items_[*key].value);
         } else if (auto drop = wire::text(*op, "drop")) {
             items_.erase(*drop);
-            note(*drop, Value());
+            note(*drop, Json());
         }
     }
-    return {200, Value{{"ledger", store_revision_}}};
+    return {200, Json{{"ledger", store_revision_}}};
 }
 
 void add_history(StateService& state, int jobs) {
@@ -304,7 +303,7 @@
     }
 }
 
-void Worker::execute(const Value& orders, Micros now) {
+void Worker::execute(const Json& orders, Micros now) {
     for (const auto& o : orders) {
         const std::string kind = wire::text(o, "order").value_or("");
         const std::string name = wire::text(o, "thread").value_or("/");
@@ -353,26 +352,26 @@
     advance(now);
 }
 
-Value Worker::report(Micros now) {
+Json Worker::report(Micros now) {
     advance(now);
     changed = false;
-    Value tasks = Value::array();
+    Json tasks = Json::array();
     for (const auto& t : tasks_) {
         static const char* const names[] = {"pulling", "gathering", "running", "saving", "exited"};
-        Value v{{"thread", t.job + "/" + std::to_string(t.task)},
-                {"try", t.attempt},
-                {"stage", names[static_cast<int>(t.phase)]}};
+        Json v{{"thread", t.job + "/" + std::to_string(t.task)},
+               {"try", t.attempt},
+               {"stage", names[static_cast<int>(t.phase)]}};
         if (t.phase == Phase::Exited) v["cause"] = t.cause;
         tasks.push_back(std::move(v));
     }
-    Value v{{"frame", name_},  {"addr", addr_},     {"loom_type", type_.name},
-            {"mill", zone_},   {"remnant", spot_},  {"shift", session_},
-            {"tally", ++seq_}, {"shuttle", token_}, {"threads", std::move(tasks)}};
+    Json v{{"frame", name_},  {"addr", addr_},     {"loom_type", type_.name},
+           {"mill", zone_},   {"remnant", spot_},  {"shift", session_},
+           {"tally", ++seq_}, {"shuttle", token_}, {"threads", std::move(tasks)}};
     if (notice) v["warning_s"] = static_cast<double>(std::max<Micros>(*notice - now, 0)) / 1e6;
     return v;
 }
 
-void Worker::answered(const Value& body, std::uint64_t session_then, Micros sent, Micros now) {
+void Worker::answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now) {
     advance(now);
     if (session_then != session_) return;
     const auto token = wire::count(body, "shuttle");
@@ -380,18 +379,18 @@
     if (*token > token_) changed = true;
     token_ = *token;
     leased_from_ = std::max(leased_from_, sent);
-    if (const Value* orders = wire::find(body, "orders")) execute(*orders, now);
+    if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
 }
 
-Reply Worker::handle(const std::string& method, const std::string& path, const Value& body, Micros now) {
+Reply Worker::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
     advance(now);
     if (method == "GET" && path == "/show") return {200, report(now)};
     const auto token = wire::count(body, "shuttle"), session = wire::count(body, "shift");
-    if (!token || !session) return {400, Value::object()};
+    if (!token || !session) return {400, Json::object()};
     if (*token < token_ || *session != session_) return {409, report(now)};
     if (*token > token_) changed = true;
     token_ = *token;
-    if (const Value* orders = wire::find(body, "orders")) execute(*orders, now);
+    if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
     return {200, report(now)};
 }
 
@@ -423,46 +422,46 @@
 }
 
 /// As of a moment in the past.
-void Cloud::list(const std::string& name, Machine& m, Micros as_of, Value& to) const {
+void Cloud::list(const std::string& name, Machine& m, Micros as_of, Json& to) const {
     static const char* const states[] = {"starting", "running", "failed"};
     m.listed = m.listed || m.rented <= as_of;
     if (!m.listed || (m.gone_at > 0 && m.gone_at <= as_of)) return;
     const bool then_up = m.up_at <= as_of || list_lag == 0;
     const CloudState state = then_up ? m.info.state : CloudState::Starting;
-    to.push_back(Value{{"ref", name},
-                       {"addr", then_up ? m.info.addr : ""},
-                       {"loom_type", m.info.type},
-                       {"mill", m.info.zone},
-                       {"remnant", m.info.spot},
-                       {"stage", states[static_cast<int>(state)]},
-                       {"held_s", static_cast<double>(std::max<Micros>(as_of - m.rented, 0)) / 1e6}});
+    to.push_back(Json{{"ref", name},
+                      {"addr", then_up ? m.info.addr : ""},
+                      {"loom_type", m.info.type},
+                      {"mill", m.info.zone},
+                      {"remnant", m.info.spot},
+                      {"stage", states[static_cast<int>(state)]},
+                      {"held_s", static_cast<double>(std::max<Micros>(as_of - m.rented, 0)) / 1e6}});
 }
 
-Reply Cloud::handle(const std::string& method, const std::string& path, const Value& body, Micros now) {
-    if (down) return {503, Value{{"error", "trouble"}}};
+Reply Cloud::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
+    if (down) return {503, Json{{"error", "trouble"}}};
     if (method == "GET" && path == "/machine_types") {
-        Value list = Value::array();
+        Json list = Json::array();
         for (const auto& t : types_)
-            list.push_back(Value{{"name", t.name},
-                                 {"cores", static_cast<double>(t.size.cores) / 1000},
-                                 {"cards", static_cast<double>(t.size.gpus) / 1000},
-                                 {"ram_gb", static_cast<double>(t.size.ram) / 1000},
-                                 {"cache_gb", static_cast<double>(t.cache_gb) / 1000},
-                                 {"fetch_gb_per_s", t.fetch_gb_per_s},
-                                 {"price", t.price},
-                                 {"spot_price", t.spot_price},
-                                 {"ready_s", static_cast<double>(t.boot) / 1e6},
-                                 {"mills", t.zones}});
-        return {200, Value{{"looms", list}}};
+            list.push_back(Json{{"name", t.name},
+                                {"cores", static_cast<double>(t.size.cores) / 1000},
+                                {"cards", static_cast<double>(t.size.gpus) / 1000},
+                                {"ram_gb", static_cast<double>(t.size.ram) / 1000},
+                                {"cache_gb", static_cast<double>(t.cache_gb) / 1000},
+                                {"fetch_gb_per_s", t.fetch_gb_per_s},
+                                {"price", t.price},
+                                {"spot_price", t.spot_price},
+                                {"ready_s", static_cast<double>(t.boot) / 1e6},
+                                {"mills", t.zones}});
+        return {200, Json{{"looms", list}}};
     }
     if (method == "POST" && path == "/machines") {
         const std::string name = wire::text(body, "hire").value_or("");
         auto known = requests_.find(name);
-        if (known != requests_.end()) return {200, Value{{"frames", known->second}}};
+        if (known != requests_.end()) return {200, Json{{"frames", known->second}}};
         const auto* t = type(wire::text(body, "loom_type").value_or(""));
-        if (!t || name.empty()) return {400, Value::object()};
+        if (!t || name.empty()) return {400, Json::object()};
         const int count = std::min(static_cast<int>(wire::count(body, "how_many").value_or(0)), capacity);
-        if (count == 0) return {503, Value{{"error", "no capacity"}}};
+        if (count == 0) return {503, Json{{"error", "no capacity"}}};
         std::vector<std::string> names;
         for (int i = 0; i < count; ++i) {
             names.push_back(rent_one(t->name, wire::text(body, "mill").value_or(""),
@@ -470,10 +469,10 @@
             --capacity;
         }
         requests_[name] = names;
-        return {200, Value{{"frames", names}}};
+        return {200, Json{{"frames", names}}};
     }
     if (method == "POST" && path == "/machines/delete") {
-        if (const Value* names = wire::find(body, "frames"))
+        if (const Json* names = wire::find(body, "frames"))
             for (const auto& n : *names) {
                 const auto name = n.get<std::string>();
                 if (auto m = machines_.extract(name)) {
@@ -483,17 +482,17 @@
                 }
                 if (on_delete) on_delete(name);
             }
-        return {200, Value::object()};
+        return {200, Json::object()};
     }
     if (method == "GET" && starts_with(path, "/machines?")) {
-        Value frames = Value::array();
+        Json frames = Json::array();
         const Micros as_of =
             now - (list_lag > 0 ? list_lag + static_cast<Micros>(random_()) % (list_lag + 1) : 0);
         for (auto& [name, m] : machines_) list(name, m, as_of, frames);
         for (auto& [name, m] : gone_) list(name, m, as_of, frames);
-        return {200, Value{{"frames", std::move(frames)}, {"has_next", false}}};
+        return {200, Json{{"frames", std::move(frames)}, {"has_next", false}}};
     }
-    return {404, Value::object()};
+    return {404, Json::object()};
 }
 
 }  // namespace cottonway::fakes
--- a/src/fakes/fakes.hpp
+++ b/src/fakes/fakes.hpp
@@ -21,7 +21,7 @@
 /// over.
 class StateService {
   public:
-    Reply handle(const std::string& method, const std::string& path, const Value& body, Micros now);
+    Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
     /// The reply to a watch, or nothing while it blocks.
     std::optional<Reply> watch(const std::string& path, bool last);
     static Micros block_time(const std::string& path);
@@ -29,7 +29,7 @@
     void expire(Micros now);
     bool down() const { return down_; }
     /// Puts a record there before anybody looks, beside all limits.
-    void put(const std::string& key, Value value) { items_[key] = {std::move(value), store_revision_, 0}; }
+    void put(const std::string& key, Json value) { items_[key] = {std::move(value), store_revision_, 0}; }
     /// What it takes; more is answered 400, and changes beyond the rate 429. They may be lowered at any time.
     struct Limits {
         std::size_t value_bytes = 64 * 1024;
@@ -40,7 +40,7 @@
 
   private:
     struct Item {
-        Value value;
+        Json value;
         std::uint64_t mod_revision = 0;
         std::uint64_t lease = 0;
     };
@@ -50,12 +50,12 @@
     };
     struct Event {
         std::string key;
-        Value value;  // null: dropped
+        Json value;  // null: dropped
         std::uint64_t mod_revision = 0;
     };
-    Reply commit(const Value& body, Micros now);
+    Reply commit(const Json& body, Micros now);
     void drop_lease(std::uint64_t id);
-    void note(const std::string& key, const Value& value);
+    void note(const std::string& key, const Json& value);
 
     std::map<std::string, Item> items_;
     std::map<std::uint64_t, Lease> leases_;
@@ -103,10 +103,10 @@
     ~Worker();
 
     /// POST /do, GET /show.
-    Reply handle(const std::string& method, const std::string& path, const Value& body, Micros now);
+    Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
     /// A report's body; `sent` is needed when it is answered.
-    Value report(Micros now);
-    void answered(const Value& body, std::uint64_t session_then, Micros sent, Micros now);
+    Json report(Micros now);
+    void answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now);
     void advance(Micros now);
     /// Ends the session if its lease is over; a machine that hangs does no more than that.
     void expire(Micros now);
@@ -135,7 +135,7 @@
         Micros since = 0;
         bool on = false;
     };
-    void execute(const Value& orders, Micros now);
+    void execute(const Json& orders, Micros now);
     void exit(Task& t, const char* cause);
     /// Images that tasks wait for share the machine's rate; the least recently used leave its cache.
     void fetch(Micros now);
@@ -173,7 +173,7 @@
     };
     explicit Cloud(std::vector<MachineType> types) : types_(std::move(types)) {}
 
-    Reply handle(const std::string& method, const std::string& path, const Value& body, Micros now);
+    Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
     std::string rent_one(const std::string& type, const std::string& zone, bool spot, Micros now,
                          Micros boot);
     std::map<std::string, Machine>& machines() { return machines_; }
@@ -189,7 +189,7 @@
     const std::map<std::string, std::vector<std::string>>& rentals() const { return requests_; }
 
   private:
-    void list(const std::string& name, Machine& m, Micros as_of, Value& to) const;
+    void list(const std::string& name, Machine& m, Micros as_of, Json& to) const;
 
     std::vector<MachineType> types_;
     std::map<std::string, Machine> machines_;
--- a/src/kvstore/chunks.cpp
+++ b/src/kvstore/chunks.cpp
@@ -13,28 +13,28 @@
 constexpr std::size_t kFrame = 120;  // of a piece besides its text
 constexpr Micros kLeftOver = 60 * kSecond;
 
-std::string text_of(const Value& value) {
-    return value.dump(-1, ' ', false, Value::error_handler_t::replace);
+std::string text_of(const Json& value) {
+    return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 }  // namespace
 
-std::size_t stored_size(const Value& value) {
+std::size_t stored_size(const Json& value) {
     const std::string text = text_of(value);
     return text.size() + static_cast<std::size_t>(std::count_if(text.begin(), text.end(),
                                                                 [](char c) { return c == ',' || c == ':'; }));
 }
 
-Split split(const Value& value, const std::string& name, std::size_t limit) {
+Split split(const Json& value, const std::string& name, std::size_t limit) {
     Split out;
-    out.head = Value::object();
-    Value rest = Value::object();
+    out.head = Json::object();
+    Json rest = Json::object();
     for (const auto& [key, v] : value.items()) {
         const bool small = v.is_number() || v.is_boolean() ||
                            (v.is_string() && v.get_ref<const std::string&>().size() <= kShort);
         (small ? out.head : rest)[key] = v;
     }
     // As JSON in ASCII, in which a character of the text takes two at the most.
-    const std::string text = rest.dump(-1, ' ', true, Value::error_handler_t::replace);
+    const std::string text = rest.dump(-1, ' ', true, Json::error_handler_t::replace);
     std::string chunk;
     std::size_t bytes = kFrame;
     for (const char c : text) {
@@ -47,21 +47,21 @@
         chunk += c;
     }
     out.texts.push_back(chunk);
-    out.head["x"] = Value::array({name, out.texts.size()});
+    out.head["x"] = Json::array({name, out.texts.size()});
     return out;
 }
 
-std::optional<std::pair<std::string, std::size_t>> named_by(const Value& value) {
-    const Value* x = wire::find(value, "x");
+std::optional<std::pair<std::string, std::size_t>> named_by(const Json& value) {
+    const Json* x = wire::find(value, "x");
     if (!x || !x->is_array() || x->size() != 2 || !(*x)[0].is_string() || !(*x)[1].is_number_unsigned())
         return std::nullopt;
     return std::pair((*x)[0].get<std::string>(), (*x)[1].get<std::size_t>());
 }
 
-std::optional<Value> join(const Value& head, const std::vector<std::string>& texts) {
+std::optional<Json> join(const Json& head, const std::vector<std::string>& texts) {
     std::string text;
     for (const auto& t : texts) text += t;
-    Value value = Value::parse(text, nullptr, false);
+    Json value = Json::parse(text, nullptr, false);
     if (!value.is_object()) return std::nullopt;
     for (const auto& [key, v] : head.items())
         if (key != "x") value[key] = v;
@@ -72,11 +72,11 @@
     return keys::chunk + name + "/" + std::to_string(index);
 }
 
-Value chunk(const std::string& of, const std::string& text) {
+Json chunk(const std::string& of, const std::string& text) {
     return {{"of", of}, {"t", text}};
 }
 
-void ChunkStore::take(const std::string& key, const Value* value, Micros now) {
+void ChunkStore::take(const std::string& key, const Json* value, Micros now) {
     const auto slash = key.rfind('/');
     if (slash == std::string::npos || slash <= keys::chunk.size()) return;
     const std::string name = key.substr(keys::chunk.size(), slash - keys::chunk.size());
@@ -88,13 +88,13 @@
         if (it->second.texts.empty()) held_.erase(it);
         return;
     }
-    Held& held = held_[name];
+    ShardRecord& held = held_[name];
     if (held.since == 0) held.since = now;
     held.of = wire::text(*value, "of").value_or("");
     held.texts[index] = wire::text(*value, "t").value_or("");
 }
 
-std::optional<Value> ChunkStore::whole(const std::string& key, const Value& stored) {
+std::optional<Json> ChunkStore::whole(const std::string& key, const Json& stored) {
     const auto named = named_by(stored);
     if (!named) {
         on_record_removed(key);
--- a/src/kvstore/chunks.hpp
+++ b/src/kvstore/chunks.hpp
@@ -14,28 +14,28 @@
 namespace cottonway::chunks {
 
 /// The size of a value as the service may count it: in JSON, with a blank after every comma and colon.
-std::size_t stored_size(const Value& value);
+std::size_t stored_size(const Json& value);
 
 struct Split {
-    Value head;
+    Json head;
     std::vector<std::string> texts;
 };
 /// The head keeps what is small, so that a look at it tells as much as one needs of a job that is only asked
 /// after.
-Split split(const Value& value, const std::string& name, std::size_t limit);
+Split split(const Json& value, const std::string& name, std::size_t limit);
 /// The name and the number of the pieces, if it is a head.
-std::optional<std::pair<std::string, std::size_t>> named_by(const Value& value);
-std::optional<Value> join(const Value& head, const std::vector<std::string>& texts);
+std::optional<std::pair<std::string, std::size_t>> named_by(const Json& value);
+std::optional<Json> join(const Json& head, const std::vector<std::string>& texts);
 
 std::string key(const std::string& name, std::size_t index);
-Value chunk(const std::string& of, const std::string& text);
+Json chunk(const std::string& of, const std::string& text);
 
 /// The pieces that the news has told of.
 class ChunkStore {
   public:
-    void take(const std::string& key, const Value* value, Micros now);
+    void take(const std::string& key, const Json* value, Micros now);
     /// The value that a key stands for; nothing while pieces of it are missing.
-    std::optional<Value> whole(const std::string& key, const Value& stored);
+    std::optional<Json> whole(const std::string& key, const Json& stored);
     /// The key stands for nothing, or for a value that is not in pieces.
     void on_record_removed(const std::string& key) { heads_.erase(key); }
     struct LeftOver {
@@ -52,12 +52,12 @@
     std::size_t size() const { return held_.size(); }
 
   private:
-    struct Held {
+    struct ShardRecord {
         std::string of;
         std::map<std::size_t, std::string> texts;
         Micros since = 0;
     };
-    std::map<std::string, Held> held_;          // by name
+    std::map<std::string, ShardRecord> held_;   // by name
     std::map<std::string, std::string> heads_;  // key -> name of the pieces that it is stored in
 };
 
--- a/src/kvstore/records.cpp
+++ b/src/kvstore/records.cpp
@@ -14,24 +14,24 @@
     return const_cast<Block*>(this)->find(name);
 }
 
-Value Block::value() const {
-    Value list = Value::array();
+Json Block::value() const {
+    Json list = Json::array();
     for (const auto& m : machines) {
         // The most common token is left out: that of the commit that created the record (`tok`).
-        Value entry = Value::array({m.name, m.addr});
+        Json entry = Json::array({m.name, m.addr});
         if (m.retired || m.raise || m.token != machines.front().token) {
             entry.push_back(m.retired ? 1U : 0U);
             entry.push_back(m.raise ? Revision{0} : m.token);
         }
         list.push_back(std::move(entry));
     }
-    Value v{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
+    Json v{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
     if (spot) v["spot"] = true;
     v["tok"] = machines.empty() ? 0 : machines.front().token;
     return v;
 }
 
-std::optional<Block> Block::parse(const std::string& id, const Value& v, Revision mod_revision) {
+std::optional<Block> Block::parse(const std::string& id, const Json& v, Revision mod_revision) {
     Block b;
     auto dom = wire::text(v, "dom"), type = wire::text(v, "type"), zone = wire::text(v, "zone");
     if (!dom || !type || !zone) return std::nullopt;
@@ -42,7 +42,7 @@
     b.spot = wire::flag(v, "spot").value_or(false);
     b.mod_revision = mod_revision;
     auto token_of = [mod_revision](Revision stored) { return stored == 0 ? mod_revision : stored; };
-    const Value* list = wire::find(v, "m");
+    const Json* list = wire::find(v, "m");
     if (!list) {
         auto addr = wire::text(v, "addr");
         if (!addr) return std::nullopt;
@@ -64,14 +64,14 @@
     return b;
 }
 
-Value shares_value(const Shares& shares) {
-    Value v = Value::object();
-    for (const auto& [team, r] : shares) v[team] = Value::array({r.cores, r.gpus});
+Json shares_value(const QuotaAllocation& shares) {
+    Json v = Json::object();
+    for (const auto& [team, r] : shares) v[team] = Json::array({r.cores, r.gpus});
     return v;
 }
 
-Shares parse_shares(const Value& v) {
-    Shares out;
+QuotaAllocation parse_shares(const Json& v) {
+    QuotaAllocation out;
     if (!v.is_object()) return out;
     for (const auto& [team, r] : v.items()) {
         // What does not parse grants nothing.
--- a/src/kvstore/records.hpp
+++ b/src/kvstore/records.hpp
@@ -69,14 +69,14 @@
 
     Machine* find(const std::string& name);
     const Machine* find(const std::string& name) const;
-    Value value() const;
+    Json value() const;
     /// Also reads the previous version's record of a single machine.
-    static std::optional<Block> parse(const std::string& id, const Value& v, Revision mod_revision);
+    static std::optional<Block> parse(const std::string& id, const Json& v, Revision mod_revision);
 };
 
 /// A shard's part of every team's limit.
-using Shares = std::map<std::string, Resources>;
-Value shares_value(const Shares& shares);
-Shares parse_shares(const Value& v);
+using QuotaAllocation = std::map<std::string, Resources>;
+Json shares_value(const QuotaAllocation& shares);
+QuotaAllocation parse_shares(const Json& v);
 
 }  // namespace cottonway
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -146,7 +146,7 @@
         if (r.status == 404 && r.body.is_object()) {
             result.ok = true;
         } else if (r.status == 200) {
-            const Value* data = wire::find(r.body, "data");
+            const Json* data = wire::find(r.body, "data");
             auto mod_revision = wire::count(r.body, "mark");
             if (data && mod_revision) result = {true, true, *data, *mod_revision};
         }
@@ -190,7 +190,7 @@
     call.timeout = 4 * kSecond;
     request(std::move(call), [this, prefix, since, go_on = std::move(go_on), each = std::move(each), result,
                               done = std::move(done)](const Reply& r) mutable {
-        const Value* pairs = wire::find(r.body, "pairs");
+        const Json* pairs = wire::find(r.body, "pairs");
         auto store_revision = wire::count(r.body, "ledger");
         if (r.status != 200 || !pairs || !pairs->is_array() || !store_revision) return done(ListResult{});
         if (since.empty()) result->store_revision = *store_revision;
@@ -201,8 +201,8 @@
             auto mod_revision = wire::count(p, "mark");
             if (!key || !mod_revision) return done(ListResult{});
             last = *key;
-            const Value* data = wire::find(p, "data");
-            each(Entry{*key, data ? *data : Value(), *mod_revision});
+            const Json* data = wire::find(p, "data");
+            each(Entry{*key, data ? *data : Json(), *mod_revision});
         }
         if (wire::flag(r.body, "has_next").value_or(false) && !last.empty()) {
             const std::string next = go_on(last);
@@ -226,7 +226,7 @@
     Call call;
     call.method = "POST";
     call.path = "/grants";
-    call.body = Value{{"ttl_ms", ttl / kMillisecond}};
+    call.body = Json{{"ttl_ms", ttl / kMillisecond}};
     request(std::move(call), [done = std::move(done)](const Reply& r) {
         done(r.status == 200 ? wire::count(r.body, "lien").value_or(0) : 0);
     });
@@ -236,7 +236,7 @@
     Call call;
     call.method = "POST";
     call.path = "/grants/" + std::to_string(lease) + "/extend";
-    call.body = Value::object();
+    call.body = Json::object();
     call.timeout = kSecond;
     request(std::move(call), [done = std::move(done)](const Reply& r) { done(r.status); });
 }
@@ -382,17 +382,17 @@
 }
 
 void StoreClient::send(Queue& queue, bool writes, std::vector<Pending> batch) {
-    Value when = Value::array(), then = Value::array();
+    Json when = Json::array(), then = Json::array();
     std::set<std::string> seen;
     for (const auto& p : batch) {
         for (const auto& c : p.change.when)
-            if (seen.insert(c.key).second) when.push_back(Value{{"k", c.key}, {"mark", c.mod_revision}});
+            if (seen.insert(c.key).second) when.push_back(Json{{"k", c.key}, {"mark", c.mod_revision}});
         if (!p.change.then.empty()) sent_[p.change.purpose] += p.change.then.size();
         for (const auto& w : p.change.then) {
             if (w.value.is_null()) {
-                then.push_back(Value{{"drop", w.key}});
+                then.push_back(Json{{"drop", w.key}});
             } else {
-                Value op{{"write", w.key}, {"data", w.value}};
+                Json op{{"write", w.key}, {"data", w.value}};
                 if (w.lease) op["lien"] = w.lease;
                 then.push_back(std::move(op));
             }
@@ -401,7 +401,7 @@
     Call call;
     call.method = "POST";
     call.path = "/commit";
-    call.body = Value{{"when", std::move(when)}};
+    call.body = Json{{"when", std::move(when)}};
     if (!then.empty()) call.body["then"] = std::move(then);
     auto held = std::make_shared<std::vector<Pending>>(std::move(batch));
     request(std::move(call), [this, &queue, writes, held](const Reply& r) {
@@ -431,7 +431,7 @@
     }
     if (reply.status == 409) {
         std::set<std::string> failed;
-        if (const Value* list = wire::find(reply.body, "failed"); list && list->is_array())
+        if (const Json* list = wire::find(reply.body, "failed"); list && list->is_array())
             for (const auto& k : *list)
                 if (k.is_string()) failed.insert(k.get<std::string>());
         std::vector<Pending> hit, rest;
--- a/src/kvstore/store_client.hpp
+++ b/src/kvstore/store_client.hpp
@@ -25,7 +25,7 @@
 
 struct Write {
     std::string key;
-    Value value;  // null: delete
+    Json value;  // null: delete
     std::uint64_t lease = 0;
     std::size_t bytes = 0;  // of the value, as soon as it is known
 };
@@ -62,14 +62,14 @@
 
 struct Entry {
     std::string key;
-    Value value;
+    Json value;
     Revision mod_revision = 0;
 };
 
 struct ReadResult {
     bool ok = false;  // false: nothing is known
     bool found = false;
-    Value value;
+    Json value;
     Revision mod_revision = 0;
 };
 
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -9,10 +9,10 @@
     ++s.by_status[status];
 }
 
-Value Metrics::value() const {
-    Value out = Value::object();
+Json Metrics::value() const {
+    Json out = Json::object();
     for (const auto& [name, s] : series_) {
-        Value v{{"count", s.count}};
+        Json v{{"count", s.count}};
         for (const auto& [status, n] : s.by_status) v["status_" + std::to_string(status)] = n;
         for (const auto& [label, q] : {std::pair{"p50_ms", 0.5}, {"p95_ms", 0.95}, {"p99_ms", 0.99}}) {
             double left = q * static_cast<double>(s.count);
--- a/src/net/metrics.hpp
+++ b/src/net/metrics.hpp
@@ -13,7 +13,7 @@
 class Metrics {
   public:
     void add(const std::string& name, Micros took, int status);
-    Value value() const;
+    Json value() const;
 
   private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -189,12 +189,12 @@
         static const std::string explain = "/explain/";
         if (request.path.compare(0, explain.size(), explain) == 0) {
             if (request.method != "GET") return respond({405, "", "text/plain", 0});
-            const Value told = controller.explain(request.path.substr(explain.size()));
+            const Json told = controller.explain(request.path.substr(explain.size()));
             return respond({told.is_null() ? 404 : 200, wire::encode(told), "application/msgpack", 0});
         }
         if (request.path != "/status") return respond({404, "", "text/plain", 0});
         if (request.method != "GET") return respond({405, "", "text/plain", 0});
-        Value v = controller.status();
+        Json v = controller.status();
         v["metrics"] = host.metrics().value();
         respond({200, wire::encode(v), "application/msgpack", 0});
     });
--- a/src/cluster/peer_messages.cpp
+++ b/src/peer/messages.cpp
@@ -1,4 +1,4 @@
-#include "cluster/peer_messages.hpp"
+#include "peer/messages.hpp"
 
 #include <algorithm>
 #include <cstring>
--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -81,10 +81,10 @@
 }
 
 template <class Rule, class Tell>
-Value rules_value(const std::vector<Rule>& rules, Tell tell) {
-    Value list = Value::array();
+Json rules_value(const std::vector<Rule>& rules, Tell tell) {
+    Json list = Json::array();
     for (const auto& r : rules) {
-        Value v = tell(r);
+        Json v = tell(r);
         if (!r.scope.team.empty()) v["team"] = r.scope.team;
         if (!r.scope.job_class.empty()) v["class"] = r.scope.job_class;
         list.push_back(std::move(v));
@@ -94,19 +94,19 @@
 
 }  // namespace
 
-Value describe(const Policy& p) {
-    Value v{{"revision", p.revision}};
-    v["tiers"] = rules_value(p.tiers, [](const TierRule& r) { return Value{{"tier", name_of(r.tier)}}; });
+Json describe(const Policy& p) {
+    Json v{{"revision", p.revision}};
+    v["tiers"] = rules_value(p.tiers, [](const TierRule& r) { return Json{{"tier", name_of(r.tier)}}; });
     v["priority"] = {{"floor", p.priority.floor},
                      {"begin_within_s", in_seconds(p.priority.begin_within)},
                      {"reserve", p.priority.reserve}};
     v["zones"] = rules_value(p.zones, [](const ZoneRule& r) {
-        return Value{{"allowed", r.allowed},          {"preferred", r.preferred},
-                     {"least_zones", r.least_zones},  {"most_share", r.most_share},
-                     {"survive", name_of(r.survive)}, {"strict", r.strict},
-                     {"rebalance", r.rebalance}};
+        return Json{{"allowed", r.allowed},          {"preferred", r.preferred},
+                    {"least_zones", r.least_zones},  {"most_share", r.most_share},
+                    {"survive", name_of(r.survive)}, {"strict", r.strict},
+                    {"rebalance", r.rebalance}};
     });
-    v["moves"] = rules_value(p.moves, [](const MoveRule& r) { return Value{{"movable", r.movable}}; });
+    v["moves"] = rules_value(p.moves, [](const MoveRule& r) { return Json{{"movable", r.movable}}; });
     v["budgets"] = {{"moves_per_minute", p.budgets.moves_per_minute},
                     {"moves_per_placement", p.budgets.moves_per_placement},
                     {"service_pause_s", in_seconds(p.budgets.service_pause)},
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -108,8 +108,8 @@
 
 // ---------------------------------------------------------------- the record
 
-Value scope_value(const Scope& s) {
-    Value v = Value::object();
+Json scope_value(const Scope& s) {
+    Json v = Json::object();
     if (!s.team.empty()) v["t"] = s.team;
     if (!s.job_class.empty()) v["c"] = s.job_class;
     return v;
@@ -118,7 +118,7 @@
 /// Reads fields of a map into a policy; what is there but of the wrong kind makes the record damaged.
 class Reader {
   public:
-    explicit Reader(const Value& v) : v_(v), ok_(v.is_object()) {}
+    explicit Reader(const Json& v) : v_(v), ok_(v.is_object()) {}
     void number(const char* key, double& to) { take(key, to, wire::number); }
     void flag(const char* key, bool& to) { take(key, to, wire::flag); }
     void text(const char* key, std::string& to) { take(key, to, wire::text); }
@@ -130,7 +130,7 @@
         to = static_cast<Whole>(std::min(n, most));
     }
     void texts(const char* key, std::vector<std::string>& to) {
-        each(key, [&](const Value& entry) {
+        each(key, [&](const Json& entry) {
             if (!entry.is_string()) return false;
             to.push_back(entry.get<std::string>());
             return true;
@@ -138,7 +138,7 @@
     }
     template <class Rule, class Read>
     void rules(const char* key, std::vector<Rule>& to, Read read) {
-        each(key, [&](const Value& entry) {
+        each(key, [&](const Json& entry) {
             Rule rule;
             Reader r(entry);
             r.text("t", rule.scope.team);
@@ -150,7 +150,7 @@
     }
     template <class Read>
     void map(const char* key, Read read) {
-        const Value* found = ok_ ? wire::find(v_, key) : nullptr;
+        const Json* found = ok_ ? wire::find(v_, key) : nullptr;
         if (!found) return;
         Reader r(*found);
         read(r);
@@ -169,14 +169,14 @@
     }
     template <class F>
     void each(const char* key, F use) {
-        const Value* list = ok_ ? wire::find(v_, key) : nullptr;
+        const Json* list = ok_ ? wire::find(v_, key) : nullptr;
         if (!list) return;
         ok_ = list->is_array();
         if (!ok_) return;
         for (const auto& entry : *list) ok_ = ok_ && use(entry);
     }
 
-    const Value& v_;
+    const Json& v_;
     bool ok_;
 };
 
@@ -258,15 +258,15 @@
     return "";
 }
 
-Value to_value(const Policy& p) {
-    Value v{{"rev", p.revision}};
+Json to_value(const Policy& p) {
+    Json v{{"rev", p.revision}};
     for (const auto& r : p.tiers) {
-        Value e = scope_value(r.scope);
+        Json e = scope_value(r.scope);
         e["k"] = static_cast<unsigned>(r.tier);
         v["tiers"].push_back(std::move(e));
     }
     for (const auto& r : p.zones) {
-        Value e = scope_value(r.scope);
+        Json e = scope_value(r.scope);
         if (!r.allowed.empty()) e["a"] = r.allowed;
         if (!r.preferred.empty()) e["p"] = r.preferred;
         e["n"] = r.least_zones;
@@ -277,7 +277,7 @@
         v["zones"].push_back(std::move(e));
     }
     for (const auto& r : p.moves) {
-        Value e = scope_value(r.scope);
+        Json e = scope_value(r.scope);
         e["ok"] = r.movable;
         v["moves"].push_back(std::move(e));
     }
@@ -291,7 +291,7 @@
     return v;
 }
 
-std::optional<Policy> from_value(const Value& value) {
+std::optional<Policy> from_value(const Json& value) {
     Policy p;
     Reader in(value);
     in.count("rev", p.revision, UINT64_MAX);
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -131,11 +131,11 @@
 std::string problem_of(const Policy& policy);
 
 /// The record's value, and back; nothing if it is damaged (a revision of 0 is). Unknown fields are ignored.
-Value to_value(const Policy& policy);
-std::optional<Policy> from_value(const Value& value);
+Json to_value(const Policy& policy);
+std::optional<Policy> from_value(const Json& value);
 
 /// As operators write it, with the keys of their file; all settings, those left at their defaults as well.
-Value describe(const Policy& policy);
+Json describe(const Policy& policy);
 
 /// Operators' file (TOML, checked as a whole). Throws std::runtime_error with one line that names the key and
 /// the reason; `settings` may be nullptr, then teams and zones are not checked against them.
--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -14,11 +14,11 @@
 constexpr double kMaxAmount = 1e9;
 
 /// Builds the value, but gives up on nesting that would exhaust the stack.
-class BoundedSax : public nlohmann::detail::json_sax_dom_parser<Value> {
-    using Base = nlohmann::detail::json_sax_dom_parser<Value>;
+class BoundedSax : public nlohmann::detail::json_sax_dom_parser<Json> {
+    using Base = nlohmann::detail::json_sax_dom_parser<Json>;
 
   public:
-    explicit BoundedSax(Value& out) : Base(out, false) {}
+    explicit BoundedSax(Json& out) : Base(out, false) {}
     bool start_object(std::size_t n) { return ++depth_ <= kMaxDepth && Base::start_object(n); }
     bool end_object() {
         --depth_;
@@ -74,7 +74,7 @@
     return "";
 }
 
-std::optional<double> amount(const Value& map, const char* key) {
+std::optional<double> amount(const Json& map, const char* key) {
     auto n = number(map, key);
     if (!n || !std::isfinite(*n) || *n < 0 || *n > kMaxAmount) return std::nullopt;
     return n;
@@ -106,8 +106,8 @@
     return std::pair{name.substr(0, slash), task};
 }
 
-Value order_value(const Order& o) {
-    Value v{{"thread", o.job + "/" + std::to_string(o.task)}, {"try", o.attempt}};
+Json order_value(const Order& o) {
+    Json v{{"thread", o.job + "/" + std::to_string(o.task)}, {"try", o.attempt}};
     switch (o.kind) {
         case OrderKind::Launch:
             v["order"] = "launch";
@@ -123,19 +123,19 @@
     return v;
 }
 
-Value orders_value(const std::vector<Order>& orders) {
-    Value list = Value::array();
+Json orders_value(const std::vector<Order>& orders) {
+    Json list = Json::array();
     for (const auto& o : orders) list.push_back(order_value(o));
     return list;
 }
 
 }  // namespace
 
-std::optional<Value> decode(std::string_view bytes) {
-    Value out;
+std::optional<Json> decode(std::string_view bytes) {
+    Json out;
     BoundedSax sax(out);
     try {
-        if (!Value::sax_parse(bytes.begin(), bytes.end(), &sax, nlohmann::detail::input_format_t::msgpack))
+        if (!Json::sax_parse(bytes.begin(), bytes.end(), &sax, nlohmann::detail::input_format_t::msgpack))
             return std::nullopt;
     } catch (const std::exception&) {
         return std::nullopt;
@@ -143,39 +143,39 @@
     return out;
 }
 
-std::string encode(const Value& value) {
+std::string encode(const Json& value) {
     std::string out;
-    Value::to_msgpack(value, out);
+    Json::to_msgpack(value, out);
     return out;
 }
 
-const Value* find(const Value& map, const char* key) {
+const Json* find(const Json& map, const char* key) {
     if (!map.is_object()) return nullptr;
     auto it = map.find(key);
     return it == map.end() || it->is_null() ? nullptr : &*it;
 }
 
-std::optional<std::string> text(const Value& map, const char* key) {
-    const Value* v = find(map, key);
+std::optional<std::string> text(const Json& map, const char* key) {
+    const Json* v = find(map, key);
     if (!v || !v->is_string()) return std::nullopt;
     return v->get<std::string>();
 }
 
-std::optional<std::uint64_t> count(const Value& map, const char* key) {
-    const Value* v = find(map, key);
+std::optional<std::uint64_t> count(const Json& map, const char* key) {
+    const Json* v = find(map, key);
     if (!v || !v->is_number_integer()) return std::nullopt;
     if (!v->is_number_unsigned() && v->get<std::int64_t>() < 0) return std::nullopt;
     return v->get<std::uint64_t>();
 }
 
-std::optional<double> number(const Value& map, const char* key) {
-    const Value* v = find(map, key);
+std::optional<double> number(const Json& map, const char* key) {
+    const Json* v = find(map, key);
     if (!v || !v->is_number()) return std::nullopt;
     return v->get<double>();
 }
 
-std::optional<bool> flag(const Value& map, const char* key) {
-    const Value* v = find(map, key);
+std::optional<bool> flag(const Json& map, const char* key) {
+    const Json* v = find(map, key);
     if (!v || !v->is_boolean()) return std::nullopt;
     return v->get<bool>();
 }
@@ -188,13 +188,13 @@
            std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::optional<std::string> ref_of(const Value& body) {
+std::optional<std::string> ref_of(const Json& body) {
     auto ref = text(body, "ref");
     if (!ref || !valid_ref(*ref)) return std::nullopt;
     return ref;
 }
 
-JobResult parse_job(const Value& body) {
+JobResult parse_job(const Json& body) {
     JobSpec s;
     auto bad = [](const char* field) { return JobResult{std::nullopt, field}; };
     if (!body.is_object()) return bad("not a map");
@@ -243,7 +243,7 @@
     if (!boolean("one_zone", s.one_zone)) return bad("one_zone");
     if (!boolean("spread", s.spread)) return bad("spread");
     if (!boolean("remnant", s.spot)) return bad("remnant");
-    if (const Value* types = find(body, "looms")) {
+    if (const Json* types = find(body, "looms")) {
         if (!types->is_array() || types->size() > kMaxTypes) return bad("looms");
         s.types.emplace();
         for (const auto& t : *types) {
@@ -261,7 +261,7 @@
         if (!v) return bad("due_s");
         s.deadline = micros(*v);
     }
-    if (const Value* needs = find(body, "warp")) {
+    if (const Json* needs = find(body, "warp")) {
         if (!needs->is_array() || needs->size() > kMaxNeeds) return bad("warp");
         for (const auto& n : *needs) {
             if (!n.is_string() || !valid_ref(n.get_ref<const std::string&>())) return bad("warp");
@@ -272,25 +272,25 @@
     return {std::move(s), ""};
 }
 
-Value job_value(const JobSpec& s) {
+Json job_value(const JobSpec& s) {
     auto amount_of = [](Milli m) { return static_cast<double>(m) / 1000.0; };
-    Value v{{"ref", s.ref},
-            {"pattern", s.job_class},
-            {"crew", s.team},
-            {"weave", name_of(kKinds, s.kind)},
-            {"rank", name_of(kRanks, s.rank)},
-            {"threads", s.tasks},
-            {"cores", amount_of(s.request.cores)},
-            {"cards", amount_of(s.request.gpus)},
-            {"ram_gb", amount_of(s.request.ram)},
-            {"bolt", s.image},
-            {"pull_gb", amount_of(s.image_gb)},
-            {"one_zone", s.one_zone},
-            {"spread", s.spread},
-            {"remnant", s.spot},
-            {"reckon_s", seconds(s.estimate)},
-            {"knot_s", seconds(s.checkpoint)},
-            {"bind_s", seconds(s.save)}};
+    Json v{{"ref", s.ref},
+           {"pattern", s.job_class},
+           {"crew", s.team},
+           {"weave", name_of(kKinds, s.kind)},
+           {"rank", name_of(kRanks, s.rank)},
+           {"threads", s.tasks},
+           {"cores", amount_of(s.request.cores)},
+           {"cards", amount_of(s.request.gpus)},
+           {"ram_gb", amount_of(s.request.ram)},
+           {"bolt", s.image},
+           {"pull_gb", amount_of(s.image_gb)},
+           {"one_zone", s.one_zone},
+           {"spread", s.spread},
+           {"remnant", s.spot},
+           {"reckon_s", seconds(s.estimate)},
+           {"knot_s", seconds(s.checkpoint)},
+           {"bind_s", seconds(s.save)}};
     if (s.types) v["looms"] = *s.types;
     if (s.zone) v["mill"] = *s.zone;
     if (s.deadline) v["due_s"] = seconds(*s.deadline);
@@ -298,7 +298,7 @@
     return v;
 }
 
-std::optional<Report> parse_report(const Value& body) {
+std::optional<Report> parse_report(const Json& body) {
     Report r;
     auto machine = text(body, "frame"), addr = text(body, "addr"), type = text(body, "loom_type"),
          zone = text(body, "mill");
@@ -314,7 +314,7 @@
     r.seq = *seq;
     r.token = count(body, "shuttle").value_or(0);
     if (auto n = amount(body, "warning_s")) r.notice = micros(*n);
-    const Value* tasks = find(body, "threads");
+    const Json* tasks = find(body, "threads");
     if (tasks && !tasks->is_array()) return std::nullopt;
     if (!tasks) return r;
     for (const auto& t : *tasks) {
@@ -335,35 +335,35 @@
     return r;
 }
 
-Value report_answer(std::uint64_t token, const std::vector<Order>& orders) {
+Json report_answer(std::uint64_t token, const std::vector<Order>& orders) {
     return {{"shuttle", token}, {"orders", orders_value(orders)}};
 }
 
-Value direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
+Json direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
     return {{"shuttle", token}, {"shift", session}, {"orders", orders_value(orders)}};
 }
 
-Value redirect(const std::string& node) {
+Json redirect(const std::string& node) {
     return {{"overseer", node}};
 }
 
-Value job_answer(const std::string& ref, std::string_view stage) {
+Json job_answer(const std::string& ref, std::string_view stage) {
     return {{"ref", ref}, {"stage", stage}};
 }
 
-Value job_state(const std::string& ref, std::string_view stage, int done, int running) {
+Json job_state(const std::string& ref, std::string_view stage, int done, int running) {
     return {{"ref", ref}, {"stage", stage}, {"done", done}, {"running", running}};
 }
 
-std::optional<std::vector<MachineType>> parse_types(const Value& body) {
-    const Value* list = find(body, "looms");
+std::optional<std::vector<MachineType>> parse_types(const Json& body) {
+    const Json* list = find(body, "looms");
     if (!list || !list->is_array()) return std::nullopt;
     std::vector<MachineType> out;
     for (const auto& t : *list) {
         MachineType m;
         auto name = text(t, "name");
         auto cores = amount(t, "cores"), ram = amount(t, "ram_gb");
-        const Value* zones = find(t, "mills");
+        const Json* zones = find(t, "mills");
         if (!name || !cores || !ram || !zones || !zones->is_array()) return std::nullopt;
         m.name = *name;
         m.size = {milli_down(*cores), milli_down(amount(t, "cards").value_or(0)), milli_down(*ram)};
@@ -379,8 +379,8 @@
     return out;
 }
 
-std::optional<MachinePage> parse_machines(const Value& body) {
-    const Value* list = find(body, "frames");
+std::optional<MachinePage> parse_machines(const Json& body) {
+    const Json* list = find(body, "frames");
     if (!list || !list->is_array()) return std::nullopt;
     MachinePage page;
     page.more = flag(body, "has_next").value_or(false);
@@ -401,13 +401,13 @@
     return page;
 }
 
-Value rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                   int how_many) {
+Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+                  int how_many) {
     return {{"hire", name}, {"loom_type", type}, {"mill", zone}, {"remnant", spot}, {"how_many", how_many}};
 }
 
-std::optional<std::vector<std::string>> parse_rented(const Value& body) {
-    const Value* list = find(body, "frames");
+std::optional<std::vector<std::string>> parse_rented(const Json& body) {
+    const Json* list = find(body, "frames");
     if (!list || !list->is_array()) return std::nullopt;
     std::vector<std::string> out;
     for (const auto& f : *list) {
@@ -417,7 +417,7 @@
     return out;
 }
 
-Value delete_request(const std::vector<std::string>& machines) {
+Json delete_request(const std::vector<std::string>& machines) {
     return {{"frames", machines}};
 }
 
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -2,18 +2,16 @@
 // The words of the wire. Everything that the protocol names in its own way (looms, threads, shuttles) is
 // turned into the field's terms here, and nowhere else.
 
-#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "base/json.hpp"
 #include "base/units.hpp"
 
 namespace cottonway {
 
-using Value = nlohmann::json;
-
 enum class JobKind { Array, Gang, Service };
 enum class PriorityClass { Production = 0, High = 1, Normal = 2, Low = 3 };
 
@@ -100,8 +98,8 @@
 namespace wire {
 
 /// Decodes MessagePack; nothing for what is malformed, too deep or followed by further bytes.
-std::optional<Value> decode(std::string_view bytes);
-std::string encode(const Value& value);
+std::optional<Json> decode(std::string_view bytes);
+std::string encode(const Json& value);
 
 bool valid_ref(std::string_view ref);
 
@@ -110,35 +108,35 @@
     std::optional<JobSpec> spec;
     std::string error;
 };
-JobResult parse_job(const Value& body);
-Value job_value(const JobSpec& spec);
+JobResult parse_job(const Json& body);
+Json job_value(const JobSpec& spec);
 /// "req-000412" of a body that need not be valid otherwise.
-std::optional<std::string> ref_of(const Value& body);
+std::optional<std::string> ref_of(const Json& body);
 
-std::optional<Report> parse_report(const Value& body);
-Value report_answer(std::uint64_t token, const std::vector<Order>& orders);
-Value direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
-Value redirect(const std::string& node);
-Value job_answer(const std::string& ref, std::string_view stage);
-Value job_state(const std::string& ref, std::string_view stage, int done, int running);
+std::optional<Report> parse_report(const Json& body);
+Json report_answer(std::uint64_t token, const std::vector<Order>& orders);
+Json direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
+Json redirect(const std::string& node);
+Json job_answer(const std::string& ref, std::string_view stage);
+Json job_state(const std::string& ref, std::string_view stage, int done, int running);
 
-std::optional<std::vector<MachineType>> parse_types(const Value& body);
+std::optional<std::vector<MachineType>> parse_types(const Json& body);
 struct MachinePage {
     std::vector<CloudMachine> machines;
     bool more = false;
 };
-std::optional<MachinePage> parse_machines(const Value& body);
-Value rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                   int count);
-std::optional<std::vector<std::string>> parse_rented(const Value& body);
-Value delete_request(const std::vector<std::string>& machines);
+std::optional<MachinePage> parse_machines(const Json& body);
+Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+                  int count);
+std::optional<std::vector<std::string>> parse_rented(const Json& body);
+Json delete_request(const std::vector<std::string>& machines);
 
 // Reads of a map that never throw.
-const Value* find(const Value& map, const char* key);
-std::optional<std::string> text(const Value& map, const char* key);
-std::optional<std::uint64_t> count(const Value& map, const char* key);
-std::optional<double> number(const Value& map, const char* key);
-std::optional<bool> flag(const Value& map, const char* key);
+const Json* find(const Json& map, const char* key);
+std::optional<std::string> text(const Json& map, const char* key);
+std::optional<std::uint64_t> count(const Json& map, const char* key);
+std::optional<double> number(const Json& map, const char* key);
+std::optional<bool> flag(const Json& map, const char* key);
 
 }  // namespace wire
 }  // namespace cottonway
--- a/src/scheduling/constraints.hpp
+++ b/src/scheduling/constraints.hpp
@@ -6,7 +6,7 @@
 
 #include "protocol/protocol.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 /// Whether a machine of that type, zone and kind is one that the job allows (`looms`, `mill`, `remnant`).
 inline bool may_use(const JobSpec& job, const std::string& type, const std::string& zone, bool spot) {
@@ -15,4 +15,4 @@
     return !job.types || std::find(job.types->begin(), job.types->end(), type) != job.types->end();
 }
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -9,7 +9,7 @@
 
 #include "scheduling/constraints.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 namespace {
 constexpr double kWaitingWeight = 3;
@@ -579,4 +579,4 @@
     return out;
 }
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/gpu_packing.hpp
+++ b/src/scheduling/gpu_packing.hpp
@@ -8,7 +8,7 @@
 
 #include "scheduling/view.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 /// How often each number of GPUs is asked for, by what waits and runs; sums to 1.
 class Shapes {
@@ -51,4 +51,4 @@
 /// not use the same room twice. A gang has one plan for each of its machines, all of them or none.
 std::vector<RoomPlan> make_rooms(const View& view, const policy::Policy& policy);
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/migrations.cpp
+++ b/src/scheduling/migrations.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 namespace {
 
@@ -12,33 +12,33 @@
 
 // An entry of a move: [job, task, attempt, from, to, reason, for_job, since]; of a gathering: [job, machine,
 // tasks, since, there].
-Value entry(const PlannedMove& p) {
+Json entry(const PlannedMove& p) {
     return {p.move.job,     p.move.task, p.attempt, p.move.from, p.move.to, static_cast<int>(p.move.reason),
             p.move.for_job, p.since_ms};
 }
 
-Value entry(const PlannedGather& p) {
+Json entry(const PlannedGather& p) {
     return {p.gather.job, p.gather.machine, p.gather.tasks, p.since_ms, p.there};
 }
 
-bool texts(const Value& v, std::initializer_list<std::size_t> at) {
+bool texts(const Json& v, std::initializer_list<std::size_t> at) {
     return std::all_of(at.begin(), at.end(), [&](std::size_t i) { return v[i].is_string(); });
 }
 
-bool counts(const Value& v, std::initializer_list<std::size_t> at) {
+bool counts(const Json& v, std::initializer_list<std::size_t> at) {
     return std::all_of(at.begin(), at.end(), [&](std::size_t i) {
         return v[i].is_number_integer() && v[i].get<std::int64_t>() >= 0;
     });
 }
 
-std::optional<PlannedMove> parse_move(const Value& v) {
+std::optional<PlannedMove> parse_move(const Json& v) {
     if (!v.is_array() || v.size() < 8 || !texts(v, {0, 3, 4, 6}) || !counts(v, {1, 2, 5, 7}) ||
         v[5].get<int>() > static_cast<int>(Reason::Room))
         return std::nullopt;
     return PlannedMove{{v[0], v[1], v[3], v[4], static_cast<Reason>(v[5].get<int>()), v[6]}, v[2], v[7]};
 }
 
-std::optional<PlannedGather> parse_gather(const Value& v) {
+std::optional<PlannedGather> parse_gather(const Json& v) {
     if (!v.is_array() || v.size() < 5 || !texts(v, {0, 1}) || !counts(v, {2, 3, 4})) return std::nullopt;
     return PlannedGather{{v[0], v[1], v[2]}, v[3], v[4]};
 }
@@ -61,24 +61,24 @@
     return d;
 }
 
-Value Plan::value() const {
-    Value moves = Value::array(), gathers = Value::array();
+Json Plan::value() const {
+    Json moves = Json::array(), gathers = Json::array();
     for (const PlannedMove& p : moves_) moves.push_back(entry(p));
     for (const PlannedGather& p : gathers_) gathers.push_back(entry(p));
     return {{"v", kVersion}, {"m", std::move(moves)}, {"g", std::move(gathers)}};
 }
 
-bool Plan::take_in(const Value& value) {
+bool Plan::take_in(const Json& value) {
     if (wire::count(value, "v") != kVersion) return false;
-    const Value* moves = wire::find(value, "m");
-    const Value* gathers = wire::find(value, "g");
+    const Json* moves = wire::find(value, "m");
+    const Json* gathers = wire::find(value, "g");
     if (!moves || !moves->is_array() || !gathers || !gathers->is_array()) return false;
-    for (const Value& v : *moves) {
+    for (const Json& v : *moves) {
         const auto move = parse_move(v);
         if (!move) return false;
         moves_.push_back(*move);
     }
-    for (const Value& v : *gathers) {
+    for (const Json& v : *gathers) {
         const auto gather = parse_gather(v);
         if (!gather) return false;
         gathers_.push_back(*gather);
@@ -87,7 +87,7 @@
     return d.moves.size() == moves_.size() && d.gathers.size() == gathers_.size();
 }
 
-bool Plan::take(const Value& value) {
+bool Plan::take(const Json& value) {
     *this = Plan();
     if (!take_in(value)) {
         *this = Plan();
@@ -273,4 +273,4 @@
     return p ? p->move.to : "";
 }
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -12,7 +12,7 @@
 
 #include "scheduling/view.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 struct PlannedMove {
     Move move;
@@ -65,8 +65,8 @@
 
     /// Takes in a stored value; nothing of what has not been stored survives that. False if it is damaged, or
     /// of another version: the plan is empty then, and shall be stored so.
-    bool take(const Value& value);
-    Value value() const;
+    bool take(const Json& value);
+    Json value() const;
     /// What has been proposed, as far as budgets and the size of a value allow and it is not in the plan yet;
     /// returns how many are new. Room for a job comes with all of its moves or not at all. A service has no
     /// two moves and none while it lacks a task, and a move is of a task that is at its place and not told to
@@ -102,7 +102,7 @@
         std::set<Room> gathers;
     };
     Durable all() const;
-    bool take_in(const Value& value);
+    bool take_in(const Json& value);
     bool may_begin(const Move& move, const Knows& knows) const;
     bool has(const Gather& gather) const;
     bool gathers_for(const std::string& job) const;
@@ -122,4 +122,4 @@
     bool changed_ = false;
 };
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -7,7 +7,7 @@
 
 #include "scheduling/constraints.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 namespace {
 
@@ -214,4 +214,4 @@
     return list;
 }
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -9,7 +9,7 @@
 
 #include "scheduling/view.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 /// A waiting job as the queue sees it.
 struct Queued {
@@ -58,4 +58,4 @@
 /// now, or never would be.
 std::vector<Gather> gather(const View& view, const policy::Policy& policy);
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -8,7 +8,7 @@
 
 #include "scheduling/constraints.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 namespace {
 
@@ -413,4 +413,4 @@
     return zones;
 }
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -15,7 +15,7 @@
 
 #include "scheduling/view.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 /// Where a job's next task may go and how much each zone is liked.
 struct ZoneChoice {
@@ -82,4 +82,4 @@
     std::map<std::string, Seen> zones_;
 };
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -10,7 +10,7 @@
 #include "policy/policy.hpp"
 #include "protocol/protocol.hpp"
 
-namespace cottonway::planning {
+namespace cottonway::scheduling {
 
 struct ImageView {
     std::string name;
@@ -91,4 +91,4 @@
     bool operator==(const Gather&) const = default;
 };
 
-}  // namespace cottonway::planning
+}  // namespace cottonway::scheduling
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "logging/log.hpp"
 #include "shard/shard_owner.hpp"
 
@@ -28,7 +28,7 @@
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
     // What is proven gone from a machine that can't be heard is written down, bound elsewhere or not: a next
     // holder would have to wait for the former one's authority and a lease to prove it once more.
-    const bool durable = slot.state == SlotState::Bound && useless_for(*slot.machine) > patience();
+    const bool durable = slot.state == SlotState::Bound && unreachable_for(*slot.machine) > patience();
     set_idle(job, slot);
     if (durable) touch(job, static_cast<std::size_t>(task) / job.part_tasks);
     const Micros now = context_.runtime().now();
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -26,7 +26,7 @@
     if (report.token > token(m) && m.leaving) return std::nullopt;
     if (report.token > token(m)) {
         spdlog::info("machine {} has seen a higher token than ours", report.machine);
-        context_.ousted(shard_);
+        context_.on_ownership_lost(shard_);
         return std::nullopt;
     }
     if (!context_.has_valid_lease() || report.session < m.min_session) return std::nullopt;
@@ -50,7 +50,7 @@
     answer.orders = active_ ? orders_for(m, false) : context_.stops_of_what_is_over(report);
     // Whether the worker can be reached without help is found out by calling it now and then.
     if (probe_due(m)) request_dispatch(m);
-    if (plan_due_ || flush_due_ || !due_.empty()) context_.wake();
+    if (plan_due_ || flush_due_ || !dispatch_due_.empty()) context_.wake();
     return answer;
 }
 
@@ -136,7 +136,7 @@
 void ShardOwner::request_dispatch(Machine& m) {
     if (m.due) return;
     m.due = true;
-    due_.push_back(m.name);
+    dispatch_due_.push_back(m.name);
     context_.wake();
 }
 
@@ -155,20 +155,20 @@
 }
 
 void ShardOwner::send_orders() {
-    if (due_.empty()) return;
+    if (dispatch_due_.empty()) return;
     const int most = static_cast<int>(context_.settings().sockets / 16);
-    if (static_cast<int>(due_.size()) > most - direct_calls_) {
+    if (static_cast<int>(dispatch_due_.size()) > most - direct_calls_) {
         std::vector<std::pair<int, std::string>> order;
-        for (auto& name : due_)
+        for (auto& name : dispatch_due_)
             if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
                 order.emplace_back(urgency(*m->second), std::move(name));
         std::stable_sort(order.begin(), order.end(),
                          [](const auto& a, const auto& b) { return a.first < b.first; });
-        due_.clear();
-        for (auto& [urgent, name] : order) due_.push_back(std::move(name));
+        dispatch_due_.clear();
+        for (auto& [urgent, name] : order) dispatch_due_.push_back(std::move(name));
     }
     std::vector<std::string> later;
-    for (const auto& name : std::exchange(due_, {})) {
+    for (const auto& name : std::exchange(dispatch_due_, {})) {
         auto it = shard_state_.machines.find(name);
         if (it == shard_state_.machines.end()) continue;
         if (direct_calls_ >= most) {
@@ -178,7 +178,7 @@
         it->second->due = false;
         send_to(*it->second);
     }
-    due_.insert(due_.end(), later.begin(), later.end());
+    dispatch_due_.insert(dispatch_due_.end(), later.begin(), later.end());
 }
 
 void ShardOwner::send_to(Machine& m) {
@@ -223,7 +223,7 @@
         x.direct_after = 0;
         x.direct_ok = context_.runtime().now();
         x.suspect = false;
-        if (report->token > token(x)) return x.leaving ? void() : context_.ousted(shard_);
+        if (report->token > token(x)) return x.leaving ? void() : context_.on_ownership_lost(shard_);
         if (active_)
             apply_heartbeat(x, *report, false);
         else
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Value resources_value(const Resources& r) {
+Json resources_value(const Resources& r) {
     auto plain = [](Milli m) { return static_cast<double>(m) / 1000; };
     return {{"cores", plain(r.cores)}, {"cards", plain(r.gpus)}, {"ram_gb", plain(r.ram)}};
 }
@@ -23,7 +23,7 @@
 
 /// By what the order of placement rests on first: rank, guarantee, deadline. Among equals the plan weighs the
 /// work left by the time waited, here the older goes first.
-Value ShardOwner::place_in_queue(const Job& job) const {
+Json ShardOwner::place_in_queue(const Job& job) const {
     auto key = [&](const Job& j) {
         return std::tuple(j.rank, !j.within_guarantee, j.due_ms, j.since_ms, j.serial);
     };
@@ -39,10 +39,10 @@
 }
 
 /// Machines of the shard by zone: those that it may use, and those that have room for a task of it now.
-Value ShardOwner::room_by_zone(const Job& job) const {
+Json ShardOwner::room_by_zone(const Job& job) const {
     const auto there = job.zones();
-    Value zones = Value::object();
-    auto zone = [&](const std::string& name) -> Value& {
+    Json zones = Json::object();
+    auto zone = [&](const std::string& name) -> Json& {
         if (!zones.contains(name)) {
             auto tasks = there.find(name);
             zones[name] = {{"tasks", tasks == there.end() ? 0 : tasks->second},
@@ -52,10 +52,10 @@
         }
         return zones[name];
     };
-    auto more = [](Value& n) { n = n.get<int>() + 1; };
+    auto more = [](Json& n) { n = n.get<int>() + 1; };
     for (const auto& [name, m] : shard_state_.machines) {
         if (!Scheduler::allowed(job, *m)) continue;
-        Value& z = zone(m->zone);
+        Json& z = zone(m->zone);
         more(z["machines"]);
         if (!usable(*m)) continue;
         more(z["usable"]);
@@ -66,7 +66,7 @@
 }
 
 /// GpuSettings that are free on machines that it may use, in all and most on one.
-Value ShardOwner::gpus_for(const Job& job) const {
+Json ShardOwner::gpus_for(const Job& job) const {
     Milli free = 0, most = 0;
     for (const auto& [name, m] : shard_state_.machines) {
         if (!usable(*m) || !Scheduler::allowed(job, *m)) continue;
@@ -79,7 +79,7 @@
             {"most_on_one_machine", static_cast<double>(most) / 1000}};
 }
 
-std::vector<std::string> ShardOwner::reasons(const Job& job, const Value& zones) const {
+std::vector<std::string> ShardOwner::reasons(const Job& job, const Json& zones) const {
     std::vector<std::string> why;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
@@ -119,20 +119,20 @@
     return why;
 }
 
-Value ShardOwner::explain(const std::string& ref) const {
+Json ShardOwner::explain(const std::string& ref) const {
     const Job* found = shard_state_.job(ref);
     if (!found) return {};
     const Job& job = *found;
     const Micros now = context_.runtime().now();
-    Value v{{"domain", shard_},
-            {"team", job.spec.team},
-            {"class", job.spec.job_class},
-            {"tier", policy::name_of(tier(job))},
-            {"rank", name_of(job.rank)},
-            {"within_guarantee", job.within_guarantee},
-            {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
-            {"a_task_needs", resources_value(job.spec.request)},
-            {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
+    Json v{{"domain", shard_},
+           {"team", job.spec.team},
+           {"class", job.spec.job_class},
+           {"tier", policy::name_of(tier(job))},
+           {"rank", name_of(job.rank)},
+           {"within_guarantee", job.within_guarantee},
+           {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
+           {"a_task_needs", resources_value(job.spec.request)},
+           {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
     if (job.idle > 0 && job.waiting_since > 0)
         v["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
     v["queue"] = place_in_queue(job);
@@ -145,7 +145,7 @@
 }
 
 /// Jobs and tasks that wait, by tier.
-Value ShardOwner::waiting_by_tier() const {
+Json ShardOwner::waiting_by_tier() const {
     std::map<policy::Tier, std::pair<int, int>> sums;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->stage != Stage::Queued || !job->open || job->idle == 0) continue;
@@ -153,7 +153,7 @@
         ++sum.first;
         sum.second += job->idle;
     }
-    Value v = Value::object();
+    Json v = Json::object();
     for (const auto& [tier, sum] : sums)
         v[policy::name_of(tier)] = {{"jobs", sum.first}, {"tasks", sum.second}};
     return v;
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -42,7 +42,7 @@
 struct Admission {
     CommitStatus status = CommitStatus::Unavailable;
     Revision revision = 0;
-    Value record;
+    Json record;
     RecordLocation place = RecordLocation::Job;  // where it stands
 };
 
@@ -65,7 +65,7 @@
     std::size_t first_idle = 0;         // no task before it waits
     Micros waiting_since = 0;
     bool within_guarantee = false;
-    Resources most{kNoLimit, kNoLimit, 0};  // that its team may use with its next start (planning::Turn)
+    Resources most{kNoLimit, kNoLimit, 0};  // that its team may use with its next start (scheduling::Turn)
     bool overdue = false;                   // this is its turn for having waited for so long
     Micros no_room_at = 0;                  // when it last found no room; 0: it has found some since
     Micros idle_turn = 0;                   // when idle work is bound again
@@ -97,7 +97,7 @@
     std::size_t part_tasks = 64;
     std::vector<Part> parts;
     RecordLocation place = RecordLocation::Job;  // where its record stands, and is written next
-    Revision shadow = 0;                         // see LiveJob
+    Revision legacy_revision = 0;                // see LiveJob
 
     /// Set while the record that admits the job is not durable yet: told how that went.
     std::function<void(const Admission&)> admitting;
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -39,20 +39,21 @@
 
 /// The job's record is as we know it, and it is not over.
 std::vector<Condition> ShardOwner::as_known(const Job& job) const {
-    return JobCache::as_known(job.spec.ref, job.place, job.parts[0].mod_revision, job.shadow);
+    return JobCache::as_known(job.spec.ref, job.place, job.parts[0].mod_revision, job.legacy_revision);
 }
 
-void ShardOwner::on_shadow(const std::string& ref, Revision shadow) {
-    if (Job* job = shard_state_.job(ref)) job->shadow = std::max(job->shadow, shadow);
+void ShardOwner::on_legacy_revision(const std::string& ref, Revision legacy_revision) {
+    if (Job* job = shard_state_.job(ref))
+        job->legacy_revision = std::max(job->legacy_revision, legacy_revision);
 }
 
-void ShardOwner::on_job(const std::string& ref, RecordLocation place, const Value& value,
+void ShardOwner::on_job(const std::string& ref, RecordLocation place, const Json& value,
                         Revision mod_revision) {
     Job* known = shard_state_.job(ref);
     if (!known) {
         if (wire::text(value, "dom") != shard_) return;
         const auto stage = wire::text(value, "s");
-        const Value* spec = wire::find(value, "d");
+        const Json* spec = wire::find(value, "d");
         if (!spec || stage == "done") return;  // over, and all of it is gone
         auto parsed = wire::parse_job(*spec);
         if (!parsed.spec) {
@@ -95,7 +96,7 @@
     if (!wire::find(value, "d")) return drop_job(ref);
     if (place == RecordLocation::Job && job.place == RecordLocation::Active)
         return;  // it came late and counts for nothing
-    if (place != job.place) job.shadow = 0;
+    if (place != job.place) job.legacy_revision = 0;
     job.place = place;
     adopt_part(job, 0, value, mod_revision);
     context_.wake();
@@ -202,12 +203,11 @@
     const LiveJob* heard = context_.stored_job(ref);
     if (!heard || heard->shard != shard_) return;
     on_job(ref, heard->place, heard->record, heard->mod_revision);
-    on_shadow(ref, heard->shadow);
+    on_legacy_revision(ref, heard->legacy_revision);
     for (const auto& [part, value] : heard->parts) on_part(ref, part, value.first, value.second);
 }
 
-void ShardOwner::on_part(const std::string& ref, std::size_t part, const Value& value,
-                         Revision mod_revision) {
+void ShardOwner::on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) {
     Job* job = shard_state_.job(ref);
     if (!job || part == 0 || part >= job->parts.size()) return;
     auto& p = job->parts[part];
@@ -216,7 +216,7 @@
 }
 
 /// Takes a stored part as the truth about what is durable.
-void ShardOwner::adopt_part(Job& job, std::size_t part, const Value& value, Revision mod_revision) {
+void ShardOwner::adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision) {
     if (part == 0 && mod_revision > job.parts[0].mod_revision)
         job.leaving = false;  // giving it away fails on the mark
     job.parts[part].mod_revision = mod_revision;
@@ -259,7 +259,7 @@
         slot.launch_token = mod_revision_ - 1;
         slot.launch_session = UINT64_MAX;
     };
-    if (const Value* bindings = wire::find(value, "b"); bindings && bindings->is_array()) {
+    if (const Json* bindings = wire::find(value, "b"); bindings && bindings->is_array()) {
         for (const auto& b : *bindings) {
             if (!b.is_array() || b.size() < 3 || !b[0].is_number_integer()) continue;
             if (b[1].is_string()) {  // attempt, machine, tasks
@@ -286,10 +286,10 @@
     flush_due_ = true;
 }
 
-Value ShardOwner::part_value(const Job& job, std::size_t part, bool final_record) const {
+Json ShardOwner::part_value(const Job& job, std::size_t part, bool final_record) const {
     const std::size_t first = std::min(part * job.part_tasks, job.slots.size());
     const std::size_t last = std::min(job.slots.size(), first + job.part_tasks);
-    Value v = Value::object();
+    Json v = Json::object();
     if (part == 0) {
         v["s"] = job.stage == Stage::Cancelled ? "cancelled" : final_record ? "done" : "queued";
         v["k"] = job.spec.tasks;
@@ -327,9 +327,9 @@
         }
     }
     if (!bindings.empty()) {
-        Value list = Value::array();
+        Json list = Json::array();
         for (const auto& [key, tasks] : bindings) {
-            Value entry = Value::array({key.first, key.second});
+            Json entry = Json::array({key.first, key.second});
             for (auto t : tasks) entry.push_back(t);
             list.push_back(std::move(entry));
         }
@@ -455,7 +455,7 @@
         change.when.push_back({keys::active + ref, 0});
         change.when.push_back({keys::history, 0});
     }
-    Value value = part_value(job, index, final_record);
+    Json value = part_value(job, index, final_record);
     std::vector<AttemptKey> binding;
     std::vector<int> done;
     const std::size_t first = index * job.part_tasks;
@@ -470,7 +470,7 @@
     const RecordLocation place = moves ? RecordLocation::Active : job.place;
     if (moves) {
         change.when.push_back({keys::active + ref, 0});
-        change.then.push_back({keys::job + ref, Value()});
+        change.then.push_back({keys::job + ref, Json()});
     }
     change.then.push_back({final_record ? keys::job + ref
                            : index == 0 ? record_key(place, ref)
@@ -478,7 +478,7 @@
                            value});
     // Where changes are plenty, what it was goes with it; else that waits for a quiet moment.
     const bool drops = final_record && job.place == RecordLocation::Active && context_.store().quiet();
-    if (drops) change.then.push_back({keys::active + ref, Value()});
+    if (drops) change.then.push_back({keys::active + ref, Json()});
     change.purpose = job.admitting ? "admit" : final_record ? "over" : binding.empty() ? "done" : "bind";
     part.dirty = false;
     part.in_flight = true;
@@ -490,12 +490,12 @@
         std::move(change), [this, alive = alive_, ref, index, value = std::move(value), final_record, binding,
                             done, place, left](const CommitResult& result) {
             if (!*alive) return;
-            if (result.status == CommitStatus::Ok && left.mod_revision > 0) left_over_.push_back(left);
+            if (result.status == CommitStatus::Ok && left.mod_revision > 0) stale_records_.push_back(left);
             written(ref, index, value, final_record, binding, done, place, result);
         });
 }
 
-void ShardOwner::written(const std::string& ref, std::size_t index, const Value& value, bool final_record,
+void ShardOwner::written(const std::string& ref, std::size_t index, const Json& value, bool final_record,
                          const std::vector<AttemptKey>& binding, const std::vector<int>& done,
                          RecordLocation place, const CommitResult& result) {
     Job* job = shard_state_.job(ref);
@@ -507,7 +507,7 @@
     if (result.status == CommitStatus::Ok) {
         p.mod_revision = result.revision;
         if (index == 0) job->leaving = false;
-        if (place != job->place) job->shadow = 0;
+        if (place != job->place) job->legacy_revision = 0;
         job->place = place;
         for (const auto& key : binding) {
             Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
@@ -533,7 +533,7 @@
     }
     if (result.status == CommitStatus::Conflict &&
         std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) != result.failed.end())
-        return context_.ousted(shard_);
+        return context_.on_ownership_lost(shard_);
     if (job->admitting && result.status != CommitStatus::Unknown) return not_admitted(*job, result.status);
     if (auto unclear = std::exchange(job->admitting, nullptr)) unclear({CommitStatus::Unknown, 0, {}});
     if (result.status == CommitStatus::Unavailable) {
@@ -553,27 +553,26 @@
     auto& part = known->parts[index];
     if (part.reloading || part.in_flight) return;
     part.reloading = true;
-    read_record(
-        ref, index,
-        [this, alive = alive_, ref, index](const ReadResult& r, RecordLocation place, Revision shadow) {
-            if (!*alive) return;
-            Job* job = shard_state_.job(ref);
-            if (!job) return;
-            if (!r.ok) return reload_later(ref, index);
-            // It is the truth about our own writes only as long as the shard is ours: a new holder
-            // numbers its attempts from the same record, and its binds must not be taken for those of
-            // ours that got no answer.
-            Change ours;
-            ours.when.push_back({keys::shard + shard_, mod_revision_});
-            context_.store().commit(std::move(ours),
-                                    [this, alive, ref, index, r, place, shadow](const CommitResult& c) {
-                                        if (!*alive) return;
-                                        if (c.status == CommitStatus::Conflict)
-                                            return context_.ousted(shard_);
-                                        if (c.status != CommitStatus::Ok) return reload_later(ref, index);
-                                        reloaded(ref, index, r, place, shadow);
-                                    });
-        });
+    read_record(ref, index,
+                [this, alive = alive_, ref, index](const ReadResult& r, RecordLocation place,
+                                                   Revision legacy_revision) {
+                    if (!*alive) return;
+                    Job* job = shard_state_.job(ref);
+                    if (!job) return;
+                    if (!r.ok) return reload_later(ref, index);
+                    // It is the truth about our own writes only as long as the shard is ours: a new holder
+                    // numbers its attempts from the same record, and its binds must not be taken for those of
+                    // ours that got no answer.
+                    Change ours;
+                    ours.when.push_back({keys::shard + shard_, mod_revision_});
+                    context_.store().commit(std::move(ours), [this, alive, ref, index, r, place,
+                                                              legacy_revision](const CommitResult& c) {
+                        if (!*alive) return;
+                        if (c.status == CommitStatus::Conflict) return context_.on_ownership_lost(shard_);
+                        if (c.status != CommitStatus::Ok) return reload_later(ref, index);
+                        reloaded(ref, index, r, place, legacy_revision);
+                    });
+                });
 }
 
 /// A job's record may stand under either key. What is final under c/job/ goes before what stands under
@@ -606,7 +605,7 @@
 }
 
 void ShardOwner::reloaded(const std::string& ref, std::size_t index, const ReadResult& r,
-                          RecordLocation place, Revision shadow) {
+                          RecordLocation place, Revision legacy_revision) {
     Job* job = shard_state_.job(ref);
     if (!job) return;
     job->parts[index].reloading = false;
@@ -614,14 +613,14 @@
     if (index == 0 && (!r.found || stage == "done" || (stage == "cancelled" && !wire::find(r.value, "d")))) {
         // Our final write went through after all.
         if (job->place == RecordLocation::Active)
-            left_over_.push_back({keys::active + ref, job->parts[0].mod_revision});
+            stale_records_.push_back({keys::active + ref, job->parts[0].mod_revision});
         drop_job(ref);
         if (!r.found) return take_heard(ref);
         return context_.settled(ref, r.value, r.mod_revision);
     }
     if (index == 0 && wire::text(r.value, "dom") != shard_) return given_away(*job);
     // Our admission got no answer, and the job is there as another describes it, whose admission this is.
-    if (const Value* spec = wire::find(r.value, "d");
+    if (const Json* spec = wire::find(r.value, "d");
         index == 0 && job->parts[0].mod_revision == 0 && spec && *spec != wire::job_value(job->spec)) {
         given_away(*job);
         on_job(ref, place, r.value, r.mod_revision);
@@ -629,7 +628,7 @@
     }
     if (index == 0) {
         job->place = place;
-        job->shadow = shadow;
+        job->legacy_revision = legacy_revision;
     }
     if (r.found) adopt_part(*job, index, r.value, r.mod_revision);
     // What is durable of done tasks was set by adopt_part; the rest is written again.
@@ -653,20 +652,20 @@
 }
 
 /// Records of jobs that are over, in quiet moments. Whoever takes the shard over finds those that are left.
-void ShardOwner::drop_left_over() {
+void ShardOwner::drop_stale_records() {
     // One at a time: all owners see the same quiet moment, and together they would end it. A start has to
     // prove as many more; beyond a number they compete with what else can wait.
     const Micros now = context_.runtime().now();
-    const bool many = left_over_.size() > kManyLeftOver;
-    if (!left_over_.empty() && now - dropped_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
+    const bool many = stale_records_.size() > kManyLeftOver;
+    if (!stale_records_.empty() && now - dropped_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
         (many ? context_.store().room(Priority::Deferrable) : context_.store().quiet())) {
         dropped_at_ = now;
-        const Condition left = left_over_.back();
-        left_over_.pop_back();
+        const Condition left = stale_records_.back();
+        stale_records_.pop_back();
         context_.store().commit(JobCache::dropped(left), [this, alive = alive_, left](const CommitResult& r) {
             // Refused or unanswered: once more. On its mark it is done once, or there is nothing to do.
             if (*alive && r.status != CommitStatus::Ok && r.status != CommitStatus::Conflict)
-                left_over_.push_back(left);
+                stale_records_.push_back(left);
         });
     }
 }
@@ -696,7 +695,7 @@
         Change change;
         change.priority = Priority::Deferrable;
         change.when.push_back({keys::shard + shard_, mod_revision_});
-        change.then.push_back({key_of(job, p), Value()});
+        change.then.push_back({key_of(job, p), Json()});
         change.purpose = "cleanup";
         context_.store().commit(std::move(change), [](const CommitResult&) {});
     }
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -4,8 +4,8 @@
 #include <tuple>
 #include <utility>
 
-#include "allocation/demand.hpp"
 #include "logging/log.hpp"
+#include "scheduling/machine_occupancy.hpp"
 #include "shard/shard_owner.hpp"
 
 namespace cottonway {
@@ -38,7 +38,7 @@
         }
     }
     /// Cores that a task occupies, its part of the shard's GPUs included.
-    Milli occupied_by(const JobSpec& spec) const { return allocation::gpu_bound_cores(spec.request, total); }
+    Milli occupied_by(const JobSpec& spec) const { return scheduling::gpu_bound_cores(spec.request, total); }
     /// Whether a task leaves no room for a second one on any type of machine here.
     bool filled_by(const JobSpec& spec) const {
         return std::none_of(types.begin(), types.end(), [&spec](const MachineType* type) {
@@ -63,7 +63,7 @@
         if (!usable(*m)) continue;
         // Idle work gives way to everything else.
         (m->spot ? d.free_spot : d.free_ordinary) +=
-            allocation::available_cores(m->type->size - m->reserved, m->type->size) + m->idle_work;
+            scheduling::available_cores(m->type->size - m->reserved, m->type->size) + m->idle_work;
         if (m->tasks.empty()) (m->spot ? d.idle_spot : d.idle_ordinary) += m->type->size.cores;
     }
     std::map<std::string, Resources> waiting;
@@ -148,7 +148,7 @@
     return names;
 }
 
-void ShardOwner::keep(const std::vector<std::string>& machines) {
+void ShardOwner::withdraw_offer(const std::vector<std::string>& machines) {
     for (const auto& name : machines)
         if (auto it = shard_state_.machines.find(name); it != shard_state_.machines.end())
             it->second->leaving = false;
@@ -180,7 +180,7 @@
         Change change;
         change.when = as_known(job);
         change.when.push_back({keys::shard + shard_, mod_revision_});
-        Value value = part_value(job, 0, false);
+        Json value = part_value(job, 0, false);
         value["dom"] = to;
         change.then.push_back({key_of(job, 0), value});
         change.purpose = "rehome";
@@ -235,13 +235,13 @@
     return least;
 }
 
-Value ShardOwner::status() const {
+Json ShardOwner::status() const {
     int waiting = 0, running = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->open) waiting += job->idle;
         running += job->bound;
     }
-    Value machines = Value::array();
+    Json machines = Json::array();
     for (const auto& [name, m] : shard_state_.machines)
         machines.push_back({{"name", name},
                             {"block", m->block},
--- a/src/shard/machine.hpp
+++ b/src/shard/machine.hpp
@@ -109,7 +109,7 @@
     std::vector<Image> images;
 
     /// Nothing is known to be on it, or taken to be there by what it showed last.
-    bool bare() const { return tasks.empty() && orphaned_tasks.empty(); }
+    bool is_idle() const { return tasks.empty() && orphaned_tasks.empty(); }
     /// Heard through another controller only, and not reached by a call of ours since.
     bool out_of_reach() const { return relayed && direct_ok <= relayed_since; }
 };
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -10,9 +10,9 @@
 
 namespace cottonway {
 
-using planning::Gather;
-using planning::Move;
-using planning::Reason;
+using scheduling::Gather;
+using scheduling::Move;
+using scheduling::Reason;
 
 namespace {
 constexpr Micros kLookEvery = kSecond;
@@ -32,10 +32,10 @@
 }  // namespace
 
 /// What the plan asks of the shard's books.
-class Rebalancer::Books : public planning::Plan::Knows {
+class Rebalancer::Books : public scheduling::Plan::Knows {
   public:
     explicit Books(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
-    planning::TaskState task(const std::string& ref, int task) const override {
+    scheduling::TaskState task(const std::string& ref, int task) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job || task < 0 || static_cast<std::size_t>(task) >= job->slots.size()) return {};
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
@@ -43,7 +43,7 @@
         return {!over, job->stage == Stage::Cancelled, slot.machine ? slot.machine->name : "", slot.attempt,
                 slot.stop};
     }
-    planning::JobState job(const std::string& ref) const override {
+    scheduling::JobState job(const std::string& ref) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job) return {};
         return {true, job->stage == Stage::Cancelled, job->spec.kind == JobKind::Service,
@@ -158,10 +158,10 @@
     return zones;
 }
 
-planning::View Rebalancer::view() const {
+scheduling::View Rebalancer::view() const {
     const Micros now = context_.runtime().now();
     const policy::Policy& policy = context_.policy();
-    planning::View view;
+    scheduling::View view;
     view.now = now;
     view.seed = shard_revision_ ^ static_cast<std::uint64_t>(now / kSecond);
     view.troubled = troubled();
@@ -172,7 +172,7 @@
     std::map<const Job*, std::size_t> job_at;
     for (const Job* job : jobs) {
         job_at[job] = view.jobs.size();
-        planning::JobView& j = view.jobs.emplace_back();
+        scheduling::JobView& j = view.jobs.emplace_back();
         j.spec = job->spec;
         j.tier = policy.tier(job->spec, job->rank);
         j.rank = job->rank;
@@ -191,7 +191,7 @@
     std::map<std::string, std::size_t> machine_at;
     for (const auto& [name, m] : shard_state_.machines) {
         machine_at[name] = view.machines.size();
-        planning::MachineView& v = view.machines.emplace_back();
+        scheduling::MachineView& v = view.machines.emplace_back();
         v.name = name;
         v.type = m->type_name;
         v.zone = m->zone;
@@ -203,7 +203,7 @@
         for (const auto& image : m->images) v.images.push_back({image.name, image.ready});
         for (const TaskRef& t : m->tasks) {
             const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
-            const planning::Plan& plan = plan_;
+            const scheduling::Plan& plan = plan_;
             const bool moving = std::any_of(plan.moves().begin(), plan.moves().end(), [&](const auto& p) {
                 return p.move.job == t.job->spec.ref && p.move.task == t.task;
             });
@@ -232,14 +232,14 @@
     // Nothing is begun while a node comes or ends, or with a plan that is not known to be stored.
     const policy::Policy& policy = context_.policy();
     if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle) return;
-    const planning::View now = view();
-    std::vector<Move> moves = planning::rebalance(now, policy, context_.settings().zones);
+    const scheduling::View now = view();
+    std::vector<Move> moves = scheduling::rebalance(now, policy, context_.settings().zones);
     std::vector<Gather> gathers;
-    for (auto& room : planning::make_rooms(now, policy)) {
+    for (auto& room : scheduling::make_rooms(now, policy)) {
         gathers.push_back(room.gather);
         moves.insert(moves.end(), room.moves.begin(), room.moves.end());
     }
-    for (auto& room : planning::gather(now, policy)) gathers.push_back(std::move(room));
+    for (auto& room : scheduling::gather(now, policy)) gathers.push_back(std::move(room));
     if (moves.empty() && gathers.empty()) return;
     const std::size_t added =
         plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, Books(*this));
@@ -249,7 +249,7 @@
 }
 
 void Rebalancer::carry_on() {
-    const planning::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
+    const scheduling::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
     if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
     const bool left_over = plan_.empty() && record_ != 0;
     if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
@@ -348,7 +348,7 @@
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
     change.when = {{keys::shard + shard_, shard_revision_}, {key, record_}};
-    change.then.push_back({key, drops ? Value() : plan_.value()});
+    change.then.push_back({key, drops ? Json() : plan_.value()});
     in_flight_ = true;
     plan_.writing();
     context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& r) {
@@ -373,7 +373,7 @@
         case CommitStatus::Conflict:
             if (std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) !=
                 result.failed.end())
-                return context_.ousted(shard_);
+                return context_.on_ownership_lost(shard_);
             break;
         case CommitStatus::Unknown:
             break;
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -37,10 +37,10 @@
     bool keeps_for(const Job& job) const;
     /// Where a task in a move had better start, nullptr: anywhere.
     const Machine* destination(const Job& job, int task) const;
-    const planning::Plan& plan() const { return plan_; }
+    const scheduling::Plan& plan() const { return plan_; }
 
     /// The shard as it is now, with the room that the plan keeps.
-    planning::View view() const;
+    scheduling::View view() const;
 
   private:
     class Books;
@@ -49,8 +49,8 @@
     void look_at_zones();
     void propose();
     void carry_on();
-    void stop(const std::vector<planning::Move>& moves);
-    bool may_stop(const planning::Move& move, const Job& job) const;
+    void stop(const std::vector<scheduling::Move>& moves);
+    bool may_stop(const scheduling::Move& move, const Job& job) const;
     bool others_run(const Job& job, int task) const;
     std::vector<std::string> troubled() const;
 
@@ -64,8 +64,8 @@
     const ShardState& shard_state_;
     Scheduler::Shard& of_;
     Micros since_;  // this process holds the shard
-    planning::Plan plan_;
-    planning::ZoneWatch zones_;
+    scheduling::Plan plan_;
+    scheduling::ZoneWatch zones_;
     Revision record_ = 0;  // mark of the record as we know it, 0: there is none
     Revision known_ = 0;   // up to which change of it we know all
     bool in_flight_ = false;
