--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -94,7 +94,7 @@
 }
 
 bool Scheduler::allowed(const Job& job, const Machine& m) {
-    return planning::may_use(job.spec, m.type_name, m.zone, m.spot);
+    return scheduling::may_use(job.spec, m.type_name, m.zone, m.spot);
 }
 
 /// What the team would use with so many more tasks of the job.
@@ -271,7 +271,7 @@
         // Urgent work without its image starts where that comes soonest.
         if (job.rank <= PriorityClass::High)
             c.penalty += kFetchPenalty * static_cast<double>(fetch_time(job, *m)) / 1e6;
-        if (shapes_) c.penalty += planning::gpu_penalty(c.size, c.reserved, job.spec.request, *shapes_);
+        if (shapes_) c.penalty += scheduling::gpu_penalty(c.size, c.reserved, job.spec.request, *shapes_);
         c.own_penalty = c.penalty;
         list.push_back(c);
         machines.push_back(m);
@@ -328,7 +328,7 @@
 /// A task of the job is to start on the candidate.
 void Scheduler::book(Candidate& c, const Job& job) const {
     const Resources& need = job.spec.request;
-    auto gpus = [&] { return shapes_ ? planning::gpu_penalty(c.size, c.reserved, need, *shapes_) : 0.0; };
+    auto gpus = [&] { return shapes_ ? scheduling::gpu_penalty(c.size, c.reserved, need, *shapes_) : 0.0; };
     const double before = gpus();
     c.reserved += need;
     const double more = gpus() - before;
@@ -337,11 +337,11 @@
     ++c.tasks;
 }
 
-planning::Queued Scheduler::queued(const Job& job, std::size_t index) const {
+scheduling::Queued Scheduler::queued(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
     const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
     const JobSpec& s = job.spec;
-    planning::Queued q;
+    scheduling::Queued q;
     q.index = index;
     q.team = s.team;
     q.tier = tier(job);
@@ -365,8 +365,8 @@
     return q;
 }
 
-std::map<std::string, planning::TeamUse> Scheduler::team_uses() const {
-    std::map<std::string, planning::TeamUse> teams;
+std::map<std::string, scheduling::TeamUse> Scheduler::team_uses() const {
+    std::map<std::string, scheduling::TeamUse> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->bound == 0) continue;
         auto& used = teams[job->spec.team].used[tier(*job)];
@@ -410,7 +410,7 @@
         else if (of_.surplus(*m))
             surplus_.push_back(m.get());
     const std::vector<Job*> waiting = queue(idle_turn);
-    std::vector<planning::Queued> asked;
+    std::vector<scheduling::Queued> asked;
     asked.reserve(waiting.size());
     for (const Job* job : waiting) asked.push_back(queued(*job, asked.size()));
     no_room_.clear();
@@ -430,7 +430,7 @@
     preemptions_left_ = kPreemptions;
     const bool preempts = now - preempted_at_ >= kPreemptEvery;
     if (preempts) preempted_at_ = now;
-    for (const auto& turn : planning::turns(asked, team_uses(), context_.policy().priority)) {
+    for (const auto& turn : scheduling::turns(asked, team_uses(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
         if (job.idle == 0) continue;  // all of it began in its turn for being overdue
         job.most = {turn.most_cores, turn.most_gpus, 0};
@@ -504,14 +504,14 @@
     return z;
 }
 
-planning::ZoneChoice Scheduler::choose_zones(const Job& job, const Zoning& zoning,
-                                             const std::map<std::string, int>& per_zone,
-                                             const std::vector<std::string>* room) const {
-    return planning::choose_zones(job.spec, zoning.rule, per_zone, zoning.standing, zones_, room);
+scheduling::ZoneChoice Scheduler::choose_zones(const Job& job, const Zoning& zoning,
+                                               const std::map<std::string, int>& per_zone,
+                                               const std::vector<std::string>* room) const {
+    return scheduling::choose_zones(job.spec, zoning.rule, per_zone, zoning.standing, zones_, room);
 }
 
 /// The candidates in zones that take another task of it; `apart`: on machines that do, too.
-std::vector<const Candidate*> Scheduler::open_in(const planning::ZoneChoice& choice, const Job& job,
+std::vector<const Candidate*> Scheduler::open_in(const scheduling::ZoneChoice& choice, const Job& job,
                                                  const std::map<std::string, int>& per_zone,
                                                  std::vector<Candidate>& candidates,
                                                  const std::vector<Machine*>& machines, bool apart) const {
@@ -568,7 +568,7 @@
                                         const Machine* better) {
     const auto asked = choose_zones(job, zoning, per_zone);
     const bool sharing_matters = asked.machine_most < std::numeric_limits<int>::max();
-    auto place_in = [&](const planning::ZoneChoice& choice, bool apart) {
+    auto place_in = [&](const scheduling::ZoneChoice& choice, bool apart) {
         const auto open = open_in(choice, job, per_zone, candidates, machines, apart);
         const auto wished = at(better, job, open, machines);
         return wished >= 0 ? wished : place_for(job, parts_of(job, open, machines, ready_only));
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -62,8 +62,8 @@
     bool plan_job(Job& job);
     bool plan_gang(Job& job, const std::vector<Candidate>& candidates, const std::vector<Machine*>& machines);
     void bind(Job& job, int task, Machine& m, std::int64_t attempt);
-    planning::Queued queued(const Job& job, std::size_t index) const;
-    std::map<std::string, planning::TeamUse> team_uses() const;
+    scheduling::Queued queued(const Job& job, std::size_t index) const;
+    std::map<std::string, scheduling::TeamUse> team_uses() const;
     Resources used_with(const Job& job, int tasks) const;
     void miss_quota(const Job& job, int tasks);
     void free_limit(const Job& job);
@@ -114,10 +114,10 @@
         std::vector<std::string> standing;
     };
     Zoning zoning_of(const Job& job) const;
-    planning::ZoneChoice choose_zones(const Job& job, const Zoning& zoning,
-                                      const std::map<std::string, int>& per_zone,
-                                      const std::vector<std::string>* room = nullptr) const;
-    std::vector<const Candidate*> open_in(const planning::ZoneChoice& choice, const Job& job,
+    scheduling::ZoneChoice choose_zones(const Job& job, const Zoning& zoning,
+                                        const std::map<std::string, int>& per_zone,
+                                        const std::vector<std::string>* room = nullptr) const;
+    std::vector<const Candidate*> open_in(const scheduling::ZoneChoice& choice, const Job& job,
                                           const std::map<std::string, int>& per_zone,
                                           std::vector<Candidate>& candidates,
                                           const std::vector<Machine*>& machines, bool apart) const;
@@ -167,7 +167,7 @@
     std::ptrdiff_t spot_machines_ = 0;
     /// What GPUs are asked for, in the current pass; nothing unless the policy packs them and some machine
     /// has any.
-    std::optional<planning::Shapes> shapes_;
+    std::optional<scheduling::Shapes> shapes_;
     bool idle_bound_ = false;                      // something of idle rank is bound
     std::map<const Machine*, Resources> claimed_;  // room that waiting tasks will take, in the current pass
     struct Cores {
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "logging/log.hpp"
 
 namespace cottonway {
@@ -83,7 +83,7 @@
 
 /// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
 /// calls shows only the latter.
-Micros ShardOwner::useless_for(const Machine& m) const {
+Micros ShardOwner::unreachable_for(const Machine& m) const {
     const Micros listened = context_.runtime().listened();
     return std::max(listened - m.report_listened, m.suspect ? listened - m.suspect_since : 0);
 }
@@ -110,7 +110,7 @@
     const Micros now = context_.runtime().now();
     return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.leaving &&
            !m.notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
-           useless_for(m) < patience();
+           unreachable_for(m) < patience();
 }
 
 /// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
@@ -145,7 +145,7 @@
     for (const auto& [name, m] : shard_state_.machines) {
         const bool unheard =
             silent_for(*m) > half || (m->token_seen < mod_revision_ && now - taken_at_ > half);
-        if (unheard && !m->bare() && m->relinquishments[peer].until < now + context_.settings().lease)
+        if (unheard && !m->is_idle() && m->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
     return names;
@@ -188,7 +188,7 @@
                        (heard || !wanted(t.first.job));
             });
         if (raises) raise(m);
-        if (m.bare()) continue;
+        if (m.is_idle()) continue;
         if (lease_over(m)) {
             void_machine(m, "its lease is over");
             m.min_session = m.session + 1;
@@ -212,7 +212,7 @@
     if (const std::string line = startup_.line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
-        drop_left_over();
+        drop_stale_records();
         move_out_of_history();
         rebalancer_.tick();
     }
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -15,10 +15,10 @@
 #include "cache/dependency_graph.hpp"
 #include "cache/job_cache.hpp"
 #include "cache/plan_cache.hpp"
-#include "cluster/peer_messages.hpp"
 #include "config/settings.hpp"
 #include "kvstore/records.hpp"
 #include "kvstore/store_client.hpp"
+#include "peer/messages.hpp"
 #include "protocol/protocol.hpp"
 #include "shard/rebalancer.hpp"
 #include "shard/reconciliation.hpp"
@@ -38,7 +38,7 @@
     /// The one in force; it may change at any time.
     virtual const policy::Policy& policy() const = 0;
     virtual const MachineType* machine_type(const std::string& name) = 0;
-    virtual void ousted(const std::string& shard) = 0;
+    virtual void on_ownership_lost(const std::string& shard) = 0;
     virtual void wake() = 0;
     /// The shard's stored part of a team's limit, less what is being given away.
     virtual Resources share(const std::string& shard, const std::string& team) const = 0;
@@ -49,7 +49,7 @@
     /// Whether all controllers read a format, so that it may be written.
     virtual bool all_read(std::uint64_t format) const = 0;
     /// What our own commit has made final, ahead of the news of it.
-    virtual void settled(const std::string& ref, const Value& value, Revision mod_revision) = 0;
+    virtual void settled(const std::string& ref, const Json& value, Revision mod_revision) = 0;
     /// From when on a peer that is not alive can renew no lease; nothing while it may.
     virtual std::optional<Micros> peer_ended(std::size_t peer) const = 0;
     /// A job that is not over, as the news has told of it; nullptr: of none.
@@ -83,10 +83,10 @@
     // Loading: machines, then jobs, then their parts, then activate.
     void on_machine(const Block& block, const Block::Machine& entry);
     void on_machine_gone(const std::string& name, const char* why);
-    void on_job(const std::string& ref, RecordLocation place, const Value& value, Revision mod_revision);
+    void on_job(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision);
     /// What stands under c/job/ besides a job's record under c/active/.
-    void on_shadow(const std::string& ref, Revision shadow);
-    void on_part(const std::string& ref, std::size_t part, const Value& value, Revision mod_revision);
+    void on_legacy_revision(const std::string& ref, Revision legacy_revision);
+    void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision);
     void activate();
 
     /// Admits a new job, with the first binds of its tasks in the same change where there is room for them.
@@ -116,7 +116,7 @@
     void retire(const std::string& machine, const char* why);
     Micros silent_for(const Machine& m) const;
     /// For how long it has not reported, or not shown that it hears us.
-    Micros useless_for(const Machine& m) const;
+    Micros unreachable_for(const Machine& m) const;
     /// For how long it may be that before nothing more is bound to it.
     Micros patience() const;
     void drain(const std::string& machine, bool on);
@@ -130,7 +130,7 @@
     /// Idle machines that would hold such tasks, for another shard; from here on nothing is bound to them
     /// until `keep`.
     std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& want);
-    void keep(const std::vector<std::string>& machines);
+    void withdraw_offer(const std::vector<std::string>& machines);
     /// Room in another shard, in thousandths of a core; the idle parts are on machines without any task.
     struct RoomElsewhere {
         Milli ordinary = 0;
@@ -150,17 +150,17 @@
     /// leases.
     std::vector<std::string> machines_to_relinquish(std::size_t peer) const;
     void on_relinquished(std::size_t peer, const std::string& machine, LeaseRelinquishment promise);
-    Value status() const;
+    Json status() const;
     const Rebalancer& rebalancer() const { return rebalancer_; }
     /// Why a job of the shard waits; null if it is none.
-    Value explain(const std::string& ref) const;
+    Json explain(const std::string& ref) const;
 
   private:
-    Value place_in_queue(const Job& job) const;
-    Value room_by_zone(const Job& job) const;
-    Value gpus_for(const Job& job) const;
-    std::vector<std::string> reasons(const Job& job, const Value& zones) const;
-    Value waiting_by_tier() const;
+    Json place_in_queue(const Job& job) const;
+    Json room_by_zone(const Job& job) const;
+    Json gpus_for(const Job& job) const;
+    std::vector<std::string> reasons(const Job& job, const Json& zones) const;
+    Json waiting_by_tier() const;
     policy::Tier tier(const Job& job) const { return context_.policy().tier(job.spec, job.rank); }
 
     std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mod_revision_, m.token); }
@@ -227,21 +227,21 @@
     void touch(Job& job, std::size_t part);
     std::vector<Condition> as_known(const Job& job) const;
     std::string key_of(const Job& job, std::size_t part) const;
-    void drop_left_over();
+    void drop_stale_records();
     void move_out_of_history();
     void flush_jobs();
     void write_part(Job& job, std::size_t part, Priority priority);
-    void written(const std::string& ref, std::size_t part, const Value& value, bool final_record,
+    void written(const std::string& ref, std::size_t part, const Json& value, bool final_record,
                  const std::vector<AttemptKey>& binding, const std::vector<int>& done, RecordLocation place,
                  const CommitResult& result);
     void reload(const std::string& ref, std::size_t part);
     void reload_later(const std::string& ref, std::size_t part);
     void read_record(const std::string& ref, std::size_t part,
-                     std::function<void(const ReadResult&, RecordLocation, Revision shadow)> done);
+                     std::function<void(const ReadResult&, RecordLocation, Revision legacy_revision)> done);
     void reloaded(const std::string& ref, std::size_t part, const ReadResult& r, RecordLocation place,
-                  Revision shadow);
-    Value part_value(const Job& job, std::size_t part, bool final_record) const;
-    void adopt_part(Job& job, std::size_t part, const Value& value, Revision mod_revision);
+                  Revision legacy_revision);
+    Json part_value(const Job& job, std::size_t part, bool final_record) const;
+    void adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision);
 
     std::vector<Order> orders_for(Machine& m, bool direct);
     bool probe_due(const Machine& m) const;
@@ -265,10 +265,10 @@
     Rebalancer rebalancer_;
     std::uint64_t next_serial_ = 1;
     std::set<std::string> dirty_;
-    std::vector<Condition> left_over_;  // records under c/active/ of jobs that are over, to be dropped
+    std::vector<Condition> stale_records_;  // records under c/active/ of jobs that are over, to be dropped
     Micros dropped_at_ = 0;
     Micros moved_at_ = 0;
-    std::vector<std::string> due_;  // machines to send orders to
+    std::vector<std::string> dispatch_due_;  // machines to send orders to
     int direct_calls_ = 0;
     bool plan_due_ = true;
     bool flush_due_ = false;
--- a/src/shard/startup.cpp
+++ b/src/shard/startup.cpp
@@ -70,14 +70,14 @@
         after(first_bind_after_));
 }
 
-Value Startup::value() const {
+Json Startup::value() const {
     return {{"active_ms", taken_ / kMillisecond},
             {"jobs", jobs_},
             {"tasks", inherited_},
             {"machines", machines_},
             {"machines_heard", heard_.size()},
-            {"all_heard_ms", all_heard_after_ < 0 ? Value() : Value(all_heard_after_ / kMillisecond)},
-            {"first_bind_ms", first_bind_after_ < 0 ? Value() : Value(first_bind_after_ / kMillisecond)},
+            {"all_heard_ms", all_heard_after_ < 0 ? Json() : Json(all_heard_after_ / kMillisecond)},
+            {"first_bind_ms", first_bind_after_ < 0 ? Json() : Json(first_bind_after_ / kMillisecond)},
             {"run_on", runs_},
             {"ended", ended_},
             {"gone", gone_},
--- a/src/shard/startup.hpp
+++ b/src/shard/startup.hpp
@@ -25,7 +25,7 @@
     void bound(Micros now);
     /// The line for the log, once, when it is due.
     std::string line(Micros now);
-    Value value() const;
+    Json value() const;
 
   private:
     bool open() const { return began_ > 0 && !told_; }
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -15,7 +15,7 @@
 using settings::one_of;
 using settings::Table;
 
-void load_settings(Table& t, Experiment& e) {
+void load_settings(Table& t, Scenario& e) {
     Settings& s = e.settings;
     s.zones = t.texts("zones", {"a", "b"});
     s.cpu_share = t.number("cpu_share", 1, 0.001, 1000);
@@ -43,7 +43,7 @@
     });
 }
 
-void load_load(Table& x, Experiment& e) {
+void load_load(Table& x, Scenario& e) {
     Load l;
     JobSpec& j = l.job;
     j.job_class = x.text("class", "class");
@@ -95,7 +95,7 @@
 /// Those that hit machines by count, part or zone.
 const std::set<std::string> kOfMachines{"deaf", "mute"};
 
-Fault load_fault(Table& x, const Experiment& e) {
+Fault load_fault(Table& x, const Scenario& e) {
     using Who = Fault::Who;
     Fault f;
     f.at = x.seconds("at_s", 0);
@@ -173,15 +173,15 @@
     return at + every * (times - 1) + span + apart * (node < 0 && who == Who::Node ? nodes - 1 : 0) + late;
 }
 
-Micros Experiment::faults_end() const {
+Micros Scenario::faults_end() const {
     Micros last = 0;
     for (const auto& f : faults) last = std::max(last, f.over(controllers));
     return last;
 }
 
-Experiment Experiment::load(const std::string& path) {
+Scenario Scenario::load(const std::string& path) {
     const toml::table file = settings::parse_file(path);
-    Experiment e;
+    Scenario e;
     Table t(file, "");
     e.name = t.text("name", path);
     e.seed = static_cast<std::uint64_t>(t.count("seed", 1));
@@ -252,7 +252,7 @@
 }
 
 namespace {
-Value times_value(const Times& t) {
+Json times_value(const Times& t) {
     auto ms = [](Micros x) { return static_cast<double>(x) / 1e3; };
     return {{"count", t.count()},
             {"p50_ms", ms(t.at(0.5))},
@@ -261,14 +261,14 @@
             {"worst_ms", ms(t.worst())}};
 }
 
-Value shares_value(const std::map<std::string, Share>& all) {
-    Value v = Value::object();
+Json shares_value(const std::map<std::string, Share>& all) {
+    Json v = Json::object();
     for (const auto& [name, s] : all) v[name] = {{"due", s.due}, {"served", s.served}, {"part", s.part()}};
     return v;
 }
 
-Value acceptance_value(const Acceptance& a) {
-    Value waits = Value::object();
+Json acceptance_value(const Acceptance& a) {
+    Json waits = Json::object();
     for (const auto& [name, t] : a.largest_wait) waits[name] = t / kMillisecond;
     return {{"broken", a.broken},
             {"unanswered_ms", a.unanswered / kMillisecond},
@@ -280,10 +280,10 @@
 }
 }  // namespace
 
-Value Results::value() const {
-    Value w = Value::object();
+Json Results::value() const {
+    Json w = Json::object();
     for (const auto& [name, t] : waits) w[name] = times_value(t);
-    Value g = Value::object();
+    Json g = Json::object();
     for (const auto& [name, t] : gaps) g[name] = times_value(t);
     return {{"runs", runs},
             {"rules_broken", broken},
@@ -416,7 +416,7 @@
                 if (!o || !o->active() || o->machines().empty() ||
                     !collected.insert({name, o->mod_revision()}).second)
                     continue;
-                const Value s = o->status()["start"];
+                const Json s = o->status()["start"];
                 into_.launches += s["launches"].get<std::size_t>();
                 into_.stops += s["stops"].get<std::size_t>();
                 into_.orders_again += s["orders_again"].get<std::size_t>();
@@ -569,7 +569,7 @@
 
 }  // namespace
 
-void play(const Experiment& e, std::uint64_t seed, Results& into) {
+void play(const Scenario& e, std::uint64_t seed, Results& into) {
     Simulator w(seed, e.settings, e.types);
     fakes::add_history(w.state(), e.history);
     for (const auto& m : e.machines)
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -63,7 +63,7 @@
     int count = 0;
 };
 
-struct Experiment {
+struct Scenario {
     std::string name;
     std::uint64_t seed = 1;
     int seeds = 1;
@@ -83,7 +83,7 @@
     std::vector<Fault> faults;
 
     /// Throws std::runtime_error with one line that names the key and the reason.
-    static Experiment load(const std::string& path);
+    static Scenario load(const std::string& path);
     /// When all troubles are over.
     Micros faults_end() const;
 };
@@ -125,12 +125,12 @@
 
     /// Whether no rule was broken, of the protocol or of acceptance.
     bool fine() const { return broken.empty() && acceptance.broken.empty(); }
-    Value value() const;
+    Json value() const;
     std::string table() const;
     std::string csv() const;
 };
 
 /// Plays one seed and adds what it shows.
-void play(const Experiment& e, std::uint64_t seed, Results& into);
+void play(const Scenario& e, std::uint64_t seed, Results& into);
 
 }  // namespace cottonway::simulation
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -47,9 +47,9 @@
 }
 
 /// A node's host: its clock drifts, and what it started dies with its process.
-class Simulator::NodeHost : public Runtime, public std::enable_shared_from_this<NodeHost> {
+class Simulator::NodeRuntime : public Runtime, public std::enable_shared_from_this<NodeRuntime> {
   public:
-    NodeHost(Simulator& simulator, int index, std::uint64_t seed)
+    NodeRuntime(Simulator& simulator, int index, std::uint64_t seed)
         : simulator_(simulator), index_(index), name_("loom-" + std::to_string(index)), random_(seed) {
         drift_ppm_ = static_cast<Micros>(random_() % 500);
         offset_ = static_cast<Micros>(random_() % 1'000'000'000) + kSecond;
@@ -133,11 +133,11 @@
     void arrive(const Call& call, const std::string& to, const std::function<void(Reply)>& back) {
         Simulator& w = simulator_;
         // Bodies go through the codec, as they would on the wire.
-        const Value body =
-            call.body.is_null() ? Value() : wire::decode(wire::encode(call.body)).value_or(Value());
+        const Json body =
+            call.body.is_null() ? Json() : wire::decode(wire::encode(call.body)).value_or(Json());
         if (to == "state") {
             ++w.nodes_[static_cast<std::size_t>(index_)].state_requests;
-            if (w.nodes_[static_cast<std::size_t>(index_)].refused) return back(Reply{503, Value::object()});
+            if (w.nodes_[static_cast<std::size_t>(index_)].refused) return back(Reply{503, Json::object()});
             if (call.path.compare(0, 8, "/changes") == 0)
                 return wait_for_change(call.path, w.now_ + fakes::StateService::block_time(call.path), back);
             if (call.method != "GET")
@@ -262,11 +262,11 @@
     at(now_ + delay() + slow, std::move(deliver));
 }
 
-std::optional<Micros> Simulator::lateness(const Value& transaction) {
-    const Value* then = wire::find(transaction, "then");
+std::optional<Micros> Simulator::lateness(const Json& transaction) {
+    const Json* then = wire::find(transaction, "then");
     for (auto it = late_next_.begin(); then && it != late_next_.end(); ++it) {
         const auto& [prefix, late] = *it;
-        const auto touches = [&prefix = prefix](const Value& op) {
+        const auto touches = [&prefix = prefix](const Json& op) {
             const auto key = wire::text(op, wire::find(op, "drop") ? "drop" : "write");
             return key && key->compare(0, prefix.size(), prefix) == 0;
         };
@@ -283,8 +283,8 @@
 }
 
 void Simulator::watch_leader() {
-    const Reply r = state_.handle("GET", "/store/c/leader", Value(), now_);
-    const Value* data = r.status == 200 ? wire::find(r.body, "data") : nullptr;
+    const Reply r = state_.handle("GET", "/store/c/leader", Json(), now_);
+    const Json* data = r.status == 200 ? wire::find(r.body, "data") : nullptr;
     const std::string node = data ? wire::text(*data, "node").value_or("") : "";
     if (node.empty() || node == led_by_) return;
     led_by_ = node;
@@ -454,7 +454,7 @@
                                {"10.0.0." + std::to_string(p + 1), static_cast<std::uint16_t>(8081)}});
     s.zone = settings.zones[static_cast<std::size_t>(i) % settings.zones.size()];
     s.announces_format = !n.old;
-    n.host = std::make_shared<NodeHost>(*this, i, random());
+    n.host = std::make_shared<NodeRuntime>(*this, i, random());
     n.controller = std::make_unique<Controller>(*n.host, s);
     n.controller->start();
 }
@@ -722,7 +722,7 @@
     return chosen;
 }
 
-void Simulator::user_call(const std::string& method, const std::string& path, const Value& body,
+void Simulator::user_call(const std::string& method, const std::string& path, const Json& body,
                           std::function<void(ApiResponse)> done, int target) {
     std::vector<int> up;
     for (int i = 0; i < node_count(); ++i)
@@ -731,7 +731,7 @@
     auto finish = [over, done = std::move(done)](const ApiResponse& r) {
         if (!std::exchange(*over, true)) done(r);
     };
-    at(now_ + 5 * kSecond, [finish] { finish({0, Value(), 0}); });
+    at(now_ + 5 * kSecond, [finish] { finish({0, Json(), 0}); });
     if (up.empty()) return;
     if (target < 0) target = users_at >= 0 && node(users_at) ? users_at : up[random() % up.size()];
     if (is_cut("users", "loom-" + std::to_string(target))) return;
@@ -749,7 +749,7 @@
     });
 }
 
-void Simulator::user_ask(Asked what, const std::string& ref, const Value& body,
+void Simulator::user_ask(Asked what, const std::string& ref, const Json& body,
                          std::function<void(const ApiResponse&)> done, int target) {
     const auto user = users_.find(ref);
     const bool right = user != users_.end() && wire::parse_job(body).spec;
@@ -790,7 +790,7 @@
 }
 
 void Simulator::try_cancel(const std::string& ref) {
-    user_ask(Asked::Cancellation, ref, Value::object(), [this, ref](const ApiResponse& r) {
+    user_ask(Asked::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& r) {
         if (r.status == 200) return repeat([this, ref] { try_cancel(ref); });
         at(now_ + kSecond, [this, ref] { try_cancel(ref); });
     });
@@ -802,7 +802,7 @@
     const Micros pause = (poll_pause + static_cast<Micros>(random() % 2000) * poll_pause / 1000) / poll_rate;
     at(now_ + pause, [this, ref] {
         users_[ref].polling = false;
-        user_ask(Asked::State, ref, Value::object(), [this, ref](const ApiResponse& r) {
+        user_ask(Asked::State, ref, Json::object(), [this, ref](const ApiResponse& r) {
             if (r.status == 200) {
                 User& u = users_[ref];
                 u.unanswered = std::max(u.unanswered, unanswered(u));
@@ -830,7 +830,7 @@
                 const bool over = told(ref) == "done" || told(ref) == "cancelled";
                 if (later == 10 && (over || cancel_wanted(ref)))
                     user_ask(
-                        Asked::Cancellation, ref, Value::object(), [](const auto&) {}, i);
+                        Asked::Cancellation, ref, Json::object(), [](const auto&) {}, i);
             });
 }
 
@@ -841,15 +841,15 @@
 
 void Simulator::ask_about(const std::string& ref, int target) {
     user_ask(
-        Asked::State, ref, Value::object(), [](const auto&) {}, target);
+        Asked::State, ref, Json::object(), [](const auto&) {}, target);
 }
 
-void Simulator::submit_again(const std::string& ref, const Value& body, int target) {
+void Simulator::submit_again(const std::string& ref, const Json& body, int target) {
     user_ask(
         Asked::Submission, ref, body, [](const auto&) {}, target);
 }
 
-void Simulator::submit_wrong(const Value& body, int target) {
+void Simulator::submit_wrong(const Json& body, int target) {
     if (target < 0)
         for (int i = 1; i < node_count(); ++i) submit_wrong(body, i);
     target = std::max(target, 0);
@@ -874,7 +874,7 @@
         return all.empty() ? nullptr : all[random() % all.size()];
     };
     JobSpec fresh = job(900'000 + ++odd_jobs_, JobKind::Array, 1);
-    Value body = wire::job_value(fresh);
+    Json body = wire::job_value(fresh);
     switch (random() % 5) {
         case 0:
             if (const JobSpec* s = some("accepted")) {
@@ -886,7 +886,7 @@
         case 1:
             if (const JobSpec* s = some("done"))
                 user_ask(
-                    Asked::Cancellation, s->ref, Value::object(), [](const auto&) {}, target);
+                    Asked::Cancellation, s->ref, Json::object(), [](const auto&) {}, target);
             break;
         case 2:
             body["cores"] = 1e6;
@@ -905,7 +905,7 @@
     }
 }
 
-void Simulator::hear(const std::string& ref, Micros sent, const Value& body) {
+void Simulator::hear(const std::string& ref, Micros sent, const Json& body) {
     User& u = users_[ref];
     const std::string stage = wire::text(body, "stage").value_or("");
     if (const Micros told = cancel_told(ref);
@@ -925,12 +925,12 @@
 }
 
 Micros Simulator::unanswered(const User& u) const {
-    return calm_since_ < 0 ? 0 : now_ - std::max({calm_since_, u.answered, u.accepted_at});
+    return quiesced_since_ < 0 ? 0 : now_ - std::max({quiesced_since_, u.answered, u.accepted_at});
 }
 
 void Simulator::quiesce() {
-    if (calm_since_ < 0) at(now_, [this] { watch_waiting(); });
-    calm_since_ = now_;
+    if (quiesced_since_ < 0) at(now_, [this] { watch_waiting(); });
+    quiesced_since_ = now_;
 }
 
 Sight Simulator::sight() {
@@ -1003,10 +1003,10 @@
         if (!*result) *result = r;
     });
     for (int n = 0; n < 500 && !*result; ++n) run(10 * kMillisecond);
-    return result->value_or(ApiResponse{0, Value(), 0});
+    return result->value_or(ApiResponse{0, Json(), 0});
 }
 
-ApiResponse Simulator::ask(int i, const std::string& method, const std::string& path, const Value& body) {
+ApiResponse Simulator::ask(int i, const std::string& method, const std::string& path, const Json& body) {
     return ask_raw(i, method, path, wire::encode(body));
 }
 
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -161,10 +161,10 @@
     /// ask about jobs that nobody submitted, and send jobs that fit no machine or lack a field.
     bool odd_requests = false;
     /// A job that nobody may accept, sent to a node until it answers 400 or 422; -1: to each.
-    void submit_wrong(const Value& body, int node = -1);
+    void submit_wrong(const Json& body, int node = -1);
     /// What users were told, as it is judged.
     const ConsistencyChecker& looks() const { return looks_; }
-    ApiResponse ask(int node, const std::string& method, const std::string& path, const Value& body);
+    ApiResponse ask(int node, const std::string& method, const std::string& path, const Json& body);
     ApiResponse ask_raw(int node, const std::string& method, const std::string& path,
                         const std::string& body);
     std::string told(const std::string& ref) const;  // "", "accepted", "done" or "cancelled"
@@ -199,10 +199,10 @@
     std::mt19937_64 random;
 
   private:
-    class NodeHost;
-    friend class NodeHost;
+    class NodeRuntime;
+    friend class NodeRuntime;
     struct Node {
-        std::shared_ptr<NodeHost> host;
+        std::shared_ptr<NodeRuntime> host;
         std::unique_ptr<Controller> controller;
         bool refused = false;
         std::uint64_t state_requests = 0;
@@ -247,7 +247,7 @@
     /// Hands something to a node's process, once it does not stand still.
     void hand(int node, std::function<void()> what, bool timer = false);
     /// How late a transaction is carried out without an answer, 0: at once.
-    std::optional<Micros> lateness(const Value& transaction);
+    std::optional<Micros> lateness(const Json& transaction);
     /// The controller that leads by the state service, with the mark of its record, as that changes.
     void watch_leader();
     /// Has `again` happen a second time, now and then.
@@ -273,15 +273,15 @@
     void try_cancel(const std::string& ref);
     void poll(const std::string& ref);
     /// A user's request to a node, or to some node that is up; calls back once, with status 0 after 5 s.
-    void user_call(const std::string& method, const std::string& path, const Value& body,
+    void user_call(const std::string& method, const std::string& path, const Json& body,
                    std::function<void(ApiResponse)> done, int node = -1);
     /// A request about a job, its answer judged and remembered before it is handed on.
-    void user_ask(Asked what, const std::string& ref, const Value& body,
+    void user_ask(Asked what, const std::string& ref, const Json& body,
                   std::function<void(const ApiResponse&)> done, int node = -1);
     void ask_about(const std::string& ref, int node);
-    void submit_again(const std::string& ref, const Value& body, int node);
+    void submit_again(const std::string& ref, const Json& body, int node);
     void odd_request();
-    void hear(const std::string& ref, Micros sent, const Value& body);
+    void hear(const std::string& ref, Micros sent, const Json& body);
     void breach(const std::string& rule, const std::string& what);
     /// A job before this one, or the job itself, whose cancellation its user asked for, or was told of.
     const std::string& cloud_zone(const std::string& machine) { return zone_of_[machine]; }
@@ -319,7 +319,7 @@
     std::map<std::pair<std::string, int>, Micros> left_;  // replicas that are on no machine now
     std::set<std::pair<std::string, int>> running_before_;
     std::size_t started_again_ = 0;
-    Micros calm_since_ = -1;
+    Micros quiesced_since_ = -1;
     StarvationChecker starvation_checker_;
     std::map<std::string, LostZone> lost_zones_;
 };
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -39,7 +39,7 @@
     findings_.push_back({Finding::Weight::Notice, key, std::move(what)});
 }
 
-void Verifier::take(const std::string& key, const Value& stored, Revision mod_revision) {
+void Verifier::take(const std::string& key, const Json& stored, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
     if (starts_with(key, keys::chunk)) return take_piece(key, stored);
     const auto value = whole(key, stored);
@@ -68,7 +68,7 @@
         for (const auto& [team, r] : parse_shares(*value)) sums_[team] += r;
     } else if (starts_with(key, keys::plan)) {
         ++kinds_["plans"];
-        if (!planning::Plan().take(*value)) damage(key, "does not parse: nothing of it is carried on");
+        if (!scheduling::Plan().take(*value)) damage(key, "does not parse: nothing of it is carried on");
     } else if (starts_with(key, keys::format)) {
         ++kinds_["formats"];
         const auto reads = wire::count(*value, "reads").value_or(0);
@@ -89,7 +89,7 @@
 }
 
 /// A value that is stored in pieces is put together; with some missing it counts for nothing.
-std::optional<Value> Verifier::whole(const std::string& key, const Value& value) {
+std::optional<Json> Verifier::whole(const std::string& key, const Json& value) {
     const auto named = chunks::named_by(value);
     if (!named) return value;
     named_pieces_.insert(named->first);
@@ -107,7 +107,7 @@
     return joined;
 }
 
-void Verifier::take_piece(const std::string& key, const Value& value) {
+void Verifier::take_piece(const std::string& key, const Json& value) {
     ++kinds_["pieces"];
     const auto index = number_at_end(key);
     auto text = wire::text(value, "t");
@@ -119,10 +119,10 @@
 }
 
 void Verifier::take_job(const std::string& key, const std::string& ref, RecordLocation place,
-                        const Value& value) {
+                        const Json& value) {
     if (!wire::valid_ref(ref)) damage(key, "is not named like a job");
     const auto stage = wire::text(value, "s");
-    const Value* spec = wire::find(value, "d");
+    const Json* spec = wire::find(value, "d");
     const bool final = (stage == "done" || stage == "cancelled") && !spec;
     auto live = jobs_.find(ref);
     if (final) {
@@ -158,7 +158,7 @@
     jobs_.emplace(ref, std::move(job));
 }
 
-void Verifier::take_part(const std::string& key, const Value& value) {
+void Verifier::take_part(const std::string& key, const Json& value) {
     ++kinds_["parts"];
     const auto index = number_at_end(key);
     const auto slash = key.rfind('/');
@@ -173,9 +173,9 @@
     take_bindings(job->second, key, value, first);
 }
 
-void Verifier::take_bindings(KnownJob& job, const std::string& key, const Value& value, std::size_t first) {
+void Verifier::take_bindings(KnownJob& job, const std::string& key, const Json& value, std::size_t first) {
     job.next_attempt = std::max(job.next_attempt, wire::count(value, "n").value_or(1));
-    const Value* bindings = wire::find(value, "b");
+    const Json* bindings = wire::find(value, "b");
     if (!bindings) return;
     if (!bindings->is_array()) return damage(key, "its bindings do not parse");
     const std::size_t last = std::min(first + job.part_tasks, static_cast<std::size_t>(job.tasks));
@@ -204,7 +204,7 @@
     }
 }
 
-void Verifier::take_block(const std::string& key, const Value& value, Revision mod_revision) {
+void Verifier::take_block(const std::string& key, const Json& value, Revision mod_revision) {
     ++kinds_["blocks"];
     const std::string id = key.substr(keys::block.size());
     const auto block = Block::parse(id, value, mod_revision);
@@ -259,8 +259,8 @@
     return findings_;
 }
 
-Value Verifier::summary() const {
-    Value v = Value::object();
+Json Verifier::summary() const {
+    Json v = Json::object();
     for (const auto& [kind, n] : kinds_) v[kind] = n;
     v["jobs done"] = done_;
     v["jobs cancelled"] = cancelled_;
--- a/src/verify/verify.hpp
+++ b/src/verify/verify.hpp
@@ -27,11 +27,11 @@
   public:
     explicit Verifier(const Settings& settings) : settings_(settings) {}
 
-    void take(const std::string& key, const Value& value, Revision mod_revision);
+    void take(const std::string& key, const Json& value, Revision mod_revision);
     /// After the last record: what only all of them together tell. Damage first.
     std::vector<Finding> finish();
     /// Records by kind, and how many jobs are in which state.
-    Value summary() const;
+    Json summary() const;
 
   private:
     struct KnownJob {
@@ -45,12 +45,12 @@
     };
     void damage(const std::string& key, std::string what);
     void notice(const std::string& key, std::string what);
-    void take_job(const std::string& key, const std::string& ref, RecordLocation place, const Value& value);
-    void take_part(const std::string& key, const Value& value);
-    void take_bindings(KnownJob& job, const std::string& key, const Value& value, std::size_t first);
-    void take_block(const std::string& key, const Value& value, Revision mod_revision);
-    void take_piece(const std::string& key, const Value& value);
-    std::optional<Value> whole(const std::string& key, const Value& value);
+    void take_job(const std::string& key, const std::string& ref, RecordLocation place, const Json& value);
+    void take_part(const std::string& key, const Json& value);
+    void take_bindings(KnownJob& job, const std::string& key, const Json& value, std::size_t first);
+    void take_block(const std::string& key, const Json& value, Revision mod_revision);
+    void take_piece(const std::string& key, const Json& value);
+    std::optional<Json> whole(const std::string& key, const Json& value);
 
     const Settings& settings_;
     std::vector<Finding> findings_;
@@ -60,7 +60,7 @@
     std::map<std::string, std::pair<std::string, std::string>> machines_;  // block and shard
     std::map<std::string, std::string> shards_;                            // holder
     std::map<std::string, std::string> shard_of_block_;
-    Shares sums_;
+    QuotaAllocation sums_;
     std::set<std::string> shared_;  // shards that have a share
     std::map<std::string, std::map<std::size_t, std::string>> chunks_;
     std::map<std::string, std::string> chunk_of_;
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -237,11 +237,11 @@
                             << "[[fault]]\nat_s = 30\nkind = \"end\"\nfor_s = 0.3\ntimes = 2\nevery_s = 10\n";
     };
     write("duration_s = 100");
-    EXPECT_THROW(Experiment::load(path), std::runtime_error);
+    EXPECT_THROW(Scenario::load(path), std::runtime_error);
     write("duration_s = 100\nacceptance = false");
-    EXPECT_EQ(Experiment::load(path).faults_end(), 40'300 * kMillisecond);
+    EXPECT_EQ(Scenario::load(path).faults_end(), 40'300 * kMillisecond);
     write("duration_s = 130");
-    EXPECT_TRUE(Experiment::load(path).acceptance);
+    EXPECT_TRUE(Scenario::load(path).acceptance);
 }
 
 // ---------------------------------------------------------------- what the simulator's world does
--- a/tests/looks_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -191,7 +191,7 @@
     w->run(5 * kSecond);
     for (const auto& ref : refs)
         for (int i = 0; i < 3; ++i)
-            EXPECT_EQ(wire::text(w->ask(i, "GET", "/v1/jobs/" + ref, Value::object()).body, "stage"),
+            EXPECT_EQ(wire::text(w->ask(i, "GET", "/v1/jobs/" + ref, Json::object()).body, "stage"),
                       "cancelled")
                 << ref << " at " << i;
     EXPECT_RULES(*w);
@@ -202,8 +202,8 @@
     w.freeze(node, 1300 * kMs);
     for (int n = 0; n < 12'000; ++n)
         w.at(w.now() + n * 100, [&w, n] {
-            const Value then = Value::array({{{"write", "other"}, {"data", n}}});
-            w.state().handle("POST", "/commit", Value{{"then", then}}, w.now());
+            const Json then = Json::array({{{"write", "other"}, {"data", n}}});
+            w.state().handle("POST", "/commit", Json{{"then", then}}, w.now());
         });
     w.run(1300 * kMs);
 }
@@ -420,7 +420,7 @@
         AtOnce host;
         const Settings s = small_site();
         StoreClient store(host, s);
-        const Value first{{"then", Value::array({{{"write", "c/active/x"}, {"data", 1}}})}};
+        const Json first{{"then", Json::array({{{"write", "c/active/x"}, {"data", 1}}})}};
         const auto mod_revision = wire::count(host.state.handle("POST", "/commit", first, 0).body, "ledger");
         ASSERT_TRUE(mod_revision);
         const std::vector<Condition> as_known{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
@@ -463,7 +463,7 @@
 
 struct Odd {
     const char* key;
-    Value value;  // null: the field is missing
+    Json value;  // null: the field is missing
     int status;
 };
 /// Whatever is wrong with a job is told with the status that the protocol names, at every node, and a job
@@ -472,7 +472,7 @@
     auto w = settled_simulator(8, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
-    const Value good = wire::job_value(w->job(1, JobKind::Array, 1));
+    const Json good = wire::job_value(w->job(1, JobKind::Array, 1));
     std::vector<Odd> cases{{"threads", 0, 400},
                            {"threads", 1.5, 400},
                            {"threads", 100'001, 400},
@@ -485,7 +485,7 @@
                            {"ref", 7, 400},
                            {"crew", "", 400},
                            {"looms", "small", 400},
-                           {"looms", Value::array({1}), 400},
+                           {"looms", Json::array({1}), 400},
                            {"mill", 1, 400},
                            {"due_s", -1, 400},
                            {"due_s", "soon", 400},
@@ -494,17 +494,17 @@
                            {"cores", 17.0, 422},
                            {"cards", 1.0, 422},
                            {"ram_gb", 65.0, 422},
-                           {"looms", Value::array({"none"}), 422},
-                           {"looms", Value::array(), 422},
+                           {"looms", Json::array({"none"}), 422},
+                           {"looms", Json::array(), 422},
                            {"mill", "z", 422}};
     for (const auto& [key, value] : good.items()) cases.push_back({key.c_str(), {}, 400});
     int number = 100;
     for (const auto& odd : cases)
         for (int i = 0; i < 3; ++i) {
-            Value body = good;
+            Json body = good;
             const std::string fresh = w->job(++number, JobKind::Array, 1).ref;
             body["ref"] = fresh;
-            const auto put = [&odd](Value& b) {
+            const auto put = [&odd](Json& b) {
                 if (odd.value.is_null())
                     b.erase(odd.key);
                 else
@@ -522,7 +522,7 @@
             EXPECT_EQ(again.status, 200) << what;
             EXPECT_EQ(wire::text(again.body, "stage"), "running") << what;
         }
-    Value gang = wire::job_value(w->job(99, JobKind::Gang, 25));
+    Json gang = wire::job_value(w->job(99, JobKind::Gang, 25));
     for (int i = 0; i < 3; ++i)
         EXPECT_EQ(w->ask(i, "POST", "/v1/jobs", gang).status, 422) << "over its limit";
     EXPECT_RULES(*w);
@@ -533,9 +533,9 @@
     Simulator w(9);
     w.cloud().down = true;
     w.start_nodes();
-    const Value fits = wire::job_value(w.job(1, JobKind::Array, 1));
-    Value never = wire::job_value(w.job(2, JobKind::Array, 1, 17));
-    Value wrong = wire::job_value(w.job(3, JobKind::Array, 1));
+    const Json fits = wire::job_value(w.job(1, JobKind::Array, 1));
+    Json never = wire::job_value(w.job(2, JobKind::Array, 1, 17));
+    Json wrong = wire::job_value(w.job(3, JobKind::Array, 1));
     wrong.erase("rank");
     for (int n = 0; n < 4; ++n)
         for (int i = 0; i < 3; ++i) {
@@ -560,7 +560,7 @@
             w->submit(w->job(n, n % 4 ? JobKind::Array : JobKind::Service, 1 + n % 3), 800 * kMs, 100 * kMs);
             w->crash(n % 3, (20 + 37 * n % 400) * kMs);
             if (n % 10 == 0) w->crash((n + 1) % 3, 100 * kMs);
-            Value wrong = wire::job_value(w->job(1000 + n, JobKind::Array, 1));
+            Json wrong = wire::job_value(w->job(1000 + n, JobKind::Array, 1));
             wrong["cores"] = 100.0;
             if (n % 2) wrong.erase("cards");
             w->submit_wrong(wrong);
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -4,6 +4,8 @@
 
 #include <gtest/gtest.h>
 
+#include "scheduling/machine_occupancy.hpp"
+
 namespace cottonway::test {
 
 using allocation::Demand;
@@ -39,20 +41,20 @@
 }
 
 TEST(OccupiedCores, AreTheLargestShareOfAMachineInAnyResource) {
-    EXPECT_EQ(allocation::occupied_cores({14 * kCore, 2 * kCore, 100 * kCore}, kGpuMachine), 16 * kCore);
-    EXPECT_EQ(allocation::occupied_cores({5 * kCore, 1 * kCore, 38 * kCore}, kGpuMachine), 8 * kCore);
-    EXPECT_EQ(allocation::occupied_cores({1 * kCore, 0, 64 * kCore}, kGpuMachine), 8 * kCore);
-    EXPECT_EQ(allocation::occupied_cores({3 * kCore, 0, 2 * kCore}, kGpuMachine), 3 * kCore);
+    EXPECT_EQ(scheduling::occupied_cores({14 * kCore, 2 * kCore, 100 * kCore}, kGpuMachine), 16 * kCore);
+    EXPECT_EQ(scheduling::occupied_cores({5 * kCore, 1 * kCore, 38 * kCore}, kGpuMachine), 8 * kCore);
+    EXPECT_EQ(scheduling::occupied_cores({1 * kCore, 0, 64 * kCore}, kGpuMachine), 8 * kCore);
+    EXPECT_EQ(scheduling::occupied_cores({3 * kCore, 0, 2 * kCore}, kGpuMachine), 3 * kCore);
 }
 
 TEST(OccupiedCores, IgnoreAResourceThatTheTypeDoesNotHave) {
-    EXPECT_EQ(allocation::occupied_cores({2 * kCore, 1 * kCore, 0}, {4 * kCore, 0, 0}), 2 * kCore);
+    EXPECT_EQ(scheduling::occupied_cores({2 * kCore, 1 * kCore, 0}, {4 * kCore, 0, 0}), 2 * kCore);
 }
 
 TEST(AvailableCores, AreNoneOnceTheGpusAreTaken) {
-    EXPECT_EQ(allocation::available_cores({6 * kCore, 0, 52 * kCore}, kGpuMachine), 0);
-    EXPECT_EQ(allocation::available_cores({11 * kCore, 1 * kCore, 90 * kCore}, kGpuMachine), 8 * kCore);
-    EXPECT_EQ(allocation::available_cores({6 * kCore, 0, 0}, {16 * kCore, 0, 0}), 6 * kCore);
+    EXPECT_EQ(scheduling::available_cores({6 * kCore, 0, 52 * kCore}, kGpuMachine), 0);
+    EXPECT_EQ(scheduling::available_cores({11 * kCore, 1 * kCore, 90 * kCore}, kGpuMachine), 8 * kCore);
+    EXPECT_EQ(scheduling::available_cores({6 * kCore, 0, 0}, {16 * kCore, 0, 0}), 6 * kCore);
 }
 
 TEST(Demand, CountsATeamWithoutGuaranteeAndLimitByItsGpus) {
--- a/tests/pipelines_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -147,12 +147,12 @@
     EXPECT_EQ(stage(other), "cancelled");
     EXPECT_EQ(stage(one), "cancelled");
     // A change of the record that was on its way, by a holder that has not heard of it.
-    auto stored = w->state().handle("GET", "/store/c/active/req-000002", Value(), w->now()).body;
+    auto stored = w->state().handle("GET", "/store/c/active/req-000002", Json(), w->now()).body;
     ASSERT_EQ(stored["data"]["s"], "queued");
     w->state().handle(
         "POST", "/commit",
-        Value{{"when", Value::array()},
-              {"then", Value::array({Value{{"write", "c/active/req-000002"}, {"data", stored["data"]}}})}},
+        Json{{"when", Json::array()},
+             {"then", Json::array({Json{{"write", "c/active/req-000002"}, {"data", stored["data"]}}})}},
         w->now());
     w->run(300 * kMillisecond);
     EXPECT_EQ(stage(other), "cancelled");
@@ -340,7 +340,7 @@
     auto w = settled_simulator(12, {2});
     w->submit(w->job(1, JobKind::Array, 1), 2 * kSecond);
     w->run(2 * kSecond);
-    const Value job = wire::job_value(needing(*w, 2, {"req-000001"}));
+    const Json job = wire::job_value(needing(*w, 2, {"req-000001"}));
     auto r = w->ask(0, "POST", "/v1/jobs", job);
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after, 0);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -5,8 +5,8 @@
 
 #include <fstream>
 
-#include "cluster/peer_messages.hpp"
 #include "kvstore/chunks.hpp"
+#include "peer/messages.hpp"
 #include "simulation/simulator.hpp"
 
 namespace cottonway::test {
@@ -16,16 +16,16 @@
 
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
-std::vector<Value> production_records() {
-    std::vector<Value> out;
+std::vector<Json> production_records() {
+    std::vector<Json> out;
     std::ifstream in(std::string(COTTONWAY_TEST_DATA) + "/production_records.jsonl");
-    for (std::string line; std::getline(in, line);) out.push_back(Value::parse(line));
+    for (std::string line; std::getline(in, line);) out.push_back(Json::parse(line));
     return out;
 }
 
-std::vector<Value> records_of(Simulator& w) {
-    auto r = w.state().handle("GET", "/store?starts=c/&page=1000", Value(), w.now());
-    return r.body["pairs"].get<std::vector<Value>>();
+std::vector<Json> records_of(Simulator& w) {
+    auto r = w.state().handle("GET", "/store?starts=c/&page=1000", Json(), w.now());
+    return r.body["pairs"].get<std::vector<Json>>();
 }
 
 /// The night that the records in tests/data are from.
@@ -67,7 +67,7 @@
 }
 
 /// Every field of a record with the type of what is in it; names that are data are left out.
-void shape_of(const std::string& path, const Value& v, std::set<std::string>& out) {
+void shape_of(const std::string& path, const Json& v, std::set<std::string>& out) {
     out.insert(path + ":" + v.type_name());
     if (v.is_object() && path.find("c/share") == std::string::npos)
         for (const auto& [key, item] : v.items()) shape_of(path + "." + key, item, out);
@@ -75,7 +75,7 @@
         for (const auto& item : v) shape_of(path + "[]", item, out);
 }
 
-std::set<std::string> shapes(const std::vector<Value>& records) {
+std::set<std::string> shapes(const std::vector<Json>& records) {
     std::set<std::string> out;
     for (const auto& r : records) shape_of(kind_of(r["k"].get<std::string>()), r["data"], out);
     return out;
@@ -97,15 +97,15 @@
 TEST(Formats, ProductionsRecordsAreTakenOver) {
     auto records = production_records();
     std::stable_sort(records.begin(), records.end(),
-                     [](const Value& a, const Value& b) { return a["mark"] < b["mark"]; });
+                     [](const Json& a, const Json& b) { return a["mark"] < b["mark"]; });
     Simulator w(1);
     for (const auto& r : records) {
         const std::string key = r["k"];
         if (kind_of(key) == "c/live") continue;  // attached to leases that are over
-        w.state().handle("POST", "/commit",
-                         Value{{"when", Value::array()},
-                               {"then", Value::array({Value{{"write", key}, {"data", r["data"]}}})}},
-                         w.now());
+        w.state().handle(
+            "POST", "/commit",
+            Json{{"when", Json::array()}, {"then", Json::array({Json{{"write", key}, {"data", r["data"]}}})}},
+            w.now());
     }
     w.start_nodes();
     w.run(4 * kSecond);
@@ -159,8 +159,8 @@
 // ---------------------------------------------------------------- limits
 
 TEST(Pieces, AValueComesBackWhole) {
-    Value v{{"s", "queued"}, {"k", 3}, {"d", {{"name", "a\"b\\c, d: e\nf\xc3\xa9"}}}, {"b", Value::array()}};
-    for (int i = 0; i < 400; ++i) v["b"].push_back(Value::array({i, "n-000" + std::to_string(i)}));
+    Json v{{"s", "queued"}, {"k", 3}, {"d", {{"name", "a\"b\\c, d: e\nf\xc3\xa9"}}}, {"b", Json::array()}};
+    for (int i = 0; i < 400; ++i) v["b"].push_back(Json::array({i, "n-000" + std::to_string(i)}));
     const auto split = chunks::split(v, "feed", 1024);
     EXPECT_GT(split.texts.size(), 5u);
     EXPECT_EQ(split.head["s"], "queued") << "polls need no more";
@@ -170,12 +170,12 @@
     chunks::ChunkStore chunk_store;
     for (std::size_t i = 0; i < split.texts.size(); ++i) {
         EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some are missing";
-        const Value chunk = chunks::chunk("c/job/x", split.texts[i]);
+        const Json chunk = chunks::chunk("c/job/x", split.texts[i]);
         chunk_store.take(chunks::key("feed", i), &chunk, kSecond);
     }
     EXPECT_EQ(chunk_store.whole("c/job/x", split.head), v);
     EXPECT_TRUE(chunk_store.left_over(500 * kSecond).empty());
-    EXPECT_EQ(chunk_store.whole("c/job/x", Value{{"s", "done"}}), (Value{{"s", "done"}}));
+    EXPECT_EQ(chunk_store.whole("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
     EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no longer named";
 }
 
--- a/tests/cards_sim_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -16,7 +16,7 @@
 namespace cottonway::test {
 namespace {
 
-using namespace planning;
+using namespace scheduling;
 
 struct Measured {
     double large = 0, large_soon = 0;         // of 8 GPUs; begun within 60 s while as many GPUs were free
--- a/tests/cards_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -1,5 +1,7 @@
 // GpuSettings in pieces: what they are worth, and moves that make room for a large task.
 
+#include "scheduling/gpu_packing.hpp"
+
 #include <glpk.h>
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -9,12 +11,10 @@
 #include <random>
 #include <set>
 
-#include "scheduling/gpu_packing.hpp"
-
 namespace cottonway::test {
 namespace {
 
-using namespace planning;
+using namespace scheduling;
 
 Resources part(int gpus) {
     return {gpus * 12'000, gpus * 1'000, gpus * 96'000};
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "settled_simulator.hpp"
 
 namespace cottonway::test {
@@ -50,7 +50,7 @@
         w->run(2 * kSecond);
         w->release();
         w->run(8 * kSecond);
-        const Value alive = w->node(w->holder())->status()["alive"];
+        const Json alive = w->node(w->holder())->status()["alive"];
         EXPECT_EQ(alive.size(), 3u) << "held " << when / kMillisecond << " ms after the start\n"
                                     << w->story();
     }
@@ -215,7 +215,7 @@
                 w->crash(node, (same ? 500 : 4'000) * kMillisecond);
                 w->submit(w->job(10 + round, JobKind::Array, 2), 8 * kSecond);
                 w->run(round < 9 ? 12 * kSecond : 0);
-                const Reply led = w->state().handle("GET", "/store/c/leader", Value(), w->now());
+                const Reply led = w->state().handle("GET", "/store/c/leader", Json(), w->now());
                 if (led.status == 200) terms.insert(*wire::count(led.body, "mark"));
             }
             if (!same && !outage) {
--- a/tests/history_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -25,28 +25,28 @@
     return (w.holder() + 1) % 3;
 }
 
-Value stored(Simulator& w, const std::string& key) {
-    auto r = w.state().handle("GET", "/store/" + key, Value(), w.now());
-    return r.status == 200 ? r.body : Value();
+Json stored(Simulator& w, const std::string& key) {
+    auto r = w.state().handle("GET", "/store/" + key, Json(), w.now());
+    return r.status == 200 ? r.body : Json();
 }
 
 std::size_t count_below(Simulator& w, const std::string& prefix) {
-    auto r = w.state().handle("GET", "/store?starts=" + prefix + "&page=1000", Value(), w.now());
+    auto r = w.state().handle("GET", "/store?starts=" + prefix + "&page=1000", Json(), w.now());
     return r.body["pairs"].size();
 }
 
 /// Writes straight to the store, as a transaction of a process that has ended and is applied late.
-int late(Simulator& w, const Value& when, const Value& then) {
-    return w.state().handle("POST", "/commit", Value{{"when", when}, {"then", then}}, w.now()).status;
+int late(Simulator& w, const Json& when, const Json& then) {
+    return w.state().handle("POST", "/commit", Json{{"when", when}, {"then", then}}, w.now()).status;
 }
 
 void fill_history(Simulator& w, int jobs) {
     for (int i = 0; i < jobs; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%06d", 500'000 + i);
-        late(w, Value::array(),
-             Value::array({Value{{"write", std::string("c/job/") + ref},
-                                 {"data", {{"s", "done"}, {"dom", "loom-0"}, {"k", 3}, {"fd", 3}}}}}));
+        late(w, Json::array(),
+             Json::array({Json{{"write", std::string("c/job/") + ref},
+                               {"data", {{"s", "done"}, {"dom", "loom-0"}, {"k", 3}, {"fd", 3}}}}}));
     }
 }
 
@@ -79,7 +79,7 @@
     auto r = w->ask(1, "GET", "/v1/jobs/req-504321", {});
     EXPECT_EQ(r.status, 200);
     EXPECT_EQ(wire::text(r.body, "stage"), "done");
-    r = w->ask(2, "POST", "/v1/jobs/req-500007/abort", Value::object());
+    r = w->ask(2, "POST", "/v1/jobs/req-500007/abort", Json::object());
     EXPECT_EQ(wire::text(r.body, "stage"), "done");
     r = w->ask(0, "POST", "/v1/jobs", wire::job_value(w->job(501'234, JobKind::Array, 3)));
     EXPECT_EQ(r.status, 200);
@@ -97,11 +97,11 @@
 /// A finished job whose record under c/active/ is still there, as a process leaves it that ends before a
 /// quiet moment has come.
 void leave_over(Simulator& w, const std::string& ref, const char* stage) {
-    const Value active = stored(w, "c/active/" + ref);
+    const Json active = stored(w, "c/active/" + ref);
     ASSERT_FALSE(active.is_null());
-    ASSERT_EQ(late(w, Value::array({Value{{"k", "c/active/" + ref}, {"mark", active["mark"]}}}),
-                   Value::array({Value{{"write", "c/job/" + ref},
-                                       {"data", {{"s", stage}, {"dom", "loom-0"}, {"k", 2}, {"fd", 2}}}}})),
+    ASSERT_EQ(late(w, Json::array({Json{{"k", "c/active/" + ref}, {"mark", active["mark"]}}}),
+                   Json::array({Json{{"write", "c/job/" + ref},
+                                     {"data", {{"s", stage}, {"dom", "loom-0"}, {"k", 2}, {"fd", 2}}}}})),
               200);
 }
 
@@ -141,7 +141,7 @@
     const int node = w->holder();
     w->hold_next("state", "loom-" + std::to_string(node));  // the news of it
     leave_over(*w, "req-000001", "done");
-    const auto r = w->ask(node, "POST", "/v1/jobs/req-000001/abort", Value::object());
+    const auto r = w->ask(node, "POST", "/v1/jobs/req-000001/abort", Json::object());
     EXPECT_EQ(wire::text(r.body, "stage"), "done") << "it was over already";
     EXPECT_EQ(stored(*w, "c/job/req-000001")["data"]["s"], "done");
 }
@@ -194,9 +194,9 @@
     auto w = settled_simulator(6);
     w->submit(w->job(1, JobKind::Service, 2), 0);
     w->run(3 * kSecond);
-    EXPECT_EQ(late(*w, Value::array({Value{{"k", "c/job/req-000001"}, {"mark", 0}}}),
-                   Value::array({Value{{"write", "c/job/req-000001"},
-                                       {"data", stored(*w, "c/active/req-000001")["data"]}}})),
+    EXPECT_EQ(late(*w, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
+                   Json::array({Json{{"write", "c/job/req-000001"},
+                                     {"data", stored(*w, "c/active/req-000001")["data"]}}})),
               200);
     w->run(2 * kSecond);
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
@@ -212,18 +212,17 @@
 TEST(History, ALateAdmissionIsAcceptedOnlyOnceItHasBeenMoved) {
     auto w = settled_simulator(7);
     const JobSpec job = w->job(1, JobKind::Array, 1);
-    Value record{{"s", "queued"}, {"dom", "loom-9"}, {"k", 1}, {"d", wire::job_value(job)}, {"at", 0}};
-    ASSERT_EQ(late(*w, Value::array({Value{{"k", "c/job/req-000001"}, {"mark", 0}}}),
-                   Value::array({Value{{"write", "c/job/req-000001"}, {"data", record}}})),
+    Json record{{"s", "queued"}, {"dom", "loom-9"}, {"k", 1}, {"d", wire::job_value(job)}, {"at", 0}};
+    ASSERT_EQ(late(*w, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
+                   Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
               200);
     w->run(kSecond);
     // Nobody holds its shard, so nobody moves it; were it called accepted, the next start would forget it.
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(job)).status, 503);
     EXPECT_EQ(w->ask(1, "GET", "/v1/jobs/req-000001", {}).status, 503);
     record["dom"] = w->owner_at(w->holder())->shard();
-    ASSERT_EQ(
-        late(*w, Value::array(), Value::array({Value{{"write", "c/job/req-000001"}, {"data", record}}})),
-        200);
+    ASSERT_EQ(late(*w, Json::array(), Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
+              200);
     w->submit(job, 20 * kSecond);
     w->run(4 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "accepted") << w->story();
@@ -236,7 +235,7 @@
     // As if the others had proven the format and closed history, before this node hears of it.
     for (int i = 0; i < 3; ++i) w->hold_next("state", "loom-" + std::to_string(i));
     ASSERT_EQ(
-        late(*w, Value::array(), Value::array({Value{{"write", "c/history"}, {"data", {{"apart", false}}}}})),
+        late(*w, Json::array(), Json::array({Json{{"write", "c/history"}, {"data", {{"apart", false}}}}})),
         200);
     w->submit(w->job(1, JobKind::Array, 1), kSecond);
     w->run(8 * kSecond);
@@ -254,9 +253,9 @@
     w->cut("loom-" + std::to_string(node), "state");
     w->run(kSecond);
     leave_over(*w, "req-000001", "done");
-    late(*w, Value::array(), Value::array({Value{{"drop", "c/active/req-000001"}}}));
+    late(*w, Json::array(), Json::array({Json{{"drop", "c/active/req-000001"}}}));
     for (int i = 0; i < 10'500; ++i)  // more than the service keeps
-        late(*w, Value::array(), Value::array({Value{{"write", "x/1"}, {"data", i}}}));
+        late(*w, Json::array(), Json::array({Json{{"write", "x/1"}, {"data", i}}}));
     w->heal_all();
     w->run(10 * kSecond);
     EXPECT_EQ(w->node(node)->cache().jobs.live().size(), 0u) << w->story();
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "cluster/peer_messages.hpp"
+#include "peer/messages.hpp"
 #include "settled_simulator.hpp"
 
 namespace cottonway::test {
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -8,16 +8,16 @@
 namespace cottonway::test {
 
 /// A report that is on its way from now on.
-inline Value on_its_way(simulation::Simulator& w, const std::string& machine) {
+inline Json on_its_way(simulation::Simulator& w, const std::string& machine) {
     return w.worker(machine)->report(w.now());
 }
 
-inline void arrives(simulation::Simulator& w, int node, const Value& report) {
+inline void arrives(simulation::Simulator& w, int node, const Json& report) {
     const std::string bytes = wire::encode(report);
     if (w.node(node)) w.node(node)->handle({"POST", "/v1/report", bytes, false}, [](const auto&) {});
 }
 
-inline void arrives_everywhere(simulation::Simulator& w, const Value& report) {
+inline void arrives_everywhere(simulation::Simulator& w, const Json& report) {
     for (int i = 0; i < w.node_count(); ++i) arrives(w, i, report);
 }
 
@@ -37,13 +37,13 @@
 /// without it. That machine, and a report of before that shows the task there.
 struct Superseded {
     std::string machine;
-    Value running;
+    Json running;
 };
 inline Superseded supersede(simulation::Simulator& w) {
     w.submit(w.job(1, JobKind::Service, 1), 0);
     w.run(3 * kSecond);
     const std::string machine = *w.machines_of("req-000001").begin();
-    const Value running = on_its_way(w, machine);
+    const Json running = on_its_way(w, machine);
     w.hang(machine, true);
     w.run(25 * kSecond);
     w.hang(machine, false);
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -14,7 +14,7 @@
 /// A copy of a direct launch that was carried out.
 void launch_again(Simulator& w, const std::string& machine, std::uint64_t token, std::uint64_t session,
                   const ReportedTask& task) {
-    const Value body =
+    const Json body =
         wire::direct_orders(token, session, {{OrderKind::Launch, task.job, task.task, task.attempt, 0}});
     w.note("a launch of " + task.job + " arrives at " + machine + " once more");
     w.worker(machine)->handle("POST", "/do", body, w.now());
@@ -29,7 +29,7 @@
 TEST(LateMessages, AnOldReportOfAReturnedMachineLeasesNoGhost) {
     auto w = settled_simulator(21, 4);
     const std::string machine = w->machine_names().back();
-    const Value old = on_its_way(*w, machine);
+    const Json old = on_its_way(*w, machine);
     w->owner_at(w->holder())->retire(machine, "the test wants it");
     w->run(6 * kSecond);
     ASSERT_EQ(w->worker(machine), nullptr) << w->story();
@@ -60,7 +60,7 @@
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
-    const Value old = on_its_way(*w, machine);
+    const Json old = on_its_way(*w, machine);
     w->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
     for (int second = 0; second < 22; ++second) {
@@ -83,7 +83,7 @@
     w->run(30 * kSecond);  // so long that other nodes may renew leases
     const std::string machine = *w->machines_of("req-000001").begin();
     const int holder = w->holder(), other = (holder + 1) % 3;
-    const Value old = on_its_way(*w, machine);
+    const Json old = on_its_way(*w, machine);
     arrives(*w, other, old);
     w->run(kSecond);
     for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -215,8 +215,8 @@
     EXPECT_RULES(w);
 }
 
-Value stored(Simulator& w, const std::string& key) {
-    return w.state().handle("GET", key, Value(), w.now()).body;
+Json stored(Simulator& w, const std::string& key) {
+    return w.state().handle("GET", key, Json(), w.now()).body;
 }
 
 /// A head that was on its way for longer than unnamed pieces are kept comes between the look that shows them
@@ -258,14 +258,14 @@
     w.start_nodes();
     for (int i = 0; i < 200 && w.late_to_come() > 0; ++i) w.run(50 * kMillisecond);
     ASSERT_EQ(w.late_to_come(), 0U);
-    const Value block = stored(w, "/store?starts=c/block/&page=10")["pairs"][0];
-    Value moved = block["data"];
+    const Json block = stored(w, "/store?starts=c/block/&page=10")["pairs"][0];
+    Json moved = block["data"];
     moved["dom"] = moved["dom"] == "loom-0" ? "loom-1" : "loom-0";
-    const Value then = Value::array({Value{{"write", block["k"]}, {"data", moved}}});
-    w.state().handle("POST", "/commit", Value{{"then", then}}, w.now());
+    const Json then = Json::array({Json{{"write", block["k"]}, {"data", moved}}});
+    w.state().handle("POST", "/commit", Json{{"then", then}}, w.now());
     w.run(20 * kSecond);
     Milli red = 0;
-    const Value shares = stored(w, "/store?starts=c/share/&page=10")["pairs"];
+    const Json shares = stored(w, "/store?starts=c/share/&page=10")["pairs"];
     for (const auto& pair : shares) red += parse_shares(pair["data"])["red"].cores;
     EXPECT_EQ(red, 24'000) << shares << w.story();
 }
--- a/tests/authority_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -2,9 +2,10 @@
 // job is gone `cancel` after the answer that confirmed it, whoever is refused, cut off or down meanwhile. The
 // argument, step by step, is in docs/design.md, "Gone in time".
 
+#include "config/lease_validity.hpp"
+
 #include <gtest/gtest.h>
 
-#include "cluster/lease_validity.hpp"
 #include "settled_simulator.hpp"
 
 namespace cottonway::test {
@@ -26,7 +27,7 @@
 void cancel_beside(Simulator& w, int node, const std::string& ref) {
     w.cut("users", host(node));
     w.cancel(ref);
-    w.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Value::object());
+    w.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Json::object());
     for (int i = 0; i < 600 && w.told(ref) != "cancelled"; ++i) w.run(10 * kMillisecond);
     ASSERT_EQ(w.told(ref), "cancelled") << w.story();
 }
@@ -161,10 +162,10 @@
     w->cut_off(old, true);
     cancel_beside(*w, old, "req-000002");
     const auto submission = wire::job_value(w->job(1, JobKind::Service, 2));
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000001", Value::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000002", Value::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000999", Value::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "POST", "/v1/jobs/req-000001/abort", Value::object()).status, 503);
+    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000001", Json::object()).status, 503);
+    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000002", Json::object()).status, 503);
+    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000999", Json::object()).status, 503);
+    EXPECT_EQ(w->ask(old, "POST", "/v1/jobs/req-000001/abort", Json::object()).status, 503);
     EXPECT_EQ(w->ask(old, "POST", "/v1/jobs", submission).status, 503) << "a repeat";
     EXPECT_EQ(w->ask(old, "POST", "/v1/jobs", wire::job_value(w->job(3, JobKind::Array, 1))).status, 503);
     w->run(20 * kSecond);  // beyond its authority
--- a/tests/moves_world_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -14,8 +14,8 @@
 constexpr Micros kFine = 5 * kMillisecond;
 constexpr auto kWeb = "req-000001";
 
-Value stored_plan(Simulator& w) {
-    const auto r = w.state().handle("GET", "/store?starts=c/plan/&page=10", Value(), w.now());
+Json stored_plan(Simulator& w) {
+    const auto r = w.state().handle("GET", "/store?starts=c/plan/&page=10", Json(), w.now());
     return r.body["pairs"];
 }
 
@@ -23,7 +23,7 @@
     return !stored_plan(w).empty();
 }
 
-const planning::Plan* plan_at(Simulator& w, int node) {
+const scheduling::Plan* plan_at(Simulator& w, int node) {
     ShardOwner* owner = node >= 0 ? w.owner_at(node) : nullptr;
     return owner ? &owner->rebalancer().plan() : nullptr;
 }
--- a/tests/moves_test.cpp
+++ b/tests/migrations_test.cpp
@@ -1,6 +1,8 @@
 // The ledger of moves and gathered room: what it does by itself, and over histories that RapidCheck makes up,
 // in which holders end, writes are lost or come late, and tasks stop, vanish and start.
 
+#include "scheduling/migrations.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -8,12 +10,10 @@
 #include <algorithm>
 #include <array>
 
-#include "scheduling/migrations.hpp"
-
 namespace cottonway::test {
 namespace {
 
-using namespace planning;
+using namespace scheduling;
 
 constexpr std::int64_t kGiveUp = 120'000;
 
@@ -95,7 +95,7 @@
     Plan plan;
     add_balance(plan, site, "web", 0, "m3");
     store(plan);
-    const Value stored = plan.value();
+    const Json stored = plan.value();
     site.at("web", 0) = {"m0", 2, false};  // back on the machine that it was to leave: nothing else had room
     EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
     EXPECT_TRUE(plan.empty());
@@ -175,7 +175,7 @@
          {R"({})", R"({"v":2,"m":[],"g":[]})", R"({"v":1,"m":[["web"]],"g":[]})",
           R"({"v":1,"m":[["web",0,1,"m0","m1",2,"",0]],"g":[]})",
           R"({"v":1,"m":[],"g":[["a","m",1,0,0],["a","m",1,0,0]]})", R"({"v":1,"m":{},"g":[]})"}) {
-        EXPECT_FALSE(plan.take(Value::parse(text))) << text;
+        EXPECT_FALSE(plan.take(Json::parse(text))) << text;
         EXPECT_TRUE(plan.empty());
         EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
     }
@@ -273,10 +273,10 @@
 
   private:
     struct Write {
-        Value value;
+        Json value;
         int mod_revision = 0;
     };
-    std::optional<Write> this_or_none() { return write_ ? *write_ : Write{Value(), -1}; }
+    std::optional<Write> this_or_none() { return write_ ? *write_ : Write{Json(), -1}; }
 
     void propose(const std::vector<Move>& moves, const std::vector<Gather>& gathers) {
         if (!plan_.add(moves, gathers, now_, budgets(5), site)) return;
@@ -342,7 +342,7 @@
 
     Plan plan_;
     std::int64_t now_ = 0;
-    std::optional<Value> stored_;
+    std::optional<Json> stored_;
     int mod_revision_ = 0;
     std::optional<Write> write_;
     std::vector<Write> late_;
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -4,7 +4,7 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "late_messages.hpp"
 
 namespace cottonway::test {
@@ -24,7 +24,7 @@
     for (const double share : {1.0, 0.001}) {
         auto w = settled_simulator(41, 6, patient(share));
         const std::string machine = w->machine_names().back();
-        const Value old = on_its_way(*w, machine);
+        const Json old = on_its_way(*w, machine);
         for (int i = 0; i < 3; ++i)
             if (w->owner_at(i)) w->owner_at(i)->retire(machine, "the test wants it");
         w->run(6 * kSecond);
@@ -66,7 +66,7 @@
     const auto machines = w->machine_names();
     for (const auto& m : machines) cut_from_all(*w, m);
     until(*w, 20 * kSecond, [&] { return w->completed_tasks("req-000001") == 2; });
-    const Value result = on_its_way(*w, machines[0]);
+    const Json result = on_its_way(*w, machines[0]);
     w->run(30 * kSecond);
     end(*w, false);
     w->run(w->settings.ops.live_ttl + 2 * kSecond);
@@ -129,7 +129,7 @@
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(10 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
-        std::vector<Value> copies;
+        std::vector<Json> copies;
         for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*w, machine));
         cut_from_all(*w, machine);
         const Micros from = w->now();
@@ -220,7 +220,7 @@
         w->run(30 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
         const int holder = w->holder();
-        const Value old = on_its_way(*w, machine);
+        const Json old = on_its_way(*w, machine);
         cut_from_all(*w, machine);
         const Micros from = w->now();
         for (int i = 0; i < 3; ++i)
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -179,7 +179,7 @@
 RC_GTEST_PROP(PolicyRecord, ComesBackAsItWasOverTheWire, ()) {
     const Policy p = some_policy();
     RC_ASSERT(policy::problem_of(p).empty());
-    Value v = policy::to_value(p);
+    Json v = policy::to_value(p);
     v["of_a_later_version"] = 1;
     const auto back = policy::from_value(wire::decode(wire::encode(v)).value());
     RC_ASSERT(back.has_value());
@@ -187,20 +187,20 @@
 }
 
 /// Another value in some place of it.
-void damage(Value& v) {
+void damage(Json& v) {
     if (v.is_structured() && !v.empty() && *rc::gen::inRange(0, 8) > 0) {
         auto it = v.begin();
         std::advance(it, *rc::gen::inRange<int>(0, static_cast<int>(v.size())));
         return damage(*it);
     }
-    static const std::vector<Value> odd{
-        -1,  0,       1e300,          UINT64_MAX,      "",   std::string(300, 'x'),
-        0.7, nullptr, Value::array(), Value::object(), true, std::nan("")};
+    static const std::vector<Json> odd{
+        -1,  0,       1e300,         UINT64_MAX,     "",   std::string(300, 'x'),
+        0.7, nullptr, Json::array(), Json::object(), true, std::nan("")};
     v = odd[static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(odd.size())))];
 }
 
 RC_GTEST_PROP(PolicyRecord, NothingOutOfBoundsIsTakenFromADamagedOne, ()) {
-    Value v = policy::to_value(some_policy());
+    Json v = policy::to_value(some_policy());
     const int times = *rc::gen::inRange(1, 4);
     for (int i = 0; i < times; ++i) damage(v);
     const auto p = policy::from_value(v);
@@ -253,7 +253,7 @@
     s.w.run(10 * kSecond);
     EXPECT_TRUE(s.all_have(policy::default_policy(s.w.settings)));
     for (int i = 0; i < 3; ++i) EXPECT_EQ(s.written(i), 0u);
-    const auto r = s.w.state().handle("GET", "/store?starts=c/policy&page=10", Value(), s.w.now());
+    const auto r = s.w.state().handle("GET", "/store?starts=c/policy&page=10", Json(), s.w.now());
     EXPECT_TRUE(r.body["pairs"].empty());
 }
 
@@ -304,7 +304,7 @@
     s.w.run(3 * kSecond);
     auto tier = [&] {
         for (int i = 0; i < 3; ++i)
-            if (const Value v = s.w.node(i)->explain("req-000001"); v.contains("tier"))
+            if (const Json v = s.w.node(i)->explain("req-000001"); v.contains("tier"))
                 return v["tier"].get<std::string>() + (v["why"].empty() ? ", unexplained" : "");
         return std::string("nobody knows");
     };
@@ -361,9 +361,9 @@
     Site s(6);
     s.w.start_nodes(3);
     s.w.run(8 * kSecond);
-    auto put = [&](const Value& value) {
-        const Value write{{"write", "c/policy"}, {"data", value}};
-        const auto r = s.w.state().handle("POST", "/commit", {{"then", Value::array({write})}}, s.w.now());
+    auto put = [&](const Json& value) {
+        const Json write{{"write", "c/policy"}, {"data", value}};
+        const auto r = s.w.state().handle("POST", "/commit", {{"then", Json::array({write})}}, s.w.now());
         ASSERT_EQ(r.status, 200) << r.body.dump();
         s.w.run(kSecond);
     };
--- a/tests/wire_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,15 +1,15 @@
 // What the wire lets in: every malformed body is refused, none crashes.
 
+#include "protocol/protocol.hpp"
+
 #include <gtest/gtest.h>
 
 #include <limits>
 
-#include "protocol/protocol.hpp"
-
 namespace cottonway::test {
 namespace {
 
-Value good_job() {
+Json good_job() {
     return {{"ref", "req-000412"}, {"pattern", "train"}, {"crew", "red"},   {"weave", "group"},
             {"rank", "high"},      {"threads", 16},      {"cores", 8.0},    {"cards", 1.0},
             {"ram_gb", 64.0},      {"bolt", "img-07"},   {"pull_gb", 6.2},  {"looms", {"g8"}},
@@ -29,23 +29,23 @@
 }
 
 TEST(Wire, WhatMayBeNullMayBeOmitted) {
-    Value v = good_job();
+    Json v = good_job();
     for (const char* key : {"looms", "mill", "due_s"}) v.erase(key);
     v["a field of next year"] = 1;
     EXPECT_TRUE(wire::parse_job(v).spec);
 }
 
 TEST(Wire, ReadsWhatAJobNeeds) {
-    Value v = good_job();
-    for (const Value& none : {Value(nullptr), Value::array()}) {
+    Json v = good_job();
+    for (const Json& none : {Json(nullptr), Json::array()}) {
         v["warp"] = none;
         EXPECT_TRUE(wire::parse_job(v).spec->needs.empty());
     }
     v["warp"] = {"req-000398", "req-000405", "req-000398"};
     EXPECT_EQ(wire::parse_job(v).spec->needs, (std::vector<std::string>{"req-000398", "req-000405"}));
     EXPECT_EQ(wire::parse_job(wire::job_value(*wire::parse_job(v).spec)).spec->needs.size(), 2u);
-    for (const Value& broken : {Value("req-000398"), Value({"job-1"}), Value({1}), Value({{"a", 1}}),
-                                Value(7), Value(std::vector<std::string>(1001, "req-000398"))}) {
+    for (const Json& broken : {Json("req-000398"), Json({"job-1"}), Json({1}), Json({{"a", 1}}), Json(7),
+                               Json(std::vector<std::string>(1001, "req-000398"))}) {
         v["warp"] = broken;
         EXPECT_EQ(wire::parse_job(v).error, "warp") << broken.dump().substr(0, 40);
     }
@@ -54,7 +54,7 @@
 TEST(Wire, RefusesEveryBrokenField) {
     const double inf = std::numeric_limits<double>::infinity(),
                  nan = std::numeric_limits<double>::quiet_NaN();
-    const std::vector<std::pair<const char*, Value>> broken{
+    const std::vector<std::pair<const char*, Json>> broken{
         {"ref", "job-1"}, {"ref", "req-"},      {"ref", "req-12345x"}, {"ref", 7},
         {"pattern", ""},  {"crew", nullptr},    {"weave", "knot"},     {"rank", "urgent"},
         {"threads", 0},   {"threads", 100'001}, {"threads", 1.5},      {"threads", -1},
@@ -64,18 +64,18 @@
         {"spread", "no"}, {"remnant", nullptr}, {"reckon_s", nullptr}, {"knot_s", -1.0},
         {"bind_s", inf},  {"due_s", "soon"}};
     for (const auto& [key, value] : broken) {
-        Value v = good_job();
+        Json v = good_job();
         v[key] = value;
         EXPECT_FALSE(wire::parse_job(v).spec) << key << " = " << value.dump();
     }
-    const Value whole = good_job();
+    const Json whole = good_job();
     for (const auto& item : whole.items()) {
         if (item.key() == "looms" || item.key() == "mill" || item.key() == "due_s") continue;
-        Value v = whole;
+        Json v = whole;
         v.erase(item.key());
         EXPECT_FALSE(wire::parse_job(v).spec) << "without " << item.key();
     }
-    EXPECT_FALSE(wire::parse_job(Value::array({1, 2})).spec);
+    EXPECT_FALSE(wire::parse_job(Json::array({1, 2})).spec);
 }
 
 TEST(Wire, RefusesBrokenBytes) {
@@ -89,7 +89,7 @@
 }
 
 TEST(Wire, RefusesBrokenReports) {
-    const Value good{
+    const Json good{
         {"frame", "n-000231"},
         {"addr", "10.1.0.1:9000"},
         {"loom_type", "g8"},
@@ -104,19 +104,19 @@
     EXPECT_EQ(r->tasks.at(0).task, 3);
     EXPECT_EQ(r->tasks.at(0).cause, ExitCause::Done);
     for (const char* key : {"frame", "addr", "loom_type", "mill", "shift", "tally"}) {
-        Value v = good;
+        Json v = good;
         v.erase(key);
         EXPECT_FALSE(wire::parse_report(v)) << "without " << key;
     }
     for (const char* name : {"req-000412", "req-000412/", "req-000412/x", "req-000412/99999999999"}) {
-        Value v = good;
+        Json v = good;
         v["threads"][0]["thread"] = name;
         EXPECT_FALSE(wire::parse_report(v)) << name;
     }
 }
 
 TEST(Wire, NeedsAreNeverRoundedDown) {
-    Value v = good_job();
+    Json v = good_job();
     v["cores"] = 0.0004;
     EXPECT_EQ(wire::parse_job(v).spec->request.cores, 1);
     v["cores"] = 0.3;
--- a/tests/priority_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -1,6 +1,8 @@
 // The priority plan: who goes first, and what of a team's limit is kept for whom. Each property is over
 // queues that RapidCheck makes up.
 
+#include "scheduling/queue_order.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -9,12 +11,11 @@
 #include <set>
 
 #include "config/settings.hpp"
-#include "scheduling/queue_order.hpp"
 
 namespace cottonway::test {
 namespace {
 
-using namespace planning;
+using namespace scheduling;
 using policy::Tier;
 
 constexpr Milli kCore = 1000;
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -231,14 +231,14 @@
     spec.job_class = "c";
     struct News {
         RecordLocation place;
-        Value value;
+        Json value;
         Revision mod_revision;
     };
     std::vector<News> all;
     Revision mod_revision = 10;
     auto live = [&](int running) {
-        return Value{{"s", "queued"}, {"dom", "d"},   {"k", 3}, {"d", wire::job_value(spec)},
-                     {"at", 5},       {"fr", running}};
+        return Json{{"s", "queued"}, {"dom", "d"},   {"k", 3}, {"d", wire::job_value(spec)},
+                    {"at", 5},       {"fr", running}};
     };
     const bool was_old = *rc::gen::arbitrary<bool>();
     if (was_old) all.push_back({RecordLocation::Job, live(0), ++mod_revision});
@@ -247,7 +247,7 @@
     const bool over = *rc::gen::arbitrary<bool>();
     if (over)
         all.push_back(
-            {RecordLocation::Job, Value{{"s", "done"}, {"dom", "d"}, {"k", 3}, {"fd", 3}}, ++mod_revision});
+            {RecordLocation::Job, Json{{"s", "done"}, {"dom", "d"}, {"k", 3}, {"fd", 3}}, ++mod_revision});
     Settings settings;
     JobCache book(settings);
     std::vector<std::size_t> order;
--- a/tests/experiment_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,17 +1,17 @@
 // Experiments as files describe them: whom a fault hits, and until when it lasts.
 
+#include "simulation/scenario.hpp"
+
 #include <gtest/gtest.h>
 
 #include <fstream>
 
-#include "simulation/scenario.hpp"
-
 namespace cottonway::test {
 
 using namespace simulation;
 namespace {
 
-Experiment with_fault(const std::string& fault) {
+Scenario with_fault(const std::string& fault) {
     const std::string path = testing::TempDir() + "fault-" + std::to_string(getpid()) + ".toml";
     std::ofstream(path) << "duration_s = 60\nacceptance = false\n[workers]\nlease_s = 20\n"
                         << "[[team]]\nname = \"red\"\ncores_max = 100\n[[type]]\nname = \"small\"\n"
@@ -19,7 +19,7 @@
                         << "[[load]]\ninitial = 4\nper_minute = 30\nrun_s = 5\n"
                         << "[[fault]]\nat_s = 10\nfor_s = 5\n"
                         << fault << "\n";
-    return Experiment::load(path);
+    return Scenario::load(path);
 }
 
 std::string error(const std::string& fault) {
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(Experiment, CalmCountsHowLateMessagesMayBe) {
+TEST(Scenario, CalmCountsHowLateMessagesMayBe) {
     EXPECT_EQ(with_fault("kind = \"cut_off\"").faults_end(), 15 * kSecond);
     EXPECT_EQ(with_fault("kind = \"late_writes\"\npart = 0.2").faults_end(), 27 * kSecond);
     EXPECT_EQ(with_fault("kind = \"late_reports\"").faults_end(), 65 * kSecond);  // two and a half leases
@@ -42,7 +42,7 @@
     EXPECT_EQ(with_fault("kind = \"deaf\"\ntimes = 3\nevery_s = 4").faults_end(), 23 * kSecond);
 }
 
-TEST(Experiment, WordsForNodesAreReadAndBadOnesNamed) {
+TEST(Scenario, WordsForNodesAreReadAndBadOnesNamed) {
     EXPECT_EQ(with_fault("kind = \"refuse\"\nnode = \"leader\"").faults[0].who, Fault::Who::Leader);
     EXPECT_EQ(with_fault("kind = \"cut_off\"\nnode = \"busiest\"").faults[0].who, Fault::Who::Busiest);
     EXPECT_EQ(with_fault("kind = \"end\"\nany = true").faults[0].who, Fault::Who::Any);
@@ -56,7 +56,7 @@
     EXPECT_EQ(error("kind = \"zone_lost\"\nzone = \"z\""), "fault[0].zone: no such zone: z");
 }
 
-TEST(Experiment, FurtherFaultsBreakNoRule) {
+TEST(Scenario, FurtherFaultsBreakNoRule) {
     for (const char* fault :
          {"kind = \"late_writes\"\npart = 0.2", "kind = \"late_reports\"\npart = 0.3",
           "kind = \"deaf\"\npart = 0.5", "kind = \"deaf\"\nzone = \"b\"",
--- a/tests/settled_simulator.hpp
+++ b/tests/settled_simulator.hpp
@@ -32,7 +32,7 @@
 /// How often each machine stands in the block records.
 inline std::map<std::string, int> leased(simulation::Simulator& w) {
     std::map<std::string, int> times;
-    const auto page = w.state().handle("GET", "/store?starts=c/block/&page=1000", Value(), w.now());
+    const auto page = w.state().handle("GET", "/store?starts=c/block/&page=1000", Json(), w.now());
     for (const auto& p : page.body["pairs"]) {
         const auto block = Block::parse("", p["data"], 1);
         for (const auto& m : block->machines) ++times[m.name];
@@ -53,9 +53,9 @@
 inline void transfer_shards(simulation::Simulator& w, int from, int to) {
     const std::string key = "c/domain/" + w.owner_at(from)->shard();
     w.note(host(from) + " hands over to " + host(to));
-    Value write{{"write", key}, {"data", {{"holder", host(to)}}}};
-    Value change{{"when", Value::array({Value{{"k", key}, {"mark", w.owner_at(from)->mod_revision()}}})},
-                 {"then", Value::array({write})}};
+    Json write{{"write", key}, {"data", {{"holder", host(to)}}}};
+    Json change{{"when", Json::array({Json{{"k", key}, {"mark", w.owner_at(from)->mod_revision()}}})},
+                {"then", Json::array({write})}};
     ASSERT_EQ(w.state().handle("POST", "/commit", change, w.now()).status, 200);
 }
 
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "settled_simulator.hpp"
 
 namespace cottonway::test {
--- a/tests/zones_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -1,5 +1,7 @@
 // Zones by policy: where a service's next replica may go, and how it comes back into balance.
 
+#include "scheduling/topology_spread.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -7,12 +9,10 @@
 #include <algorithm>
 #include <set>
 
-#include "scheduling/topology_spread.hpp"
-
 namespace cottonway::test {
 namespace {
 
-using namespace planning;
+using namespace scheduling;
 using policy::Survive;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -90,7 +90,7 @@
     w->state().set_down(true, w->now());
     w->run(5 * kSecond);
     for (const char* path : {"/v1/jobs/req-000001", "/v1/jobs/req-000777"})
-        EXPECT_EQ(w->ask(0, "GET", path, Value::object()).status, 503);
+        EXPECT_EQ(w->ask(0, "GET", path, Json::object()).status, 503);
     auto r = w->ask(1, "POST", "/v1/jobs", wire::job_value(w->job(9, JobKind::Array, 1)));
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after, 0);
@@ -149,10 +149,10 @@
     w->hold_next("state", node);  // the watch's answer that would tell
     const auto mod_revision = w->owner_at(holder)->mod_revision();
     const std::string shard = w->owner_at(holder)->shard();
-    Value live{{"write", "c/live/loom-9"}, {"data", {{"node", "loom-9"}}}};
-    Value write{{"write", "c/domain/" + shard}, {"data", {{"holder", "loom-9"}}}};
-    Value change{{"when", Value::array({Value{{"k", "c/domain/" + shard}, {"mark", mod_revision}}})},
-                 {"then", Value::array({live, write})}};
+    Json live{{"write", "c/live/loom-9"}, {"data", {{"node", "loom-9"}}}};
+    Json write{{"write", "c/domain/" + shard}, {"data", {{"holder", "loom-9"}}}};
+    Json change{{"when", Json::array({Json{{"k", "c/domain/" + shard}, {"mark", mod_revision}}})},
+                {"then", Json::array({live, write})}};
     ASSERT_EQ(w->state().handle("POST", "/commit", change, w->now()).status, 200);
     w->run(50 * kMillisecond);
     ASSERT_TRUE(w->owner_at(holder)) << "it does not know yet";
@@ -233,7 +233,7 @@
         if (i != old)
             for (const auto& m : w->machine_names()) w->cut("loom-" + std::to_string(i), m);
     w->run(2 * kSecond);
-    auto r = w->ask(other_than(old), "POST", "/v1/jobs/req-000001/abort", Value::object());
+    auto r = w->ask(other_than(old), "POST", "/v1/jobs/req-000001/abort", Json::object());
     ASSERT_EQ(r.status, 200);
     w->run(w->settings.cancel);
     EXPECT_EQ(w->running("req-000001"), 0) << "its authority time ended early enough\n" << w->story();
@@ -332,15 +332,15 @@
     ShardOwner* owner = w->owner_at(w->holder());
     ASSERT_EQ(owner->jobs().size(), 1u);
     const auto mod_revision = owner->jobs().begin()->second->parts[0].mod_revision;
-    Value old{{"s", "queued"},
-              {"dom", owner->shard()},
-              {"k", 2},
-              {"d", wire::job_value(w->job(1, JobKind::Array, 2))},
-              {"at", 0}};
+    Json old{{"s", "queued"},
+             {"dom", owner->shard()},
+             {"k", 2},
+             {"d", wire::job_value(w->job(1, JobKind::Array, 2))},
+             {"at", 0}};
     w->run(6 * kSecond);
     ASSERT_EQ(w->told("req-000001"), "done");
     owner->on_job("req-000001", RecordLocation::Active, old, mod_revision);
-    owner->on_job("req-000001", RecordLocation::Job, Value{{"s", "done"}, {"dom", owner->shard()}, {"k", 2}},
+    owner->on_job("req-000001", RecordLocation::Job, Json{{"s", "done"}, {"dom", owner->shard()}, {"k", 2}},
                   mod_revision + 1);
     w->run(8 * kSecond);
     EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
@@ -379,7 +379,7 @@
     EXPECT_EQ(submit(other), 422) << "a gang needs its team's limit for all tasks";
     other.kind = JobKind::Array;
     EXPECT_EQ(submit(other), 201) << "an array for one";
-    Value broken = wire::job_value(s);
+    Json broken = wire::job_value(s);
     broken["cores"] = -1;
     EXPECT_EQ(w->ask(1, "POST", "/v1/jobs", broken).status, 200) << "a known id comes before 400";
     broken["ref"] = "req-000099";
@@ -410,7 +410,7 @@
     w->run(15 * kSecond);  // whoever a worker asked at first is forgotten
     const int holder = w->holder();
     const std::string machine = w->machine_names().front();
-    const Value report = w->worker(machine)->report(w->now());
+    const Json report = w->worker(machine)->report(w->now());
     auto r = w->ask(other_than(holder), "POST", "/v1/report", report);
     EXPECT_EQ(r.status, 421);
     EXPECT_EQ(wire::text(r.body, "overseer"), "loom-" + std::to_string(holder));
@@ -418,7 +418,7 @@
     r = w->ask(other_than(holder), "POST", "/v1/report", w->worker(machine)->report(w->now()));
     EXPECT_EQ(r.status, 200);
     EXPECT_EQ(wire::count(r.body, "shuttle"), w->worker(machine)->token());
-    Value newer = w->worker(machine)->report(w->now());
+    Json newer = w->worker(machine)->report(w->now());
     newer["shuttle"] = *wire::count(newer, "shuttle") + 1000;
     EXPECT_EQ(w->ask(holder, "POST", "/v1/report", newer).status, 503)
         << "a higher token: the holder is ousted";
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -37,14 +37,14 @@
     return out;
 }
 
-void write(Simulator& w, const std::string& key, const Value& value) {
+void write(Simulator& w, const std::string& key, const Json& value) {
     w.state().handle(
         "POST", "/commit",
-        Value{{"when", Value::array()}, {"then", Value::array({Value{{"write", key}, {"data", value}}})}},
+        Json{{"when", Json::array()}, {"then", Json::array({Json{{"write", key}, {"data", value}}})}},
         w.now());
 }
 
-Value read(Simulator& w, const std::string& key) {
+Json read(Simulator& w, const std::string& key) {
     return w.state().handle("GET", "/store/" + key, {}, w.now()).body["data"];
 }
 
@@ -86,7 +86,7 @@
     const std::vector<Case> cases{
         {"its description is broken",
          [](Simulator& w) {
-             Value v = read(w, "c/active/req-000002");
+             Json v = read(w, "c/active/req-000002");
              v["d"]["threads"] = "many";
              write(w, "c/active/req-000002", v);
          }},
@@ -97,14 +97,14 @@
         {"is no map", [](Simulator& w) { write(w, "c/active/req-000002", 7); }},
         {"is not over, although history is apart",
          [](Simulator& w) {
-             Value v = read(w, "c/active/req-000002");
+             Json v = read(w, "c/active/req-000002");
              v["d"]["ref"] = "req-000009";
              write(w, "c/job/req-000009", v);
          }},
         {"is bound twice",
          [](Simulator& w) {
-             Value v = read(w, "c/active/req-000002");
-             v["b"].push_back(Value::array({v["b"][0][0], v["b"][0][1], v["b"][0][2]}));
+             Json v = read(w, "c/active/req-000002");
+             v["b"].push_back(Json::array({v["b"][0][0], v["b"][0][1], v["b"][0][2]}));
              write(w, "c/active/req-000002", v);
          }},
         {"is left of a job that is over",
@@ -119,14 +119,14 @@
          [&](Simulator& w) { write(w, "c/block/9-1", read(w, block_key(w))); }},
         {"which nobody holds",
          [&](Simulator& w) {
-             Value v = read(w, block_key(w));
+             Json v = read(w, block_key(w));
              v["dom"] = "nowhere";
-             v["m"] = Value::array({Value::array({"n-009999", "10.9.9.9:9000"})});
+             v["m"] = Json::array({Json::array({"n-009999", "10.9.9.9:9000"})});
              write(w, "c/block/9-1", v);
          }},
         {"add up to",
          [](Simulator& w) {
-             Value v = read(w, "c/share/" + w.owner_at(w.holder())->shard());
+             Json v = read(w, "c/share/" + w.owner_at(w.holder())->shard());
              v["red"][0] = 50'000;
              write(w, "c/share/" + w.owner_at(w.holder())->shard(), v);
          }},
@@ -140,7 +140,7 @@
          }},
         {"pieces are missing",
          [](Simulator& w) {
-             write(w, "c/active/req-000002", {{"s", "queued"}, {"x", Value::array({"feed", 3U})}});
+             write(w, "c/active/req-000002", {{"s", "queued"}, {"x", Json::array({"feed", 3U})}});
          }},
     };
     for (const auto& c : cases) {
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -3,7 +3,7 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
-#include "cluster/lease_validity.hpp"
+#include "config/lease_validity.hpp"
 #include "late_messages.hpp"
 
 namespace cottonway::test {
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,16 +1,20 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need, checks the format of the sources, builds, and passes all tests.
+# Installs what the build and the tests need, checks the format of the sources, the scripts and the includes, builds,
+# and passes all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 packages=$(sed -n 's/^packages = \[\(.*\)\]/\1/p' deploy/service.toml | tr -d '",')
 apt-get update -qq
 # shellcheck disable=SC2086
 DEBIAN_FRONTEND=noninteractive apt-get install -y -qq --no-install-recommends $packages \
-    libgtest-dev librapidcheck-dev libglpk-dev clang-format >/dev/null
+    libgtest-dev librapidcheck-dev libglpk-dev clang-format shellcheck >/dev/null
 find src tools tests -name '*.?pp' -print0 | xargs -0 clang-format --dry-run -Werror
+shellcheck tools/*.sh tests/*.sh .ci/run
+tools/check_includes.sh
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 cmake -S . -B target/tests -DCMAKE_BUILD_TYPE=Debug -DCOTTONWAY_TESTS=ON -DCOTTONWAY_SANITIZE=address,undefined
 cmake --build target/tests -j8
+tools/check_renamed_tests.sh target/tests
 log=target/tests/Testing/Temporary/LastTestsFailed.log
 rm -f "$log"
 status=0
--- a/tools/cottonway.cpp
+++ b/tools/cottonway.cpp
@@ -58,11 +58,11 @@
     try {
         if (submit->parsed()) {
             std::ifstream in(file);
-            return cli::submit(parse_endpoint(node), Value::parse(in));
+            return cli::submit(parse_endpoint(node), Json::parse(in));
         }
         if (show->parsed()) return cli::show(parse_endpoint(node), refs);
         if (cancel->parsed())
-            return cli::request(parse_endpoint(node), "POST", "/v1/jobs/" + ref + "/abort", Value::object());
+            return cli::request(parse_endpoint(node), "POST", "/v1/jobs/" + ref + "/abort", Json::object());
         if (status->parsed()) return cli::request(parse_endpoint(node), "GET", "/status", {});
         if (explain->parsed()) return cli::request(parse_endpoint(node), "GET", "/explain/" + ref, {});
         if (policy_check->parsed()) return cli::policy_check(file, config);
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -74,8 +74,8 @@
 sleep 2
 say "they are back"
 start_controllers
-until_stage req-000001 done
-until_stage req-000103 done
+until_stage req-000001 "done"
+until_stage req-000103 "done"
 say "the answers afterwards, and the store"
 target/cottonway show --node "$(at 2)" req-000001 req-000101 req-000102 req-000103
 target/cottonway verify --config "$dir/0.toml" --json
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -27,7 +27,7 @@
         ->capture_default_str();
     CLI11_PARSE(app, argc, argv);
     try {
-        simulation::Experiment e = simulation::Experiment::load(file);
+        simulation::Scenario e = simulation::Scenario::load(file);
         if (seed >= 0) e.seed = static_cast<std::uint64_t>(seed);
         if (seeds > 0) e.seeds = seeds;
         if (!start_logging("lab", level)) throw std::runtime_error("--log: must be error, info or debug");
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// A clock that is set by hand, and calls that nobody answers.
-class StillHost : public Runtime {
+class StillRuntime : public Runtime {
   public:
     Micros now() override { return now_; }
     Micros listened() override { return now_; }
@@ -36,7 +36,7 @@
     StoreClient& store() override { return store_; }
     const Settings& settings() override { return settings_; }
     const MachineType* machine_type(const std::string&) override { return &type_; }
-    void ousted(const std::string&) override {}
+    void on_ownership_lost(const std::string&) override {}
     void wake() override {}
     Resources share(const std::string&, const std::string&) const override {
         return {kNoLimit, kNoLimit, kNoLimit};
@@ -44,7 +44,7 @@
     bool within_guarantee(const std::string&) override { return true; }
     DependencyStatus dependency_status(const std::string&) const override { return {}; }
     bool all_read(std::uint64_t) const override { return true; }
-    void settled(const std::string&, const Value&, Revision) override {}
+    void settled(const std::string&, const Json&, Revision) override {}
     std::optional<Micros> peer_ended(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
                       std::function<void(bool)>) override {}
@@ -57,7 +57,7 @@
         s.objectives = {{"wait", "push", 2 * kSecond}, {"finished", "push", 100 * kSecond}};
         return s;
     }
-    StillHost runtime_;
+    StillRuntime runtime_;
     Settings settings_;
     StoreClient store_;
     MachineType type_{"small", {16'000, 0, 64'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
@@ -102,8 +102,8 @@
         s.image = fmt::format("push-{}", i % 5);
         s.image_gb = 500;
         s.estimate = 30 * kSecond;
-        const Value record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
-                           {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
+        const Json record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
+                          {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
         owner.on_job(s.ref, RecordLocation::Active, record, 1);
     }
 }
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -46,7 +46,7 @@
           client_(io, 1, 1),
           server_(io, parse_endpoint(worker_->addr()), {},
                   [this](const net::Request& r, const net::Responder& respond) {
-                      const Value body = wire::decode(r.body).value_or(Value());
+                      const Json body = wire::decode(r.body).value_or(Json());
                       const Reply reply = worker_->handle(r.method, r.path, body, now());
                       respond({reply.status, wire::encode(reply.body), "application/msgpack", 0});
                   }) {
@@ -65,7 +65,7 @@
                      4 * kSecond, [this, session, t](const net::ClientReply& r) {
                          busy_ = false;
                          if (r.status == 200) {
-                             worker_->answered(wire::decode(r.body).value_or(Value()), session, t, now());
+                             worker_->answered(wire::decode(r.body).value_or(Json()), session, t, now());
                              return;
                          }
                          target_ = (target_ + 1) % controllers_.size();
@@ -125,12 +125,12 @@
         io, loopback(state_port), {}, [&](const net::Request& r, const net::Responder& respond) {
             if (r.path.rfind("/changes", 0) == 0)
                 return watch(r.path, now() + fakes::StateService::block_time(r.path), respond);
-            const Reply reply = state.handle(r.method, r.path, wire::decode(r.body).value_or(Value()), now());
+            const Reply reply = state.handle(r.method, r.path, wire::decode(r.body).value_or(Json()), now());
             respond({reply.status, wire::encode(reply.body), "application/msgpack", 0});
         });
     net::HttpServer cloud_server(
         io, loopback(cloud_port), {}, [&](const net::Request& r, const net::Responder& respond) {
-            const Reply reply = cloud.handle(r.method, r.path, wire::decode(r.body).value_or(Value()), now());
+            const Reply reply = cloud.handle(r.method, r.path, wire::decode(r.body).value_or(Json()), now());
             respond({reply.status, wire::encode(reply.body), "application/msgpack", 0});
         });
     state_server.start();
