--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -467,7 +467,7 @@
         looked_for_left_out_ = now;
         if (const auto left = find_unschedulable()) {
             const auto found = offers([&](const MachineType& t, const Shape& s) {
-                return scheduling::may_use(left->job, s.type, s.zone, s.spot) &&
+                return scheduling::can_use_machine(left->job, s.type, s.zone, s.spot) &&
                        left->job.request.fits(t.size);
             });
             if (!found.empty()) {
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -44,24 +44,24 @@
 
 // ---------------------------------------------------------------- packing
 
-void Shapes::add(Milli gpus, double weight) {
+void GpuDemand::add(Milli gpus, double weight) {
     if (gpus <= 0 || weight <= 0) return;
     weights_[gpus] += weight;
     total_ += weight;
 }
 
-void Shapes::add(Milli gpus, int waiting, int running) {
+void GpuDemand::add(Milli gpus, int waiting, int running) {
     add(gpus, gpus_of(gpus) * (kWaitingWeight * waiting + running));
 }
 
-double Shapes::useless(Milli free) const {
+double GpuDemand::unusable_share(Milli free) const {
     if (free <= 0 || weights_.empty()) return 0;
     double useless = 0;
     for (const auto& [gpus, weight] : weights_) useless += weight * static_cast<double>(free % gpus);
     return useless / total_ / static_cast<double>(free);
 }
 
-double Shapes::unusable_gpus(const Resources& size, const Resources& room) const {
+double GpuDemand::unusable_gpus(const Resources& size, const Resources& room) const {
     if (room.gpus <= 0 || size.gpus <= 0) return 0;
     const double free = gpus_of(room.gpus);
     auto served = [&](Milli left, Milli all) {
@@ -70,18 +70,18 @@
                        : free;
     };
     const double bare = free - std::min({free, served(room.cores, size.cores), served(room.ram, size.ram)});
-    return std::min(free, free * useless(room.gpus) + bare);
+    return std::min(free, free * unusable_share(room.gpus) + bare);
 }
 
-Shapes shapes_of(const View& view) {
-    Shapes shapes;
+GpuDemand gpu_demand_of(const ShardView& view) {
+    GpuDemand shapes;
     for (const auto& job : view.jobs)
-        if (!job.cancelled) shapes.add(job.spec.request.gpus, job.idle, job.bound);
+        if (!job.cancelled) shapes.add(job.spec.request.gpus, job.waiting_tasks, job.bound_tasks);
     return shapes;
 }
 
 double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& need,
-                   const Shapes& shapes) {
+                   const GpuDemand& shapes) {
     if (size.gpus <= 0) return 0;
     const Resources before = size - reserved;
     const double more = shapes.unusable_gpus(size, before - need) - shapes.unusable_gpus(size, before);
@@ -117,14 +117,14 @@
 /// The rooms of a view as the plans of one call use them up.
 class Search {
   public:
-    Search(const View& view, const policy::Policy& policy)
-        : view_(view), policy_(policy), shapes_(shapes_of(view)), moved_(view.tasks.size(), false) {
+    Search(const ShardView& view, const policy::Policy& policy)
+        : view_(view), policy_(policy), shapes_(gpu_demand_of(view)), moved_(view.tasks.size(), false) {
         for (const auto& m : view.machines) {
             all_.push_back(all_.size());
-            if (m.room().gpus > 0) with_gpus_.push_back(all_.back());
+            if (m.available().gpus > 0) with_gpus_.push_back(all_.back());
             for (const auto& image : m.images) with_image_[image.name].push_back(all_.back());
-            now_.push_back(m.room());
-            later_.push_back(m.room() + m.stopping);
+            now_.push_back(m.available());
+            later_.push_back(m.available() + m.stopping);
             fetches_.push_back(static_cast<int>(
                 std::count_if(m.images.begin(), m.images.end(), [](const auto& i) { return !i.ready; })));
         }
@@ -138,8 +138,9 @@
     /// Whether planning has anything to do for it.
     bool due(std::size_t job) const {
         const JobView& j = view_.jobs[job];
-        if (j.cancelled || j.spec.request.gpus <= 0 || j.waiting < policy_.gpus.after) return false;
-        return j.spec.kind == JobKind::Gang ? j.idle > 0 && j.gathered == 0 : j.idle > j.gathered;
+        if (j.cancelled || j.spec.request.gpus <= 0 || j.waiting_time < policy_.gpus.after) return false;
+        return j.spec.kind == JobKind::Gang ? j.waiting_tasks > 0 && j.reserved_tasks == 0
+                                            : j.waiting_tasks > j.reserved_tasks;
     }
 
     /// Rooms for `tasks` tasks of a job, all or none; nothing if they fit without. Uses the rooms up. At most
@@ -184,14 +185,14 @@
     bool may_move(const JobView& job) const {
         if (job.cancelled || job.spec.kind == JobKind::Gang || job.tier == policy::Tier::Live) return false;
         if (!policy_.movable(job.spec)) return false;
-        return job.spec.kind != JobKind::Service || job.since_moved >= policy_.budgets.service_pause;
+        return job.spec.kind != JobKind::Service || job.time_since_move >= policy_.budgets.service_pause;
     }
 
     /// By what the job asks for and the policy's zones; not by room.
     bool allowed(std::size_t job, std::size_t machine) const {
         const JobSpec& spec = view_.jobs[job].spec;
         const MachineView& m = view_.machines[machine];
-        if (!m.usable || !may_use(spec, m.type, m.zone, m.spot)) return false;
+        if (!m.usable || !can_use_machine(spec, m.type, m.zone, m.spot)) return false;
         const policy::ZoneRule* rule = policy_.zone_rule(spec);
         return !rule || rule->allowed.empty() ||
                std::find(rule->allowed.begin(), rule->allowed.end(), m.zone) != rule->allowed.end();
@@ -205,7 +206,7 @@
         const policy::ZoneRule* rule = policy_.zone_rule(j.spec);
         const double share = rule ? rule->most_share : 1.0;
         if (!j.spec.spread && !j.spec.one_zone && share >= 1) return true;
-        std::map<std::string, int> there = j.zones;
+        std::map<std::string, int> there = j.tasks_by_zone;
         for (const auto& [z, n] : added_[job]) there[z] += n;
         if (also)
             for (const auto& [z, n] : *also) there[z] += n;
@@ -271,7 +272,7 @@
         const JobSpec& spec = view_.jobs[t.job].spec;
         if (spec.kind == JobKind::Service) return kServiceWeight * kMoveSeconds;
         if (!t.running) return kMoveSeconds;
-        const Micros lost = spec.checkpoint > 0 ? t.ran % spec.checkpoint : t.ran;
+        const Micros lost = spec.checkpoint > 0 ? t.run_time % spec.checkpoint : t.run_time;
         return kMoveSeconds + seconds(spec.save) + seconds(lost);
     }
 
@@ -323,7 +324,8 @@
 
     bool can_leave(std::size_t task, std::size_t for_job) const {
         const TaskView& t = view_.tasks[task];
-        if (t.job == for_job || moved_[task] || t.moving || t.stopping || !may_move_[t.job]) return false;
+        if (t.job == for_job || moved_[task] || t.has_planned_move || t.stopping || !may_move_[t.job])
+            return false;
         // A lower tier never delays a higher one.
         if (view_.jobs[t.job].tier < view_.jobs[for_job].tier) return false;
         return view_.jobs[t.job].spec.kind != JobKind::Service || added_[t.job].empty();
@@ -506,13 +508,13 @@
         for (const auto& way : ways) {
             auto [it, fresh] = by_machine.try_emplace(way.machine);
             RoomPlan& plan = it->second;
-            if (fresh) plan.gather = {ref, view_.machines[way.machine].name, 0};
-            ++plan.gather.tasks;
+            if (fresh) plan.reservation = {ref, view_.machines[way.machine].name, 0};
+            ++plan.reservation.tasks;
             plan.cost += way.cost;
             for (const auto& [task, to] : way.moves) {
                 const TaskView& t = view_.tasks[task];
                 plan.moves.push_back({view_.jobs[t.job].spec.ref, t.task, view_.machines[t.machine].name,
-                                      view_.machines[to.machine].name, Reason::Room, ref});
+                                      view_.machines[to.machine].name, MoveReason::MakeRoom, ref});
             }
         }
         std::vector<RoomPlan> out;
@@ -520,9 +522,9 @@
         return out;
     }
 
-    const View& view_;
+    const ShardView& view_;
     const policy::Policy& policy_;
-    Shapes shapes_;
+    GpuDemand shapes_;
     std::vector<Resources> now_;                     // room that something may move to at once
     std::vector<Resources> later_;                   // room once what is stopping or leaves is gone
     std::vector<int> fetches_;                       // at the machine, by the plans of this call as well
@@ -536,24 +538,25 @@
 
 }  // namespace
 
-std::optional<RoomPlan> make_room(const View& view, std::size_t job, const policy::Policy& policy) {
+std::optional<RoomPlan> plan_room_for_job(const ShardView& view, std::size_t job,
+                                          const policy::Policy& policy) {
     Search search(view, policy);
     if (!search.due(job)) return std::nullopt;
     const JobView& j = view.jobs[job];
-    if (j.spec.kind == JobKind::Gang ? j.idle > 1 : search.fits_somewhere(job)) return std::nullopt;
+    if (j.spec.kind == JobKind::Gang ? j.waiting_tasks > 1 : search.fits_somewhere(job)) return std::nullopt;
     auto plans = search.rooms(job, 1, policy.budgets.moves_per_placement, policy.budgets.moves_per_placement);
     if (plans.empty()) return std::nullopt;
     return std::move(plans.front());
 }
 
-std::vector<RoomPlan> make_rooms(const View& view, const policy::Policy& policy) {
+std::vector<RoomPlan> plan_room_for_waiting_jobs(const ShardView& view, const policy::Policy& policy) {
     Search search(view, policy);
     std::vector<std::size_t> order;
     for (std::size_t j = 0; j < view.jobs.size(); ++j)
         if (search.due(j)) order.push_back(j);
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const JobView &x = view.jobs[a], &y = view.jobs[b];
-        return std::tie(x.tier, y.waiting) < std::tie(y.tier, x.waiting);
+        return std::tie(x.tier, y.waiting_time) < std::tie(y.tier, x.waiting_time);
     });
     std::vector<RoomPlan> out;
     int moves_left = policy.budgets.moves_per_minute;
@@ -562,9 +565,9 @@
         const JobView& job = view.jobs[j];
         const bool gang = job.spec.kind == JobKind::Gang;
         if (!gang && search.fits_somewhere(j)) continue;
-        for (int left = gang ? 1 : job.idle - job.gathered; left > 0; --left) {
+        for (int left = gang ? 1 : job.waiting_tasks - job.reserved_tasks; left > 0; --left) {
             if (moves_left <= 0) return out;
-            auto plans = search.rooms(j, gang ? job.idle : 1,
+            auto plans = search.rooms(j, gang ? job.waiting_tasks : 1,
                                       std::min(policy.budgets.moves_per_placement, moves_left), moves_left);
             if (plans.empty()) {
                 if (++is_unschedulable >= kHopeless) return out;
--- a/src/scheduling/migrations.cpp
+++ b/src/scheduling/migrations.cpp
@@ -13,12 +13,14 @@
 // An entry of a move: [job, task, attempt, from, to, reason, for_job, since]; of a gathering: [job, machine,
 // tasks, since, there].
 Json entry(const PlannedMove& p) {
-    return {p.move.job,     p.move.task, p.attempt, p.move.from, p.move.to, static_cast<int>(p.move.reason),
-            p.move.for_job, p.since_ms};
+    return {p.move.job,     p.move.task,    p.attempt,
+            p.move.from,    p.move.to,      static_cast<int>(p.move.reason),
+            p.move.for_job, p.planned_at_ms};
 }
 
-Json entry(const PlannedGather& p) {
-    return {p.gather.job, p.gather.machine, p.gather.tasks, p.since_ms, p.there};
+Json entry(const PlannedReservation& p) {
+    return {p.reservation.job, p.reservation.machine, p.reservation.tasks, p.planned_at_ms,
+            p.tasks_when_planned};
 }
 
 bool texts(const Json& v, std::initializer_list<std::size_t> at) {
@@ -33,18 +35,18 @@
 
 std::optional<PlannedMove> parse_move(const Json& v) {
     if (!v.is_array() || v.size() < 8 || !texts(v, {0, 3, 4, 6}) || !counts(v, {1, 2, 5, 7}) ||
-        v[5].get<int>() > static_cast<int>(Reason::Room))
+        v[5].get<int>() > static_cast<int>(MoveReason::MakeRoom))
         return std::nullopt;
-    return PlannedMove{{v[0], v[1], v[3], v[4], static_cast<Reason>(v[5].get<int>()), v[6]}, v[2], v[7]};
+    return PlannedMove{{v[0], v[1], v[3], v[4], static_cast<MoveReason>(v[5].get<int>()), v[6]}, v[2], v[7]};
 }
 
-std::optional<PlannedGather> parse_gather(const Json& v) {
+std::optional<PlannedReservation> parse_gather(const Json& v) {
     if (!v.is_array() || v.size() < 5 || !texts(v, {0, 1}) || !counts(v, {2, 3, 4})) return std::nullopt;
-    return PlannedGather{{v[0], v[1], v[2]}, v[3], v[4]};
+    return PlannedReservation{{v[0], v[1], v[2]}, v[3], v[4]};
 }
 
 bool waits(const JobState& job) {
-    return job.known && !job.cancelled && job.idle > 0;
+    return job.known && !job.cancelled && job.waiting_tasks > 0;
 }
 
 // Whether the attempt that a move is to end is still on its machine; stopping and in doubt included.
@@ -54,21 +56,22 @@
 
 }  // namespace
 
-Plan::Durable Plan::all() const {
+MigrationPlan::Durable MigrationPlan::all() const {
     Durable d;
     for (const PlannedMove& p : moves_) d.moves.emplace(p.move.job, p.move.task);
-    for (const PlannedGather& p : gathers_) d.gathers.emplace(p.gather.job, p.gather.machine);
+    for (const PlannedReservation& p : reservations_)
+        d.reservations.emplace(p.reservation.job, p.reservation.machine);
     return d;
 }
 
-Json Plan::value() const {
+Json MigrationPlan::to_value() const {
     Json moves = Json::array(), gathers = Json::array();
     for (const PlannedMove& p : moves_) moves.push_back(entry(p));
-    for (const PlannedGather& p : gathers_) gathers.push_back(entry(p));
+    for (const PlannedReservation& p : reservations_) gathers.push_back(entry(p));
     return {{"v", kVersion}, {"m", std::move(moves)}, {"g", std::move(gathers)}};
 }
 
-bool Plan::take_in(const Json& value) {
+bool MigrationPlan::take_in(const Json& value) {
     if (wire::count(value, "v") != kVersion) return false;
     const Json* moves = wire::find(value, "m");
     const Json* gathers = wire::find(value, "g");
@@ -81,68 +84,68 @@
     for (const Json& v : *gathers) {
         const auto gather = parse_gather(v);
         if (!gather) return false;
-        gathers_.push_back(*gather);
+        reservations_.push_back(*gather);
     }
     const Durable d = all();  // names nothing twice
-    return d.moves.size() == moves_.size() && d.gathers.size() == gathers_.size();
+    return d.moves.size() == moves_.size() && d.reservations.size() == reservations_.size();
 }
 
-bool Plan::take(const Json& value) {
-    *this = Plan();
+bool MigrationPlan::restore(const Json& value) {
+    *this = MigrationPlan();
     if (!take_in(value)) {
-        *this = Plan();
+        *this = MigrationPlan();
         changed_ = true;
         return false;
     }
     stored_ = all();
-    for (const PlannedMove& p : moves_) begun_ms_.push_back(p.since_ms);
+    for (const PlannedMove& p : moves_) begun_ms_.push_back(p.planned_at_ms);
     keep();
     return true;
 }
 
-bool Plan::has(const Gather& gather) const {
-    return std::any_of(gathers_.begin(), gathers_.end(), [&](const PlannedGather& p) {
-        return p.gather.job == gather.job && p.gather.machine == gather.machine;
+bool MigrationPlan::has(const Reservation& gather) const {
+    return std::any_of(reservations_.begin(), reservations_.end(), [&](const PlannedReservation& p) {
+        return p.reservation.job == gather.job && p.reservation.machine == gather.machine;
     });
 }
 
-bool Plan::gathers_for(const std::string& job) const {
-    return std::any_of(gathers_.begin(), gathers_.end(),
-                       [&](const PlannedGather& p) { return p.gather.job == job; });
+bool MigrationPlan::gathers_for(const std::string& job) const {
+    return std::any_of(reservations_.begin(), reservations_.end(),
+                       [&](const PlannedReservation& p) { return p.reservation.job == job; });
 }
 
-bool Plan::may_begin(const Move& move, const Knows& knows) const {
+bool MigrationPlan::may_begin(const Move& move, const ShardQuery& knows) const {
     const TaskState task = knows.task(move.job, move.task);
     if (!task.known || task.cancelled || task.stopping || task.machine != move.from) return false;
     const JobState job = knows.job(move.job);
-    const bool service = job.service;
-    if (service && job.idle > 0) return false;
+    const bool service = job.is_service;
+    if (service && job.waiting_tasks > 0) return false;
     return std::none_of(moves_.begin(), moves_.end(), [&](const PlannedMove& p) {
         return p.move.job == move.job && (service || p.move.task == move.task);
     });
 }
 
-std::size_t Plan::add(const std::vector<Move>& moves, const std::vector<Gather>& gathers, std::int64_t now_ms,
-                      const policy::Budgets& budgets, const Knows& knows) {
+std::size_t MigrationPlan::add(const std::vector<Move>& moves, const std::vector<Reservation>& gathers,
+                               std::int64_t now_ms, const policy::Budgets& budgets, const ShardQuery& knows) {
     std::erase_if(begun_ms_, [&](std::int64_t at) { return at <= now_ms - kMinuteMs; });
     // What belongs together: a move by itself, or the room for a job and all that leaves it.
     struct Group {
         std::string job;  // that room is for
         std::vector<Move> moves;
-        std::vector<Gather> gathers;
+        std::vector<Reservation> gathers;
     };
     std::vector<Group> groups;
     auto group = [&](const std::string& job) -> Group& {
         auto it = std::find_if(groups.begin(), groups.end(), [&](const Group& g) { return g.job == job; });
         return job.empty() || it == groups.end() ? groups.emplace_back(Group{job, {}, {}}) : *it;
     };
-    for (const Gather& g : gathers)
+    for (const Reservation& g : gathers)
         if (!has(g)) group(g.job).gathers.push_back(g);
-    for (const Move& m : moves) group(m.reason == Reason::Room ? m.for_job : "").moves.push_back(m);
+    for (const Move& m : moves) group(m.reason == MoveReason::MakeRoom ? m.for_job : "").moves.push_back(m);
 
     std::size_t added = 0;
     for (const Group& g : groups) {
-        const std::size_t moves_before = moves_.size(), gathers_before = gathers_.size();
+        const std::size_t moves_before = moves_.size(), gathers_before = reservations_.size();
         bool whole =
             begun_ms_.size() + g.moves.size() <=
             static_cast<std::size_t>(std::max(0, g.moves.empty() ? 1'000'000 : budgets.moves_per_minute));
@@ -150,13 +153,13 @@
             if (!(whole = whole && may_begin(m, knows))) break;
             moves_.push_back({m, knows.task(m.job, m.task).attempt, now_ms});
         }
-        for (const Gather& room : g.gathers) {
+        for (const Reservation& room : g.gathers) {
             if (!(whole = whole && !has(room))) break;
-            gathers_.push_back({room, now_ms, knows.tasks_on(room.job, room.machine)});
+            reservations_.push_back({room, now_ms, knows.tasks_on(room.job, room.machine)});
         }
-        if (!whole || value().dump().size() > kMostBytes) {
+        if (!whole || to_value().dump().size() > kMaxValueBytes) {
             moves_.resize(moves_before);
-            gathers_.resize(gathers_before);
+            reservations_.resize(gathers_before);
             continue;
         }
         begun_ms_.insert(begun_ms_.end(), g.moves.size(), now_ms);
@@ -166,22 +169,23 @@
     return added;
 }
 
-bool Plan::ended(const PlannedMove& p, const Knows& knows) const {
+bool MigrationPlan::ended(const PlannedMove& p, const ShardQuery& knows) const {
     const TaskState task = knows.task(p.move.job, p.move.task);
     if (!task.known || task.cancelled) return true;
     if (!at_its_place(p, task)) return !task.machine.empty();  // it has started again
     if (task.stopping) return false;
     // Nothing has been stopped for it yet: it is taken back once nobody needs it any more.
-    if (p.move.reason == Reason::Balance) return p.move.to.empty() || !knows.machine_usable(p.move.to);
+    if (p.move.reason == MoveReason::Balance) return p.move.to.empty() || !knows.machine_usable(p.move.to);
     return !waits(knows.job(p.move.for_job)) || !gathers_for(p.move.for_job);
 }
 
-bool Plan::ended(const PlannedGather& p, const Knows& knows) {
-    return !waits(knows.job(p.gather.job)) || !knows.machine_usable(p.gather.machine) ||
-           knows.tasks_on(p.gather.job, p.gather.machine) >= p.there + p.gather.tasks;
+bool MigrationPlan::ended(const PlannedReservation& p, const ShardQuery& knows) {
+    return !waits(knows.job(p.reservation.job)) || !knows.machine_usable(p.reservation.machine) ||
+           knows.tasks_on(p.reservation.job, p.reservation.machine) >=
+               p.tasks_when_planned + p.reservation.tasks;
 }
 
-void Plan::take_back(const Move& move) {
+void MigrationPlan::cancel_move(const Move& move) {
     std::erase_if(moves_, [&](const PlannedMove& p) {
         if (p.move.job != move.job || p.move.task != move.task) return false;
         forget(p);
@@ -189,87 +193,89 @@
     });
 }
 
-void Plan::forget(const PlannedMove& p) {
+void MigrationPlan::forget(const PlannedMove& p) {
     const Task task{p.move.job, p.move.task};
     stored_.moves.erase(task);
     if (writing_) writing_->moves.erase(task);
     changed_ = true;
 }
 
-void Plan::forget(const PlannedGather& p) {
-    const Room room{p.gather.job, p.gather.machine};
-    stored_.gathers.erase(room);
-    if (writing_) writing_->gathers.erase(room);
+void MigrationPlan::forget(const PlannedReservation& p) {
+    const Room room{p.reservation.job, p.reservation.machine};
+    stored_.reservations.erase(room);
+    if (writing_) writing_->reservations.erase(room);
     changed_ = true;
 }
 
-Plan::Doing Plan::step(const Knows& knows, std::int64_t now_ms, std::int64_t give_up_ms) {
+MigrationPlan::Actions MigrationPlan::advance(const ShardQuery& knows, std::int64_t now_ms,
+                                              std::int64_t give_up_ms) {
     auto drop_ended = [&](auto& planned) {
         std::erase_if(planned, [&](const auto& p) {
             // By either sign: a time of day may have been put right since.
-            if (std::abs(now_ms - p.since_ms) < give_up_ms && !ended(p, knows)) return false;
+            if (std::abs(now_ms - p.planned_at_ms) < give_up_ms && !ended(p, knows)) return false;
             forget(p);
             return true;
         });
     };
-    drop_ended(gathers_);  // first: moves look at them
+    drop_ended(reservations_);  // first: moves look at them
     drop_ended(moves_);
 
-    Doing doing;
+    Actions doing;
     for (PlannedMove& p : moves_) {
         if (!p.move.to.empty() && !knows.machine_usable(p.move.to)) {
             p.move.to.clear();
             changed_ = true;
         }
         const TaskState task = knows.task(p.move.job, p.move.task);
-        if (at_its_place(p, task) && !task.stopping && moving(p.move.job, p.move.task))
-            doing.stop.push_back(p.move);
+        if (at_its_place(p, task) && !task.stopping && stored_move(p.move.job, p.move.task))
+            doing.tasks_to_stop.push_back(p.move);
     }
     keep(&knows);
-    doing.store = changed_ && !writing_;
+    doing.needs_write = changed_ && !writing_;
     return doing;
 }
 
-void Plan::writing() {
+void MigrationPlan::begin_write() {
     writing_ = all();
     changed_ = false;
 }
 
-void Plan::written(bool ok) {
+void MigrationPlan::finish_write(bool ok) {
     if (!writing_) return;
     if (ok) {
         stored_ = std::move(*writing_);
     } else {
         // Either value may stand there now: what is in both is durable.
         std::erase_if(stored_.moves, [&](const Task& t) { return !writing_->moves.count(t); });
-        std::erase_if(stored_.gathers, [&](const Room& r) { return !writing_->gathers.count(r); });
+        std::erase_if(stored_.reservations, [&](const Room& r) { return !writing_->reservations.count(r); });
         changed_ = true;
     }
     writing_.reset();
     keep();
 }
 
-void Plan::keep(const Knows* knows) {
-    kept_.clear();
-    for (const PlannedGather& p : gathers_) {
-        Gather left = p.gather;
-        if (knows) left.tasks -= std::max(0, knows->tasks_on(left.job, left.machine) - p.there);
-        if (stored_.gathers.count({left.job, left.machine})) kept_[left.machine].push_back(left);
+void MigrationPlan::keep(const ShardQuery* knows) {
+    reserved_by_machine_.clear();
+    for (const PlannedReservation& p : reservations_) {
+        Reservation left = p.reservation;
+        if (knows) left.tasks -= std::max(0, knows->tasks_on(left.job, left.machine) - p.tasks_when_planned);
+        if (stored_.reservations.count({left.job, left.machine}))
+            reserved_by_machine_[left.machine].push_back(left);
     }
     for (const PlannedMove& p : moves_)
         if (!p.move.to.empty() && stored_.moves.count({p.move.job, p.move.task}))
-            kept_[p.move.to].push_back({p.move.job, p.move.to, 1});
+            reserved_by_machine_[p.move.to].push_back({p.move.job, p.move.to, 1});
 }
 
-const PlannedMove* Plan::moving(const std::string& job, int task) const {
+const PlannedMove* MigrationPlan::stored_move(const std::string& job, int task) const {
     if (!stored_.moves.count({job, task})) return nullptr;
     auto it = std::find_if(moves_.begin(), moves_.end(),
                            [&](const PlannedMove& p) { return p.move.job == job && p.move.task == task; });
     return it == moves_.end() ? nullptr : &*it;
 }
 
-std::string Plan::destination(const std::string& job, int task) const {
-    const PlannedMove* p = moving(job, task);
+std::string MigrationPlan::destination(const std::string& job, int task) const {
+    const PlannedMove* p = stored_move(job, task);
     return p ? p->move.to : "";
 }
 
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -16,16 +16,16 @@
 
 struct PlannedMove {
     Move move;
-    std::int64_t attempt = 0;   // the one that ends by it: any other has started since
-    std::int64_t since_ms = 0;  // time of day when it was planned
+    std::int64_t attempt = 0;        // the one that ends by it: any other has started since
+    std::int64_t planned_at_ms = 0;  // time of day when it was planned
     bool operator==(const PlannedMove&) const = default;
 };
 
-struct PlannedGather {
-    Gather gather;
-    std::int64_t since_ms = 0;
-    int there = 0;  // tasks of the job on the machine when it was planned
-    bool operator==(const PlannedGather&) const = default;
+struct PlannedReservation {
+    Reservation reservation;
+    std::int64_t planned_at_ms = 0;
+    int tasks_when_planned = 0;  // tasks of the job on the machine when it was planned
+    bool operator==(const PlannedReservation&) const = default;
 };
 
 /// What the holder knows of a task that is in a move, or of a job that room is gathered for.
@@ -39,16 +39,16 @@
 struct JobState {
     bool known = false;
     bool cancelled = false;
-    bool service = false;
-    int idle = 0;  // tasks that still wait
+    bool is_service = false;
+    int waiting_tasks = 0;  // tasks that still wait
 };
 
 /// The plan of a shard. To forget it is always safe: a task that was stopped for a move starts by the five
 /// steps then, and room that was kept is anybody's.
-class Plan {
+class MigrationPlan {
   public:
-    struct Knows {
-        virtual ~Knows() = default;
+    struct ShardQuery {
+        virtual ~ShardQuery() = default;
         virtual TaskState task(const std::string& job, int task) const = 0;
         virtual JobState job(const std::string& ref) const = 0;
         /// Tasks of the job on the machine, in doubt and stopping ones included.
@@ -56,42 +56,44 @@
         virtual bool machine_usable(const std::string& machine) const = 0;
     };
     /// What the holder has to do now. Each may be asked for again; carrying it out twice does no harm.
-    struct Doing {
-        std::vector<Move> stop;  // tasks to be stopped; only those that are stored
-        bool store = false;      // the value has changed and no write of it is under way
+    struct Actions {
+        std::vector<Move> tasks_to_stop;  // tasks to be stopped; only those that are stored
+        bool needs_write = false;         // the value has changed and no write of it is under way
     };
     /// Of a value, counted as JSON text. Nothing is taken in that would make it larger.
-    static constexpr std::size_t kMostBytes = 1800;
+    static constexpr std::size_t kMaxValueBytes = 1800;
 
     /// Takes in a stored value; nothing of what has not been stored survives that. False if it is damaged, or
     /// of another version: the plan is empty then, and shall be stored so.
-    bool take(const Json& value);
-    Json value() const;
+    bool restore(const Json& value);
+    Json to_value() const;
     /// What has been proposed, as far as budgets and the size of a value allow and it is not in the plan yet;
     /// returns how many are new. Room for a job comes with all of its moves or not at all. A service has no
     /// two moves and none while it lacks a task, and a move is of a task that is at its place and not told to
     /// stop.
-    std::size_t add(const std::vector<Move>& moves, const std::vector<Gather>& gathers, std::int64_t now_ms,
-                    const policy::Budgets& budgets, const Knows& knows);
+    std::size_t add(const std::vector<Move>& moves, const std::vector<Reservation>& reservations,
+                    std::int64_t now_ms, const policy::Budgets& budgets, const ShardQuery& knows);
     /// What follows from what is known now: ends what is done or has lost its purpose, and tells what to do.
     /// `give_up_ms`: a gathering or move that has not come to its end after that long is dropped.
-    Doing step(const Knows& knows, std::int64_t now_ms, std::int64_t give_up_ms);
+    Actions advance(const ShardQuery& knows, std::int64_t now_ms, std::int64_t give_up_ms);
     /// Drops a move that need not be made any more. To be called only while its task has not been stopped.
-    void take_back(const Move& move);
+    void cancel_move(const Move& move);
     /// A write of `value()` as it was when `writing()` was called has gone through; or has not, or may have.
-    void writing();
-    void written(bool ok);
+    void begin_write();
+    void finish_write(bool ok);
 
-    bool empty() const { return moves_.empty() && gathers_.empty(); }
+    bool empty() const { return moves_.empty() && reservations_.empty(); }
     /// The move of a task that is in the plan and stored, nullptr: none.
-    const PlannedMove* moving(const std::string& job, int task) const;
+    const PlannedMove* stored_move(const std::string& job, int task) const;
     /// Where a task in a move had better start; empty: anywhere.
     std::string destination(const std::string& job, int task) const;
     /// Room of a machine that is kept: what is gathered, and a place at its destination for what moves. The
     /// job itself may use it. Only what is stored, and what has not been used as of the last step.
-    const std::map<std::string, std::vector<Gather>>& kept() const { return kept_; }  // by machine
+    const std::map<std::string, std::vector<Reservation>>& reserved_by_machine() const {
+        return reserved_by_machine_;
+    }  // by machine
     const std::vector<PlannedMove>& moves() const { return moves_; }
-    const std::vector<PlannedGather>& gathers() const { return gathers_; }
+    const std::vector<PlannedReservation>& reservations() const { return reservations_; }
 
   private:
     using Task = std::pair<std::string, int>;
@@ -99,25 +101,25 @@
     /// What of a value is durable, or on its way to be.
     struct Durable {
         std::set<Task> moves;
-        std::set<Room> gathers;
+        std::set<Room> reservations;
     };
     Durable all() const;
     bool take_in(const Json& value);
-    bool may_begin(const Move& move, const Knows& knows) const;
-    bool has(const Gather& gather) const;
+    bool may_begin(const Move& move, const ShardQuery& knows) const;
+    bool has(const Reservation& reservation) const;
     bool gathers_for(const std::string& job) const;
     /// Whether a move has come to its end or lost its purpose.
-    bool ended(const PlannedMove& planned, const Knows& knows) const;
-    static bool ended(const PlannedGather& planned, const Knows& knows);
+    bool ended(const PlannedMove& planned, const ShardQuery& knows) const;
+    static bool ended(const PlannedReservation& planned, const ShardQuery& knows);
     void forget(const PlannedMove& planned);
-    void forget(const PlannedGather& planned);
-    void keep(const Knows* knows = nullptr);
+    void forget(const PlannedReservation& planned);
+    void keep(const ShardQuery* knows = nullptr);
 
     std::vector<PlannedMove> moves_;
-    std::vector<PlannedGather> gathers_;
+    std::vector<PlannedReservation> reservations_;
     Durable stored_;
     std::optional<Durable> writing_;
-    std::map<std::string, std::vector<Gather>> kept_;
+    std::map<std::string, std::vector<Reservation>> reserved_by_machine_;
     std::vector<std::int64_t> begun_ms_;  // of moves in the last minute
     bool changed_ = false;
 };
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -14,10 +14,10 @@
     Resources size;
     Resources reserved;
     int tasks = 0;
-    bool has_image = false;    // or is fetching it
-    bool image_ready = false;  // has it
-    double own_penalty = 0;    // the caller's: of the machine alone, before what the job's other tasks add
-    double penalty = 0;        // added to the score as it is
+    bool has_image = false;      // or is fetching it
+    bool image_ready = false;    // has it
+    double machine_penalty = 0;  // the caller's: of the machine alone, before what the job's other tasks add
+    double penalty = 0;          // added to the score as it is
 };
 
 /// The chosen candidate's `index`, or -1 if none can hold the task.
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -21,7 +21,7 @@
     Resources live;     // live work that waits
     Resources batch;    // still due to tier Batch
     Resources overdue;  // what the job needs to begin that is overdue and comes first
-    const Queued* first = nullptr;
+    const QueuedJob* first = nullptr;
 };
 
 Resources larger(const Resources& a, const Resources& b) {
@@ -36,42 +36,44 @@
     return need.cores <= room.cores && need.gpus <= room.gpus;
 }
 
-Resources used_by(const TeamUse& use, Tier tier) {
-    auto it = use.used.find(tier);
-    return it == use.used.end() ? Resources{} : it->second;
+Resources used_by(const TeamUsage& use, Tier tier) {
+    auto it = use.used_by_tier.find(tier);
+    return it == use.used_by_tier.end() ? Resources{} : it->second;
 }
 
 /// Among the overdue the large ones go first, since the others find their part by the floors as well; then
 /// the longest wait.
-auto urgency(const Queued& q, const Kept& k) {
-    return std::tuple(within(q.task, k.half), -q.age, q.index);
+auto urgency(const QueuedJob& q, const Kept& k) {
+    return std::tuple(within(q.next_start_request, k.half), -q.age, q.index);
 }
 
-bool overdue(const Queued& q, const policy::Priority& priority) {
-    return q.tier != Tier::Live && !q.begun && q.age >= priority.begin_within;
+bool overdue(const QueuedJob& q, const policy::Priority& priority) {
+    return q.tier != Tier::Live && !q.has_started && q.age >= priority.begin_within;
 }
 
 /// What tier Batch is due and does not have, while a higher tier may take it: its floor of what live work
 /// leaves, or one start where that is more and fits into half.
-Resources owed_to_batch(const TeamUse& use, const Kept& k, const std::vector<const Queued*>& waiting) {
+Resources owed_to_batch(const TeamUsage& use, const Kept& k, const std::vector<const QueuedJob*>& waiting) {
     Resources waits;
-    const Queued* least = nullptr;
-    auto size = [](const Queued& q) { return std::tuple(q.task.cores, q.task.gpus, q.index); };
-    for (const Queued* q : waiting) {
-        if (q->lacks_room || !within(q->task, k.half)) continue;
-        waits += q->waits;
+    const QueuedJob* least = nullptr;
+    auto size = [](const QueuedJob& q) {
+        return std::tuple(q.next_start_request.cores, q.next_start_request.gpus, q.index);
+    };
+    for (const QueuedJob* q : waiting) {
+        if (q->lacks_room || !within(q->next_start_request, k.half)) continue;
+        waits += q->waiting_request;
         if (!least || size(*q) < size(*least)) least = q;
     }
     if (!least) return {};
-    const Resources due = larger(k.floor, least->task);
+    const Resources due = larger(k.floor, least->next_start_request);
     const Resources used = used_by(use, Tier::Batch);
     const Resources could = used + waits;
     return not_negative(Resources{std::min(due.cores, could.cores), std::min(due.gpus, could.gpus), 0} -
                         used);
 }
 
-std::map<std::string, Kept> kept_by_team(const std::vector<Queued>& queue,
-                                         const std::map<std::string, TeamUse>& teams,
+std::map<std::string, Kept> kept_by_team(const std::vector<QueuedJob>& queue,
+                                         const std::map<std::string, TeamUsage>& teams,
                                          const policy::Priority& priority) {
     std::map<std::string, Kept> kept;
     auto part = [&](Milli of) { return static_cast<Milli>(static_cast<double>(of) * priority.floor); };
@@ -82,10 +84,10 @@
         k.floor = {part(rest.cores), part(rest.gpus), 0};
         k.half = {rest.cores / 2, rest.gpus / 2, 0};
     }
-    std::map<std::string, std::vector<const Queued*>> batch;
-    for (const Queued& q : queue) {
+    std::map<std::string, std::vector<const QueuedJob*>> batch;
+    for (const QueuedJob& q : queue) {
         Kept& k = kept[q.team];
-        if (q.tier == Tier::Live && !q.lacks_room) k.live += q.waits;
+        if (q.tier == Tier::Live && !q.lacks_room) k.live += q.waiting_request;
         if (q.tier == Tier::Batch) batch[q.team].push_back(&q);
         if (overdue(q, priority) && !q.lacks_room && (!k.first || urgency(q, k) < urgency(*k.first, k)))
             k.first = &q;
@@ -96,12 +98,12 @@
         k.batch = owed_to_batch(use->second, k, batch[team]);
         // What does not fit beside live work has nothing kept for it: it would never begin.
         const Resources rest = k.limit - used_by(use->second, Tier::Live) - k.live;
-        if (k.first && within(k.first->task, rest)) k.overdue = k.first->task;
+        if (k.first && within(k.first->next_start_request, rest)) k.overdue = k.first->next_start_request;
     }
     return kept;
 }
 
-Turn turn_of(const Queued& q, const Kept& k, bool is_overdue) {
+QueueEntry turn_of(const QueuedJob& q, const Kept& k, bool is_overdue) {
     Resources most = k.limit;
     if (q.tier != Tier::Live) most -= k.live;
     const bool own = k.first == &q && is_overdue;
@@ -118,21 +120,21 @@
 }
 
 bool allowed(const JobSpec& s, const MachineView& m) {
-    return m.usable && may_use(s, m.type, m.zone, m.spot);
+    return m.usable && can_use_machine(s, m.type, m.zone, m.spot);
 }
 
 /// In how long the machine has room for one more such task, beside `taken`, if what runs there is left alone;
 /// nothing if it never has.
-std::optional<Micros> room_in(const View& view, const MachineView& m, const Resources& need,
+std::optional<Micros> room_in(const ShardView& view, const MachineView& m, const Resources& need,
                               const Resources& taken) {
-    Resources room = m.room() - taken;
+    Resources room = m.available() - taken;
     if (need.fits(room)) return 0;
     std::vector<std::pair<Micros, Resources>> ends;
     for (const std::size_t i : m.tasks) {
         const TaskView& t = view.tasks[i];
         const JobSpec& s = view.jobs[t.job].spec;
         if (s.kind == JobKind::Service && !t.stopping) continue;
-        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.ran, kSecond), s.request);
+        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.run_time, kSecond), s.request);
     }
     std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
     for (const auto& [in, freed] : ends) {
@@ -144,52 +146,54 @@
 
 }  // namespace
 
-std::vector<Turn> turns(const std::vector<Queued>& queue, const std::map<std::string, TeamUse>& teams,
-                        const policy::Priority& priority) {
+std::vector<QueueEntry> queue_order(const std::vector<QueuedJob>& queue,
+                                    const std::map<std::string, TeamUsage>& teams,
+                                    const policy::Priority& priority) {
     const auto kept = kept_by_team(queue, teams, priority);
-    std::vector<const Queued*> live, late, rest;
-    for (const Queued& q : queue) {
+    std::vector<const QueuedJob*> live, late, rest;
+    for (const QueuedJob& q : queue) {
         (q.tier == Tier::Live ? live : rest).push_back(&q);
         if (overdue(q, priority)) late.push_back(&q);
     }
     // Highest tier first, then rank, then what is guaranteed, then the nearest deadline, then what can still
     // make its aim. Among equals the least work left by age.
-    auto before = [](const Queued* a, const Queued* b) {
-        auto key = [](const Queued& q) {
-            return std::tuple(q.tier, q.rank, !q.within_guarantee, q.due_ms, q.late, q.weight, q.index);
+    auto before = [](const QueuedJob* a, const QueuedJob* b) {
+        auto key = [](const QueuedJob& q) {
+            return std::tuple(q.tier, q.rank, !q.within_guarantee, q.deadline_ms, q.can_wait,
+                              q.remaining_work, q.index);
         };
         return key(*a) < key(*b);
     };
     std::sort(live.begin(), live.end(), before);
-    std::sort(late.begin(), late.end(), [&](const Queued* a, const Queued* b) {
+    std::sort(late.begin(), late.end(), [&](const QueuedJob* a, const QueuedJob* b) {
         return urgency(*a, kept.at(a->team)) < urgency(*b, kept.at(b->team));
     });
     std::sort(rest.begin(), rest.end(), before);
-    std::vector<Turn> order;
+    std::vector<QueueEntry> order;
     order.reserve(live.size() + late.size() + rest.size());
-    for (const Queued* q : live) order.push_back(turn_of(*q, kept.at(q->team), false));
-    for (const Queued* q : late) order.push_back(turn_of(*q, kept.at(q->team), true));
-    for (const Queued* q : rest) order.push_back(turn_of(*q, kept.at(q->team), false));
+    for (const QueuedJob* q : live) order.push_back(turn_of(*q, kept.at(q->team), false));
+    for (const QueuedJob* q : late) order.push_back(turn_of(*q, kept.at(q->team), true));
+    for (const QueuedJob* q : rest) order.push_back(turn_of(*q, kept.at(q->team), false));
     return order;
 }
 
-std::vector<Gather> gather(const View& view, const policy::Policy& policy) {
+std::vector<Reservation> reservations_for_overdue_job(const ShardView& view, const policy::Policy& policy) {
     const JobView* largest = nullptr;
     for (const JobView& j : view.jobs) {
-        if (j.tier == Tier::Live || j.cancelled || j.idle == 0 || j.bound > 0) continue;
-        if (j.waiting < policy.priority.begin_within) continue;
+        if (j.tier == Tier::Live || j.cancelled || j.waiting_tasks == 0 || j.bound_tasks > 0) continue;
+        if (j.waiting_time < policy.priority.begin_within) continue;
         auto size = [](const JobView& x) {
-            const Milli tasks = x.spec.kind == JobKind::Gang ? x.idle : 1;
-            return std::tuple(-x.spec.request.gpus * tasks, -x.spec.request.cores * tasks, -x.waiting,
+            const Milli tasks = x.spec.kind == JobKind::Gang ? x.waiting_tasks : 1;
+            return std::tuple(-x.spec.request.gpus * tasks, -x.spec.request.cores * tasks, -x.waiting_time,
                               x.spec.ref);
         };
         if (!largest || size(j) < size(*largest)) largest = &j;
     }
     if (!largest) return {};
     const JobSpec& s = largest->spec;
-    const int tasks = s.kind == JobKind::Gang ? largest->idle : 1;
+    const int tasks = s.kind == JobKind::Gang ? largest->waiting_tasks : 1;
     std::vector<int> on(view.machines.size(), 0);
-    std::map<std::string, int> zones = largest->zones;
+    std::map<std::string, int> zones = largest->tasks_by_zone;
     Micros last = 0;
     for (int k = 0; k < tasks; ++k) {
         std::optional<std::tuple<Micros, std::size_t>> best;
@@ -208,7 +212,7 @@
         ++zones[view.machines[std::get<1>(*best)].zone];
     }
     if (last == 0) return {};  // it has room now
-    std::vector<Gather> list;
+    std::vector<Reservation> list;
     for (std::size_t i = 0; i < on.size(); ++i)
         if (on[i] > 0) list.push_back({s.ref, view.machines[i].name, on[i]});
     return list;
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -12,37 +12,37 @@
 namespace cottonway::scheduling {
 
 /// A waiting job as the queue sees it.
-struct Queued {
+struct QueuedJob {
     std::size_t index = 0;  // the caller's; decides among equals, so it has to follow from stored facts
     std::string team;
     policy::Tier tier = policy::Tier::Batch;
     PriorityClass rank = PriorityClass::Normal;
     bool within_guarantee = false;
-    bool late = false;  // misses its first aim whatever is done now
-    std::int64_t due_ms = INT64_MAX;
-    double weight = 0;        // work left by age: less goes first
-    Micros age = 0;           // since it began to count
-    bool begun = false;       // some task of it is on a machine or has ended well
-    bool lacks_room = false;  // no machine had room for it lately: nothing of a limit is kept for it
-    Resources waits;          // that its waiting tasks need in all
-    Resources task;           // that its next start needs: one task, or a gang as a whole
+    bool can_wait = false;  // misses its first aim whatever is done now
+    std::int64_t deadline_ms = INT64_MAX;
+    double remaining_work = 0;     // work left by age: less goes first
+    Micros age = 0;                // since it began to count
+    bool has_started = false;      // some task of it is on a machine or has ended well
+    bool lacks_room = false;       // no machine had room for it lately: nothing of a limit is kept for it
+    Resources waiting_request;     // that its waiting tasks need in all
+    Resources next_start_request;  // that its next start needs: one task, or a gang as a whole
 };
 
 /// What a team may use here and uses.
-struct TeamUse {
-    Resources limit;                         // the shard's part of it
-    std::map<policy::Tier, Resources> used;  // by tier, in doubt and stopping included
+struct TeamUsage {
+    Resources limit;                                 // the shard's part of it
+    std::map<policy::Tier, Resources> used_by_tier;  // by tier, in doubt and stopping included
 };
 
-struct Turn {
+struct QueueEntry {
     std::size_t index = 0;
     /// Goes before its tier because it has waited for so long, with one start only; a later turn of the same
     /// job is for its further tasks.
     bool overdue = false;
     /// What its team may use in all with this job's next start; the rest of the limit is due to others.
-    Milli most_cores = 0;
-    Milli most_gpus = 0;
-    bool operator==(const Turn&) const = default;
+    Milli max_team_cores = 0;
+    Milli max_team_gpus = 0;
+    bool operator==(const QueueEntry&) const = default;
 };
 
 /// Everybody's turn, first to last. Live work is always first and has no cap but the limit. Within a team's
@@ -50,12 +50,13 @@
 /// a lower tier that waits is due. A tier none of whose tasks fits into the half of what live work leaves has
 /// to wait until it is overdue. BestEffort work is due no part, as it starts only where nothing else wants
 /// the room, until it is overdue.
-std::vector<Turn> turns(const std::vector<Queued>& queue, const std::map<std::string, TeamUse>& teams,
-                        const policy::Priority& priority);
+std::vector<QueueEntry> queue_order(const std::vector<QueuedJob>& queue,
+                                    const std::map<std::string, TeamUsage>& teams,
+                                    const policy::Priority& priority);
 
 /// Room for the largest waiting batch job that has not begun within `begin_within`: the machines on which it
 /// is there soonest if what runs ends by itself. A gang gets all of it or none. Nothing where there is room
 /// now, or never would be.
-std::vector<Gather> gather(const View& view, const policy::Policy& policy);
+std::vector<Reservation> reservations_for_overdue_job(const ShardView& view, const policy::Policy& policy);
 
 }  // namespace cottonway::scheduling
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -164,13 +164,13 @@
 /// The services of a view and the room that is left beside the moves chosen so far.
 class Mending {
   public:
-    Mending(const View& view, const policy::Policy& policy, const Zones& all)
+    Mending(const ShardView& view, const policy::Policy& policy, const Zones& all)
         : view_(view), policy_(policy), all_(all), tasks_of_(view.jobs.size()) {
         for (std::size_t i = 0; i < view.tasks.size(); ++i) tasks_of_[view.tasks[i].job].push_back(i);
         for (std::size_t i = 0; i < view.machines.size(); ++i) {
             const MachineView& m = view.machines[i];
-            room_.push_back(m.room());
-            if (m.usable && !has(view.troubled, m.zone)) open_[{m.zone, m.type, m.spot}].push_back(i);
+            room_.push_back(m.available());
+            if (m.usable && !has(view.unstable_zones, m.zone)) open_[{m.zone, m.type, m.spot}].push_back(i);
         }
     }
 
@@ -207,17 +207,19 @@
     /// A zone that the shard has machines in was lost, or has not been back for long.
     bool trouble() const {
         return std::any_of(view_.machines.begin(), view_.machines.end(),
-                           [this](const MachineView& m) { return has(view_.troubled, m.zone); });
+                           [this](const MachineView& m) { return has(view_.unstable_zones, m.zone); });
     }
 
     bool whole(std::size_t j) const {
         const JobView& job = view_.jobs[j];
-        if (job.cancelled || job.idle > 0 || job.since_moved < pause_of(job, policy_.budgets)) return false;
+        if (job.cancelled || job.waiting_tasks > 0 ||
+            job.time_since_move < pause_between_moves(job, policy_.budgets))
+            return false;
         const auto& tasks = tasks_of_[j];
         if (static_cast<int>(tasks.size()) != job.spec.tasks) return false;
         return std::all_of(tasks.begin(), tasks.end(), [this](std::size_t t) {
             const TaskView& task = view_.tasks[t];
-            return task.running && !task.stopping && !task.moving;
+            return task.running && !task.stopping && !task.has_planned_move;
         });
     }
 
@@ -225,7 +227,7 @@
         std::set<std::string> zones;
         for (const auto& [kind, machines] : open_) {
             const auto& [zone, type, spot] = kind;
-            if (may_use(job, type, zone, spot)) zones.insert(zone);
+            if (can_use_machine(job, type, zone, spot)) zones.insert(zone);
         }
         return {zones.begin(), zones.end()};
     }
@@ -241,7 +243,7 @@
         if (job.spec.kind != JobKind::Service) return {};
         const policy::ZoneRule* rule = policy_.zone_rule(job.spec);
         if (!rule || !rule->rebalance || !whole(j)) return {};
-        Hurt h{j, imbalance(job.spec, rule, job.zones, standing(job.spec), all_), 0};
+        Hurt h{j, imbalance(job.spec, rule, job.tasks_by_zone, standing(job.spec), all_), 0};
         if (Asked(job.spec, rule).apart()) {
             for (const auto& [machine, n] : by_machine(j)) h.shared += n - 1;
             h.shared /= job.spec.tasks;
@@ -252,15 +254,15 @@
     std::optional<Move> move_of(const Hurt& h) {
         const JobView& job = view_.jobs[h.job];
         const Asked asked(job.spec, policy_.zone_rule(job.spec));
-        const Cost now = asked.cost(job.zones);
+        const Cost now = asked.cost(job.tasks_by_zone);
         const Zones zones = standing(job.spec);
         std::vector<Shift> shifts;
-        for (const auto& [from, n] : job.zones) {
+        for (const auto& [from, n] : job.tasks_by_zone) {
             for (const auto& to : zones) {
                 // Until the old one is proven gone, it counts where it is.
-                const int there = count_of(job.zones, to);
-                if (n <= 0 || from == to || there >= asked.protocol_most(to, job.zones)) continue;
-                Counts with = job.zones;
+                const int there = count_of(job.tasks_by_zone, to);
+                if (n <= 0 || from == to || there >= asked.protocol_most(to, job.tasks_by_zone)) continue;
+                Counts with = job.tasks_by_zone;
                 if (--with[from] == 0) with.erase(from);
                 ++with[to];
                 if (const Cost c = asked.cost(with); c < now) shifts.push_back({c, there, from, to});
@@ -272,7 +274,7 @@
             if (auto m = shift(h.job, asked, on, s.from, s.to, false)) return m;
         if (h.shared <= 0) return std::nullopt;
         // Apart within the zone: the count there stays what it is.
-        for (const auto& [zone, n] : job.zones)
+        for (const auto& [zone, n] : job.tasks_by_zone)
             if (auto m = shift(h.job, asked, on, zone, zone, true)) return m;
         return std::nullopt;
     }
@@ -282,7 +284,7 @@
         const TaskView* leaves = nullptr;
         auto key = [&](const TaskView& t) {
             // One that shares its machine, then the one that came last.
-            return std::make_tuple(on.at(t.machine) > 1 ? 0 : 1, t.ran, t.task);
+            return std::make_tuple(on.at(t.machine) > 1 ? 0 : 1, t.run_time, t.task);
         };
         for (const std::size_t i : tasks_of_[j]) {
             const TaskView& t = view_.tasks[i];
@@ -299,7 +301,7 @@
                     leaves->task,
                     view_.machines[leaves->machine].name,
                     view_.machines[*to_machine].name,
-                    Reason::Balance,
+                    MoveReason::Balance,
                     ""};
     }
 
@@ -310,7 +312,8 @@
         using Key = std::tuple<int, int, Milli, std::uint64_t, std::string_view>;
         std::optional<std::pair<Key, std::size_t>> best;
         for (const auto& [kind, machines] : open_) {
-            if (std::get<0>(kind) != zone || !may_use(job, std::get<1>(kind), zone, std::get<2>(kind)))
+            if (std::get<0>(kind) != zone ||
+                !can_use_machine(job, std::get<1>(kind), zone, std::get<2>(kind)))
                 continue;
             for (const std::size_t i : machines) {
                 if (!job.request.fits(room_[i]) || (keep_off && keep_off->count(i))) continue;
@@ -330,7 +333,7 @@
         return best->second;
     }
 
-    const View& view_;
+    const ShardView& view_;
     const policy::Policy& policy_;
     const Zones& all_;
     std::vector<std::vector<std::size_t>> tasks_of_;  // by job
@@ -346,7 +349,7 @@
     const Asked asked(job, rule);
     ZoneChoice choice;
     choice.strict = rule && rule->strict;
-    if (asked.apart()) choice.machine_most = 1;
+    if (asked.apart()) choice.max_tasks_per_machine = 1;
     const Zones zones = every(there, standing, all);
     auto full = [&](const std::string& z) { return count_of(there, z) >= asked.protocol_most(z, there); };
     const bool allowed_stands = std::any_of(
@@ -364,15 +367,15 @@
         if (job.kind == JobKind::Service) choice.penalty[z] = kTogether * n;
         if (!asked.prefers(z)) choice.penalty[z] += kNotPreferred;
         if (least && may_open(z) && asked.step(there, z) == *least) {
-            choice.most[z] = std::min(limit, std::max(asked.cap(), n + 1));
+            choice.max_tasks[z] = std::min(limit, std::max(asked.cap(), n + 1));
             kept = kept || asked.keeps(there, z);
         } else if (rule) {
-            choice.most[z] = std::min(limit, n);
+            choice.max_tasks[z] = std::min(limit, n);
         } else {
-            choice.most[z] = limit;
+            choice.max_tasks[z] = limit;
         }
     }
-    choice.as_asked = kept;
+    choice.meets_rule = kept;
     return choice;
 }
 
@@ -384,16 +387,16 @@
     return now <= best ? 0 : weigh(now - best, job.tasks, every(there, standing, all).size());
 }
 
-std::vector<Move> rebalance(const View& view, const policy::Policy& policy, const Zones& all_zones) {
+std::vector<Move> rebalance(const ShardView& view, const policy::Policy& policy, const Zones& all_zones) {
     return Mending(view, policy, all_zones).moves();
 }
 
-Micros pause_of(const JobView& job, const policy::Budgets& budgets) {
-    const int beyond = std::clamp(job.moved_lately - job.spec.tasks, 0, kMostDoubled);
+Micros pause_between_moves(const JobView& job, const policy::Budgets& budgets) {
+    const int beyond = std::clamp(job.recent_balance_moves - job.spec.tasks, 0, kMostDoubled);
     return budgets.service_pause * (Micros{1} << beyond);
 }
 
-void ZoneWatch::see(const std::string& zone, bool stands, Micros now) {
+void ZoneMonitor::observe(const std::string& zone, bool stands, Micros now) {
     Seen& z = zones_[zone];
     if (stands == z.stands) return;
     z.stands = stands;
@@ -404,7 +407,7 @@
         z.lost.push_back(now);
 }
 
-Zones ZoneWatch::troubled(Micros now, Micros settle) const {
+Zones ZoneMonitor::unstable_zones(Micros now, Micros settle) const {
     Zones zones;
     for (const auto& [zone, z] : zones_) {
         const int doubled = std::clamp(static_cast<int>(z.lost.size()) - 1, 0, kMostDoubled);
--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -22,19 +22,19 @@
     /// Tasks that each zone may hold at most, those on it (in doubt included) counted; a zone that is not
     /// named takes none. It is about the next task: ask again once that is bound. What the protocol's
     /// `spread`, `one_zone` and `mill` forbid is never allowed here.
-    std::map<std::string, int> most;
+    std::map<std::string, int> max_tasks;
     /// Added to a candidate's score in the zone (lower is better).
     std::map<std::string, double> penalty;
     /// Nothing of the policy was given up for it.
-    bool as_asked = true;
+    bool meets_rule = true;
     /// Tasks of the job that one machine may hold, where the rule says that a machine's loss must be
     /// survived. Unless `strict`, one that holds as many is taken when no other fits.
-    int machine_most = std::numeric_limits<int>::max();
+    int max_tasks_per_machine = std::numeric_limits<int>::max();
     bool strict = false;
 
-    int most_in(const std::string& zone) const {
-        auto it = most.find(zone);
-        return it == most.end() ? 0 : it->second;
+    int max_tasks_in(const std::string& zone) const {
+        auto it = max_tasks.find(zone);
+        return it == max_tasks.end() ? 0 : it->second;
     }
     double penalty_in(const std::string& zone) const {
         auto it = penalty.find(zone);
@@ -57,21 +57,21 @@
 /// Moves that mend services, the most hurt first: one replica of a service at a time, only while all its
 /// others run and nothing is troubled, to a machine with room (its image where there is one), never one that
 /// undoes another's.
-std::vector<Move> rebalance(const View& view, const policy::Policy& policy,
+std::vector<Move> rebalance(const ShardView& view, const policy::Policy& policy,
                             const std::vector<std::string>& all_zones);
 
 /// Between two moves of a service: the budget's pause, doubled for each move of the last ten minutes beyond
 /// one of each replica, up to 32 times.
-Micros pause_of(const JobView& job, const policy::Budgets& budgets);
+Micros pause_between_moves(const JobView& job, const policy::Budgets& budgets);
 
 /// Which zones stand, and which have not stood for long enough to move anything back. A zone that was lost
 /// and came back several times within ten minutes has to stand twice as long each time, up to 32 times.
-class ZoneWatch {
+class ZoneMonitor {
   public:
     /// To be told whenever it is looked at; the first time a zone stands counts as no loss.
-    void see(const std::string& zone, bool stands, Micros now);
+    void observe(const std::string& zone, bool stands, Micros now);
     /// Of the zones seen, those that do not stand or have stood for less than `settle` (doubled as above).
-    std::vector<std::string> troubled(Micros now, Micros settle) const;
+    std::vector<std::string> unstable_zones(Micros now, Micros settle) const;
 
   private:
     struct Seen {
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -25,23 +25,23 @@
     /// New tasks may be bound to it: heard lately, not leaving, not suspect.
     bool usable = false;
     Resources size;
-    Resources reserved;  // by tasks on it, in doubt and stopping ones included
-    Resources stopping;  // the part of it that is on its way out
-    Resources kept;      // free room that is kept for somebody else (gathered)
+    Resources reserved;   // by tasks on it, in doubt and stopping ones included
+    Resources stopping;   // the part of it that is on its way out
+    Resources set_aside;  // free room that is kept for somebody else (gathered)
     double fetch_gb_per_s = 1;
     std::vector<ImageView> images;
     std::vector<std::size_t> tasks;  // indices into View::tasks
-    Resources room() const { return size - reserved - kept; }
+    Resources available() const { return size - reserved - set_aside; }
 };
 
 struct TaskView {
     std::size_t job = 0;  // index into View::jobs
     int task = 0;
-    std::size_t machine = 0;  // index into View::machines
-    bool running = false;     // has its image and runs
-    bool stopping = false;    // told to stop, or about to be
-    bool moving = false;      // a move of it is in the plan
-    Micros ran = 0;           // so far
+    std::size_t machine = 0;        // index into View::machines
+    bool running = false;           // has its image and runs
+    bool stopping = false;          // told to stop, or about to be
+    bool has_planned_move = false;  // a move of it is in the plan
+    Micros run_time = 0;            // so far
 };
 
 struct JobView {
@@ -49,28 +49,28 @@
     policy::Tier tier = policy::Tier::Batch;
     PriorityClass rank = PriorityClass::Normal;
     bool cancelled = false;
-    int idle = 0;        // tasks that wait for room
-    int gathered = 0;    // those of the idle ones that room is kept for already
-    int bound = 0;       // tasks on machines, in doubt and stopping ones included
-    Micros waiting = 0;  // since some task of it has waited for room; 0: none does
-    Micros age = 0;      // since it began to count (its submission or the end of what it needed)
-    std::map<std::string, int> zones;  // its tasks by zone, in doubt and stopping ones included
-    Micros since_moved = 0;            // since a task of it was moved last; a long time if never
-    int moved_lately = 0;              // moves of its tasks to mend balance within the last ten minutes
+    int waiting_tasks = 0;    // tasks that wait for room
+    int reserved_tasks = 0;   // those of the idle ones that room is kept for already
+    int bound_tasks = 0;      // tasks on machines, in doubt and stopping ones included
+    Micros waiting_time = 0;  // since some task of it has waited for room; 0: none does
+    Micros age = 0;           // since it began to count (its submission or the end of what it needed)
+    std::map<std::string, int> tasks_by_zone;  // its tasks by zone, in doubt and stopping ones included
+    Micros time_since_move = 0;                // since a task of it was moved last; a long time if never
+    int recent_balance_moves = 0;  // moves of its tasks to mend balance within the last ten minutes
 };
 
-struct View {
+struct ShardView {
     Micros now = 0;
     std::uint64_t seed = 0;
     std::vector<MachineView> machines;  // by name
     std::vector<JobView> jobs;          // by admission
     std::vector<TaskView> tasks;
     /// Zones with no machine that was heard lately, or heard for less than `settle` since they were.
-    std::vector<std::string> troubled;
+    std::vector<std::string> unstable_zones;
 };
 
 /// Why something is moved.
-enum class Reason : std::uint8_t { Balance, Room };
+enum class MoveReason : std::uint8_t { Balance, MakeRoom };
 
 /// A replica or task that leaves its machine to start elsewhere: stopped, proven gone, started.
 struct Move {
@@ -78,17 +78,17 @@
     int task = 0;
     std::string from;  // machine
     std::string to;    // machine that it had better start on; empty: by the five steps
-    Reason reason = Reason::Balance;
+    MoveReason reason = MoveReason::Balance;
     std::string for_job;  // Reason::Room: whose task the room is for
     bool operator==(const Move&) const = default;
 };
 
 /// Room on a machine that is kept for a job's tasks until these are bound.
-struct Gather {
+struct Reservation {
     std::string job;
     std::string machine;
     int tasks = 1;  // of the job that shall start there
-    bool operator==(const Gather&) const = default;
+    bool operator==(const Reservation&) const = default;
 };
 
 }  // namespace cottonway::scheduling
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -68,7 +68,7 @@
     std::size_t first_idle = 0;         // no task before it waits
     Micros waiting_since = 0;
     bool within_guarantee = false;
-    Resources most{kNoLimit, kNoLimit, 0};  // that its team may use with its next start (scheduling::Turn)
+    Resources most{kNoLimit, kNoLimit, 0};  // that its team may use with its next start (QueueEntry)
     bool overdue = false;                   // this is its turn for having waited for so long
     Micros no_room_at = 0;                  // when it last found no room; 0: it has found some since
     Micros idle_turn = 0;                   // when idle work is bound again
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -10,9 +10,9 @@
 
 namespace cottonway {
 
-using scheduling::Gather;
 using scheduling::Move;
-using scheduling::Reason;
+using scheduling::MoveReason;
+using scheduling::Reservation;
 
 namespace {
 constexpr Micros kLookEvery = kSecond;
@@ -32,7 +32,7 @@
 }  // namespace
 
 /// What the plan asks of the shard's books.
-class Rebalancer::Books : public scheduling::Plan::Knows {
+class Rebalancer::Books : public scheduling::MigrationPlan::ShardQuery {
   public:
     explicit Books(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
     scheduling::TaskState task(const std::string& ref, int task) const override {
@@ -84,10 +84,10 @@
     known_ = stored->mod_revision;
     if (stored->value.is_null()) return;
     record_ = stored->mod_revision;
-    if (!plan_.take(stored->value)) spdlog::error("domain {}: its plan is damaged, and given up", shard_);
+    if (!plan_.restore(stored->value)) spdlog::error("domain {}: its plan is damaged, and given up", shard_);
     if (!plan_.empty())
         spdlog::info("domain {}: {} moves and room on {} machines to go on with", shard_,
-                     plan_.moves().size(), plan_.gathers().size());
+                     plan_.moves().size(), plan_.reservations().size());
 }
 
 /// Whether there is anything that could be moved or gathered for.
@@ -116,8 +116,8 @@
         // A write of ours that was taken for lost has come late.
         known_ = stored->mod_revision;
         record_ = stored->value.is_null() ? 0 : stored->mod_revision;
-        plan_.writing();
-        plan_.written(false);
+        plan_.begin_write();
+        plan_.finish_write(false);
     }
     const bool looks = now - looked_at_ >= kLookEvery && wanted();
     if (looks) {
@@ -140,7 +140,7 @@
         heard = heard || lately;
         doubt = doubt || (!lately && !m->tasks.empty());
     }
-    for (const auto& [zone, is] : zones) zones_.see(zone, is.first && !is.second, now);
+    for (const auto& [zone, is] : zones) zones_.observe(zone, is.first && !is.second, now);
     for (auto it = moved_.begin(); it != moved_.end();) {
         std::erase_if(it->second.mended, [&](Micros at) { return at <= now - kLately; });
         it = it->second.last <= now - kLongAgo ? moved_.erase(it) : std::next(it);
@@ -149,7 +149,7 @@
 
 std::vector<std::string> Rebalancer::troubled() const {
     std::vector<std::string> zones =
-        zones_.troubled(context_.runtime().now(), context_.policy().budgets.settle);
+        zones_.unstable_zones(context_.runtime().now(), context_.policy().budgets.settle);
     // Those that no machine of the shard is in any more trouble nobody here.
     std::erase_if(zones, [this](const std::string& zone) {
         return std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
@@ -158,13 +158,13 @@
     return zones;
 }
 
-scheduling::View Rebalancer::view() const {
+scheduling::ShardView Rebalancer::view() const {
     const Micros now = context_.runtime().now();
     const policy::Policy& policy = context_.policy();
-    scheduling::View view;
+    scheduling::ShardView view;
     view.now = now;
     view.seed = shard_revision_ ^ static_cast<std::uint64_t>(now / kSecond);
-    view.troubled = troubled();
+    view.unstable_zones = troubled();
 
     std::vector<const Job*> jobs;
     for (const auto& [ref, job] : shard_state_.jobs) jobs.push_back(job.get());
@@ -177,15 +177,15 @@
         j.tier = policy.tier(job->spec, job->rank);
         j.rank = job->rank;
         j.cancelled = job->stage == Stage::Cancelled;
-        j.idle = waits(*job) ? job->idle : 0;
-        j.bound = job->bound;
-        j.waiting = j.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
+        j.waiting_tasks = waits(*job) ? job->idle : 0;
+        j.bound_tasks = job->bound;
+        j.waiting_time = j.waiting_tasks > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
         j.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
-        j.zones = job->zones();
+        j.tasks_by_zone = job->zones();
         auto moved = moved_.find(job->spec.ref);
         // A predecessor may have moved it until we came.
-        j.since_moved = std::min(kLongAgo, now - (moved == moved_.end() ? since_ : moved->second.last));
-        if (moved != moved_.end()) j.moved_lately = static_cast<int>(moved->second.mended.size());
+        j.time_since_move = std::min(kLongAgo, now - (moved == moved_.end() ? since_ : moved->second.last));
+        if (moved != moved_.end()) j.recent_balance_moves = static_cast<int>(moved->second.mended.size());
     }
 
     std::map<std::string, std::size_t> machine_at;
@@ -203,7 +203,7 @@
         for (const auto& image : m->images) v.images.push_back({image.name, image.ready});
         for (const TaskRef& t : m->tasks) {
             const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
-            const scheduling::Plan& plan = plan_;
+            const scheduling::MigrationPlan& plan = plan_;
             const bool moving = std::any_of(plan.moves().begin(), plan.moves().end(), [&](const auto& p) {
                 return p.move.job == t.job->spec.ref && p.move.task == t.task;
             });
@@ -217,13 +217,15 @@
         const Job* job = shard_state_.job(ref);
         auto m = machine_at.find(machine);
         if (!job || m == machine_at.end()) return;
-        for (int i = 0; i < tasks; ++i) view.machines[m->second].kept += job->spec.request;
-        if (gathers) view.jobs[job_at.at(job)].gathered += tasks;
+        for (int i = 0; i < tasks; ++i) view.machines[m->second].set_aside += job->spec.request;
+        if (gathers) view.jobs[job_at.at(job)].reserved_tasks += tasks;
     };
     const Books books(*this);
-    for (const auto& p : plan_.gathers())
-        keep(p.gather.job, p.gather.machine,
-             p.gather.tasks - std::max(0, books.tasks_on(p.gather.job, p.gather.machine) - p.there), true);
+    for (const auto& p : plan_.reservations())
+        keep(p.reservation.job, p.reservation.machine,
+             p.reservation.tasks -
+                 std::max(0, books.tasks_on(p.reservation.job, p.reservation.machine) - p.tasks_when_planned),
+             true);
     for (const auto& p : plan_.moves()) keep(p.move.job, p.move.to, 1, false);
     return view;
 }
@@ -232,27 +234,29 @@
     // Nothing is begun while a node comes or ends, or with a plan that is not known to be stored.
     const policy::Policy& policy = context_.policy();
     if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle) return;
-    const scheduling::View now = view();
+    const scheduling::ShardView now = view();
     std::vector<Move> moves = scheduling::rebalance(now, policy, context_.settings().zones);
-    std::vector<Gather> gathers;
-    for (auto& room : scheduling::make_rooms(now, policy)) {
-        gathers.push_back(room.gather);
+    std::vector<Reservation> gathers;
+    for (auto& room : scheduling::plan_room_for_waiting_jobs(now, policy)) {
+        gathers.push_back(room.reservation);
         moves.insert(moves.end(), room.moves.begin(), room.moves.end());
     }
-    for (auto& room : scheduling::gather(now, policy)) gathers.push_back(std::move(room));
+    for (auto& room : scheduling::reservations_for_overdue_job(now, policy))
+        gathers.push_back(std::move(room));
     if (moves.empty() && gathers.empty()) return;
     const std::size_t added =
         plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, Books(*this));
     if (added > 0)
         spdlog::info("domain {}: {} moves and gatherings planned, {} in all", shard_, added,
-                     plan_.moves().size() + plan_.gathers().size());
+                     plan_.moves().size() + plan_.reservations().size());
 }
 
 void Rebalancer::carry_on() {
-    const scheduling::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
-    if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
+    const scheduling::MigrationPlan::Actions doing =
+        plan_.advance(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
+    if (!unsure_ && context_.steady_for() > 0) stop(doing.tasks_to_stop);
     const bool left_over = plan_.empty() && record_ != 0;
-    if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
+    if ((!doing.needs_write && !left_over) || in_flight_ || unsure_) return;
     if (context_.runtime().now() < not_before_ || !context_.store().room(Priority::Deferrable)) return;
     if (plan_.empty() && record_ == 0) return;  // it was taken back before it was ever written
     write();
@@ -274,8 +278,8 @@
     if (slot.state != SlotState::Bound || slot.stop) return false;
     const bool service = job.spec.kind == JobKind::Service;
     if (service && (job.idle > 0 || !others_run(job, move.task))) return false;
-    if (move.reason == Reason::Balance && !troubled().empty()) return false;
-    if (move.reason == Reason::Room && !context_.policy().movable(job.spec)) return false;
+    if (move.reason == MoveReason::Balance && !troubled().empty()) return false;
+    if (move.reason == MoveReason::MakeRoom && !context_.policy().movable(job.spec)) return false;
     if (move.to.empty()) return !service;
     const Machine* to = shard_state_.machine(move.to);
     return to && of_.usable(*to) && Scheduler::allowed(job, *to) &&
@@ -290,10 +294,10 @@
         if (!job) continue;
         if (may_stop(move, *job)) {
             by_job[job].push_back(&move);
-        } else if (const auto* planned = plan_.moving(move.job, move.task);
-                   planned && now_ms - planned->since_ms > kPatienceMs) {
+        } else if (const auto* planned = plan_.stored_move(move.job, move.task);
+                   planned && now_ms - planned->planned_at_ms > kPatienceMs) {
             spdlog::info("task {}/{}: not moved after all", move.job, move.task);
-            plan_.take_back(move);
+            plan_.cancel_move(move);
         }
     }
     for (auto& [job, its] : by_job) {
@@ -305,17 +309,17 @@
             of_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save + kSecond);
             Moved& moved = moved_[move->job];
             moved.last = context_.runtime().now();
-            if (move->reason == Reason::Balance) moved.mended.push_back(moved.last);
+            if (move->reason == MoveReason::Balance) moved.mended.push_back(moved.last);
         }
     }
 }
 
 Resources Rebalancer::kept_from(const Job& job, const Machine& m) const {
     Resources kept;
-    auto it = plan_.kept().find(m.name);
-    if (it == plan_.kept().end()) return kept;
+    auto it = plan_.reserved_by_machine().find(m.name);
+    if (it == plan_.reserved_by_machine().end()) return kept;
     const policy::Policy& policy = context_.policy();
-    for (const Gather& gather : it->second) {
+    for (const Reservation& gather : it->second) {
         const Job* other = shard_state_.job(gather.job);
         if (!other || other == &job ||
             policy.tier(job.spec, job.rank) < policy.tier(other->spec, other->rank))
@@ -326,10 +330,11 @@
 }
 
 bool Rebalancer::keeps_for(const Job& job) const {
-    return std::any_of(plan_.kept().begin(), plan_.kept().end(), [&](const auto& machine) {
-        return std::any_of(machine.second.begin(), machine.second.end(),
-                           [&](const Gather& g) { return g.job == job.spec.ref; });
-    });
+    return std::any_of(plan_.reserved_by_machine().begin(), plan_.reserved_by_machine().end(),
+                       [&](const auto& machine) {
+                           return std::any_of(machine.second.begin(), machine.second.end(),
+                                              [&](const Reservation& g) { return g.job == job.spec.ref; });
+                       });
 }
 
 const Machine* Rebalancer::destination(const Job& job, int task) const {
@@ -348,9 +353,9 @@
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
     change.when = {{keys::shard + shard_, shard_revision_}, {key, record_}};
-    change.then.push_back({key, drops ? Json() : plan_.value()});
+    change.then.push_back({key, drops ? Json() : plan_.to_value()});
     in_flight_ = true;
-    plan_.writing();
+    plan_.begin_write();
     context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& r) {
         if (*alive) written(r, drops);
     });
@@ -358,7 +363,7 @@
 
 void Rebalancer::written(const CommitResult& result, bool dropped) {
     in_flight_ = false;
-    plan_.written(result.status == CommitStatus::Ok);
+    plan_.finish_write(result.status == CommitStatus::Ok);
     switch (result.status) {
         case CommitStatus::Ok:
             record_ = dropped ? 0 : result.revision;
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -37,10 +37,10 @@
     bool keeps_for(const Job& job) const;
     /// Where a task in a move had better start, nullptr: anywhere.
     const Machine* destination(const Job& job, int task) const;
-    const scheduling::Plan& plan() const { return plan_; }
+    const scheduling::MigrationPlan& plan() const { return plan_; }
 
     /// The shard as it is now, with the room that the plan keeps.
-    scheduling::View view() const;
+    scheduling::ShardView view() const;
 
   private:
     class Books;
@@ -64,8 +64,8 @@
     const ShardState& shard_state_;
     Scheduler::Shard& of_;
     Micros since_;  // this process holds the shard
-    scheduling::Plan plan_;
-    scheduling::ZoneWatch zones_;
+    scheduling::MigrationPlan plan_;
+    scheduling::ZoneMonitor zones_;
     Revision record_ = 0;  // mark of the record as we know it, 0: there is none
     Revision known_ = 0;   // up to which change of it we know all
     bool in_flight_ = false;
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -93,7 +93,7 @@
 }
 
 bool Scheduler::allowed(const Job& job, const Machine& m) {
-    return scheduling::may_use(job.spec, m.type_name, m.zone, m.spot);
+    return scheduling::can_use_machine(job.spec, m.type_name, m.zone, m.spot);
 }
 
 /// What the team would use with so many more tasks of the job.
@@ -271,7 +271,7 @@
         if (job.rank <= PriorityClass::High)
             c.penalty += kFetchPenalty * static_cast<double>(fetch_time(job, *m)) / 1e6;
         if (shapes_) c.penalty += scheduling::gpu_penalty(c.size, c.reserved, job.spec.request, *shapes_);
-        c.own_penalty = c.penalty;
+        c.machine_penalty = c.penalty;
         list.push_back(c);
         machines.push_back(m);
     }
@@ -331,44 +331,44 @@
     const double before = gpus();
     c.reserved += need;
     const double more = gpus() - before;
-    c.own_penalty += more;
+    c.machine_penalty += more;
     c.penalty += more;
     ++c.tasks;
 }
 
-scheduling::Queued Scheduler::queued(const Job& job, std::size_t index) const {
+scheduling::QueuedJob Scheduler::queued(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
     const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
     const JobSpec& s = job.spec;
-    scheduling::Queued q;
+    scheduling::QueuedJob q;
     q.index = index;
     q.team = s.team;
     q.tier = tier(job);
     q.rank = job.rank;
     q.within_guarantee = job.within_guarantee;
-    q.late = can_wait(job);
-    q.due_ms = job.due_ms;
+    q.can_wait = can_wait(job);
+    q.deadline_ms = job.due_ms;
     // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
     // up for size, so that none waits for ever.
     const auto left = static_cast<double>(job.idle + job.bound) *
                       static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
                       static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
-    q.weight = left / static_cast<double>(age_ms + 10'000);
+    q.remaining_work = left / static_cast<double>(age_ms + 10'000);
     q.age = age_ms * kMillisecond;
     // Of work that takes what is left over one task at least runs, once it has waited for so long.
-    q.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
+    q.has_started = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
     q.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoom;
     auto of = [&s](int tasks) { return Resources{s.request.cores * tasks, s.request.gpus * tasks, 0}; };
-    q.waits = of(job.idle);
-    q.task = of(s.kind == JobKind::Gang ? job.idle : 1);
+    q.waiting_request = of(job.idle);
+    q.next_start_request = of(s.kind == JobKind::Gang ? job.idle : 1);
     return q;
 }
 
-std::map<std::string, scheduling::TeamUse> Scheduler::team_uses() const {
-    std::map<std::string, scheduling::TeamUse> teams;
+std::map<std::string, scheduling::TeamUsage> Scheduler::team_uses() const {
+    std::map<std::string, scheduling::TeamUsage> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->bound == 0) continue;
-        auto& used = teams[job->spec.team].used[tier(*job)];
+        auto& used = teams[job->spec.team].used_by_tier[tier(*job)];
         used.cores += job->spec.request.cores * job->bound;
         used.gpus += job->spec.request.gpus * job->bound;
     }
@@ -409,7 +409,7 @@
         else if (of_.surplus(*m))
             surplus_.push_back(m.get());
     const std::vector<Job*> waiting = queue(idle_turn);
-    std::vector<scheduling::Queued> asked;
+    std::vector<scheduling::QueuedJob> asked;
     asked.reserve(waiting.size());
     for (const Job* job : waiting) asked.push_back(queued(*job, asked.size()));
     no_room_.clear();
@@ -429,10 +429,10 @@
     preemptions_left_ = kPreemptions;
     const bool preempts = now - preempted_at_ >= kPreemptEvery;
     if (preempts) preempted_at_ = now;
-    for (const auto& turn : scheduling::turns(asked, team_uses(), context_.policy().priority)) {
+    for (const auto& turn : scheduling::queue_order(asked, team_uses(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
         if (job.idle == 0) continue;  // all of it began in its turn for being overdue
-        job.most = {turn.most_cores, turn.most_gpus, 0};
+        job.most = {turn.max_team_cores, turn.max_team_gpus, 0};
         job.overdue = turn.overdue;
         const bool placed = plan_job(job);
         if (!placed && !job.overdue && preempts && !job.backing_off &&
@@ -515,7 +515,7 @@
                                                  std::vector<Candidate>& candidates,
                                                  const std::vector<Machine*>& machines, bool apart) const {
     std::map<std::string, double> zones;  // those open, with their penalty
-    for (const auto& [zone, most] : choice.most) {
+    for (const auto& [zone, most] : choice.max_tasks) {
         auto used = per_zone.find(zone);
         if ((used == per_zone.end() ? 0 : used->second) < most) zones[zone] = choice.penalty_in(zone);
     }
@@ -523,9 +523,9 @@
     for (auto& c : candidates) {
         const Machine& m = *machines[c.index];
         auto zone = zones.find(m.zone);
-        if (zone == zones.end() || (apart && tasks_on(m, job) >= choice.machine_most)) continue;
+        if (zone == zones.end() || (apart && tasks_on(m, job) >= choice.max_tasks_per_machine)) continue;
         if (!leaves_reserve(job, m.zone)) continue;
-        c.penalty = c.own_penalty + zone->second;
+        c.penalty = c.machine_penalty + zone->second;
         open.push_back(&c);
     }
     return open;
@@ -566,7 +566,7 @@
                                         const std::vector<Machine*>& machines, bool ready_only, bool give_way,
                                         const Machine* better) {
     const auto asked = choose_zones(job, zoning, per_zone);
-    const bool sharing_matters = asked.machine_most < std::numeric_limits<int>::max();
+    const bool sharing_matters = asked.max_tasks_per_machine < std::numeric_limits<int>::max();
     auto place_in = [&](const scheduling::ZoneChoice& choice, bool apart) {
         const auto open = open_in(choice, job, per_zone, candidates, machines, apart);
         const auto wished = at(better, job, open, machines);
@@ -576,8 +576,8 @@
     if (chosen >= 0 || !give_way) return chosen;
     for (const bool apart : {true, false}) {
         if (!apart && (asked.strict || !sharing_matters)) break;
-        const auto room = zones_with_room(job, candidates, machines,
-                                          apart ? asked.machine_most : std::numeric_limits<int>::max());
+        const auto room = zones_with_room(
+            job, candidates, machines, apart ? asked.max_tasks_per_machine : std::numeric_limits<int>::max());
         const auto choice = choose_zones(job, zoning, per_zone, &room);
         const auto found = place_in(choice, apart && sharing_matters);
         if (found >= 0) return found;
@@ -665,7 +665,7 @@
                         if (job.spec.one_zone && !per_zone.empty() && there == 0) continue;
                         if (!leaves_reserve(job, machines[c.index]->zone)) continue;
                         // Replicas are kept apart beyond what the job asks for.
-                        if (job.spec.kind == JobKind::Service) c.penalty = c.own_penalty + 25.0 * there;
+                        if (job.spec.kind == JobKind::Service) c.penalty = c.machine_penalty + 25.0 * there;
                         open.push_back(&c);
                     }
                     parts = parts_of(job, open, machines, ready_only);
@@ -737,7 +737,7 @@
             std::vector<Candidate> open;
             for (const auto& c : trial) {
                 const std::string& at = machines[c.index]->zone;
-                if ((zone.empty() || at == zone) && per_zone[at] < choice.most_in(at) &&
+                if ((zone.empty() || at == zone) && per_zone[at] < choice.max_tasks_in(at) &&
                     leaves_reserve(job, at, per_zone[at]))
                     open.push_back(c);
             }
@@ -806,8 +806,8 @@
             if (ready_only && fetch_time(job, m) > 0) continue;
             auto used = per_zone.find(m.zone);
             const int there = used == per_zone.end() ? 0 : used->second;
-            if (there >= choice.most_in(m.zone)) continue;
-            if (choice.strict && tasks_on(m, job) >= choice.machine_most) continue;
+            if (there >= choice.max_tasks_in(m.zone)) continue;
+            if (choice.strict && tasks_on(m, job) >= choice.max_tasks_per_machine) continue;
             std::vector<Victim> taken;
             const auto lost = room_for(job, m, may_waste, reclaims, hurries, taken);
             if (!lost || (best && *lost >= loss)) continue;
@@ -819,7 +819,7 @@
         if (!best) {
             const auto tried = std::erase_if(zones, [&](const std::string& zone) {
                 auto used = per_zone.find(zone);
-                return (used == per_zone.end() ? 0 : used->second) < choice.most_in(zone);
+                return (used == per_zone.end() ? 0 : used->second) < choice.max_tasks_in(zone);
             });
             if (tried > 0) {
                 --waiting;
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -62,8 +62,8 @@
     bool plan_job(Job& job);
     bool plan_gang(Job& job, const std::vector<Candidate>& candidates, const std::vector<Machine*>& machines);
     void bind(Job& job, int task, Machine& m, std::int64_t attempt);
-    scheduling::Queued queued(const Job& job, std::size_t index) const;
-    std::map<std::string, scheduling::TeamUse> team_uses() const;
+    scheduling::QueuedJob queued(const Job& job, std::size_t index) const;
+    std::map<std::string, scheduling::TeamUsage> team_uses() const;
     Resources used_with(const Job& job, int tasks) const;
     void miss_quota(const Job& job, int tasks);
     void free_limit(const Job& job);
@@ -167,7 +167,7 @@
     std::ptrdiff_t spot_machines_ = 0;
     /// What GPUs are asked for, in the current pass; nothing unless the policy packs them and some machine
     /// has any.
-    std::optional<scheduling::Shapes> shapes_;
+    std::optional<scheduling::GpuDemand> shapes_;
     bool idle_bound_ = false;                      // something of idle rank is bound
     std::map<const Machine*, Resources> claimed_;  // room that waiting tasks will take, in the current pass
     struct Cores {
--- a/src/simulation/starvation_checker.cpp
+++ b/src/simulation/starvation_checker.cpp
@@ -33,7 +33,7 @@
     };
     std::map<std::string, Zone> zones;
     for (const auto& [name, room] : rooms) {
-        if (!scheduling::may_use(s, room.type, room.zone, room.spot)) continue;
+        if (!scheduling::can_use_machine(s, room.type, room.zone, room.spot)) continue;
         if (s.one_zone && !job.zones.empty() && !job.zones.count(room.zone)) continue;
         int most = wanted;
         if (auto there = job.zones.find(room.zone); s.spread)
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -68,7 +68,8 @@
         for (const auto& [team, r] : parse_shares(*value)) sums_[team] += r;
     } else if (starts_with(key, keys::plan)) {
         ++kinds_["plans"];
-        if (!scheduling::Plan().take(*value)) damage(key, "does not parse: nothing of it is carried on");
+        if (!scheduling::MigrationPlan().restore(*value))
+            damage(key, "does not parse: nothing of it is carried on");
     } else if (starts_with(key, keys::format)) {
         ++kinds_["formats"];
         const auto reads = wire::count(*value, "reads").value_or(0);
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -109,7 +109,7 @@
                              gpus * 64'000};
                 s.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
                 s.image_gb = 20'000 * (1 + std::hash<std::string>{}(s.image) % 7);
-                t.job.since_moved = 3600 * kSecond;
+                t.job.time_since_move = 3600 * kSecond;
                 t.left = 1 + static_cast<int>(std::exponential_distribution<double>(1.0 / kMean)(arrivals_));
                 t.since = now_;
                 waiting_.push_back(tasks_.size());
@@ -164,23 +164,23 @@
             for (std::size_t m = 0; m < machines_.size(); ++m)
                 if (machines_[m].view.name == tasks_[i].to) begin(i, m);
             tasks_[i].left += 60;  // fetched and done again
-            tasks_[i].job.since_moved = 0;
+            tasks_[i].job.time_since_move = 0;
             return true;
         });
     }
 
-    Shapes shapes() const {
-        View v;
+    GpuDemand shapes() const {
+        ShardView v;
         for (const auto* list : {&waiting_, &running_})
             for (const std::size_t i : *list) {
                 v.jobs.push_back(tasks_[i].job);
-                (list == &waiting_ ? v.jobs.back().idle : v.jobs.back().bound) = 1;
+                (list == &waiting_ ? v.jobs.back().waiting_tasks : v.jobs.back().bound_tasks) = 1;
             }
-        return shapes_of(v);
+        return gpu_demand_of(v);
     }
 
     void start_waiting() {
-        const Shapes asked = shapes();
+        const GpuDemand asked = shapes();
         std::vector<std::size_t> still;
         Milli free = 0;
         for (const auto& m : machines_) free += m.view.size.gpus - m.view.reserved.gpus;
@@ -230,32 +230,32 @@
     }
 
     void make() {
-        View v;
+        ShardView v;
         v.now = now_ * kSecond;
         for (const auto& m : machines_) {
             v.machines.push_back(m.view);
-            for (const auto& [ref, need] : m.kept) v.machines.back().kept += need;
+            for (const auto& [ref, need] : m.kept) v.machines.back().set_aside += need;
         }
         std::vector<std::size_t> task_of;
         for (const std::size_t i : waiting_) {
             const Task& t = tasks_[i];
             v.jobs.push_back(t.job);
-            v.jobs.back().idle = 1;
-            v.jobs.back().waiting = (now_ - t.since) * kSecond;
+            v.jobs.back().waiting_tasks = 1;
+            v.jobs.back().waiting_time = (now_ - t.since) * kSecond;
             for (const auto& m : machines_)
-                for (const auto& [ref, need] : m.kept) v.jobs.back().gathered += ref == t.job.spec.ref;
+                for (const auto& [ref, need] : m.kept) v.jobs.back().reserved_tasks += ref == t.job.spec.ref;
         }
         for (const std::size_t i : running_) {
             const Task& t = tasks_[i];
             v.jobs.push_back(t.job);
-            v.jobs.back().bound = 1;
-            if (t.job.since_moved == 0) v.jobs.back().since_moved = (now_ - t.begun) * kSecond;
+            v.jobs.back().bound_tasks = 1;
+            if (t.job.time_since_move == 0) v.jobs.back().time_since_move = (now_ - t.begun) * kSecond;
             TaskView tv;
             tv.job = v.jobs.size() - 1;
             tv.machine = static_cast<std::size_t>(t.machine);
             tv.running = true;
-            tv.stopping = tv.moving = t.stopping;
-            tv.ran = (now_ - t.begun) * kSecond;
+            tv.stopping = tv.has_planned_move = t.stopping;
+            tv.run_time = (now_ - t.begun) * kSecond;
             v.machines[tv.machine].tasks.push_back(v.tasks.size());
             if (t.stopping) v.machines[tv.machine].stopping += t.job.spec.request;
             v.tasks.push_back(tv);
@@ -264,11 +264,11 @@
         if (minute_ != now_ / 60) minute_ = now_ / 60, moves_in_minute_ = 0;
         policy::Policy p = policy_;
         p.budgets.moves_per_minute -= moves_in_minute_;
-        for (const auto& plan : make_rooms(v, p)) {
+        for (const auto& plan : plan_room_for_waiting_jobs(v, p)) {
             for (auto& m : machines_)
-                if (m.view.name == plan.gather.machine)
-                    m.kept.emplace_back(plan.gather.job,
-                                        tasks_[std::stoul(plan.gather.job.substr(2))].job.spec.request);
+                if (m.view.name == plan.reservation.machine)
+                    m.kept.emplace_back(plan.reservation.job,
+                                        tasks_[std::stoul(plan.reservation.job.substr(2))].job.spec.request);
             for (const auto& move : plan.moves) {
                 Task& t = tasks_[std::stoul(move.job.substr(2))];
                 t.stopping = true;
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -22,7 +22,7 @@
 
 /// A shard, put together in words.
 struct Site {
-    View view;
+    ShardView view;
     policy::Policy policy;
 
     Site() {
@@ -50,7 +50,7 @@
         j.spec.image = "w-" + std::to_string(view.jobs.size());
         j.spec.image_gb = 40'000;
         j.tier = policy.tier(j.spec);
-        j.since_moved = 3600 * kSecond;
+        j.time_since_move = 3600 * kSecond;
         view.jobs.push_back(j);
         return view.jobs.size() - 1;
     }
@@ -64,25 +64,25 @@
     std::size_t on(std::size_t m, std::size_t j) {
         TaskView t;
         t.job = j;
-        t.task = view.jobs[j].bound;
+        t.task = view.jobs[j].bound_tasks;
         t.machine = m;
         t.running = true;
-        t.ran = ran_[j];
+        t.run_time = ran_[j];
         view.tasks.push_back(t);
         view.machines[m].tasks.push_back(view.tasks.size() - 1);
         view.machines[m].reserved += view.jobs[j].spec.request;
         view.machines[m].images.push_back({view.jobs[j].spec.image, true});
-        ++view.jobs[j].bound;
-        ++view.jobs[j].zones[view.machines[m].zone];
+        ++view.jobs[j].bound_tasks;
+        ++view.jobs[j].tasks_by_zone[view.machines[m].zone];
         return view.tasks.size() - 1;
     }
     std::size_t waits(int gpus, int tasks = 1, Micros for_time = 10 * kSecond) {
         const std::size_t j = job(gpus);
-        view.jobs[j].spec.tasks = view.jobs[j].idle = tasks;
-        view.jobs[j].waiting = for_time;
+        view.jobs[j].spec.tasks = view.jobs[j].waiting_tasks = tasks;
+        view.jobs[j].waiting_time = for_time;
         return j;
     }
-    std::vector<RoomPlan> rooms() const { return make_rooms(view, policy); }
+    std::vector<RoomPlan> rooms() const { return plan_room_for_waiting_jobs(view, policy); }
 
   private:
     std::map<std::size_t, Micros> ran_;
@@ -101,14 +101,14 @@
 // ---------------------------------------------------------------- packing
 
 TEST(CardsPacking, FreeCardsAreOfUseToShapesThatFitThem) {
-    Shapes s;
-    EXPECT_EQ(s.useless(4000), 0);  // nothing is asked for
+    GpuDemand s;
+    EXPECT_EQ(s.unusable_share(4000), 0);  // nothing is asked for
     s.add(8000, 1);
-    EXPECT_EQ(s.useless(4000), 1);
-    EXPECT_EQ(s.useless(8000), 0);
+    EXPECT_EQ(s.unusable_share(4000), 1);
+    EXPECT_EQ(s.unusable_share(8000), 0);
     s.add(1000, 1);
-    EXPECT_EQ(s.useless(4000), 0.5);
-    EXPECT_EQ(s.useless(0), 0);
+    EXPECT_EQ(s.unusable_share(4000), 0.5);
+    EXPECT_EQ(s.unusable_share(0), 0);
 }
 
 TEST(CardsPacking, WaitingShapesCountMoreThanRunningOnes) {
@@ -117,11 +117,11 @@
     site.on(0, site.job(4));
     site.waits(8);
     // Four GPUs that run, eight that wait and count threefold.
-    EXPECT_NEAR(shapes_of(site.view).useless(4000), 24.0 / 28.0, 1e-9);
+    EXPECT_NEAR(gpu_demand_of(site.view).unusable_share(4000), 24.0 / 28.0, 1e-9);
 }
 
 TEST(CardsPacking, TheTightestMachineCostsLeast) {
-    Shapes s;
+    GpuDemand s;
     for (const int n : {1, 2, 4, 8}) s.add(n * 1000, 1);
     auto cost = [&](int reserved, int gpus) { return gpu_penalty(part(8), part(reserved), part(gpus), s); };
     EXPECT_LT(cost(7, 1), cost(4, 1));
@@ -131,7 +131,7 @@
 }
 
 TEST(CardsPacking, WorkWithoutCardsIsKeptOffMachinesWithCards) {
-    Shapes s;
+    GpuDemand s;
     s.add(1000, 1);
     const Resources cores{4'000, 0, 16'000};
     EXPECT_EQ(gpu_penalty({96'000, 0, 768'000}, {}, cores, s), 0);
@@ -139,7 +139,7 @@
 }
 
 TEST(CardsPacking, CoresThatFreeCardsNeedCost) {
-    Shapes s;
+    GpuDemand s;
     s.add(1000, 1);
     const Resources even = part(1);
     const Resources greedy{84'000, 1'000, 96'000};
@@ -152,10 +152,10 @@
 TEST(CardsMoves, AModelOfEightCardsStartsAfterOneMove) {
     Halves site;
     const auto job = site.waits(8);
-    const auto plan = make_room(site.view, job, site.policy);
+    const auto plan = plan_room_for_job(site.view, job, site.policy);
     ASSERT_TRUE(plan);
-    EXPECT_EQ(plan->gather, (Gather{"j-2", "n-0", 1}));
-    EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", Reason::Room, "j-2"}}));
+    EXPECT_EQ(plan->reservation, (Reservation{"j-2", "n-0", 1}));
+    EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", MoveReason::MakeRoom, "j-2"}}));
     // Three seconds for each of stop, proof, start (5) and of the fetch of 40 GB.
     EXPECT_EQ(plan->cost, 3 * 45);
 }
@@ -167,7 +167,7 @@
     auto plans = site.rooms();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].moves[0].job, "j-1");
-    EXPECT_EQ(plans[0].gather.machine, "n-1");
+    EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_EQ(plans[0].cost, 15);
     // Half the fetch where another copy comes; a further fetch beside it halves the rate.
     site.view.machines[0].images.back().ready = false;
@@ -204,15 +204,17 @@
         change(site.view);
         return site.rooms().size();
     };
-    EXPECT_EQ(with([](View&) {}), 1u);
-    EXPECT_EQ(with([](View& v) { v.tasks[0].moving = v.tasks[1].moving = true; }), 0u);
-    EXPECT_EQ(with([](View& v) { v.tasks[0].stopping = v.tasks[1].stopping = true; }), 0u);
-    EXPECT_EQ(with([](View& v) {
+    EXPECT_EQ(with([](ShardView&) {}), 1u);
+    EXPECT_EQ(with([](ShardView& v) { v.tasks[0].has_planned_move = v.tasks[1].has_planned_move = true; }),
+              0u);
+    EXPECT_EQ(with([](ShardView& v) { v.tasks[0].stopping = v.tasks[1].stopping = true; }), 0u);
+    EXPECT_EQ(with([](ShardView& v) {
                   for (auto& j : v.jobs) j.spec.kind = JobKind::Gang;
               }),
               0u);
-    EXPECT_EQ(with([](View& v) { v.jobs[0].since_moved = v.jobs[1].since_moved = 29 * kSecond; }), 0u);
-    EXPECT_EQ(with([](View& v) { v.jobs[0].cancelled = v.jobs[1].cancelled = true; }), 0u);
+    EXPECT_EQ(
+        with([](ShardView& v) { v.jobs[0].time_since_move = v.jobs[1].time_since_move = 29 * kSecond; }), 0u);
+    EXPECT_EQ(with([](ShardView& v) { v.jobs[0].cancelled = v.jobs[1].cancelled = true; }), 0u);
 }
 
 TEST(CardsMoves, ADestinationThatDiesIsNone) {
@@ -228,7 +230,7 @@
         site.waits(8);
         site.view.machines[1].zone = "b";
         site.view.jobs[1].tier = policy::Tier::Live;  // only j-0 may move, only to n-1
-        site.view.jobs[1].zones = {{"b", 1}};
+        site.view.jobs[1].tasks_by_zone = {{"b", 1}};
         change(site);
         return site.rooms().size();
     };
@@ -245,7 +247,7 @@
     EXPECT_EQ(with([](Site& s) {
                   s.view.jobs[0].spec.spread = true;
                   s.view.jobs[0].spec.tasks = 2;
-                  s.view.jobs[0].zones = {{"a", 1}, {"b", 1}};
+                  s.view.jobs[0].tasks_by_zone = {{"a", 1}, {"b", 1}};
               }),
               0u);
     EXPECT_EQ(with([](Site& s) {
@@ -269,23 +271,23 @@
     EXPECT_EQ(plans[0].moves[0].job, "j-2");
     EXPECT_EQ(plans[0].cost, 10);
     // After a long run without a save a replica is cheaper.
-    site.view.tasks[1].ran = site.view.tasks[2].ran = 55 * kSecond;
+    site.view.tasks[1].run_time = site.view.tasks[2].run_time = 55 * kSecond;
     EXPECT_EQ(site.rooms()[0].moves[0].job, "j-0");
 }
 
 TEST(CardsMoves, NobodyIsMovedForAShortWaitOrForWhatFitsOrHasRoomKept) {
     Halves site;
     const auto job = site.waits(8);
-    site.view.jobs[job].waiting = 4 * kSecond;
+    site.view.jobs[job].waiting_time = 4 * kSecond;
     EXPECT_TRUE(site.rooms().empty());
-    site.view.jobs[job].waiting = 5 * kSecond;
+    site.view.jobs[job].waiting_time = 5 * kSecond;
     EXPECT_EQ(site.rooms().size(), 1u);
-    site.view.jobs[job].gathered = 1;
+    site.view.jobs[job].reserved_tasks = 1;
     EXPECT_TRUE(site.rooms().empty());
-    site.view.jobs[job].gathered = 0;
+    site.view.jobs[job].reserved_tasks = 0;
     site.machine();
     EXPECT_TRUE(site.rooms().empty());
-    EXPECT_FALSE(make_room(site.view, job, site.policy));
+    EXPECT_FALSE(plan_room_for_job(site.view, job, site.policy));
 }
 
 TEST(CardsMoves, RoomThatIsOnItsWayIsKeptWithoutAMove) {
@@ -295,7 +297,7 @@
     site.view.machines[1].stopping = part(4);
     const auto plans = site.rooms();
     ASSERT_EQ(plans.size(), 1u);
-    EXPECT_EQ(plans[0].gather.machine, "n-1");
+    EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_TRUE(plans[0].moves.empty());
 }
 
@@ -320,14 +322,14 @@
     auto plans = site.rooms();
     ASSERT_EQ(plans.size(), 2u);
     for (const auto& p : plans) {
-        EXPECT_EQ(p.gather.tasks, 1);
+        EXPECT_EQ(p.reservation.tasks, 1);
         EXPECT_EQ(p.moves.size(), 1u);
     }
     // In one zone both machines have to be emptied into the other one.
     site.view.jobs[gang].spec.one_zone = true;
     plans = site.rooms();
     ASSERT_EQ(plans.size(), 2u);
-    std::set<std::string> gathered{plans[0].gather.machine, plans[1].gather.machine};
+    std::set<std::string> gathered{plans[0].reservation.machine, plans[1].reservation.machine};
     EXPECT_TRUE(gathered == (std::set<std::string>{"n-0", "n-1"}) ||
                 gathered == (std::set<std::string>{"n-2", "n-3"}));
     // With one of the four machines gone there is room for one task: nothing is moved.
@@ -341,9 +343,9 @@
     site.waits(8, 1, 10 * kSecond);
     site.waits(8, 1, 20 * kSecond);
     ASSERT_EQ(site.rooms().size(), 1u);
-    EXPECT_EQ(site.rooms()[0].gather.job, "j-3");
+    EXPECT_EQ(site.rooms()[0].reservation.job, "j-3");
     site.view.jobs[2].tier = policy::Tier::Urgent;
-    EXPECT_EQ(site.rooms()[0].gather.job, "j-2");
+    EXPECT_EQ(site.rooms()[0].reservation.job, "j-2");
 }
 
 TEST(CardsMoves, AServiceIsMovedOnceInACall) {
@@ -378,10 +380,10 @@
                 site.view.tasks[t].stopping = true;
                 site.view.machines[m].stopping += job.spec.request;
             }
-            if (upto(12) == 0) site.view.tasks[t].moving = true;
+            if (upto(12) == 0) site.view.tasks[t].has_planned_move = true;
         }
         if (upto(10) == 0) site.view.machines[m].usable = false;
-        if (free > 0 && upto(10) == 0) site.view.machines[m].kept = part(1);
+        if (free > 0 && upto(10) == 0) site.view.machines[m].set_aside = part(1);
     }
     for (int i = 0; i < waiting; ++i) {
         const std::size_t j = site.waits(upto(2) ? 8 : 4, 1 + upto(1), (5 + upto(9)) * kSecond);
@@ -395,12 +397,12 @@
     return random_site(random, machines, waiting);
 }
 
-std::size_t index_of(const View& view, const std::string& machine) {
+std::size_t index_of(const ShardView& view, const std::string& machine) {
     for (std::size_t m = 0; m < view.machines.size(); ++m)
         if (view.machines[m].name == machine) return m;
     throw std::runtime_error("no machine " + machine);
 }
-std::size_t job_of(const View& view, const std::string& ref) {
+std::size_t job_of(const ShardView& view, const std::string& ref) {
     return static_cast<std::size_t>(std::stoul(ref.substr(2))) < view.jobs.size()
                ? static_cast<std::size_t>(std::stoul(ref.substr(2)))
                : throw std::runtime_error("no job " + ref);
@@ -415,17 +417,17 @@
             const Resources need = site.view.jobs[job_of(site.view, m.job)].spec.request;
             arrives[index_of(site.view, m.to)] += need;
             leaves[index_of(site.view, m.from)] += need;
-            RC_ASSERT(m.for_job == p.gather.job);
+            RC_ASSERT(m.for_job == p.reservation.job);
         }
-        for (int i = 0; i < p.gather.tasks; ++i)
-            starts[index_of(site.view, p.gather.machine)] +=
-                site.view.jobs[job_of(site.view, p.gather.job)].spec.request;
+        for (int i = 0; i < p.reservation.tasks; ++i)
+            starts[index_of(site.view, p.reservation.machine)] +=
+                site.view.jobs[job_of(site.view, p.reservation.job)].spec.request;
     }
     for (std::size_t m = 0; m < arrives.size(); ++m) {
         const MachineView& machine = site.view.machines[m];
-        RC_ASSERT(arrives[m].fits(machine.room()) || arrives[m].gpus == 0);  // before anything has left
+        RC_ASSERT(arrives[m].fits(machine.available()) || arrives[m].gpus == 0);  // before anything has left
         const Resources used = arrives[m] + starts[m];
-        if (used.gpus > 0) RC_ASSERT(used.fits(machine.room() + machine.stopping + leaves[m]));
+        if (used.gpus > 0) RC_ASSERT(used.fits(machine.available() + machine.stopping + leaves[m]));
         if (used.gpus > 0) RC_ASSERT(machine.usable);
     }
 }
@@ -437,16 +439,17 @@
     std::set<std::pair<std::string, int>> moved;
     for (const auto& p : site.rooms()) {
         RC_ASSERT(static_cast<int>(p.moves.size()) <=
-                  p.gather.tasks * site.policy.budgets.moves_per_placement);
+                  p.reservation.tasks * site.policy.budgets.moves_per_placement);
         for (const auto& m : p.moves) {
             RC_ASSERT(moved.emplace(m.job, m.task).second);
             const JobView& job = site.view.jobs[job_of(site.view, m.job)];
             RC_ASSERT(site.policy.movable(job.spec) && job.spec.kind != JobKind::Gang);
-            RC_ASSERT(job.tier >= site.view.jobs[job_of(site.view, p.gather.job)].tier);
+            RC_ASSERT(job.tier >= site.view.jobs[job_of(site.view, p.reservation.job)].tier);
             RC_ASSERT(job.tier != policy::Tier::Live);
             for (const auto& t : site.view.tasks)
                 if (t.task == m.task && site.view.jobs[t.job].spec.ref == m.job)
-                    RC_ASSERT(!t.moving && !t.stopping && site.view.machines[t.machine].name == m.from);
+                    RC_ASSERT(!t.has_planned_move && !t.stopping &&
+                              site.view.machines[t.machine].name == m.from);
             if (job.spec.zone)
                 RC_ASSERT(site.view.machines[index_of(site.view, m.to)].zone == *job.spec.zone);
         }
@@ -460,21 +463,21 @@
     RC_ASSERT(one.size() == two.size());
     std::map<std::string, int> started;
     for (std::size_t i = 0; i < one.size(); ++i) {
-        RC_ASSERT(one[i].gather == two[i].gather && one[i].moves == two[i].moves);
-        started[one[i].gather.job] += one[i].gather.tasks;
+        RC_ASSERT(one[i].reservation == two[i].reservation && one[i].moves == two[i].moves);
+        started[one[i].reservation.job] += one[i].reservation.tasks;
     }
     for (const auto& [ref, n] : started) {
         const JobView& job = site.view.jobs[job_of(site.view, ref)];
-        RC_ASSERT(n <= job.idle);
-        if (job.spec.kind == JobKind::Gang) RC_ASSERT(n == job.idle);
+        RC_ASSERT(n <= job.waiting_tasks);
+        if (job.spec.kind == JobKind::Gang) RC_ASSERT(n == job.waiting_tasks);
     }
 }
 
 /// Every way to empty a machine by up to `moves` moves into room that is free at once.
 bool brute_force(const Site& site, std::size_t job, std::size_t target, int moves) {
-    const View& v = site.view;
+    const ShardView& v = site.view;
     std::vector<Resources> free;
-    for (const auto& m : v.machines) free.push_back(m.usable ? m.room() : Resources{});
+    for (const auto& m : v.machines) free.push_back(m.usable ? m.available() : Resources{});
     const Resources need = v.jobs[job].spec.request;
     std::set<std::size_t> gone;
     auto tried = [&](auto&& self, Resources room, int left) -> bool {
@@ -482,8 +485,8 @@
         if (left == 0) return false;
         for (const std::size_t t : v.machines[target].tasks) {
             const JobView& j = v.jobs[v.tasks[t].job];
-            if (gone.count(t) || v.tasks[t].moving || v.tasks[t].stopping || j.tier < v.jobs[job].tier ||
-                j.tier == policy::Tier::Live || !site.policy.movable(j.spec))
+            if (gone.count(t) || v.tasks[t].has_planned_move || v.tasks[t].stopping ||
+                j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live || !site.policy.movable(j.spec))
                 continue;
             for (std::size_t to = 0; to < free.size(); ++to) {
                 if (to == target || !j.spec.request.fits(free[to])) continue;
@@ -499,7 +502,7 @@
         return false;
     };
     const MachineView& m = v.machines[target];
-    return m.usable && need.fits(m.size) && tried(tried, m.room() + m.stopping, moves);
+    return m.usable && need.fits(m.size) && tried(tried, m.available() + m.stopping, moves);
 }
 
 RC_GTEST_PROP(CardsAlways, APlanExistsWheneverTryingEverythingFindsOne, ()) {
@@ -511,10 +514,10 @@
         bool fits = false, any = false;
         for (std::size_t m = 0; m < site.view.machines.size(); ++m) {
             const MachineView& machine = site.view.machines[m];
-            fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.room()));
+            fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.available()));
             any = any || brute_force(site, job, m, moves);
         }
-        RC_ASSERT(make_room(site.view, job, site.policy).has_value() == (any && !fits));
+        RC_ASSERT(plan_room_for_job(site.view, job, site.policy).has_value() == (any && !fits));
     }
 }
 
@@ -523,7 +526,7 @@
 /// The least number of moves after which `job` fits somewhere, moves of what may move in any order and chains
 /// counted as possible; -1: none.
 int least_moves(const Site& site, std::size_t job) {
-    const View& v = site.view;
+    const ShardView& v = site.view;
     glp_prob* lp = glp_create_prob();
     glp_set_obj_dir(lp, GLP_MIN);
     const int n = static_cast<int>(v.machines.size());
@@ -543,7 +546,7 @@
     glp_add_rows(lp, n + 1);
     for (int m = 0; m < n; ++m) {
         const MachineView& machine = v.machines[static_cast<std::size_t>(m)];
-        const Milli room = machine.room().gpus + machine.stopping.gpus;
+        const Milli room = machine.available().gpus + machine.stopping.gpus;
         glp_set_row_bnds(lp, m + 1, GLP_UP, 0, machine.usable ? static_cast<double>(room) / 1000 : 0);
     }
     glp_set_row_bnds(lp, n + 1, GLP_FX, 1, 1);
@@ -555,7 +558,7 @@
     }
     for (const auto& t : v.tasks) {
         const JobView& j = v.jobs[t.job];
-        if (t.moving || t.stopping || j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live ||
+        if (t.has_planned_move || t.stopping || j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live ||
             !site.policy.movable(j.spec) || !v.machines[t.machine].usable)
             continue;
         const int once = glp_add_rows(lp, 1);
@@ -591,7 +594,7 @@
         const std::size_t job = site.waits(random() % 2 ? 8 : 4);
         const int exact = least_moves(site, job);
         if (exact <= 0 || exact > site.policy.budgets.moves_per_placement) continue;
-        const auto plan = make_room(site.view, job, site.policy);
+        const auto plan = plan_room_for_job(site.view, job, site.policy);
         if (!plan) {
             ++missed;
             continue;
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -23,7 +23,7 @@
     return !stored_plan(w).empty();
 }
 
-const scheduling::Plan* plan_at(Simulator& w, int node) {
+const scheduling::MigrationPlan* plan_at(Simulator& w, int node) {
     ShardOwner* owner = node >= 0 ? w.owner_at(node) : nullptr;
     return owner ? &owner->rebalancer().plan() : nullptr;
 }
@@ -291,7 +291,7 @@
         {"before the record",
          [](Room& r) {
              const auto* p = plan_at(r.w, r.w.holder());
-             return p && !p->gathers().empty() && !record_stands(r.w);
+             return p && !p->reservations().empty() && !record_stands(r.w);
          }},
         {"after the record", [](Room& r) { return record_stands(r.w); }},
         {"after the stop", [](Room& r) { return running(r) < 2; }},
@@ -328,7 +328,7 @@
     Room r(6);
     ASSERT_TRUE(r.until([&] {
         const auto* p = plan_at(r.w, r.w.holder());
-        return p && !p->kept().empty();
+        return p && !p->reserved_by_machine().empty();
     }));
     r.w.submit(r.with_gpus(4, 4'000), 300 * kSecond);
     r.w.run(10 * kSecond);
--- a/tests/migrations_test.cpp
+++ b/tests/migrations_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::int64_t kGiveUp = 120'000;
 
 /// Two services of two tasks, an array of three, and a large job that waits for room.
-class Site : public Plan::Knows {
+class Site : public MigrationPlan::ShardQuery {
   public:
     struct Task {
         std::string machine;
@@ -37,7 +37,7 @@
     }
     JobState job(const std::string& ref) const override {
         JobState state{true, cancelled.count(ref) > 0, ref == "web" || ref == "api", 0};
-        for (const Task& t : jobs.at(ref)) state.idle += t.machine.empty();
+        for (const Task& t : jobs.at(ref)) state.waiting_tasks += t.machine.empty();
         return state;
     }
     int tasks_on(const std::string& job, const std::string& machine) const override {
@@ -54,60 +54,60 @@
     return b;
 }
 
-std::size_t add_balance(Plan& plan, const Site& site, const std::string& job, int task, const std::string& to,
-                        std::int64_t now = 0, int per_minute = 30) {
-    return plan.add({{job, task, site.task(job, task).machine, to, Reason::Balance, ""}}, {}, now,
+std::size_t add_balance(MigrationPlan& plan, const Site& site, const std::string& job, int task,
+                        const std::string& to, std::int64_t now = 0, int per_minute = 30) {
+    return plan.add({{job, task, site.task(job, task).machine, to, MoveReason::Balance, ""}}, {}, now,
                     budgets(per_minute), site);
 }
 
 /// Room on m0 for the large job, which both tasks of the array leave.
-std::size_t add_room(Plan& plan, const Site& site, int per_minute = 30) {
-    return plan.add(
-        {{"sums", 0, "m0", "m1", Reason::Room, "large"}, {"sums", 1, "m0", "", Reason::Room, "large"}},
-        {{"large", "m0", 1}}, 0, budgets(per_minute), site);
+std::size_t add_room(MigrationPlan& plan, const Site& site, int per_minute = 30) {
+    return plan.add({{"sums", 0, "m0", "m1", MoveReason::MakeRoom, "large"},
+                     {"sums", 1, "m0", "", MoveReason::MakeRoom, "large"}},
+                    {{"large", "m0", 1}}, 0, budgets(per_minute), site);
 }
 
-void store(Plan& plan) {
-    plan.writing();
-    plan.written(true);
+void store(MigrationPlan& plan) {
+    plan.begin_write();
+    plan.finish_write(true);
 }
 
 TEST(Moves, NothingIsStoppedOrKeptBeforeItIsStored) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     EXPECT_EQ(add_room(plan, site), 3u);
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
-    plan.writing();
-    EXPECT_FALSE(plan.step(site, 0, kGiveUp).store);  // one write at a time
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).stop.empty());
-    plan.written(false);
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).stop.empty());
-    EXPECT_TRUE(plan.kept().empty());
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).needs_write);
+    plan.begin_write();
+    EXPECT_FALSE(plan.advance(site, 0, kGiveUp).needs_write);  // one write at a time
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).tasks_to_stop.empty());
+    plan.finish_write(false);
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).tasks_to_stop.empty());
+    EXPECT_TRUE(plan.reserved_by_machine().empty());
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).needs_write);
     store(plan);
-    EXPECT_EQ(plan.step(site, 0, kGiveUp).stop.size(), 2u);
-    EXPECT_EQ(plan.kept().at("m0").size(), 1u);
+    EXPECT_EQ(plan.advance(site, 0, kGiveUp).tasks_to_stop.size(), 2u);
+    EXPECT_EQ(plan.reserved_by_machine().at("m0").size(), 1u);
     EXPECT_EQ(plan.destination("sums", 0), "m1");
 }
 
 TEST(Moves, ATaskThatHasStartedAgainIsNotMovedOnceMoreByWhoeverComesNext) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     add_balance(plan, site, "web", 0, "m3");
     store(plan);
-    const Json stored = plan.value();
+    const Json stored = plan.to_value();
     site.at("web", 0) = {"m0", 2, false};  // back on the machine that it was to leave: nothing else had room
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).needs_write);
     EXPECT_TRUE(plan.empty());
-    Plan next;
-    ASSERT_TRUE(next.take(stored));
-    EXPECT_TRUE(next.step(site, 0, kGiveUp).stop.empty());
+    MigrationPlan next;
+    ASSERT_TRUE(next.restore(stored));
+    EXPECT_TRUE(next.advance(site, 0, kGiveUp).tasks_to_stop.empty());
     EXPECT_TRUE(next.empty());
 }
 
 TEST(Moves, RoomComesWithAllOfItsMovesOrNotAtAll) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     EXPECT_EQ(add_room(plan, site, 1), 0u);
     EXPECT_TRUE(plan.empty());
     site.at("sums", 1).stopping = true;
@@ -117,32 +117,32 @@
 
 TEST(Moves, RoomThatNobodyNeedsAnyMoreIsTakenBackButForWhatHasBeenStopped) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     add_room(plan, site);
     store(plan);
     site.at("sums", 0).stopping = true;
     site.cancelled.insert("large");
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).stop.empty());
-    EXPECT_FALSE(plan.kept().count("m0"));
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).tasks_to_stop.empty());
+    EXPECT_FALSE(plan.reserved_by_machine().count("m0"));
     ASSERT_EQ(plan.moves().size(), 1u);
     EXPECT_EQ(plan.moves()[0].move.task, 0);  // it still prefers its destination
 }
 
 TEST(Moves, ADestinationThatIsGoneIsForgottenAndTheMoveGoesOn) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     add_balance(plan, site, "web", 0, "m3");
     store(plan);
     site.at("web", 0).machine = "";
     site.down.insert("m3");
-    EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
+    EXPECT_TRUE(plan.advance(site, 0, kGiveUp).needs_write);
     EXPECT_EQ(plan.destination("web", 0), "");
     EXPECT_FALSE(plan.empty());
 }
 
 TEST(Moves, AServiceHasNoSecondMoveAndNoneWhileItLacksATask) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     EXPECT_EQ(add_balance(plan, site, "web", 0, "m3"), 1u);
     EXPECT_EQ(add_balance(plan, site, "web", 1, "m3"), 0u);
     EXPECT_EQ(add_balance(plan, site, "web", 0, "m2"), 0u);
@@ -152,32 +152,32 @@
 
 TEST(Moves, AMinutesBudgetOutlivesItsHolder) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     EXPECT_EQ(add_balance(plan, site, "web", 0, "m3", 0, 1), 1u);
-    Plan next;
-    ASSERT_TRUE(next.take(plan.value()));
+    MigrationPlan next;
+    ASSERT_TRUE(next.restore(plan.to_value()));
     EXPECT_EQ(add_balance(next, site, "api", 0, "m3", 59'000, 1), 0u);
     EXPECT_EQ(add_balance(next, site, "api", 0, "m3", 60'000, 1), 1u);
 }
 
 TEST(Moves, AValueIsBoundedAndADamagedOneIsAnEmptyPlanThatIsStoredAnew) {
     Site site;
-    Plan plan;
+    MigrationPlan plan;
     for (int i = 0; i < 200; ++i)
         plan.add({}, {{"large", "machine-" + std::to_string(i), 1}}, 1'700'000'000'000, budgets(), site);
-    EXPECT_LE(plan.value().dump().size(), Plan::kMostBytes);
-    EXPECT_GT(plan.gathers().size(), 30u);
-    Plan same;
-    ASSERT_TRUE(same.take(plan.value()));
-    EXPECT_EQ(same.gathers(), plan.gathers());
+    EXPECT_LE(plan.to_value().dump().size(), MigrationPlan::kMaxValueBytes);
+    EXPECT_GT(plan.reservations().size(), 30u);
+    MigrationPlan same;
+    ASSERT_TRUE(same.restore(plan.to_value()));
+    EXPECT_EQ(same.reservations(), plan.reservations());
     add_room(plan, site);
     for (const char* text :
          {R"({})", R"({"v":2,"m":[],"g":[]})", R"({"v":1,"m":[["web"]],"g":[]})",
           R"({"v":1,"m":[["web",0,1,"m0","m1",2,"",0]],"g":[]})",
           R"({"v":1,"m":[],"g":[["a","m",1,0,0],["a","m",1,0,0]]})", R"({"v":1,"m":{},"g":[]})"}) {
-        EXPECT_FALSE(plan.take(Json::parse(text))) << text;
+        EXPECT_FALSE(plan.restore(Json::parse(text))) << text;
         EXPECT_TRUE(plan.empty());
-        EXPECT_TRUE(plan.step(site, 0, kGiveUp).store);
+        EXPECT_TRUE(plan.advance(site, 0, kGiveUp).needs_write);
     }
 }
 
@@ -192,11 +192,11 @@
         const std::string machine = "m" + std::to_string(arg / 9 % 4);
         switch (what) {
             case 0:
-                propose({{job, task, site.task(job, task).machine, machine, Reason::Balance, ""}}, {});
+                propose({{job, task, site.task(job, task).machine, machine, MoveReason::Balance, ""}}, {});
                 break;
             case 1:
-                propose({{"sums", 0, "m0", machine, Reason::Room, "large"},
-                         {"sums", 1, "m0", "", Reason::Room, "large"}},
+                propose({{"sums", 0, "m0", machine, MoveReason::MakeRoom, "large"},
+                         {"sums", 1, "m0", "", MoveReason::MakeRoom, "large"}},
                         {{"large", "m0", 1}});
                 break;
             case 2:
@@ -264,8 +264,8 @@
             now_ += kGiveUp / 4;
         }
         RC_ASSERT(plan_.empty());
-        Plan left;
-        if (stored_.has_value()) RC_ASSERT(left.take(*stored_));
+        MigrationPlan left;
+        if (stored_.has_value()) RC_ASSERT(left.restore(*stored_));
         RC_ASSERT(left.empty());
     }
 
@@ -278,27 +278,27 @@
     };
     std::optional<Write> this_or_none() { return write_ ? *write_ : Write{Json(), -1}; }
 
-    void propose(const std::vector<Move>& moves, const std::vector<Gather>& gathers) {
+    void propose(const std::vector<Move>& moves, const std::vector<Reservation>& gathers) {
         if (!plan_.add(moves, gathers, now_, budgets(5), site)) return;
         for (const Move& m : moves) meant_.insert({m.job, m.task, site.task(m.job, m.task).attempt});
     }
     void step() {
-        const Plan::Doing doing = plan_.step(site, now_, kGiveUp);
-        for (const Move& m : doing.stop) {
+        const MigrationPlan::Actions doing = plan_.advance(site, now_, kGiveUp);
+        for (const Move& m : doing.tasks_to_stop) {
             Site::Task& task = site.at(m.job, m.task);
             // Never without its record, only the attempt that was meant, and never two of a service.
-            Plan stored;
-            RC_ASSERT(stored_ && stored.take(*stored_));
-            RC_ASSERT(stored.moving(m.job, m.task) != nullptr);
-            RC_ASSERT(stored.moving(m.job, m.task)->attempt == task.attempt);
+            MigrationPlan stored;
+            RC_ASSERT(stored_ && stored.restore(*stored_));
+            RC_ASSERT(stored.stored_move(m.job, m.task) != nullptr);
+            RC_ASSERT(stored.stored_move(m.job, m.task)->attempt == task.attempt);
             RC_ASSERT(meant_.count({m.job, m.task, task.attempt}));
             RC_ASSERT(task.machine == m.from && !task.stopping && !site.cancelled.count(m.job));
             task.stopping = true;
         }
-        if (!doing.store) return;
+        if (!doing.needs_write) return;
         RC_ASSERT(!write_);
-        write_ = Write{plan_.value(), mod_revision_};
-        plan_.writing();
+        write_ = Write{plan_.to_value(), mod_revision_};
+        plan_.begin_write();
     }
     bool apply(const Write& w) {
         if (w.mod_revision != mod_revision_) return false;
@@ -310,13 +310,13 @@
         if (!write_) return;
         const bool applied = reaches && apply(*write_);
         write_.reset();
-        plan_.written(applied && told);
+        plan_.finish_write(applied && told);
     }
     void take_over() {
         write_.reset();
         late_.clear();  // what the former holder sent is refused: the shard's mark is another one
-        plan_ = Plan();
-        if (stored_.has_value()) RC_ASSERT(plan_.take(*stored_));
+        plan_ = MigrationPlan();
+        if (stored_.has_value()) RC_ASSERT(plan_.restore(*stored_));
     }
     void end_stopping() {
         for (auto& [ref, tasks] : site.jobs)
@@ -333,14 +333,14 @@
         std::map<std::string, int> moves;
         for (const PlannedMove& p : plan_.moves()) ++moves[p.move.job];
         RC_ASSERT(moves["web"] <= 1 && moves["api"] <= 1);
-        for (const auto& [machine, gathers] : plan_.kept()) {
-            Plan stored;
-            RC_ASSERT(stored_ && stored.take(*stored_));
-            RC_ASSERT(stored.kept().count(machine));
+        for (const auto& [machine, gathers] : plan_.reserved_by_machine()) {
+            MigrationPlan stored;
+            RC_ASSERT(stored_ && stored.restore(*stored_));
+            RC_ASSERT(stored.reserved_by_machine().count(machine));
         }
     }
 
-    Plan plan_;
+    MigrationPlan plan_;
     std::int64_t now_ = 0;
     std::optional<Json> stored_;
     int mod_revision_ = 0;
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -20,8 +20,8 @@
 
 constexpr Milli kCore = 1000;
 
-Queued waiting(std::size_t index, Tier tier, Milli cores, Micros age, int tasks = 1) {
-    Queued q;
+QueuedJob waiting(std::size_t index, Tier tier, Milli cores, Micros age, int tasks = 1) {
+    QueuedJob q;
     q.index = index;
     q.team = "red";
     q.tier = tier;
@@ -30,89 +30,90 @@
              : tier == Tier::BestEffort ? PriorityClass::Low
                                         : PriorityClass::Normal;
     q.age = age;
-    q.weight = static_cast<double>(cores);
-    q.task = {cores * kCore, 0, 0};
-    q.waits = {cores * kCore * tasks, 0, 0};
+    q.remaining_work = static_cast<double>(cores);
+    q.next_start_request = {cores * kCore, 0, 0};
+    q.waiting_request = {cores * kCore * tasks, 0, 0};
     return q;
 }
 
-std::map<std::string, TeamUse> red(Milli limit, std::map<Tier, Resources> used = {}) {
+std::map<std::string, TeamUsage> red(Milli limit, std::map<Tier, Resources> used = {}) {
     return {{"red", {{limit * kCore, 0, 0}, std::move(used)}}};
 }
 
 /// The turn of a job that is not for being overdue, as cores.
-Milli most_of(const std::vector<Turn>& order, std::size_t index) {
+Milli most_of(const std::vector<QueueEntry>& order, std::size_t index) {
     for (const auto& t : order)
-        if (t.index == index && !t.overdue) return t.most_cores / kCore;
+        if (t.index == index && !t.overdue) return t.max_team_cores / kCore;
     return -1;
 }
 
 TEST(Priority, OfTwentyCoresThatLiveWorkLeavesNormalWorkIsDueItsFloorFromHighWork) {
     const auto teams = red(88, {{Tier::Live, {68 * kCore, 0, 0}}, {Tier::Urgent, {14 * kCore, 0, 0}}});
     const auto order =
-        turns({waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::Batch, 2, 0, 9)}, teams, {});
+        queue_order({waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::Batch, 2, 0, 9)}, teams, {});
     EXPECT_EQ(order.front().index, 0u) << "rank decides who goes first";
     EXPECT_EQ(most_of(order, 0), 84) << "a fifth of 20 is not for it";
     EXPECT_EQ(most_of(order, 1), 88);
 }
 
 TEST(Priority, NothingIsKeptForATierThatDoesNotWaitOrHasItsPart) {
-    const std::vector<Queued> alone{waiting(0, Tier::Urgent, 2, 0, 50)};
-    EXPECT_EQ(most_of(turns(alone, red(20), {}), 0), 20);
-    const std::vector<Queued> both{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::Batch, 2, 0, 9)};
-    EXPECT_EQ(most_of(turns(both, red(20, {{Tier::Batch, {4 * kCore, 0, 0}}}), {}), 0), 20);
+    const std::vector<QueuedJob> alone{waiting(0, Tier::Urgent, 2, 0, 50)};
+    EXPECT_EQ(most_of(queue_order(alone, red(20), {}), 0), 20);
+    const std::vector<QueuedJob> both{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::Batch, 2, 0, 9)};
+    EXPECT_EQ(most_of(queue_order(both, red(20, {{Tier::Batch, {4 * kCore, 0, 0}}}), {}), 0), 20);
 }
 
 TEST(Priority, AFloorOfLessThanATaskIsOneTaskWhereThatLeavesHalf) {
-    const std::vector<Queued> queue{waiting(0, Tier::Urgent, 1, 0, 50), waiting(1, Tier::Batch, 8, 0, 9)};
-    EXPECT_EQ(most_of(turns(queue, red(20), {}), 0), 12);
-    const std::vector<Queued> large{waiting(0, Tier::Urgent, 1, 0, 50), waiting(1, Tier::Batch, 16, 0, 9)};
-    EXPECT_EQ(most_of(turns(large, red(20), {}), 0), 20) << "that waits until it is overdue";
+    const std::vector<QueuedJob> queue{waiting(0, Tier::Urgent, 1, 0, 50), waiting(1, Tier::Batch, 8, 0, 9)};
+    EXPECT_EQ(most_of(queue_order(queue, red(20), {}), 0), 12);
+    const std::vector<QueuedJob> large{waiting(0, Tier::Urgent, 1, 0, 50), waiting(1, Tier::Batch, 16, 0, 9)};
+    EXPECT_EQ(most_of(queue_order(large, red(20), {}), 0), 20) << "that waits until it is overdue";
 }
 
 TEST(Priority, WhatIsOverdueGoesBeforeOtherBatchAndTheLimitIsKeptForOneStartOfIt) {
     const auto teams = red(88, {{Tier::Live, {68 * kCore, 0, 0}}, {Tier::Urgent, {20 * kCore, 0, 0}}});
     auto large = waiting(1, Tier::Batch, 16, 121 * kSecond, 3);
-    const std::vector<Queued> queue{waiting(0, Tier::Urgent, 2, 0, 50), large, waiting(2, Tier::Live, 2, 0)};
-    const auto order = turns(queue, teams, {});
+    const std::vector<QueuedJob> queue{waiting(0, Tier::Urgent, 2, 0, 50), large,
+                                       waiting(2, Tier::Live, 2, 0)};
+    const auto order = queue_order(queue, teams, {});
     ASSERT_EQ(order.size(), 4u);
     EXPECT_EQ(order[0].index, 2u) << "live work first";
-    EXPECT_EQ(order[0].most_cores, 88 * kCore);
+    EXPECT_EQ(order[0].max_team_cores, 88 * kCore);
     EXPECT_TRUE(order[1].overdue);
     EXPECT_EQ(order[1].index, 1u);
-    EXPECT_EQ(order[1].most_cores, 86 * kCore) << "2 are live work's";
+    EXPECT_EQ(order[1].max_team_cores, 86 * kCore) << "2 are live work's";
     EXPECT_EQ(most_of(order, 0), 70) << "2 for live work, 16 for what is overdue";
-    large.begun = true;
-    EXPECT_EQ(turns({queue[0], large, queue[2]}, teams, {}).size(), 3u);
+    large.has_started = true;
+    EXPECT_EQ(queue_order({queue[0], large, queue[2]}, teams, {}).size(), 3u);
 }
 
 TEST(Priority, NothingOfALimitIsKeptForWhatLacksRoom) {
     auto large = waiting(1, Tier::Batch, 8, 121 * kSecond);
     large.lacks_room = true;
-    const auto order = turns({waiting(0, Tier::Urgent, 2, 0, 50), large}, red(20), {});
+    const auto order = queue_order({waiting(0, Tier::Urgent, 2, 0, 50), large}, red(20), {});
     EXPECT_TRUE(order.front().overdue) << "it is tried first all the same";
     EXPECT_EQ(most_of(order, 0), 20);
 }
 
 TEST(Priority, LeftoverWorkIsDueNothingUntilItIsOverdue) {
-    std::vector<Queued> queue{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::BestEffort, 4, 0)};
-    EXPECT_EQ(most_of(turns(queue, red(20), {}), 0), 20);
+    std::vector<QueuedJob> queue{waiting(0, Tier::Urgent, 2, 0, 50), waiting(1, Tier::BestEffort, 4, 0)};
+    EXPECT_EQ(most_of(queue_order(queue, red(20), {}), 0), 20);
     queue[1].age = 121 * kSecond;
-    EXPECT_EQ(most_of(turns(queue, red(20), {}), 0), 16);
+    EXPECT_EQ(most_of(queue_order(queue, red(20), {}), 0), 16);
 }
 
 // ---------------------------------------------------------------- gathering
 
 /// Two machines of 8 cores: one with a long task and one with two short ones, of 4 cores each.
-View two_machines() {
-    View v;
+ShardView two_machines() {
+    ShardView v;
     auto running = [&v](std::size_t machine, Micros estimate, JobKind kind) {
         JobView j;
         j.spec.ref = "run-" + std::to_string(v.jobs.size());
         j.spec.kind = kind;
         j.spec.request = {4 * kCore, 0, 0};
         j.spec.estimate = estimate;
-        j.bound = 1;
+        j.bound_tasks = 1;
         TaskView t;
         t.job = v.jobs.size();
         t.machine = machine;
@@ -139,72 +140,73 @@
     JobView j;
     j.spec.ref = "large";
     j.spec.request = {cores * kCore, 0, 0};
-    j.spec.tasks = j.idle = 1;
-    j.waiting = waited;
+    j.spec.tasks = j.waiting_tasks = 1;
+    j.waiting_time = waited;
     return j;
 }
 
 TEST(Gathering, IsDoneForTheLargestThatIsOverdueWhereItIsThereSoonest) {
-    View v = two_machines();
+    ShardView v = two_machines();
     v.jobs.push_back(large(8, 119 * kSecond));
-    EXPECT_TRUE(gather(v, {}).empty()) << "it may still begin by itself";
-    v.jobs.back().waiting = 121 * kSecond;
-    EXPECT_EQ(gather(v, {}), (std::vector<Gather>{{"large", "m2", 1}}));
+    EXPECT_TRUE(reservations_for_overdue_job(v, {}).empty()) << "it may still begin by itself";
+    v.jobs.back().waiting_time = 121 * kSecond;
+    EXPECT_EQ(reservations_for_overdue_job(v, {}), (std::vector<Reservation>{{"large", "m2", 1}}));
     v.jobs.push_back(large(6, 200 * kSecond));
     v.jobs.back().spec.ref = "smaller";
-    EXPECT_EQ(gather(v, {}).front().job, "large");
+    EXPECT_EQ(reservations_for_overdue_job(v, {}).front().job, "large");
     v.jobs[3].cancelled = true;
-    EXPECT_EQ(gather(v, {}).front().job, "smaller");
+    EXPECT_EQ(reservations_for_overdue_job(v, {}).front().job, "smaller");
 }
 
 TEST(Gathering, IsNotDoneForWhatHasRoomOrNeverWill) {
-    View v = two_machines();
+    ShardView v = two_machines();
     v.jobs.push_back(large(4, 121 * kSecond));
-    EXPECT_TRUE(gather(v, {}).empty()) << "4 cores are free on m1";
+    EXPECT_TRUE(reservations_for_overdue_job(v, {}).empty()) << "4 cores are free on m1";
     v.jobs.back() = large(9, 121 * kSecond);
-    EXPECT_TRUE(gather(v, {}).empty()) << "no machine is that large";
+    EXPECT_TRUE(reservations_for_overdue_job(v, {}).empty()) << "no machine is that large";
     v.jobs.back() = large(8, 121 * kSecond);
     v.machines[1].usable = false;
     v.jobs[0].spec.kind = JobKind::Service;
-    EXPECT_TRUE(gather(v, {}).empty()) << "a service on m1 does not end";
+    EXPECT_TRUE(reservations_for_overdue_job(v, {}).empty()) << "a service on m1 does not end";
 }
 
 TEST(Gathering, AGangGetsAllOfItsRoomOrNone) {
-    View v = two_machines();
+    ShardView v = two_machines();
     v.jobs.push_back(large(6, 121 * kSecond));
     v.jobs.back().spec.kind = JobKind::Gang;
-    v.jobs.back().spec.tasks = v.jobs.back().idle = 2;
-    EXPECT_EQ(gather(v, {}), (std::vector<Gather>{{"large", "m1", 1}, {"large", "m2", 1}}));
-    v.jobs.back().spec.tasks = v.jobs.back().idle = 3;
-    EXPECT_TRUE(gather(v, {}).empty());
+    v.jobs.back().spec.tasks = v.jobs.back().waiting_tasks = 2;
+    EXPECT_EQ(reservations_for_overdue_job(v, {}),
+              (std::vector<Reservation>{{"large", "m1", 1}, {"large", "m2", 1}}));
+    v.jobs.back().spec.tasks = v.jobs.back().waiting_tasks = 3;
+    EXPECT_TRUE(reservations_for_overdue_job(v, {}).empty());
 }
 
 // ---------------------------------------------------------------- properties
 
-std::vector<Queued> some_queue() {
-    std::vector<Queued> queue;
+std::vector<QueuedJob> some_queue() {
+    std::vector<QueuedJob> queue;
     const int n = *rc::gen::inRange(0, 12);
     for (int i = 0; i < n; ++i) {
         const auto tier = *rc::gen::element(Tier::Live, Tier::Urgent, Tier::Batch, Tier::BestEffort);
         auto q = waiting(static_cast<std::size_t>(i), tier, *rc::gen::inRange(1, 40),
                          *rc::gen::inRange(0, 300) * kSecond, *rc::gen::inRange(1, 9));
         q.team = *rc::gen::element<std::string>("red", "blue", "guest");
-        q.begun = *rc::gen::arbitrary<bool>();
+        q.has_started = *rc::gen::arbitrary<bool>();
         q.lacks_room = *rc::gen::inRange(0, 4) == 0;
         q.within_guarantee = *rc::gen::arbitrary<bool>();
-        q.weight = *rc::gen::inRange(0, 3);
+        q.remaining_work = *rc::gen::inRange(0, 3);
         queue.push_back(q);
     }
     return queue;
 }
 
-std::map<std::string, TeamUse> some_teams() {
-    std::map<std::string, TeamUse> teams;
+std::map<std::string, TeamUsage> some_teams() {
+    std::map<std::string, TeamUsage> teams;
     for (const char* team : {"red", "blue"}) {
-        TeamUse& u = teams[team];
+        TeamUsage& u = teams[team];
         u.limit.cores = *rc::gen::inRange(0, 100) * kCore;
         for (const Tier t : {Tier::Live, Tier::Urgent, Tier::Batch, Tier::BestEffort})
-            u.used[t].cores = *rc::gen::inRange(0, 30) * kCore;
+            u.used_by_tier[t].cores = *rc::gen::inRange(0, 30) * kCore;
     }
     teams["guest"].limit = {kNoLimit, kNoLimit, 0};
     return teams;
@@ -214,14 +216,14 @@
     const auto queue = some_queue();
     const auto teams = some_teams();
     bool batch = false;
-    for (const auto& t : turns(queue, teams, {})) {
-        const Queued& q = queue[t.index];
+    for (const auto& t : queue_order(queue, teams, {})) {
+        const QueuedJob& q = queue[t.index];
         if (q.tier != Tier::Live) {
             batch = true;
             continue;
         }
         RC_ASSERT(!batch);
-        RC_ASSERT(t.most_cores == teams.at(q.team).limit.cores);
+        RC_ASSERT(t.max_team_cores == teams.at(q.team).limit.cores);
     }
 }
 
@@ -229,8 +231,8 @@
     const auto queue = some_queue();
     const auto teams = some_teams();
     std::multiset<std::size_t> seen;
-    for (const auto& t : turns(queue, teams, {})) {
-        RC_ASSERT(t.most_cores <= teams.at(queue[t.index].team).limit.cores);
+    for (const auto& t : queue_order(queue, teams, {})) {
+        RC_ASSERT(t.max_team_cores <= teams.at(queue[t.index].team).limit.cores);
         if (!t.overdue) seen.insert(t.index);
     }
     RC_ASSERT(seen.size() == queue.size());
@@ -246,14 +248,14 @@
             std::swap(q[i - 1], q[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(i)))]);
         return q;
     });
-    RC_ASSERT(turns(queue, teams, {}) == turns(other, teams, {}));
+    RC_ASSERT(queue_order(queue, teams, {}) == queue_order(other, teams, {}));
 }
 
 RC_GTEST_PROP(PriorityAlways, TheOrderIsThatOfRankWhereNothingIsOverdue, ()) {
     auto queue = some_queue();
     for (auto& q : queue) q.age %= 120 * kSecond;
     PriorityClass last = PriorityClass::Production;
-    for (const auto& t : turns(queue, some_teams(), {})) {
+    for (const auto& t : queue_order(queue, some_teams(), {})) {
         RC_ASSERT(queue[t.index].rank >= last);
         last = queue[t.index].rank;
     }
@@ -267,7 +269,7 @@
         int until;
     };
     struct Waiting {
-        Queued q;
+        QueuedJob q;
         int since;
         int run;
     };
@@ -276,7 +278,7 @@
     std::vector<Waiting> queue;
     std::size_t next = 0;
     int now = 0;
-    std::vector<std::pair<Queued, int>> begun;  // with how long it waited
+    std::vector<std::pair<QueuedJob, int>> begun;  // with how long it waited
 
     Milli used(Tier tier) const {
         Milli sum = 0;
@@ -286,7 +288,7 @@
     /// Endless work of a tier is a queue that never gets empty.
     void arrive(Tier tier, Milli cores, int run) {
         const auto same = std::count_if(queue.begin(), queue.end(), [&](const Waiting& w) {
-            return w.q.tier == tier && w.q.task.cores == cores * kCore;
+            return w.q.tier == tier && w.q.next_start_request.cores == cores * kCore;
         });
         if (same >= 8) return;
         queue.push_back({waiting(next++, tier, cores, 0), now, run});
@@ -296,18 +298,18 @@
         std::erase_if(running, [this](const Running& r) { return r.until <= now; });
         std::map<Tier, Resources> use{{Tier::Live, {live * kCore, 0, 0}}};
         for (const auto& r : running) use[r.tier].cores += r.cores * kCore;
-        std::vector<Queued> asked;
+        std::vector<QueuedJob> asked;
         for (auto& w : queue) {
             w.q.age = (now - w.since) * kSecond;
             asked.push_back(w.q);
         }
         Milli sum = live + used(Tier::Urgent) + used(Tier::Batch);
-        for (const auto& t : turns(asked, red(limit, use), {})) {
+        for (const auto& t : queue_order(asked, red(limit, use), {})) {
             auto w = std::find_if(queue.begin(), queue.end(),
                                   [&](const Waiting& x) { return x.q.index == t.index; });
             if (w == queue.end()) continue;  // begun in its turn for being overdue
-            const Milli cores = w->q.task.cores / kCore;
-            if ((sum + cores) * kCore > t.most_cores) continue;
+            const Milli cores = w->q.next_start_request.cores / kCore;
+            if ((sum + cores) * kCore > t.max_team_cores) continue;
             sum += cores;
             running.push_back({w->q.tier, cores, now + w->run});
             begun.emplace_back(w->q, now - w->since);
@@ -345,7 +347,7 @@
     }
     int large = 0;
     for (const auto& [q, waited] : shop.begun) {
-        if (q.task.cores / kCore <= rest / 2) continue;
+        if (q.next_start_request.cores / kCore <= rest / 2) continue;
         ++large;
         RC_ASSERT(waited <= 120 + 2 * longest + 1);
     }
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -35,7 +35,7 @@
 /// Zones that take the next one.
 Zones open(const ZoneChoice& choice, const Counts& there) {
     Zones zones;
-    for (const auto& [zone, most] : choice.most) {
+    for (const auto& [zone, most] : choice.max_tasks) {
         auto it = there.find(zone);
         if (most > (it == there.end() ? 0 : it->second)) zones.push_back(zone);
     }
@@ -51,7 +51,7 @@
         const auto choice = choose_zones(job, &rule, there, standing, kAll);
         const Zones zones = open(choice, there);
         if (zones.empty()) return false;
-        as_asked = as_asked && choice.as_asked;
+        as_asked = as_asked && choice.meets_rule;
         ++there[zones.front()];
     }
     return as_asked;
@@ -59,7 +59,7 @@
 
 /// A shard in which every move that is asked for is carried out before the next look.
 struct Shard {
-    View view;
+    ShardView view;
     policy::Policy policy;
 
     Shard() { policy.zones.emplace_back().rebalance = true; }
@@ -82,13 +82,13 @@
         JobView job;
         job.spec = spec;
         job.tier = policy::Tier::Live;
-        job.bound = static_cast<int>(on.size());
-        job.idle = spec.tasks - job.bound;
-        job.since_moved = 3600 * kSecond;
+        job.bound_tasks = static_cast<int>(on.size());
+        job.waiting_tasks = spec.tasks - job.bound_tasks;
+        job.time_since_move = 3600 * kSecond;
         for (std::size_t i = 0; i < on.size(); ++i) {
             const std::size_t m = index(on[i]);
             view.machines[m].reserved += spec.request;
-            ++job.zones[view.machines[m].zone];
+            ++job.tasks_by_zone[view.machines[m].zone];
             view.machines[m].tasks.push_back(view.tasks.size());
             view.tasks.push_back({view.jobs.size(), static_cast<int>(i), m, true, false, false, 0});
         }
@@ -106,22 +106,22 @@
         MachineView &from = view.machines[t.machine], &to = view.machines[index(m.to)];
         from.reserved -= job.spec.request;
         to.reserved += job.spec.request;
-        if (--job.zones[from.zone] == 0) job.zones.erase(from.zone);
-        ++job.zones[to.zone];
+        if (--job.tasks_by_zone[from.zone] == 0) job.tasks_by_zone.erase(from.zone);
+        ++job.tasks_by_zone[to.zone];
         t.machine = index(m.to);
     }
     void zone_down(const std::string& zone, bool down = true) {
         for (auto& m : view.machines)
             if (m.zone == zone) m.usable = !down;
-        view.troubled.clear();
-        if (down) view.troubled.push_back(zone);
+        view.unstable_zones.clear();
+        if (down) view.unstable_zones.push_back(zone);
     }
     double imbalance_of(std::size_t job) const {
         std::set<std::string> standing;
         for (const auto& m : view.machines)
             if (m.usable) standing.insert(m.zone);
-        return imbalance(view.jobs[job].spec, policy.zone_rule(view.jobs[job].spec), view.jobs[job].zones,
-                         {standing.begin(), standing.end()}, kAll);
+        return imbalance(view.jobs[job].spec, policy.zone_rule(view.jobs[job].spec),
+                         view.jobs[job].tasks_by_zone, {standing.begin(), standing.end()}, kAll);
     }
 };
 
@@ -130,18 +130,18 @@
 TEST(ZoneChoices, WithoutARuleTheProtocolAloneCounts) {
     JobSpec job = service(9);
     auto c = choose_zones(job, nullptr, {{"a", 3}}, {"a", "b"}, kAll);
-    EXPECT_EQ(c.most, (Counts{{"a", 9}, {"b", 9}, {"c", 9}}));
+    EXPECT_EQ(c.max_tasks, (Counts{{"a", 9}, {"b", 9}, {"c", 9}}));
     EXPECT_EQ(c.penalty_in("a"), 75);
     EXPECT_EQ(c.penalty_in("b"), 0);
     job.spread = true;
-    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).most, (Counts{{"a", 5}, {"b", 5}, {"c", 5}}));
-    EXPECT_EQ(choose_zones(service(1), nullptr, {}, kAll, kAll).most_in("a"), 1);
+    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).max_tasks, (Counts{{"a", 5}, {"b", 5}, {"c", 5}}));
+    EXPECT_EQ(choose_zones(service(1), nullptr, {}, kAll, kAll).max_tasks_in("a"), 1);
     job = service(4);
     job.zone = "b";
-    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).most, (Counts{{"a", 0}, {"b", 4}, {"c", 0}}));
+    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).max_tasks, (Counts{{"a", 0}, {"b", 4}, {"c", 0}}));
     job = service(4);
     job.one_zone = true;
-    EXPECT_EQ(choose_zones(job, nullptr, {{"c", 1}}, kAll, kAll).most,
+    EXPECT_EQ(choose_zones(job, nullptr, {{"c", 1}}, kAll, kAll).max_tasks,
               (Counts{{"a", 0}, {"b", 0}, {"c", 4}}));
 }
 
@@ -152,7 +152,7 @@
     EXPECT_TRUE(fill(service(9), rule, there, kAll));
     EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}, {"c", 3}}));
     rule.most_share = 0.07;
-    EXPECT_EQ(choose_zones(service(100), &rule, {}, kAll, kAll).most_in("a"), 7)
+    EXPECT_EQ(choose_zones(service(100), &rule, {}, kAll, kAll).max_tasks_in("a"), 7)
         << "whatever 0.07 is in binary";
     rule.most_share = 1;
     rule.least_zones = 3;
@@ -161,7 +161,7 @@
     EXPECT_EQ(there.size(), 3u);
     rule.least_zones = 1;
     rule.survive = Survive::Zone;
-    EXPECT_EQ(choose_zones(service(5), &rule, {}, kAll, kAll).most_in("a"), 3);
+    EXPECT_EQ(choose_zones(service(5), &rule, {}, kAll, kAll).max_tasks_in("a"), 3);
 }
 
 TEST(ZoneChoices, WhatIsLostComesBackLevelInWhatStands) {
@@ -186,8 +186,8 @@
     rule.strict = false;
     const auto relaxed = choose_zones(service(4), &rule, there, {"a"}, kAll);
     EXPECT_EQ(open(relaxed, there), Zones{"a"});
-    EXPECT_EQ(relaxed.most_in("a"), 3) << "no further than need be";
-    EXPECT_FALSE(relaxed.as_asked);
+    EXPECT_EQ(relaxed.max_tasks_in("a"), 3) << "no further than need be";
+    EXPECT_FALSE(relaxed.meets_rule);
     rule = {};
     rule.least_zones = 2;
     rule.strict = true;
@@ -227,7 +227,7 @@
     const Zones room{"c"};
     const auto c = choose_zones(service(4), &rule, {}, kAll, kAll, &room);
     EXPECT_EQ(open(c, {}), room);
-    EXPECT_TRUE(c.as_asked);
+    EXPECT_TRUE(c.meets_rule);
     EXPECT_GT(c.penalty_in("c"), c.penalty_in("b"));
 }
 
@@ -238,7 +238,7 @@
     EXPECT_TRUE(open(choose_zones(service(2), &rule, {}, {"a", "b"}, kAll, &room), {}).empty());
     const auto c = choose_zones(service(2), &rule, {}, {"b"}, kAll, &room);
     EXPECT_EQ(open(c, {}), Zones{"b"}) << "none that is allowed stands";
-    EXPECT_FALSE(c.as_asked);
+    EXPECT_FALSE(c.meets_rule);
 }
 
 TEST(ZoneChoices, BatchIsKeptToZonesButNotSpread) {
@@ -250,10 +250,10 @@
     JobSpec job = service(6);
     job.kind = JobKind::Gang;
     const auto c = choose_zones(job, &rule, {{"a", 5}}, kAll, kAll);
-    EXPECT_EQ(c.most, (Counts{{"a", 6}, {"b", 6}, {"c", 0}}));
-    EXPECT_GT(c.machine_most, 1);
+    EXPECT_EQ(c.max_tasks, (Counts{{"a", 6}, {"b", 6}, {"c", 0}}));
+    EXPECT_GT(c.max_tasks_per_machine, 1);
     job.kind = JobKind::Service;
-    EXPECT_EQ(choose_zones(job, &rule, {}, kAll, kAll).machine_most, 1);
+    EXPECT_EQ(choose_zones(job, &rule, {}, kAll, kAll).max_tasks_per_machine, 1);
 }
 
 // ---------------------------------------------------------------- mending
@@ -280,10 +280,10 @@
         const auto moves = d.look();
         ASSERT_EQ(moves.size(), 1u);
         EXPECT_EQ(moves[0].to[0], 'c');
-        EXPECT_EQ(moves[0].reason, Reason::Balance);
+        EXPECT_EQ(moves[0].reason, MoveReason::Balance);
         d.carry_out(moves[0]);
     }
-    EXPECT_EQ(d.view.jobs[0].zones, (Counts{{"a", 2}, {"b", 2}, {"c", 2}}));
+    EXPECT_EQ(d.view.jobs[0].tasks_by_zone, (Counts{{"a", 2}, {"b", 2}, {"c", 2}}));
     EXPECT_TRUE(d.look().empty());
     EXPECT_EQ(d.imbalance_of(0), 0);
 }
@@ -292,14 +292,14 @@
     const Shard d = after_a_loss();
     ASSERT_EQ(d.look().size(), 1u);
     const std::vector<std::pair<const char*, std::function<void(Shard&)>>> hinders{
-        {"one waits", [](Shard& x) { x.view.jobs[0].idle = 1; }},
+        {"one waits", [](Shard& x) { x.view.jobs[0].waiting_tasks = 1; }},
         {"one is on its way out", [](Shard& x) { x.view.tasks[3].stopping = true; }},
-        {"one moves", [](Shard& x) { x.view.tasks[3].moving = true; }},
+        {"one moves", [](Shard& x) { x.view.tasks[3].has_planned_move = true; }},
         {"one fetches", [](Shard& x) { x.view.tasks[3].running = false; }},
         {"one is missing", [](Shard& x) { x.view.tasks.pop_back(); }},
         {"it is cancelled", [](Shard& x) { x.view.jobs[0].cancelled = true; }},
-        {"a zone is troubled", [](Shard& x) { x.view.troubled = {"b"}; }},
-        {"it was moved just now", [](Shard& x) { x.view.jobs[0].since_moved = kSecond; }},
+        {"a zone is troubled", [](Shard& x) { x.view.unstable_zones = {"b"}; }},
+        {"it was moved just now", [](Shard& x) { x.view.jobs[0].time_since_move = kSecond; }},
         {"its rule does not ask for it", [](Shard& x) { x.rule().rebalance = false; }},
         {"it is no service",
          [](Shard& x) {
@@ -311,7 +311,7 @@
          [](Shard& x) { x.view.machines[4].usable = x.view.machines[5].usable = false; }},
         {"no room",
          [](Shard& x) {
-             x.view.machines[4].kept = x.view.machines[5].reserved = {8'000, 0, 0};
+             x.view.machines[4].set_aside = x.view.machines[5].reserved = {8'000, 0, 0};
          }},
         {"another type",
          [](Shard& x) {
@@ -400,35 +400,35 @@
     policy::Budgets budgets;
     JobView job;
     job.spec = service(4);
-    job.moved_lately = 4;
-    EXPECT_EQ(pause_of(job, budgets), budgets.service_pause);
-    job.moved_lately = 6;
-    EXPECT_EQ(pause_of(job, budgets), 4 * budgets.service_pause);
-    job.moved_lately = 1000;
-    EXPECT_EQ(pause_of(job, budgets), 32 * budgets.service_pause);
+    job.recent_balance_moves = 4;
+    EXPECT_EQ(pause_between_moves(job, budgets), budgets.service_pause);
+    job.recent_balance_moves = 6;
+    EXPECT_EQ(pause_between_moves(job, budgets), 4 * budgets.service_pause);
+    job.recent_balance_moves = 1000;
+    EXPECT_EQ(pause_between_moves(job, budgets), 32 * budgets.service_pause);
 }
 
 TEST(ZoneWatching, AZoneThatFlapsHasToStandForLongerEachTime) {
-    ZoneWatch watch;
+    ZoneMonitor watch;
     const Micros settle = 10 * kSecond;
     Micros now = 100 * kSecond;
     auto settles_in = [&] {
         Micros passed = 0;
-        while (!watch.troubled(now + passed, settle).empty()) passed += kSecond;
+        while (!watch.unstable_zones(now + passed, settle).empty()) passed += kSecond;
         return passed;
     };
-    watch.see("a", true, now);
+    watch.observe("a", true, now);
     EXPECT_EQ(settles_in(), settle);
     now += settle;
     for (const Micros wanted : {settle, 2 * settle, 4 * settle}) {
-        watch.see("a", false, now);
-        EXPECT_EQ(watch.troubled(now, settle), Zones{"a"});
-        watch.see("a", true, now += kSecond);
+        watch.observe("a", false, now);
+        EXPECT_EQ(watch.unstable_zones(now, settle), Zones{"a"});
+        watch.observe("a", true, now += kSecond);
         EXPECT_EQ(settles_in(), wanted);
     }
     now += 700 * kSecond;
-    watch.see("a", false, now);
-    watch.see("a", true, now += kSecond);
+    watch.observe("a", false, now);
+    watch.observe("a", true, now += kSecond);
     EXPECT_EQ(settles_in(), settle) << "what was long ago is forgotten";
 }
 
@@ -475,12 +475,12 @@
         const auto plain = choose_zones(job, nullptr, there, standing, kAll);
         const bool known = *rc::gen::arbitrary<bool>();
         const auto choice = choose_zones(job, &rule, there, standing, kAll, known ? &with_room : nullptr);
-        for (const auto& [zone, most] : choice.most) RC_ASSERT(most <= plain.most_in(zone));
+        for (const auto& [zone, most] : choice.max_tasks) RC_ASSERT(most <= plain.max_tasks_in(zone));
         const Zones zones = open(choice, there);
         if (zones.empty()) {
             if (rule.strict || known) continue;
             // Nothing waits that need not.
-            for (const auto& z : standing) RC_ASSERT(plain.most_in(z) <= there[z]);
+            for (const auto& z : standing) RC_ASSERT(plain.max_tasks_in(z) <= there[z]);
             continue;
         }
         ++there[*rc::gen::elementOf(zones)];
@@ -516,7 +516,7 @@
             const auto choice = choose_zones(job, nullptr, there, kAll, kAll);
             std::vector<std::string> names;
             for (const auto& m : d.view.machines)
-                if (choice.most_in(m.zone) > there[m.zone]) names.push_back(m.name);
+                if (choice.max_tasks_in(m.zone) > there[m.zone]) names.push_back(m.name);
             if (names.empty()) break;
             on.push_back(*rc::gen::elementOf(names));
             ++there[d.view.machines[d.index(on.back())].zone];
@@ -541,11 +541,12 @@
             const JobView& job = d.view.jobs[t.job];
             RC_ASSERT(d.view.machines[t.machine].name == m.from);
             const MachineView& to = d.view.machines[d.index(m.to)];
-            RC_ASSERT(job.spec.request.fits(to.room()));
+            RC_ASSERT(job.spec.request.fits(to.available()));
             if (to.zone != d.view.machines[t.machine].zone) {
-                const auto plain = choose_zones(job.spec, nullptr, job.zones, kAll, kAll);
-                auto there = job.zones.find(to.zone);
-                RC_ASSERT((there == job.zones.end() ? 0 : there->second) < plain.most_in(to.zone));
+                const auto plain = choose_zones(job.spec, nullptr, job.tasks_by_zone, kAll, kAll);
+                auto there = job.tasks_by_zone.find(to.zone);
+                RC_ASSERT((there == job.tasks_by_zone.end() ? 0 : there->second) <
+                          plain.max_tasks_in(to.zone));
             }
             auto& left = been[{m.job, m.task}];
             left.insert(m.from);
