--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -13,133 +13,145 @@
 
 using policy::Tier;
 
-/// Of a team's limit, in cores and GPUs: what is kept for whom.
-struct Kept {
+/// The parts of a team's limit, in cores and GPUs, that are withheld for some of its jobs.
+struct TeamReserves {
     Resources limit;
-    Resources floor;    // part of what live work leaves
-    Resources half;     // of the same; what needs more than that to begin is large
-    Resources live;     // live work that waits
-    Resources batch;    // still due to tier Batch
-    Resources overdue;  // what the job needs to begin that is overdue and comes first
-    const QueuedJob* first = nullptr;
+    Resources floor;            // the policy's floor, as a part of what live work leaves of the limit
+    Resources half;             // half of what live work leaves; a job whose start needs more is large
+    Resources waiting_live;     // request of live jobs that wait
+    Resources owed_to_batch;    // what tier Batch may still claim of its floor
+    Resources owed_to_overdue;  // request of the next start of `first_overdue`
+    const QueuedJob* first_overdue = nullptr;
 };
 
-Resources larger(const Resources& a, const Resources& b) {
+Resources component_max(const Resources& a, const Resources& b) {
     return {std::max(a.cores, b.cores), std::max(a.gpus, b.gpus), 0};
 }
 
-Resources not_negative(const Resources& r) {
-    return larger(r, {});
+Resources clamp_to_zero(const Resources& resources) {
+    return component_max(resources, {});
 }
 
-bool within(const Resources& need, const Resources& room) {
-    return need.cores <= room.cores && need.gpus <= room.gpus;
+bool fits_within(const Resources& request, const Resources& available) {
+    return request.cores <= available.cores && request.gpus <= available.gpus;
 }
 
-Resources used_by(const TeamUsage& use, Tier tier) {
-    auto it = use.used_by_tier.find(tier);
-    return it == use.used_by_tier.end() ? Resources{} : it->second;
+Resources used_by(const TeamUsage& usage, Tier tier) {
+    auto it = usage.used_by_tier.find(tier);
+    return it == usage.used_by_tier.end() ? Resources{} : it->second;
 }
 
-/// Among the overdue the large ones go first, since the others find their part by the floors as well; then
-/// the longest wait.
-auto urgency(const QueuedJob& q, const Kept& k) {
-    return std::tuple(within(q.next_start_request, k.half), -q.age, q.index);
+/// Returns the sort key of overdue jobs: large jobs first, because smaller ones also get capacity through the
+/// floors, then the longest waiting.
+auto overdue_key(const QueuedJob& job, const TeamReserves& reserves) {
+    return std::tuple(fits_within(job.next_start_request, reserves.half), -job.age, job.index);
 }
 
-bool overdue(const QueuedJob& q, const policy::Priority& priority) {
-    return q.tier != Tier::Live && !q.has_started && q.age >= priority.begin_within;
+bool is_overdue(const QueuedJob& job, const policy::Priority& priority) {
+    return job.tier != Tier::Live && !job.has_started && job.age >= priority.begin_within;
 }
 
-/// What tier Batch is due and does not have, while a higher tier may take it: its floor of what live work
-/// leaves, or one start where that is more and fits into half.
-Resources owed_to_batch(const TeamUsage& use, const Kept& k, const std::vector<const QueuedJob*>& waiting) {
-    Resources waits;
-    const QueuedJob* least = nullptr;
-    auto size = [](const QueuedJob& q) {
-        return std::tuple(q.next_start_request.cores, q.next_start_request.gpus, q.index);
+/// Returns what tier Batch may claim and does not use yet, while a higher tier could take it: its floor of
+/// what live work leaves, or one start where that is more and fits into half of it.
+Resources unused_batch_floor(const TeamUsage& usage, const TeamReserves& reserves,
+                             const std::vector<const QueuedJob*>& waiting) {
+    Resources waiting_request;
+    const QueuedJob* smallest = nullptr;
+    auto size_key = [](const QueuedJob& job) {
+        return std::tuple(job.next_start_request.cores, job.next_start_request.gpus, job.index);
     };
-    for (const QueuedJob* q : waiting) {
-        if (q->lacks_room || !within(q->next_start_request, k.half)) continue;
-        waits += q->waiting_request;
-        if (!least || size(*q) < size(*least)) least = q;
+    for (const QueuedJob* job : waiting) {
+        if (job->lacks_room || !fits_within(job->next_start_request, reserves.half)) continue;
+        waiting_request += job->waiting_request;
+        if (!smallest || size_key(*job) < size_key(*smallest)) smallest = job;
     }
-    if (!least) return {};
-    const Resources due = larger(k.floor, least->next_start_request);
-    const Resources used = used_by(use, Tier::Batch);
-    const Resources could = used + waits;
-    return not_negative(Resources{std::min(due.cores, could.cores), std::min(due.gpus, could.gpus), 0} -
-                        used);
+    if (!smallest) return {};
+    const Resources claim = component_max(reserves.floor, smallest->next_start_request);
+    const Resources used = used_by(usage, Tier::Batch);
+    const Resources usable = used + waiting_request;
+    return clamp_to_zero(
+        Resources{std::min(claim.cores, usable.cores), std::min(claim.gpus, usable.gpus), 0} - used);
 }
 
-std::map<std::string, Kept> kept_by_team(const std::vector<QueuedJob>& queue,
-                                         const std::map<std::string, TeamUsage>& teams,
-                                         const policy::Priority& priority) {
-    std::map<std::string, Kept> kept;
-    auto part = [&](Milli of) { return static_cast<Milli>(static_cast<double>(of) * priority.floor); };
-    for (const auto& [team, use] : teams) {
-        Kept& k = kept[team];
-        const Resources rest = not_negative(use.limit - used_by(use, Tier::Live));
-        k.limit = use.limit;
-        k.floor = {part(rest.cores), part(rest.gpus), 0};
-        k.half = {rest.cores / 2, rest.gpus / 2, 0};
+std::map<std::string, TeamReserves> reserves_by_team(const std::vector<QueuedJob>& queue,
+                                                     const std::map<std::string, TeamUsage>& teams,
+                                                     const policy::Priority& priority) {
+    std::map<std::string, TeamReserves> reserves_of;
+    auto floor_of = [&](Milli amount) {
+        return static_cast<Milli>(static_cast<double>(amount) * priority.floor);
+    };
+    for (const auto& [team, usage] : teams) {
+        TeamReserves& reserves = reserves_of[team];
+        const Resources left_by_live = clamp_to_zero(usage.limit - used_by(usage, Tier::Live));
+        reserves.limit = usage.limit;
+        reserves.floor = {floor_of(left_by_live.cores), floor_of(left_by_live.gpus), 0};
+        reserves.half = {left_by_live.cores / 2, left_by_live.gpus / 2, 0};
     }
-    std::map<std::string, std::vector<const QueuedJob*>> batch;
-    for (const QueuedJob& q : queue) {
-        Kept& k = kept[q.team];
-        if (q.tier == Tier::Live && !q.lacks_room) k.live += q.waiting_request;
-        if (q.tier == Tier::Batch) batch[q.team].push_back(&q);
-        if (overdue(q, priority) && !q.lacks_room && (!k.first || urgency(q, k) < urgency(*k.first, k)))
-            k.first = &q;
+    std::map<std::string, std::vector<const QueuedJob*>> batch_jobs;
+    for (const QueuedJob& job : queue) {
+        TeamReserves& reserves = reserves_of[job.team];
+        if (job.tier == Tier::Live && !job.lacks_room) reserves.waiting_live += job.waiting_request;
+        if (job.tier == Tier::Batch) batch_jobs[job.team].push_back(&job);
+        if (is_overdue(job, priority) && !job.lacks_room &&
+            (!reserves.first_overdue ||
+             overdue_key(job, reserves) < overdue_key(*reserves.first_overdue, reserves)))
+            reserves.first_overdue = &job;
     }
-    for (auto& [team, k] : kept) {
-        auto use = teams.find(team);
-        if (use == teams.end()) continue;
-        k.batch = owed_to_batch(use->second, k, batch[team]);
-        // What does not fit beside live work has nothing kept for it: it would never begin.
-        const Resources rest = k.limit - used_by(use->second, Tier::Live) - k.live;
-        if (k.first && within(k.first->next_start_request, rest)) k.overdue = k.first->next_start_request;
+    for (auto& [team, reserves] : reserves_of) {
+        auto usage = teams.find(team);
+        if (usage == teams.end()) continue;
+        reserves.owed_to_batch = unused_batch_floor(usage->second, reserves, batch_jobs[team]);
+        // Nothing is withheld for a job that does not fit beside live work: it would never start.
+        const Resources left_by_live =
+            reserves.limit - used_by(usage->second, Tier::Live) - reserves.waiting_live;
+        if (reserves.first_overdue && fits_within(reserves.first_overdue->next_start_request, left_by_live))
+            reserves.owed_to_overdue = reserves.first_overdue->next_start_request;
     }
-    return kept;
+    return reserves_of;
 }
 
-QueueEntry turn_of(const QueuedJob& q, const Kept& k, bool is_overdue) {
-    Resources most = k.limit;
-    if (q.tier != Tier::Live) most -= k.live;
-    const bool own = k.first == &q && is_overdue;
-    if (q.tier != Tier::Live && !own) {
-        Resources others = k.overdue;
-        // The job that is overdue may be one of those that the floor is for.
-        if (q.tier < Tier::Batch && !is_overdue) {
-            const bool same = k.first && k.first->tier == Tier::Batch;
-            others = same ? larger(others, k.batch) : others + k.batch;
+QueueEntry entry_for(const QueuedJob& job, const TeamReserves& reserves, bool as_overdue) {
+    Resources cap = reserves.limit;
+    if (job.tier != Tier::Live) cap -= reserves.waiting_live;
+    const bool is_first_overdue = reserves.first_overdue == &job && as_overdue;
+    if (job.tier != Tier::Live && !is_first_overdue) {
+        Resources withheld = reserves.owed_to_overdue;
+        // An overdue job of tier Batch is among the jobs that the floor is for, so that it is not counted
+        // twice.
+        if (job.tier < Tier::Batch && !as_overdue) {
+            const bool overdue_is_batch =
+                reserves.first_overdue && reserves.first_overdue->tier == Tier::Batch;
+            withheld = overdue_is_batch ? component_max(withheld, reserves.owed_to_batch)
+                                        : withheld + reserves.owed_to_batch;
         }
-        most -= others;
+        cap -= withheld;
     }
-    return {q.index, is_overdue, most.cores, most.gpus};
+    return {job.index, as_overdue, cap.cores, cap.gpus};
 }
 
-bool allowed(const JobSpec& s, const MachineView& m) {
-    return m.usable && can_use_machine(s, m.type, m.zone, m.spot);
+bool can_use(const JobSpec& job, const MachineView& machine) {
+    return machine.usable && can_use_machine(job, machine.type, machine.zone, machine.spot);
 }
 
-/// In how long the machine has room for one more such task, beside `taken`, if what runs there is left alone;
-/// nothing if it never has.
-std::optional<Micros> room_in(const ShardView& view, const MachineView& m, const Resources& need,
-                              const Resources& taken) {
-    Resources room = m.available() - taken;
-    if (need.fits(room)) return 0;
-    std::vector<std::pair<Micros, Resources>> ends;
-    for (const std::size_t i : m.tasks) {
-        const TaskView& t = view.tasks[i];
-        const JobSpec& s = view.jobs[t.job].spec;
-        if (s.kind == JobKind::Service && !t.stopping) continue;
-        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.run_time, kSecond), s.request);
+/// Returns the time until the machine has capacity for one more such task in addition to `taken`, if the
+/// tasks there run to their ends, or nothing if it never has.
+std::optional<Micros> time_until_fit(const ShardView& view, const MachineView& machine,
+                                     const Resources& request, const Resources& taken) {
+    Resources available = machine.available() - taken;
+    if (request.fits(available)) return 0;
+    std::vector<std::pair<Micros, Resources>> task_ends;
+    for (const std::size_t i : machine.tasks) {
+        const TaskView& task = view.tasks[i];
+        const JobSpec& spec = view.jobs[task.job].spec;
+        if (spec.kind == JobKind::Service && !task.stopping) continue;
+        task_ends.emplace_back(task.stopping ? 0 : std::max<Micros>(spec.estimate - task.run_time, kSecond),
+                               spec.request);
     }
-    std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-    for (const auto& [in, freed] : ends) {
-        room += freed;
-        if (need.fits(room)) return in;
+    std::sort(task_ends.begin(), task_ends.end(),
+              [](const auto& a, const auto& b) { return a.first < b.first; });
+    for (const auto& [time_left, freed] : task_ends) {
+        available += freed;
+        if (request.fits(available)) return time_left;
     }
     return std::nullopt;
 }
@@ -149,73 +161,77 @@
 std::vector<QueueEntry> queue_order(const std::vector<QueuedJob>& queue,
                                     const std::map<std::string, TeamUsage>& teams,
                                     const policy::Priority& priority) {
-    const auto kept = kept_by_team(queue, teams, priority);
-    std::vector<const QueuedJob*> live, late, rest;
-    for (const QueuedJob& q : queue) {
-        (q.tier == Tier::Live ? live : rest).push_back(&q);
-        if (overdue(q, priority)) late.push_back(&q);
+    const auto reserves_of = reserves_by_team(queue, teams, priority);
+    std::vector<const QueuedJob*> live_jobs, overdue_jobs, other_jobs;
+    for (const QueuedJob& job : queue) {
+        (job.tier == Tier::Live ? live_jobs : other_jobs).push_back(&job);
+        if (is_overdue(job, priority)) overdue_jobs.push_back(&job);
     }
-    // Highest tier first, then rank, then what is guaranteed, then the nearest deadline, then what can still
-    // make its aim. Among equals the least work left by age.
-    auto before = [](const QueuedJob* a, const QueuedJob* b) {
-        auto key = [](const QueuedJob& q) {
-            return std::tuple(q.tier, q.rank, !q.within_guarantee, q.deadline_ms, q.can_wait,
-                              q.remaining_work, q.index);
+    // The highest tier goes first, then the highest rank, then jobs within their guarantee, then the nearest
+    // deadline, then jobs that cannot wait. Ties go to the smallest remaining work by age.
+    auto goes_before = [](const QueuedJob* a, const QueuedJob* b) {
+        auto key = [](const QueuedJob& job) {
+            return std::tuple(job.tier, job.rank, !job.within_guarantee, job.deadline_ms, job.can_wait,
+                              job.remaining_work, job.index);
         };
         return key(*a) < key(*b);
     };
-    std::sort(live.begin(), live.end(), before);
-    std::sort(late.begin(), late.end(), [&](const QueuedJob* a, const QueuedJob* b) {
-        return urgency(*a, kept.at(a->team)) < urgency(*b, kept.at(b->team));
+    std::sort(live_jobs.begin(), live_jobs.end(), goes_before);
+    std::sort(overdue_jobs.begin(), overdue_jobs.end(), [&](const QueuedJob* a, const QueuedJob* b) {
+        return overdue_key(*a, reserves_of.at(a->team)) < overdue_key(*b, reserves_of.at(b->team));
     });
-    std::sort(rest.begin(), rest.end(), before);
+    std::sort(other_jobs.begin(), other_jobs.end(), goes_before);
     std::vector<QueueEntry> order;
-    order.reserve(live.size() + late.size() + rest.size());
-    for (const QueuedJob* q : live) order.push_back(turn_of(*q, kept.at(q->team), false));
-    for (const QueuedJob* q : late) order.push_back(turn_of(*q, kept.at(q->team), true));
-    for (const QueuedJob* q : rest) order.push_back(turn_of(*q, kept.at(q->team), false));
+    order.reserve(live_jobs.size() + overdue_jobs.size() + other_jobs.size());
+    for (const QueuedJob* job : live_jobs) order.push_back(entry_for(*job, reserves_of.at(job->team), false));
+    for (const QueuedJob* job : overdue_jobs)
+        order.push_back(entry_for(*job, reserves_of.at(job->team), true));
+    for (const QueuedJob* job : other_jobs)
+        order.push_back(entry_for(*job, reserves_of.at(job->team), false));
     return order;
 }
 
 std::vector<Reservation> reservations_for_overdue_job(const ShardView& view, const policy::Policy& policy) {
     const JobView* largest = nullptr;
-    for (const JobView& j : view.jobs) {
-        if (j.tier == Tier::Live || j.cancelled || j.waiting_tasks == 0 || j.bound_tasks > 0) continue;
-        if (j.waiting_time < policy.priority.begin_within) continue;
-        auto size = [](const JobView& x) {
-            const Milli tasks = x.spec.kind == JobKind::Gang ? x.waiting_tasks : 1;
-            return std::tuple(-x.spec.request.gpus * tasks, -x.spec.request.cores * tasks, -x.waiting_time,
-                              x.spec.ref);
+    for (const JobView& job : view.jobs) {
+        if (job.tier == Tier::Live || job.cancelled || job.waiting_tasks == 0 || job.bound_tasks > 0)
+            continue;
+        if (job.waiting_time < policy.priority.begin_within) continue;
+        auto largest_first = [](const JobView& candidate) {
+            const Milli tasks = candidate.spec.kind == JobKind::Gang ? candidate.waiting_tasks : 1;
+            return std::tuple(-candidate.spec.request.gpus * tasks, -candidate.spec.request.cores * tasks,
+                              -candidate.waiting_time, candidate.spec.ref);
         };
-        if (!largest || size(j) < size(*largest)) largest = &j;
+        if (!largest || largest_first(job) < largest_first(*largest)) largest = &job;
     }
     if (!largest) return {};
-    const JobSpec& s = largest->spec;
-    const int tasks = s.kind == JobKind::Gang ? largest->waiting_tasks : 1;
-    std::vector<int> on(view.machines.size(), 0);
-    std::map<std::string, int> zones = largest->tasks_by_zone;
-    Micros last = 0;
-    for (int k = 0; k < tasks; ++k) {
+    const JobSpec& spec = largest->spec;
+    const int tasks = spec.kind == JobKind::Gang ? largest->waiting_tasks : 1;
+    std::vector<int> tasks_on(view.machines.size(), 0);  // by machine: tasks of the job placed there so far
+    std::map<std::string, int> tasks_by_zone = largest->tasks_by_zone;
+    Micros longest_wait = 0;
+    for (int placed = 0; placed < tasks; ++placed) {
         std::optional<std::tuple<Micros, std::size_t>> best;
         for (std::size_t i = 0; i < view.machines.size(); ++i) {
-            const MachineView& m = view.machines[i];
-            if (!allowed(s, m)) continue;
-            if (s.one_zone && !zones.empty() && zones.count(m.zone) == 0) continue;
-            if (s.spread && zones[m.zone] >= (s.tasks + 1) / 2) continue;
-            const Resources taken{s.request.cores * on[i], s.request.gpus * on[i], s.request.ram * on[i]};
-            if (auto in = room_in(view, m, s.request, taken))
-                if (const auto found = std::tuple(*in, i); !best || found < *best) best = found;
+            const MachineView& machine = view.machines[i];
+            if (!can_use(spec, machine)) continue;
+            if (spec.one_zone && !tasks_by_zone.empty() && tasks_by_zone.count(machine.zone) == 0) continue;
+            if (spec.spread && tasks_by_zone[machine.zone] >= (spec.tasks + 1) / 2) continue;
+            const Resources taken{spec.request.cores * tasks_on[i], spec.request.gpus * tasks_on[i],
+                                  spec.request.ram * tasks_on[i]};
+            if (auto wait = time_until_fit(view, machine, spec.request, taken))
+                if (const auto found = std::tuple(*wait, i); !best || found < *best) best = found;
         }
-        if (!best) return {};  // not all of it has room anywhere, whatever is waited for
-        last = std::max(last, std::get<0>(*best));
-        ++on[std::get<1>(*best)];
-        ++zones[view.machines[std::get<1>(*best)].zone];
+        if (!best) return {};  // not all of the tasks can ever be placed, however long the job waits
+        longest_wait = std::max(longest_wait, std::get<0>(*best));
+        ++tasks_on[std::get<1>(*best)];
+        ++tasks_by_zone[view.machines[std::get<1>(*best)].zone];
     }
-    if (last == 0) return {};  // it has room now
-    std::vector<Reservation> list;
-    for (std::size_t i = 0; i < on.size(); ++i)
-        if (on[i] > 0) list.push_back({s.ref, view.machines[i].name, on[i]});
-    return list;
+    if (longest_wait == 0) return {};  // the job can start now
+    std::vector<Reservation> reservations;
+    for (std::size_t i = 0; i < tasks_on.size(); ++i)
+        if (tasks_on[i] > 0) reservations.push_back({spec.ref, view.machines[i].name, tasks_on[i]});
+    return reservations;
 }
 
 }  // namespace cottonway::scheduling
