--- a/src/scheduling/constraints.hpp
+++ b/src/scheduling/constraints.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a job's own constraints say of a machine, whatever else is on it.
+// Checks a machine against the constraints that a job itself states, regardless of the machine's load.
 
 #include <algorithm>
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace cottonway::scheduling {
 
-/// Whether a machine of that type, zone and kind is one that the job allows (`looms`, `mill`, `remnant`).
+/// Returns true if the job's constraints on type, zone and spot machines (`looms`, `mill` and `remnant` in
+/// the protocol) admit a machine with these properties.
 inline bool can_use_machine(const JobSpec& job, const std::string& type, const std::string& zone, bool spot) {
     if (spot && !job.spot) return false;
     if (job.zone && *job.zone != zone) return false;
--- a/src/scheduling/machine_occupancy.cpp
+++ b/src/scheduling/machine_occupancy.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Cores that a request of one resource occupies. Rounded up, so that nothing that is requested is lost.
+/// Returns the cores that a request of one resource occupies, rounded up so that the result covers the whole
+/// request.
 Milli cores_for(Milli request, Milli capacity, Milli cores) {
     return capacity > 0 ? (request * cores + capacity - 1) / capacity : 0;
 }
--- a/src/scheduling/machine_occupancy.hpp
+++ b/src/scheduling/machine_occupancy.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How much of a machine requests occupy and how much of it is available, over cores, GPUs and memory at once.
-// Pure.
+// Converts requests and free capacity of a machine, which span cores, GPUs and memory, into cores. Pure
+// functions.
 
 #include <deque>
 
@@ -8,21 +8,22 @@
 
 namespace cottonway::scheduling {
 
-/// Cores of the machines that a vector of requests occupies, in thousandths: its largest share of one machine
-/// in any resource (cores, GPUs, memory), times that machine's cores. A task that takes both GPUs of a
-/// machine occupies all of it, however few cores it asks for. Resources that the type does not have are
-/// ignored.
+/// Returns the cores that the requests occupy, in thousandths: the largest share of one machine that they
+/// take of any resource (cores, GPUs, memory), times that machine's cores. A task that takes both GPUs of a
+/// machine occupies all of it, however few cores it asks for. Resources that the machine type does not have
+/// are ignored.
 Milli occupied_cores(const Resources& requests, const Resources& capacity);
 
-/// The same for cores and GPUs alone: what placement runs out of first on machines that have GPUs. Without
-/// GPUs it is the cores that were requested.
+/// Like occupied_cores, but for cores and GPUs only, the resources that placement runs out of first on
+/// machines with GPUs. For a machine type without GPUs the result is the requested cores.
 Milli gpu_bound_cores(const Resources& requests, const Resources& capacity);
 
-/// The least of these over the types that a task fits on; its cores if it fits on none.
+/// Returns the smallest gpu_bound_cores over the types that the request fits on, or the requested cores if it
+/// fits on none.
 Milli gpu_bound_cores(const Resources& request, const std::deque<MachineType>& types);
 
-/// Cores of a machine that more tasks can use: none of them once its GPUs are taken, since on machines that
-/// have GPUs the tasks that wait ask for some.
+/// Returns the cores of a machine that further tasks can use. A machine whose GPUs are all taken has none,
+/// because the tasks that wait for machines with GPUs ask for GPUs.
 Milli available_cores(const Resources& available, const Resources& capacity);
 
 }  // namespace cottonway::scheduling
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -6,79 +6,90 @@
 namespace cottonway {
 
 namespace {
-double share(Milli reserved, Milli size) {
+double reserved_share(Milli reserved, Milli size) {
     return size > 0 ? static_cast<double>(reserved) / static_cast<double>(size) : 0.0;
 }
 }  // namespace
 
-std::ptrdiff_t place(const std::vector<const Candidate*>& candidates, const Resources& need,
+std::ptrdiff_t place(const std::vector<const Candidate*>& candidates, const Resources& request,
                      const PlacementSettings& settings, std::mt19937_64& random) {
-    // 1. Machines that can hold the task.
-    auto holds = [&](const Candidate* c) { return need.fits(c->size - c->reserved); };
-    const auto fits = static_cast<std::size_t>(std::count_if(candidates.begin(), candidates.end(), holds));
-    if (fits == 0) return -1;
+    // 1. Filter the machines that can hold the task.
+    auto can_hold = [&](const Candidate* candidate) {
+        return request.fits(candidate->size - candidate->reserved);
+    };
+    const auto fitting_count =
+        static_cast<std::size_t>(std::count_if(candidates.begin(), candidates.end(), can_hold));
+    if (fitting_count == 0) return -1;
 
-    // 2. Set aside those that are reserved beyond the thresholds; if none remain, any fitting one.
-    struct Weighed {
-        const Candidate* of;
-        double cores, ram;  // shares that are reserved
+    // 2. Drop machines that are reserved beyond the thresholds. If none remains, choose any fitting machine.
+    struct LoadedCandidate {
+        const Candidate* candidate;
+        double cores_share, ram_share;  // reserved shares of the machine
     };
-    std::vector<Weighed> rest;
-    rest.reserve(fits);
-    // Each term of a score is divided by its largest value among all the controller's machines.
-    struct Largest {
-        double cores = 0, ram = 0, free = 0, size = 0, tasks = 0;
-    } top;
-    for (const auto* c : candidates) {
-        const Weighed w{c, share(c->reserved.cores, c->size.cores), share(c->reserved.ram, c->size.ram)};
-        top.cores = std::max(top.cores, w.cores);
-        top.ram = std::max(top.ram, w.ram);
-        top.free = std::max(top.free, static_cast<double>(c->size.ram - c->reserved.ram));
-        top.size = std::max(top.size, static_cast<double>(c->size.ram));
-        top.tasks = std::max(top.tasks, static_cast<double>(c->tasks));
-        if (w.cores <= settings.cores_threshold && w.ram <= settings.ram_threshold && holds(c))
-            rest.push_back(w);
+    std::vector<LoadedCandidate> below_thresholds;
+    below_thresholds.reserve(fitting_count);
+    // Each term of the score is divided by its largest value over all candidates.
+    struct LargestTerms {
+        double cores_share = 0, ram_share = 0, free_ram = 0, ram_size = 0, tasks = 0;
+    } largest;
+    for (const auto* candidate : candidates) {
+        const LoadedCandidate loaded{candidate,
+                                     reserved_share(candidate->reserved.cores, candidate->size.cores),
+                                     reserved_share(candidate->reserved.ram, candidate->size.ram)};
+        largest.cores_share = std::max(largest.cores_share, loaded.cores_share);
+        largest.ram_share = std::max(largest.ram_share, loaded.ram_share);
+        largest.free_ram =
+            std::max(largest.free_ram, static_cast<double>(candidate->size.ram - candidate->reserved.ram));
+        largest.ram_size = std::max(largest.ram_size, static_cast<double>(candidate->size.ram));
+        largest.tasks = std::max(largest.tasks, static_cast<double>(candidate->tasks));
+        if (loaded.cores_share <= settings.cores_threshold && loaded.ram_share <= settings.ram_threshold &&
+            can_hold(candidate))
+            below_thresholds.push_back(loaded);
     }
-    if (rest.empty()) {
-        auto left = std::uniform_int_distribution<std::size_t>(0, fits - 1)(random);
-        for (const auto* c : candidates)
-            if (holds(c) && left-- == 0) return static_cast<std::ptrdiff_t>(c->index);
+    if (below_thresholds.empty()) {
+        auto to_skip = std::uniform_int_distribution<std::size_t>(0, fitting_count - 1)(random);
+        for (const auto* candidate : candidates)
+            if (can_hold(candidate) && to_skip-- == 0) return static_cast<std::ptrdiff_t>(candidate->index);
     }
 
-    // 3. A random sample of about the square root of the rest.
-    const auto sample_size = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(rest.size()))));
-    std::vector<Weighed> sample;
+    // 3. Take a random sample of about the square root of the remaining machines.
+    const auto sample_size =
+        static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(below_thresholds.size()))));
+    std::vector<LoadedCandidate> sample;
     sample.reserve(sample_size);
-    std::sample(rest.begin(), rest.end(), std::back_inserter(sample), sample_size, random);
+    std::sample(below_thresholds.begin(), below_thresholds.end(), std::back_inserter(sample), sample_size,
+                random);
 
-    // 4. Scores.
-    auto scaled = [](double v, double by) { return by > 0 ? v / by : v; };
+    // 4. Score the sample.
+    auto scaled = [](double value, double maximum) { return maximum > 0 ? value / maximum : value; };
 
-    // 5. Jitter, and the lowest.
+    // 5. Add jitter and choose the lowest score.
     std::uniform_real_distribution<double> jitter(0, std::max(settings.jitter, 1e-9));
     const Candidate* best = nullptr;
-    double lowest = 0;
-    for (const auto& [c, cores, ram] : sample) {
+    double best_score = 0;
+    for (const auto& [candidate, cores_share, ram_share] : sample) {
         const double score =
-            settings.cores_weight * scaled(cores, top.cores) + settings.ram_weight * scaled(ram, top.ram) -
-            settings.free_ram_weight * scaled(static_cast<double>(c->size.ram - c->reserved.ram), top.free) -
-            settings.size_weight * scaled(static_cast<double>(c->size.ram), top.size) +
-            settings.tasks_weight * scaled(static_cast<double>(c->tasks), top.tasks) -
-            (c->has_image ? settings.image_weight : 0.0) + c->penalty + jitter(random);
-        if (!best || score < lowest) {
-            best = c;
-            lowest = score;
+            settings.cores_weight * scaled(cores_share, largest.cores_share) +
+            settings.ram_weight * scaled(ram_share, largest.ram_share) -
+            settings.free_ram_weight *
+                scaled(static_cast<double>(candidate->size.ram - candidate->reserved.ram), largest.free_ram) -
+            settings.size_weight * scaled(static_cast<double>(candidate->size.ram), largest.ram_size) +
+            settings.tasks_weight * scaled(static_cast<double>(candidate->tasks), largest.tasks) -
+            (candidate->has_image ? settings.image_weight : 0.0) + candidate->penalty + jitter(random);
+        if (!best || score < best_score) {
+            best = candidate;
+            best_score = score;
         }
     }
     return static_cast<std::ptrdiff_t>(best->index);
 }
 
-std::ptrdiff_t place(const std::vector<Candidate>& candidates, const Resources& need,
+std::ptrdiff_t place(const std::vector<Candidate>& candidates, const Resources& request,
                      const PlacementSettings& settings, std::mt19937_64& random) {
-    std::vector<const Candidate*> all;
-    all.reserve(candidates.size());
-    for (const auto& c : candidates) all.push_back(&c);
-    return place(all, need, settings, random);
+    std::vector<const Candidate*> pointers;
+    pointers.reserve(candidates.size());
+    for (const auto& candidate : candidates) pointers.push_back(&candidate);
+    return place(pointers, request, settings, random);
 }
 
 }  // namespace cottonway
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The five steps of placement as a pure function: candidates, a need and a seeded generator in, a choice out.
+// Chooses a machine for one task in five steps: filter the machines that fit, drop those that are too full,
+// sample some, score the sample, take the best. Pure; the caller passes a seeded random generator.
 
 #include <random>
 #include <vector>
@@ -10,20 +11,21 @@
 namespace cottonway {
 
 struct Candidate {
-    std::size_t index = 0;  // the caller's
+    std::size_t index = 0;  // chosen by the caller to identify the machine
     Resources size;
     Resources reserved;
     int tasks = 0;
-    bool has_image = false;      // or is fetching it
-    bool image_ready = false;    // has it
-    double machine_penalty = 0;  // the caller's: of the machine alone, before what the job's other tasks add
-    double penalty = 0;          // added to the score as it is
+    bool has_image = false;      // the machine has the image or is fetching it
+    bool image_ready = false;    // the machine has the image
+    double machine_penalty = 0;  // for the caller: the part of `penalty` that depends on the machine alone,
+                                 // not on where the job's other tasks are
+    double penalty = 0;  // added to the score unchanged
 };
 
-/// The chosen candidate's `index`, or -1 if none can hold the task.
-std::ptrdiff_t place(const std::vector<const Candidate*>& candidates, const Resources& need,
+/// Returns the `index` of the chosen candidate, or -1 if none can hold the task.
+std::ptrdiff_t place(const std::vector<const Candidate*>& candidates, const Resources& request,
                      const PlacementSettings& settings, std::mt19937_64& random);
-std::ptrdiff_t place(const std::vector<Candidate>& candidates, const Resources& need,
+std::ptrdiff_t place(const std::vector<Candidate>& candidates, const Resources& request,
                      const PlacementSettings& settings, std::mt19937_64& random);
 
 }  // namespace cottonway
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What planning reads: a shard as its holder knows it at one moment, by value. Decisions on it are pure
-// functions; the holder carries out what they ask for.
+// Snapshot of one shard that the planning functions read. It is taken by the shard's holder at one moment and
+// passed by value; planning is pure, and the holder carries out the decisions.
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 
 struct ImageView {
     std::string name;
-    bool ready = false;  // false: a fetch of it is under way
+    bool ready = false;  // false while the machine is still fetching the image
 };
 
 struct MachineView {
@@ -22,25 +22,25 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    /// New tasks may be bound to it: heard lately, not leaving, not suspect.
+    /// New tasks may be bound to the machine: it reported recently, is not leaving and is not suspect.
     bool usable = false;
     Resources size;
-    Resources reserved;   // by tasks on it, in doubt and stopping ones included
-    Resources stopping;   // the part of it that is on its way out
-    Resources set_aside;  // free room that is kept for somebody else (gathered)
+    Resources reserved;   // requests of all tasks on the machine, in-doubt and stopping ones included
+    Resources stopping;   // the part of `reserved` that belongs to stopping tasks
+    Resources set_aside;  // free capacity that reservations and planned moves keep for other tasks
     double fetch_gb_per_s = 1;
     std::vector<ImageView> images;
-    std::vector<std::size_t> tasks;  // indices into View::tasks
+    std::vector<std::size_t> tasks;  // indices into ShardView::tasks
     Resources available() const { return size - reserved - set_aside; }
 };
 
 struct TaskView {
-    std::size_t job = 0;  // index into View::jobs
+    std::size_t job = 0;  // index into ShardView::jobs
     int task = 0;
-    std::size_t machine = 0;        // index into View::machines
+    std::size_t machine = 0;        // index into ShardView::machines
     bool running = false;           // has its image and runs
-    bool stopping = false;          // told to stop, or about to be
-    bool has_planned_move = false;  // a move of it is in the plan
+    bool stopping = false;          // was told to stop, or is about to be
+    bool has_planned_move = false;  // the migration plan contains a move of the task
     Micros run_time = 0;            // so far
 };
 
@@ -49,45 +49,45 @@
     policy::Tier tier = policy::Tier::Batch;
     PriorityClass rank = PriorityClass::Normal;
     bool cancelled = false;
-    int waiting_tasks = 0;    // tasks that wait for room
-    int reserved_tasks = 0;   // those of the idle ones that room is kept for already
-    int bound_tasks = 0;      // tasks on machines, in doubt and stopping ones included
-    Micros waiting_time = 0;  // since some task of it has waited for room; 0: none does
-    Micros age = 0;           // since it began to count (its submission or the end of what it needed)
-    std::map<std::string, int> tasks_by_zone;  // its tasks by zone, in doubt and stopping ones included
-    Micros time_since_move = 0;                // since a task of it was moved last; a long time if never
-    int recent_balance_moves = 0;  // moves of its tasks to mend balance within the last ten minutes
+    int waiting_tasks = 0;    // tasks that wait for capacity
+    int reserved_tasks = 0;   // waiting tasks for which capacity is already reserved
+    int bound_tasks = 0;      // tasks on machines, in-doubt and stopping ones included
+    Micros waiting_time = 0;  // how long some task of the job has waited for capacity; 0 if none waits
+    Micros age = 0;           // since the job was submitted or, if later, its last dependency was done
+    std::map<std::string, int> tasks_by_zone;  // bound tasks, in-doubt and stopping ones included
+    Micros time_since_move = 0;                // since the last move of one of its tasks; large if none moved
+    int recent_balance_moves = 0;              // moves of its tasks for balance in the last ten minutes
 };
 
 struct ShardView {
     Micros now = 0;
     std::uint64_t seed = 0;
-    std::vector<MachineView> machines;  // by name
-    std::vector<JobView> jobs;          // by admission
+    std::vector<MachineView> machines;  // sorted by name
+    std::vector<JobView> jobs;          // in order of admission
     std::vector<TaskView> tasks;
-    /// Zones with no machine that was heard lately, or heard for less than `settle` since they were.
+    /// Zones that are down, or that have been up again for less than the policy's `settle` time.
     std::vector<std::string> unstable_zones;
 };
 
-/// Why something is moved.
+/// Why a task is moved.
 enum class MoveReason : std::uint8_t { Balance, MakeRoom };
 
-/// A replica or task that leaves its machine to start elsewhere: stopped, proven gone, started.
+/// Moves a replica or task to another machine: the task is stopped, proven gone and started again.
 struct Move {
     std::string job;
     int task = 0;
     std::string from;  // machine
-    std::string to;    // machine that it had better start on; empty: by the five steps
+    std::string to;    // preferred machine for the new start; empty: ordinary placement chooses
     MoveReason reason = MoveReason::Balance;
-    std::string for_job;  // Reason::Room: whose task the room is for
+    std::string for_job;  // MoveReason::MakeRoom: the job that gets the freed capacity
     bool operator==(const Move&) const = default;
 };
 
-/// Room on a machine that is kept for a job's tasks until these are bound.
+/// Capacity of a machine that is reserved for a job's tasks until they are bound.
 struct Reservation {
     std::string job;
     std::string machine;
-    int tasks = 1;  // of the job that shall start there
+    int tasks = 1;  // number of the job's tasks that the reservation holds capacity for
     bool operator==(const Reservation&) const = default;
 };
 
