--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// Zones by policy: how many replicas of a service a zone may hold, and which replica moves where to mend the
-// balance after a zone or machine was lost and is back. Pure.
+// Spreads jobs over zones by policy: how many replicas of a service a zone may hold, and which replica moves
+// where to restore the balance after a zone or machine was lost and is back. Pure.
 //
-// Placement and mending go by one cost of a distribution over zones, compared part by part: replicas where
-// the rule allows none; the squares of what zones hold beyond its cap; zones that are missing; replicas
-// outside the preferred zones. So what is given up first is the last, and nothing that was placed where there
-// was room is moved afterwards.
+// Placement and rebalancing compare distributions over zones by the same cost, component by component:
+// replicas in zones that the rule does not allow, then the squares of what zones hold beyond the rule's cap,
+// then missing zones, then replicas outside the preferred zones. Placement therefore gives up the last of
+// these first, and rebalancing never moves a replica that was placed while there was capacity.
 
 #include <compare>
 #include <limits>
@@ -17,18 +17,18 @@
 
 namespace cottonway::scheduling {
 
-/// Where a job's next task may go and how much each zone is liked.
+/// The zones that a job's next task may be placed in, with a penalty for each.
 struct ZoneChoice {
-    /// Tasks that each zone may hold at most, those on it (in doubt included) counted; a zone that is not
-    /// named takes none. It is about the next task: ask again once that is bound. What the protocol's
-    /// `spread`, `one_zone` and `mill` forbid is never allowed here.
+    /// The most tasks that each zone may hold, tasks already there (in-doubt ones included) counted. A zone
+    /// that is not listed takes none. The choice holds for the next task only and has to be made again after
+    /// that is bound. It never exceeds what the job's own `spread`, `one_zone` and `mill` allow.
     std::map<std::string, int> max_tasks;
     /// Added to a candidate's score in the zone (lower is better).
     std::map<std::string, double> penalty;
-    /// Nothing of the policy was given up for it.
+    /// True if the zones comply with the policy's rule in full.
     bool meets_rule = true;
-    /// Tasks of the job that one machine may hold, where the rule says that a machine's loss must be
-    /// survived. Unless `strict`, one that holds as many is taken when no other fits.
+    /// The most tasks of the job on one machine, if the rule says that the service has to survive the loss of
+    /// a machine. Unless `strict`, a machine that holds as many is used when no other fits.
     int max_tasks_per_machine = std::numeric_limits<int>::max();
     bool strict = false;
 
@@ -42,44 +42,51 @@
     }
 };
 
-/// `standing`: zones with machines that can be bound to; `all`: zones that the settings name; `room`: those
-/// standing that have room for the task, nullptr: not known. For want of room everything but `allowed` is
-/// given up as far as need be, unless the rule is strict. A rule speaks of all jobs in its scope by `allowed`
-/// and `preferred`, and by the rest of services only.
+/// Chooses zones for a job's next task. `usable_zones` are zones with machines that tasks can be bound to,
+/// `all_zones` the zones that the settings name, and `zones_with_room` the usable zones that have capacity
+/// for the task (nullptr: not known). If capacity is short, every part of the rule but `allowed` is relaxed
+/// as far as necessary, unless the rule is strict. `allowed` and `preferred` apply to all jobs in the rule's
+/// scope, the other parts to services only.
 ZoneChoice choose_zones(const JobSpec& job, const policy::ZoneRule* rule,
-                        const std::map<std::string, int>& there, const std::vector<std::string>& standing,
-                        const std::vector<std::string>& all, const std::vector<std::string>* room = nullptr);
+                        const std::map<std::string, int>& tasks_by_zone,
+                        const std::vector<std::string>& usable_zones,
+                        const std::vector<std::string>& all_zones,
+                        const std::vector<std::string>* zones_with_room = nullptr);
 
-/// How far a service is from what its policy asks for; 0: nothing to mend. Comparable between services.
-double imbalance(const JobSpec& job, const policy::ZoneRule* rule, const std::map<std::string, int>& there,
-                 const std::vector<std::string>& standing, const std::vector<std::string>& all);
+/// Returns how far a service is from the best distribution that its rule asks for and the usable zones admit,
+/// or 0 if no move would improve it. Values of different services can be compared.
+double imbalance(const JobSpec& job, const policy::ZoneRule* rule,
+                 const std::map<std::string, int>& tasks_by_zone,
+                 const std::vector<std::string>& usable_zones, const std::vector<std::string>& all_zones);
 
-/// Moves that mend services, the most hurt first: one replica of a service at a time, only while all its
-/// others run and nothing is troubled, to a machine with room (its image where there is one), never one that
-/// undoes another's.
+/// Returns moves that restore the balance of services, the least balanced service first. A service has one
+/// replica moved at a time, and only while all its other replicas run and no zone is unstable. The
+/// destination is a machine with capacity, preferably one that has the image. No move undoes another one.
 std::vector<Move> rebalance(const ShardView& view, const policy::Policy& policy,
                             const std::vector<std::string>& all_zones);
 
-/// Between two moves of a service: the budget's pause, doubled for each move of the last ten minutes beyond
-/// one of each replica, up to 32 times.
+/// Returns the minimum time between two moves of a service: the pause in the policy's budgets, doubled for
+/// each move in the last ten minutes beyond one for each replica, up to a factor of 32.
 Micros pause_between_moves(const JobView& job, const policy::Budgets& budgets);
 
-/// Which zones stand, and which have not stood for long enough to move anything back. A zone that was lost
-/// and came back several times within ten minutes has to stand twice as long each time, up to 32 times.
+/// Tracks which zones are up, and which have not been up long enough to move replicas back. A zone that was
+/// lost several times within ten minutes has to be up twice as long after each further loss, up to a factor
+/// of 32.
 class ZoneMonitor {
   public:
-    /// To be told whenever it is looked at; the first time a zone stands counts as no loss.
-    void observe(const std::string& zone, bool stands, Micros now);
-    /// Of the zones seen, those that do not stand or have stood for less than `settle` (doubled as above).
+    /// Records the zone's current state. To be called at every check; the first time that a zone is up does
+    /// not count as recovery from a loss.
+    void observe(const std::string& zone, bool is_up, Micros now);
+    /// Returns the observed zones that are down or have been up for less than `settle`, doubled as above.
     std::vector<std::string> unstable_zones(Micros now, Micros settle) const;
 
   private:
-    struct Seen {
-        bool stands = false;
-        Micros since = 0;          // it has stood
-        std::vector<Micros> lost;  // when, within the last ten minutes
+    struct ZoneHistory {
+        bool is_up = false;
+        Micros up_since = 0;
+        std::vector<Micros> lost_at;  // times of losses within the last ten minutes
     };
-    std::map<std::string, Seen> zones_;
+    std::map<std::string, ZoneHistory> zones_;
 };
 
 }  // namespace cottonway::scheduling
