--- a/src/scheduling/gpu_packing.hpp
+++ b/src/scheduling/gpu_packing.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// GpuSettings left over in pieces: a term of the score that keeps them together, and moves that make room for
-// a large task that fits by total but on no machine. Pure.
+// Limits the fragmentation of free GPUs: a score term that keeps free GPUs of a machine together, and plans
+// of moves that make room for a large task when enough GPUs are free in total but not on one machine. Pure.
 
 #include <map>
 #include <optional>
@@ -10,46 +10,51 @@
 
 namespace cottonway::scheduling {
 
-/// How often each number of GPUs is asked for, by what waits and runs; sums to 1.
+/// The mix of GPU counts that waiting and running tasks ask for, as relative weights.
 class GpuDemand {
   public:
     void add(Milli gpus, double weight);
-    /// Tasks of one job, by what they ask for: each GPU counts, of waiting tasks threefold.
+    /// Adds the tasks of one job that each ask for `gpus`. The weight is the number of GPUs, with those of
+    /// waiting tasks counted threefold.
     void add(Milli gpus, int waiting, int running);
-    /// Part of `free` GPUs (of one machine) that is of no use to the shapes, weighed by how often they are
-    /// asked for: 0 none, 1 all of it. A shape uses as many whole multiples of itself as are free.
+    /// Returns the share of a machine's `free` GPUs, 0 to 1, that the demanded GPU counts cannot use,
+    /// averaged over the counts by weight. A count uses as many whole multiples of itself as are free.
     double unusable_share(Milli free) const;
-    /// GpuSettings of no use in `room` of a machine of `size`, 0 to the number that is free: those of no use
-    /// to the shapes, and those that have less than their part of the machine's cores or memory beside them.
-    double unusable_gpus(const Resources& size, const Resources& room) const;
+    /// Returns the number of free GPUs, of a machine of the given size, that are unusable: those that the
+    /// demanded GPU counts cannot use, and those without their proportional part of the machine's cores or
+    /// memory left.
+    double unusable_gpus(const Resources& size, const Resources& available) const;
     bool empty() const { return weights_.empty(); }
 
   private:
-    std::map<Milli, double> weights_;
-    double total_ = 0;
+    std::map<Milli, double> weights_;  // by number of GPUs
+    double total_weight_ = 0;
 };
 GpuDemand gpu_demand_of(const ShardView& view);
 
-/// Added to a candidate's score (lower is better, the paper's weights add up to 100): what the task's start
-/// there takes from the use of the machine's free GPUs; and what keeps work without GPUs off machines that
-/// have some.
-double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& need,
-                   const GpuDemand& shapes);
+/// Returns a penalty to add to a candidate's score, where lower is better and the weights of the paper's
+/// terms add up to 100. It grows with the free GPUs that the task's start there makes unusable, and keeps
+/// tasks without GPUs off machines that have GPUs.
+double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& request,
+                   const GpuDemand& demand);
 
-/// Moves that make room for one task of `job` (index into View::jobs): the machine it shall start on, and
-/// what has to leave it, each with a destination that fits. No moves: what is stopping there is enough.
+/// A reservation on the machine where one or more tasks of a job shall start, and the moves of tasks that
+/// have to leave that machine, each to a destination with capacity. The plan has no moves if it is enough to
+/// wait for tasks that are already stopping.
 struct RoomPlan {
     Reservation reservation;
     std::vector<Move> moves;
-    double cost = 0;  // seconds: time without the moved tasks, weights fetched again, work lost
+    double cost = 0;  // in seconds: downtime of the moved tasks, images fetched again, work lost
 };
-/// Nothing if it does not wait long enough, fits already, cannot have room within the budgets, or is a gang
-/// that waits with several tasks (make_rooms).
+/// Plans room for one task of `job` (index into ShardView::jobs). Returns nothing if the job has not waited
+/// long enough, fits already, cannot get room within the budgets, or is a gang with several waiting tasks
+/// (see plan_room_for_waiting_jobs).
 std::optional<RoomPlan> plan_room_for_job(const ShardView& view, std::size_t job,
                                           const policy::Policy& policy);
 
-/// For all that waits long enough, the highest tier and the longest wait first, within the budgets; plans do
-/// not use the same room twice. A gang has one plan for each of its machines, all of them or none.
+/// Plans room for all jobs that have waited long enough, the highest tier and then the longest wait first,
+/// within the budgets. No two plans use the same capacity. A gang gets one plan for each machine it starts
+/// on, or none at all.
 std::vector<RoomPlan> plan_room_for_waiting_jobs(const ShardView& view, const policy::Policy& policy);
 
 }  // namespace cottonway::scheduling
