--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// What a shard has begun and not ended: moves under way and room that is gathered. It is stored as one value
-// of the shard (c/plan/DOMAIN) before anything of it is carried out, so that whoever holds the shard next
-// ends it or takes it back, and begins no second move of the same task. Pure: the holder reads and writes.
+// The migration plan of a shard: moves in progress and reserved capacity. It is stored as one value of the
+// shard (c/plan/DOMAIN) before any of it is carried out. The shard's next holder can therefore finish or
+// cancel what is in the plan, and never starts a second move of the same task. Pure: the holder reads and
+// writes the stored value.
 
 #include <map>
 #include <optional>
@@ -16,111 +17,116 @@
 
 struct PlannedMove {
     Move move;
-    std::int64_t attempt = 0;        // the one that ends by it: any other has started since
-    std::int64_t planned_at_ms = 0;  // time of day when it was planned
+    std::int64_t attempt = 0;        // the attempt that the move stops; a later attempt was started since
+    std::int64_t planned_at_ms = 0;  // wall clock
     bool operator==(const PlannedMove&) const = default;
 };
 
 struct PlannedReservation {
     Reservation reservation;
-    std::int64_t planned_at_ms = 0;
-    int tasks_when_planned = 0;  // tasks of the job on the machine when it was planned
+    std::int64_t planned_at_ms = 0;  // wall clock
+    int tasks_when_planned = 0;      // tasks of the job that were already on the machine
     bool operator==(const PlannedReservation&) const = default;
 };
 
-/// What the holder knows of a task that is in a move, or of a job that room is gathered for.
+/// What the holder knows of a task that has a planned move.
 struct TaskState {
     bool known = false;      // the job is not over and has this task
-    bool cancelled = false;  // its job
-    std::string machine;     // where it is bound, stopping and in doubt included; empty: nowhere
+    bool cancelled = false;  // the job was cancelled
+    std::string machine;     // where the task is bound, also while stopping or in doubt; empty: nowhere
     std::int64_t attempt = 0;
     bool stopping = false;
 };
+/// What the holder knows of a job that has a planned move or a reservation.
 struct JobState {
     bool known = false;
     bool cancelled = false;
     bool is_service = false;
-    int waiting_tasks = 0;  // tasks that still wait
+    int waiting_tasks = 0;
 };
 
-/// The plan of a shard. To forget it is always safe: a task that was stopped for a move starts by the five
-/// steps then, and room that was kept is anybody's.
+/// The migration plan. Losing it is always safe: a task that was stopped for a move is then started by
+/// ordinary placement, and reserved capacity becomes free for any task.
 class MigrationPlan {
   public:
+    /// Interface through which the plan queries the current state of the shard.
     struct ShardQuery {
         virtual ~ShardQuery() = default;
         virtual TaskState task(const std::string& job, int task) const = 0;
         virtual JobState job(const std::string& ref) const = 0;
-        /// Tasks of the job on the machine, in doubt and stopping ones included.
+        /// Returns the number of the job's tasks on the machine, in-doubt and stopping ones included.
         virtual int tasks_on(const std::string& job, const std::string& machine) const = 0;
         virtual bool machine_usable(const std::string& machine) const = 0;
     };
-    /// What the holder has to do now. Each may be asked for again; carrying it out twice does no harm.
+    /// What the holder has to do now. The same action may be returned again; it is idempotent.
     struct Actions {
-        std::vector<Move> tasks_to_stop;  // tasks to be stopped; only those that are stored
-        bool needs_write = false;         // the value has changed and no write of it is under way
+        std::vector<Move> tasks_to_stop;  // only moves that are stored
+        bool needs_write = false;         // the value has changed and no write is in progress
     };
-    /// Of a value, counted as JSON text. Nothing is taken in that would make it larger.
+    /// Limit on the size of the stored value as JSON text. Entries that would exceed it are not added.
     static constexpr std::size_t kMaxValueBytes = 1800;
 
-    /// Takes in a stored value; nothing of what has not been stored survives that. False if it is damaged, or
-    /// of another version: the plan is empty then, and shall be stored so.
+    /// Replaces the plan by a stored value; entries that were not stored are lost. Returns false if the value
+    /// is damaged or of another version. The plan is empty then and has to be stored.
     bool restore(const Json& value);
     Json to_value() const;
-    /// What has been proposed, as far as budgets and the size of a value allow and it is not in the plan yet;
-    /// returns how many are new. Room for a job comes with all of its moves or not at all. A service has no
-    /// two moves and none while it lacks a task, and a move is of a task that is at its place and not told to
-    /// stop.
+    /// Adds proposed moves and reservations that are not in the plan yet, as far as the budgets and the size
+    /// of the value admit, and returns how many were added. Reservations of a job are added with all of its
+    /// moves or not at all. A service has at most one move, and none while some replica is missing. A task
+    /// can be moved only if it is on the move's source machine and not stopping.
     std::size_t add(const std::vector<Move>& moves, const std::vector<Reservation>& reservations,
-                    std::int64_t now_ms, const policy::Budgets& budgets, const ShardQuery& knows);
-    /// What follows from what is known now: ends what is done or has lost its purpose, and tells what to do.
-    /// `give_up_ms`: a gathering or move that has not come to its end after that long is dropped.
-    Actions advance(const ShardQuery& knows, std::int64_t now_ms, std::int64_t give_up_ms);
-    /// Drops a move that need not be made any more. To be called only while its task has not been stopped.
+                    std::int64_t now_ms, const policy::Budgets& budgets, const ShardQuery& shard);
+    /// Removes entries that are complete or no longer needed, and returns what the holder has to do. An entry
+    /// that is still there `give_up_ms` after it was planned is dropped.
+    Actions advance(const ShardQuery& shard, std::int64_t now_ms, std::int64_t give_up_ms);
+    /// Removes a move that is no longer needed. Must be called only while its task has not been stopped.
     void cancel_move(const Move& move);
-    /// A write of `value()` as it was when `writing()` was called has gone through; or has not, or may have.
+    /// Marks the start of a write of `to_value()`.
     void begin_write();
+    /// Marks the end of that write: `ok` if it has succeeded, false if it has failed or its outcome is
+    /// unknown.
     void finish_write(bool ok);
 
     bool empty() const { return moves_.empty() && reservations_.empty(); }
-    /// The move of a task that is in the plan and stored, nullptr: none.
+    /// Returns the task's move if it is in the plan and stored, otherwise nullptr.
     const PlannedMove* stored_move(const std::string& job, int task) const;
-    /// Where a task in a move had better start; empty: anywhere.
+    /// Returns the preferred machine for the new start of a task that is being moved; empty: any machine.
     std::string destination(const std::string& job, int task) const;
-    /// Room of a machine that is kept: what is gathered, and a place at its destination for what moves. The
-    /// job itself may use it. Only what is stored, and what has not been used as of the last step.
+    /// Returns the reserved capacity by machine: the stored reservations, and one for each stored move at its
+    /// destination. Only the job of a reservation may use its capacity. Reservations that were used by the
+    /// last call of `advance` are left out.
     const std::map<std::string, std::vector<Reservation>>& reserved_by_machine() const {
         return reserved_by_machine_;
-    }  // by machine
+    }
     const std::vector<PlannedMove>& moves() const { return moves_; }
     const std::vector<PlannedReservation>& reservations() const { return reservations_; }
 
   private:
-    using Task = std::pair<std::string, int>;
-    using Room = std::pair<std::string, std::string>;  // job, machine
-    /// What of a value is durable, or on its way to be.
-    struct Durable {
-        std::set<Task> moves;
-        std::set<Room> reservations;
+    using TaskKey = std::pair<std::string, int>;                 // job, task
+    using ReservationKey = std::pair<std::string, std::string>;  // job, machine
+    /// Keys of the entries that a value holds.
+    struct Entries {
+        std::set<TaskKey> moves;
+        std::set<ReservationKey> reservations;
     };
-    Durable all() const;
-    bool take_in(const Json& value);
-    bool may_begin(const Move& move, const ShardQuery& knows) const;
-    bool has(const Reservation& reservation) const;
-    bool gathers_for(const std::string& job) const;
-    /// Whether a move has come to its end or lost its purpose.
-    bool ended(const PlannedMove& planned, const ShardQuery& knows) const;
-    static bool ended(const PlannedReservation& planned, const ShardQuery& knows);
-    void forget(const PlannedMove& planned);
-    void forget(const PlannedReservation& planned);
-    void keep(const ShardQuery* knows = nullptr);
+    Entries all_entries() const;
+    bool parse(const Json& value);
+    bool can_begin(const Move& move, const ShardQuery& shard) const;
+    bool contains(const Reservation& reservation) const;
+    bool has_reservation_for(const std::string& job) const;
+    /// Returns true if the move is complete or no longer needed.
+    bool is_over(const PlannedMove& planned, const ShardQuery& shard) const;
+    static bool is_over(const PlannedReservation& planned, const ShardQuery& shard);
+    void drop_stored(const PlannedMove& planned);
+    void drop_stored(const PlannedReservation& planned);
+    void update_reserved_by_machine(const ShardQuery* shard = nullptr);
 
     std::vector<PlannedMove> moves_;
     std::vector<PlannedReservation> reservations_;
-    Durable stored_;
-    std::optional<Durable> writing_;
+    Entries stored_;                        // entries that are certainly stored
+    std::optional<Entries> being_written_;  // entries of the write in progress
     std::map<std::string, std::vector<Reservation>> reserved_by_machine_;
-    std::vector<std::int64_t> begun_ms_;  // of moves in the last minute
+    std::vector<std::int64_t> recent_moves_ms_;  // planning times of the moves of the last minute
     bool changed_ = false;
 };
 
