--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -1,4 +1,4 @@
-// Zones by policy: where a service's next replica may go, and how it comes back into balance.
+// Zone rules: where a service's next replica may be placed, and which moves restore its balance.
 
 #include "scheduling/topology_spread.hpp"
 
@@ -18,75 +18,76 @@
 using Counts = std::map<std::string, int>;
 using Zones = std::vector<std::string>;
 
-const Zones kAll{"a", "b", "c"};
+const Zones kAllZones{"a", "b", "c"};
 
 JobSpec service(int replicas, const std::string& ref = "req-000001") {
-    JobSpec s;
-    s.ref = ref;
-    s.team = "red";
-    s.kind = JobKind::Service;
-    s.rank = PriorityClass::Production;
-    s.tasks = replicas;
-    s.request = {1'000, 0, 1'000};
-    s.image = "img";
-    return s;
+    JobSpec spec;
+    spec.ref = ref;
+    spec.team = "red";
+    spec.kind = JobKind::Service;
+    spec.rank = PriorityClass::Production;
+    spec.tasks = replicas;
+    spec.request = {1'000, 0, 1'000};
+    spec.image = "img";
+    return spec;
 }
 
-/// Zones that take the next one.
-Zones open(const ZoneChoice& choice, const Counts& there) {
+/// Returns the zones that may take the next replica.
+Zones open_zones(const ZoneChoice& choice, const Counts& counts) {
     Zones zones;
-    for (const auto& [zone, most] : choice.max_tasks) {
-        auto it = there.find(zone);
-        if (most > (it == there.end() ? 0 : it->second)) zones.push_back(zone);
+    for (const auto& [zone, limit] : choice.max_tasks) {
+        auto it = counts.find(zone);
+        if (limit > (it == counts.end() ? 0 : it->second)) zones.push_back(zone);
     }
     return zones;
 }
 
-/// Binds what is missing one by one, to the first zone that takes it; whether all was as asked.
-bool fill(const JobSpec& job, const ZoneRule& rule, Counts& there, const Zones& standing) {
-    int left = job.tasks;
-    for (const auto& z : there) left -= z.second;
-    bool as_asked = true;
-    for (; left > 0; --left) {
-        const auto choice = choose_zones(job, &rule, there, standing, kAll);
-        const Zones zones = open(choice, there);
+/// Places the missing replicas one by one in the first open zone. Returns true if all were placed and every
+/// choice met the rule.
+bool place_missing(const JobSpec& job, const ZoneRule& rule, Counts& counts, const Zones& usable_zones) {
+    int missing = job.tasks;
+    for (const auto& entry : counts) missing -= entry.second;
+    bool meets_rule = true;
+    for (; missing > 0; --missing) {
+        const auto choice = choose_zones(job, &rule, counts, usable_zones, kAllZones);
+        const Zones zones = open_zones(choice, counts);
         if (zones.empty()) return false;
-        as_asked = as_asked && choice.meets_rule;
-        ++there[zones.front()];
+        meets_rule = meets_rule && choice.meets_rule;
+        ++counts[zones.front()];
     }
-    return as_asked;
+    return meets_rule;
 }
 
-/// A shard in which every move that is asked for is carried out before the next look.
+/// A shard in which moves can be applied to the view, so that `rebalance` can be called again on the result.
 struct Shard {
     ShardView view;
     policy::Policy policy;
 
     Shard() { policy.zones.emplace_back().rebalance = true; }
     ZoneRule& rule() { return policy.zones.front(); }
-    void machine(const std::string& name, const std::string& zone, Milli cores = 8'000) {
-        MachineView m;
-        m.name = name;
-        m.type = "small";
-        m.zone = zone;
-        m.usable = true;
-        m.size = {cores, 0, 64'000};
-        view.machines.push_back(m);
+    void add_machine(const std::string& name, const std::string& zone, Milli cores = 8'000) {
+        MachineView machine;
+        machine.name = name;
+        machine.type = "small";
+        machine.zone = zone;
+        machine.usable = true;
+        machine.size = {cores, 0, 64'000};
+        view.machines.push_back(machine);
     }
-    std::size_t index(const std::string& name) const {
+    std::size_t machine_index(const std::string& name) const {
         for (std::size_t i = 0; i < view.machines.size(); ++i)
             if (view.machines[i].name == name) return i;
         return SIZE_MAX;
     }
-    void add(const JobSpec& spec, const std::vector<std::string>& on) {
+    void add_service(const JobSpec& spec, const std::vector<std::string>& machines) {
         JobView job;
         job.spec = spec;
         job.tier = policy::Tier::Live;
-        job.bound_tasks = static_cast<int>(on.size());
+        job.bound_tasks = static_cast<int>(machines.size());
         job.waiting_tasks = spec.tasks - job.bound_tasks;
         job.time_since_move = 3600 * kSecond;
-        for (std::size_t i = 0; i < on.size(); ++i) {
-            const std::size_t m = index(on[i]);
+        for (std::size_t i = 0; i < machines.size(); ++i) {
+            const std::size_t m = machine_index(machines[i]);
             view.machines[m].reserved += spec.request;
             ++job.tasks_by_zone[view.machines[m].zone];
             view.machines[m].tasks.push_back(view.tasks.size());
@@ -94,154 +95,159 @@
         }
         view.jobs.push_back(job);
     }
-    std::vector<Move> look() const { return rebalance(view, policy, kAll); }
-    TaskView& task(const Move& m) {
-        for (auto& t : view.tasks)
-            if (view.jobs[t.job].spec.ref == m.job && t.task == m.task) return t;
-        throw std::logic_error("no such task");
+    std::vector<Move> moves() const { return rebalance(view, policy, kAllZones); }
+    TaskView& task(const Move& move) {
+        for (auto& candidate : view.tasks)
+            if (view.jobs[candidate.job].spec.ref == move.job && candidate.task == move.task)
+                return candidate;
+        throw std::logic_error("move of an unknown task");
     }
-    void carry_out(const Move& m) {
-        TaskView& t = task(m);
-        JobView& job = view.jobs[t.job];
-        MachineView &from = view.machines[t.machine], &to = view.machines[index(m.to)];
+    void apply(const Move& move) {
+        TaskView& moved = task(move);
+        JobView& job = view.jobs[moved.job];
+        MachineView &from = view.machines[moved.machine], &to = view.machines[machine_index(move.to)];
         from.reserved -= job.spec.request;
         to.reserved += job.spec.request;
         if (--job.tasks_by_zone[from.zone] == 0) job.tasks_by_zone.erase(from.zone);
         ++job.tasks_by_zone[to.zone];
-        t.machine = index(m.to);
+        moved.machine = machine_index(move.to);
     }
-    void zone_down(const std::string& zone, bool down = true) {
-        for (auto& m : view.machines)
-            if (m.zone == zone) m.usable = !down;
+    void set_zone_down(const std::string& zone, bool down = true) {
+        for (auto& machine : view.machines)
+            if (machine.zone == zone) machine.usable = !down;
         view.unstable_zones.clear();
         if (down) view.unstable_zones.push_back(zone);
     }
     double imbalance_of(std::size_t job) const {
-        std::set<std::string> standing;
-        for (const auto& m : view.machines)
-            if (m.usable) standing.insert(m.zone);
+        std::set<std::string> usable_zones;
+        for (const auto& machine : view.machines)
+            if (machine.usable) usable_zones.insert(machine.zone);
         return imbalance(view.jobs[job].spec, policy.zone_rule(view.jobs[job].spec),
-                         view.jobs[job].tasks_by_zone, {standing.begin(), standing.end()}, kAll);
+                         view.jobs[job].tasks_by_zone, {usable_zones.begin(), usable_zones.end()}, kAllZones);
     }
 };
 
-// ---------------------------------------------------------------- where the next one goes
+// ---------------------------------------------------------------- choosing zones
 
-TEST(ZoneChoices, WithoutARuleTheProtocolAloneCounts) {
+TEST(ChooseZones, WithoutARuleOnlyTheJobsConstraintsApply) {
     JobSpec job = service(9);
-    auto c = choose_zones(job, nullptr, {{"a", 3}}, {"a", "b"}, kAll);
-    EXPECT_EQ(c.max_tasks, (Counts{{"a", 9}, {"b", 9}, {"c", 9}}));
-    EXPECT_EQ(c.penalty_in("a"), 75);
-    EXPECT_EQ(c.penalty_in("b"), 0);
+    auto choice = choose_zones(job, nullptr, {{"a", 3}}, {"a", "b"}, kAllZones);
+    EXPECT_EQ(choice.max_tasks, (Counts{{"a", 9}, {"b", 9}, {"c", 9}}));
+    EXPECT_EQ(choice.penalty_in("a"), 75);
+    EXPECT_EQ(choice.penalty_in("b"), 0);
     job.spread = true;
-    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).max_tasks, (Counts{{"a", 5}, {"b", 5}, {"c", 5}}));
-    EXPECT_EQ(choose_zones(service(1), nullptr, {}, kAll, kAll).max_tasks_in("a"), 1);
+    EXPECT_EQ(choose_zones(job, nullptr, {}, kAllZones, kAllZones).max_tasks,
+              (Counts{{"a", 5}, {"b", 5}, {"c", 5}}));
+    EXPECT_EQ(choose_zones(service(1), nullptr, {}, kAllZones, kAllZones).max_tasks_in("a"), 1);
     job = service(4);
     job.zone = "b";
-    EXPECT_EQ(choose_zones(job, nullptr, {}, kAll, kAll).max_tasks, (Counts{{"a", 0}, {"b", 4}, {"c", 0}}));
+    EXPECT_EQ(choose_zones(job, nullptr, {}, kAllZones, kAllZones).max_tasks,
+              (Counts{{"a", 0}, {"b", 4}, {"c", 0}}));
     job = service(4);
     job.one_zone = true;
-    EXPECT_EQ(choose_zones(job, nullptr, {{"c", 1}}, kAll, kAll).max_tasks,
+    EXPECT_EQ(choose_zones(job, nullptr, {{"c", 1}}, kAllZones, kAllZones).max_tasks,
               (Counts{{"a", 0}, {"b", 0}, {"c", 4}}));
 }
 
-TEST(ZoneChoices, AShareIsRoundedUpAndALeastNumberOfZonesIsReached) {
+TEST(ChooseZones, TheShareIsRoundedUpAndTheMinimumOfZonesIsReached) {
     ZoneRule rule;
     rule.most_share = 1.0 / 3;
-    Counts there;
-    EXPECT_TRUE(fill(service(9), rule, there, kAll));
-    EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}, {"c", 3}}));
+    Counts counts;
+    EXPECT_TRUE(place_missing(service(9), rule, counts, kAllZones));
+    EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}, {"c", 3}}));
     rule.most_share = 0.07;
-    EXPECT_EQ(choose_zones(service(100), &rule, {}, kAll, kAll).max_tasks_in("a"), 7)
-        << "whatever 0.07 is in binary";
+    EXPECT_EQ(choose_zones(service(100), &rule, {}, kAllZones, kAllZones).max_tasks_in("a"), 7)
+        << "the rounding error of 0.07 in binary must not add a replica";
     rule.most_share = 1;
     rule.least_zones = 3;
-    there.clear();
-    EXPECT_TRUE(fill(service(4), rule, there, kAll));
-    EXPECT_EQ(there.size(), 3u);
+    counts.clear();
+    EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
+    EXPECT_EQ(counts.size(), 3u);
     rule.least_zones = 1;
     rule.survive = Survive::Zone;
-    EXPECT_EQ(choose_zones(service(5), &rule, {}, kAll, kAll).max_tasks_in("a"), 3);
+    EXPECT_EQ(choose_zones(service(5), &rule, {}, kAllZones, kAllZones).max_tasks_in("a"), 3);
 }
 
-TEST(ZoneChoices, WhatIsLostComesBackLevelInWhatStands) {
+TEST(ChooseZones, ReplicasOfALostZoneAreSpreadEvenlyOverTheOthers) {
     ZoneRule rule;
     rule.most_share = 0.34;
-    Counts there{{"a", 2}, {"b", 2}};  // two of "c" are proven gone
-    EXPECT_TRUE(fill(service(6), rule, there, {"a", "b"})) << "a third rounded up";
-    EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}}));
+    Counts counts{{"a", 2}, {"b", 2}};  // the two replicas in "c" are proven gone
+    EXPECT_TRUE(place_missing(service(6), rule, counts, {"a", "b"})) << "0.34 of 6 is rounded up to 3";
+    EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}}));
     rule.most_share = 1.0 / 3;
-    there = {{"a", 2}, {"b", 2}};
-    EXPECT_FALSE(fill(service(6), rule, there, {"a", "b"})) << "more than asked for in both, and it says so";
-    EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}}));
+    counts = {{"a", 2}, {"b", 2}};
+    EXPECT_FALSE(place_missing(service(6), rule, counts, {"a", "b"}))
+        << "both zones exceed the share, which has to be reported";
+    EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}}));
 }
 
-TEST(ZoneChoices, StrictWaits) {
+TEST(ChooseZones, AStrictRuleIsNotRelaxed) {
     ZoneRule rule;
     rule.most_share = 0.5;
     rule.strict = true;
-    const Counts there{{"a", 2}};
-    const auto c = choose_zones(service(4), &rule, there, {"a"}, kAll);
-    EXPECT_TRUE(open(c, there).empty());
+    const Counts counts{{"a", 2}};
+    const auto choice = choose_zones(service(4), &rule, counts, {"a"}, kAllZones);
+    EXPECT_TRUE(open_zones(choice, counts).empty());
     rule.strict = false;
-    const auto relaxed = choose_zones(service(4), &rule, there, {"a"}, kAll);
-    EXPECT_EQ(open(relaxed, there), Zones{"a"});
-    EXPECT_EQ(relaxed.max_tasks_in("a"), 3) << "no further than need be";
+    const auto relaxed = choose_zones(service(4), &rule, counts, {"a"}, kAllZones);
+    EXPECT_EQ(open_zones(relaxed, counts), Zones{"a"});
+    EXPECT_EQ(relaxed.max_tasks_in("a"), 3) << "relaxed by one replica only";
     EXPECT_FALSE(relaxed.meets_rule);
     rule = {};
     rule.least_zones = 2;
     rule.strict = true;
     const Counts one{{"a", 1}};
-    EXPECT_EQ(open(choose_zones(service(3), &rule, one, {"a"}, kAll), one), Zones{"a"})
-        << "the last may go elsewhere";
-    EXPECT_TRUE(open(choose_zones(service(2), &rule, one, {"a"}, kAll), one).empty());
+    EXPECT_EQ(open_zones(choose_zones(service(3), &rule, one, {"a"}, kAllZones), one), Zones{"a"})
+        << "the last replica can still go to another zone";
+    EXPECT_TRUE(open_zones(choose_zones(service(2), &rule, one, {"a"}, kAllZones), one).empty());
 }
 
-TEST(ZoneChoices, TheProtocolIsNeverGivenUp) {
+TEST(ChooseZones, TheJobsConstraintsAreNeverRelaxed) {
     ZoneRule rule;
     JobSpec job = service(4);
     job.spread = true;
-    Counts there{{"a", 2}};
-    EXPECT_TRUE(open(choose_zones(job, &rule, there, {"a"}, kAll), there).empty());
+    Counts counts{{"a", 2}};
+    EXPECT_TRUE(open_zones(choose_zones(job, &rule, counts, {"a"}, kAllZones), counts).empty());
     rule.allowed = {"a"};
-    EXPECT_EQ(open(choose_zones(job, &rule, there, {"a", "b"}, kAll), there), Zones{"b"})
-        << "the rule gives way to it";
+    EXPECT_EQ(open_zones(choose_zones(job, &rule, counts, {"a", "b"}, kAllZones), counts), Zones{"b"})
+        << "the rule is relaxed instead";
     job.spread = false;
     job.zone = "c";
-    EXPECT_TRUE(open(choose_zones(job, &rule, {}, {"a", "b"}, kAll), {}).empty());
+    EXPECT_TRUE(open_zones(choose_zones(job, &rule, {}, {"a", "b"}, kAllZones), {}).empty());
     job.zone.reset();
     job.one_zone = true;
     rule = {};
     rule.least_zones = 2;
-    EXPECT_EQ(open(choose_zones(job, &rule, there, kAll, kAll), there), Zones{"a"});
+    EXPECT_EQ(open_zones(choose_zones(job, &rule, counts, kAllZones, kAllZones), counts), Zones{"a"});
 }
 
-TEST(ZoneChoices, PreferredZonesFillFirstAsFarAsTheRestOfTheRuleAllows) {
+TEST(ChooseZones, PreferredZonesFillFirstWithinTheRestOfTheRule) {
     ZoneRule rule;
     rule.preferred = {"b"};
     rule.most_share = 0.5;
-    Counts there;
-    EXPECT_TRUE(fill(service(4), rule, there, kAll));
-    EXPECT_EQ(there, (Counts{{"a", 2}, {"b", 2}}));
-    // Where there is no room, others serve: a preference is no demand.
-    const Zones room{"c"};
-    const auto c = choose_zones(service(4), &rule, {}, kAll, kAll, &room);
-    EXPECT_EQ(open(c, {}), room);
-    EXPECT_TRUE(c.meets_rule);
-    EXPECT_GT(c.penalty_in("c"), c.penalty_in("b"));
+    Counts counts;
+    EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
+    EXPECT_EQ(counts, (Counts{{"a", 2}, {"b", 2}}));
+    // A preference does not rule out other zones when the preferred ones are full.
+    const Zones zones_with_room{"c"};
+    const auto choice = choose_zones(service(4), &rule, {}, kAllZones, kAllZones, &zones_with_room);
+    EXPECT_EQ(open_zones(choice, {}), zones_with_room);
+    EXPECT_TRUE(choice.meets_rule);
+    EXPECT_GT(choice.penalty_in("c"), choice.penalty_in("b"));
 }
 
-TEST(ZoneChoices, WantOfRoomOpensNoZoneThatIsNotAllowed) {
+TEST(ChooseZones, LackOfCapacityOpensNoZoneThatIsNotAllowed) {
     ZoneRule rule;
     rule.allowed = {"a"};
-    const Zones room{"b"};
-    EXPECT_TRUE(open(choose_zones(service(2), &rule, {}, {"a", "b"}, kAll, &room), {}).empty());
-    const auto c = choose_zones(service(2), &rule, {}, {"b"}, kAll, &room);
-    EXPECT_EQ(open(c, {}), Zones{"b"}) << "none that is allowed stands";
-    EXPECT_FALSE(c.meets_rule);
+    const Zones zones_with_room{"b"};
+    EXPECT_TRUE(
+        open_zones(choose_zones(service(2), &rule, {}, {"a", "b"}, kAllZones, &zones_with_room), {}).empty());
+    const auto choice = choose_zones(service(2), &rule, {}, {"b"}, kAllZones, &zones_with_room);
+    EXPECT_EQ(open_zones(choice, {}), Zones{"b"}) << "no allowed zone is usable";
+    EXPECT_FALSE(choice.meets_rule);
 }
 
-TEST(ZoneChoices, BatchIsKeptToZonesButNotSpread) {
+TEST(ChooseZones, BatchIsKeptToAllowedZonesButNotSpread) {
     ZoneRule rule;
     rule.allowed = {"a", "b"};
     rule.most_share = 0.5;
@@ -249,154 +255,156 @@
     rule.survive = Survive::Machine;
     JobSpec job = service(6);
     job.kind = JobKind::Gang;
-    const auto c = choose_zones(job, &rule, {{"a", 5}}, kAll, kAll);
-    EXPECT_EQ(c.max_tasks, (Counts{{"a", 6}, {"b", 6}, {"c", 0}}));
-    EXPECT_GT(c.max_tasks_per_machine, 1);
+    const auto choice = choose_zones(job, &rule, {{"a", 5}}, kAllZones, kAllZones);
+    EXPECT_EQ(choice.max_tasks, (Counts{{"a", 6}, {"b", 6}, {"c", 0}}));
+    EXPECT_GT(choice.max_tasks_per_machine, 1);
     job.kind = JobKind::Service;
-    EXPECT_EQ(choose_zones(job, &rule, {}, kAll, kAll).max_tasks_per_machine, 1);
+    EXPECT_EQ(choose_zones(job, &rule, {}, kAllZones, kAllZones).max_tasks_per_machine, 1);
 }
 
-// ---------------------------------------------------------------- mending
-
-/// Three zones of two machines, a service of six that is to survive a zone, all of whose replicas came back
-/// in two of them.
-Shard after_a_loss() {
-    Shard d;
-    for (const auto& zone : kAll)
-        for (int i = 0; i < 2; ++i) d.machine(zone + std::to_string(i), zone);
-    d.rule().most_share = 1.0 / 3;
-    d.add(service(6), {"a0", "a1", "b0", "b1", "a0", "b0"});
-    return d;
+// ---------------------------------------------------------------- rebalancing
+
+/// Three zones of two machines, and a service of six replicas with at most a third in one zone. All replicas
+/// run in two of the zones, as after the loss of the third one.
+Shard shard_after_zone_loss() {
+    Shard shard;
+    for (const auto& zone : kAllZones)
+        for (int i = 0; i < 2; ++i) shard.add_machine(zone + std::to_string(i), zone);
+    shard.rule().most_share = 1.0 / 3;
+    shard.add_service(service(6), {"a0", "a1", "b0", "b1", "a0", "b0"});
+    return shard;
 }
 
-TEST(Rebalancing, AZoneThatIsBackGetsItsPartOneReplicaAtATime) {
-    Shard d = after_a_loss();
-    d.zone_down("c");
-    EXPECT_EQ(d.imbalance_of(0), 0) << "as good as it can be";
-    EXPECT_TRUE(d.look().empty());
-    d.zone_down("c", false);
-    EXPECT_GT(d.imbalance_of(0), 0);
+TEST(Rebalance, AZoneThatIsBackGetsItsShareOneReplicaAtATime) {
+    Shard shard = shard_after_zone_loss();
+    shard.set_zone_down("c");
+    EXPECT_EQ(shard.imbalance_of(0), 0) << "this is the best distribution without zone c";
+    EXPECT_TRUE(shard.moves().empty());
+    shard.set_zone_down("c", false);
+    EXPECT_GT(shard.imbalance_of(0), 0);
     for (int round = 0; round < 2; ++round) {
-        const auto moves = d.look();
+        const auto moves = shard.moves();
         ASSERT_EQ(moves.size(), 1u);
         EXPECT_EQ(moves[0].to[0], 'c');
         EXPECT_EQ(moves[0].reason, MoveReason::Balance);
-        d.carry_out(moves[0]);
+        shard.apply(moves[0]);
     }
-    EXPECT_EQ(d.view.jobs[0].tasks_by_zone, (Counts{{"a", 2}, {"b", 2}, {"c", 2}}));
-    EXPECT_TRUE(d.look().empty());
-    EXPECT_EQ(d.imbalance_of(0), 0);
+    EXPECT_EQ(shard.view.jobs[0].tasks_by_zone, (Counts{{"a", 2}, {"b", 2}, {"c", 2}}));
+    EXPECT_TRUE(shard.moves().empty());
+    EXPECT_EQ(shard.imbalance_of(0), 0);
 }
 
-TEST(Rebalancing, OnlyWhileAllRunAndNothingIsTroubled) {
-    const Shard d = after_a_loss();
-    ASSERT_EQ(d.look().size(), 1u);
-    const std::vector<std::pair<const char*, std::function<void(Shard&)>>> hinders{
-        {"one waits", [](Shard& x) { x.view.jobs[0].waiting_tasks = 1; }},
-        {"one is on its way out", [](Shard& x) { x.view.tasks[3].stopping = true; }},
-        {"one moves", [](Shard& x) { x.view.tasks[3].has_planned_move = true; }},
-        {"one fetches", [](Shard& x) { x.view.tasks[3].running = false; }},
-        {"one is missing", [](Shard& x) { x.view.tasks.pop_back(); }},
-        {"it is cancelled", [](Shard& x) { x.view.jobs[0].cancelled = true; }},
-        {"a zone is troubled", [](Shard& x) { x.view.unstable_zones = {"b"}; }},
-        {"it was moved just now", [](Shard& x) { x.view.jobs[0].time_since_move = kSecond; }},
-        {"its rule does not ask for it", [](Shard& x) { x.rule().rebalance = false; }},
-        {"it is no service",
-         [](Shard& x) {
-             x.view.jobs[0].spec.kind = JobKind::Array;
-             x.rule().allowed = {"c"};
+TEST(Rebalance, MovesOnlyWhileAllReplicasRunAndAllZonesAreStable) {
+    const Shard shard = shard_after_zone_loss();
+    ASSERT_EQ(shard.moves().size(), 1u);
+    const std::vector<std::pair<const char*, std::function<void(Shard&)>>> obstacles{
+        {"a replica waits", [](Shard& changed) { changed.view.jobs[0].waiting_tasks = 1; }},
+        {"a replica is stopping", [](Shard& changed) { changed.view.tasks[3].stopping = true; }},
+        {"a replica is being moved", [](Shard& changed) { changed.view.tasks[3].has_planned_move = true; }},
+        {"a replica fetches its image", [](Shard& changed) { changed.view.tasks[3].running = false; }},
+        {"a replica is missing", [](Shard& changed) { changed.view.tasks.pop_back(); }},
+        {"the service is cancelled", [](Shard& changed) { changed.view.jobs[0].cancelled = true; }},
+        {"a zone is unstable", [](Shard& changed) { changed.view.unstable_zones = {"b"}; }},
+        {"the pause since the last move is not over",
+         [](Shard& changed) { changed.view.jobs[0].time_since_move = kSecond; }},
+        {"the rule does not ask for rebalancing", [](Shard& changed) { changed.rule().rebalance = false; }},
+        {"the job is not a service",
+         [](Shard& changed) {
+             changed.view.jobs[0].spec.kind = JobKind::Array;
+             changed.rule().allowed = {"c"};
          }},
-        {"no budget", [](Shard& x) { x.policy.budgets.moves_per_minute = 0; }},
-        {"no machine to bind to",
-         [](Shard& x) { x.view.machines[4].usable = x.view.machines[5].usable = false; }},
-        {"no room",
-         [](Shard& x) {
-             x.view.machines[4].set_aside = x.view.machines[5].reserved = {8'000, 0, 0};
+        {"the budget is zero", [](Shard& changed) { changed.policy.budgets.moves_per_minute = 0; }},
+        {"no machine in zone c is usable",
+         [](Shard& changed) { changed.view.machines[4].usable = changed.view.machines[5].usable = false; }},
+        {"no machine in zone c has capacity",
+         [](Shard& changed) {
+             changed.view.machines[4].set_aside = changed.view.machines[5].reserved = {8'000, 0, 0};
          }},
-        {"another type",
-         [](Shard& x) {
-             x.view.machines[4].type = x.view.machines[5].type = "other";
-             x.view.jobs[0].spec.types = {{"small"}};
+        {"the machines in zone c are of another type",
+         [](Shard& changed) {
+             changed.view.machines[4].type = changed.view.machines[5].type = "other";
+             changed.view.jobs[0].spec.types = {{"small"}};
          }},
-        {"spot", [](Shard& x) { x.view.machines[4].spot = x.view.machines[5].spot = true; }},
+        {"spot",
+         [](Shard& changed) { changed.view.machines[4].spot = changed.view.machines[5].spot = true; }},
     };
-    for (const auto& [what, hinder] : hinders) {
-        Shard x = d;
-        hinder(x);
-        EXPECT_TRUE(x.look().empty()) << what;
+    for (const auto& [description, apply_obstacle] : obstacles) {
+        Shard changed = shard;
+        apply_obstacle(changed);
+        EXPECT_TRUE(changed.moves().empty()) << description;
     }
 }
 
-TEST(Rebalancing, ToTheMachineWithTheImage) {
-    Shard d = after_a_loss();
-    d.view.machines[5].images = {{"img", true}};
-    EXPECT_EQ(d.look().at(0).to, "c1");
-    d.view.machines[4].images = {{"img", true}};
-    d.view.machines[5].images = {{"img", false}};
-    EXPECT_EQ(d.look().at(0).to, "c0");
+TEST(Rebalance, PrefersAMachineThatHasTheImage) {
+    Shard shard = shard_after_zone_loss();
+    shard.view.machines[5].images = {{"img", true}};
+    EXPECT_EQ(shard.moves().at(0).to, "c1");
+    shard.view.machines[4].images = {{"img", true}};
+    shard.view.machines[5].images = {{"img", false}};
+    EXPECT_EQ(shard.moves().at(0).to, "c0");
 }
 
-TEST(Rebalancing, ServicesOfOneCallDoNotCountOnTheSameRoom) {
-    Shard d = after_a_loss();
-    d.add(service(6, "req-000002"), {"a0", "a1", "b0", "b1", "a0", "b0"});
-    d.view.machines[4].size.cores = 1'000;
-    d.view.machines[5].size.cores = 0;
-    EXPECT_EQ(d.look().size(), 1u);
+TEST(Rebalance, MovesOfOneCallDoNotUseTheSameCapacity) {
+    Shard shard = shard_after_zone_loss();
+    shard.add_service(service(6, "req-000002"), {"a0", "a1", "b0", "b1", "a0", "b0"});
+    shard.view.machines[4].size.cores = 1'000;
+    shard.view.machines[5].size.cores = 0;
+    EXPECT_EQ(shard.moves().size(), 1u);
 }
 
-TEST(Rebalancing, TheMostHurtGoesFirst) {
-    Shard d = after_a_loss();
-    d.add(service(6, "req-000002"), {"a0", "a1", "a0", "a1", "a0", "a1"});
-    d.policy.budgets.moves_per_minute = 1;
-    EXPECT_EQ(d.look().at(0).job, "req-000002");
+TEST(Rebalance, TheLeastBalancedServiceGoesFirst) {
+    Shard shard = shard_after_zone_loss();
+    shard.add_service(service(6, "req-000002"), {"a0", "a1", "a0", "a1", "a0", "a1"});
+    shard.policy.budgets.moves_per_minute = 1;
+    EXPECT_EQ(shard.moves().at(0).job, "req-000002");
 }
 
-TEST(Rebalancing, SpreadHoldsWhileTheOldOneIsThere) {
-    Shard d;
-    for (const auto& zone : kAll) d.machine(zone + "0", zone);
+TEST(Rebalance, SpreadHoldsWhileTheOldReplicaStillCounts) {
+    Shard shard;
+    for (const auto& zone : kAllZones) shard.add_machine(zone + "0", zone);
     JobSpec job = service(5);
     job.spread = true;
-    d.rule().allowed = {"a", "b"};
-    d.add(job, {"a0", "a0", "a0", "b0", "c0"});
-    const auto moves = d.look();
+    shard.rule().allowed = {"a", "b"};
+    shard.add_service(job, {"a0", "a0", "a0", "b0", "c0"});
+    const auto moves = shard.moves();
     ASSERT_EQ(moves.size(), 1u);
     EXPECT_EQ(moves[0].from, "c0");
-    EXPECT_EQ(moves[0].to, "b0") << "three of five are in \"a\" already";
+    EXPECT_EQ(moves[0].to, "b0") << "three of five replicas are in \"a\" already";
 }
 
-TEST(Rebalancing, ReplicasOnOneMachineMoveApart) {
-    Shard d;
-    for (int i = 0; i < 3; ++i) d.machine("a" + std::to_string(i), "a");
-    d.add(service(3), {"a0", "a0", "a0"});
-    EXPECT_TRUE(d.look().empty());
-    d.rule().survive = Survive::Machine;
-    std::set<std::string> to;
+TEST(Rebalance, SeparatesReplicasThatShareAMachine) {
+    Shard shard;
+    for (int i = 0; i < 3; ++i) shard.add_machine("a" + std::to_string(i), "a");
+    shard.add_service(service(3), {"a0", "a0", "a0"});
+    EXPECT_TRUE(shard.moves().empty());
+    shard.rule().survive = Survive::Machine;
+    std::set<std::string> destinations;
     for (int round = 0; round < 2; ++round) {
-        const auto moves = d.look();
+        const auto moves = shard.moves();
         ASSERT_EQ(moves.size(), 1u);
-        EXPECT_TRUE(to.insert(moves[0].to).second);
-        d.carry_out(moves[0]);
+        EXPECT_TRUE(destinations.insert(moves[0].to).second);
+        shard.apply(moves[0]);
     }
-    EXPECT_TRUE(d.look().empty());
+    EXPECT_TRUE(shard.moves().empty());
 }
 
-TEST(Rebalancing, OfReplicasThatShareAMachineOneLeavesTheZoneFirst) {
-    Shard d;
-    for (const char* name : {"a0", "a1", "b0"}) d.machine(name, std::string(1, name[0]));
-    d.rule().least_zones = 2;
-    d.rule().survive = Survive::Machine;
-    d.add(service(3), {"a1", "a0", "a0"});
-    EXPECT_EQ(d.look().at(0).from, "a0");
+TEST(Rebalance, AReplicaThatSharesItsMachineLeavesTheZoneFirst) {
+    Shard shard;
+    for (const char* name : {"a0", "a1", "b0"}) shard.add_machine(name, std::string(1, name[0]));
+    shard.rule().least_zones = 2;
+    shard.rule().survive = Survive::Machine;
+    shard.add_service(service(3), {"a1", "a0", "a0"});
+    EXPECT_EQ(shard.moves().at(0).from, "a0");
 }
 
-TEST(Rebalancing, WhatIsInALostZoneIsNotAskedToLeaveIt) {
+TEST(Rebalance, ReplicasInALostZoneDoNotCountAsImbalance) {
     ZoneRule rule;
     rule.most_share = 0.5;
-    EXPECT_EQ(imbalance(service(6), &rule, {{"c", 6}}, {"a", "b"}, kAll), 0);
-    EXPECT_GT(imbalance(service(6), &rule, {{"c", 6}}, kAll, kAll), 0);
+    EXPECT_EQ(imbalance(service(6), &rule, {{"c", 6}}, {"a", "b"}, kAllZones), 0);
+    EXPECT_GT(imbalance(service(6), &rule, {{"c", 6}}, kAllZones, kAllZones), 0);
 }
 
-TEST(Rebalancing, AServiceThatIsMovedAgainAndAgainPausesForLonger) {
+TEST(Rebalance, ThePauseDoublesWithEachFurtherMoveOfAService) {
     policy::Budgets budgets;
     JobView job;
     job.spec = service(4);
@@ -408,174 +416,178 @@
     EXPECT_EQ(pause_between_moves(job, budgets), 32 * budgets.service_pause);
 }
 
-TEST(ZoneWatching, AZoneThatFlapsHasToStandForLongerEachTime) {
-    ZoneMonitor watch;
+TEST(ZoneMonitoring, AZoneThatIsLostRepeatedlyIsUnstableForLongerEachTime) {
+    ZoneMonitor monitor;
     const Micros settle = 10 * kSecond;
     Micros now = 100 * kSecond;
-    auto settles_in = [&] {
+    auto time_until_stable = [&] {
         Micros passed = 0;
-        while (!watch.unstable_zones(now + passed, settle).empty()) passed += kSecond;
+        while (!monitor.unstable_zones(now + passed, settle).empty()) passed += kSecond;
         return passed;
     };
-    watch.observe("a", true, now);
-    EXPECT_EQ(settles_in(), settle);
+    monitor.observe("a", true, now);
+    EXPECT_EQ(time_until_stable(), settle);
     now += settle;
-    for (const Micros wanted : {settle, 2 * settle, 4 * settle}) {
-        watch.observe("a", false, now);
-        EXPECT_EQ(watch.unstable_zones(now, settle), Zones{"a"});
-        watch.observe("a", true, now += kSecond);
-        EXPECT_EQ(settles_in(), wanted);
+    for (const Micros expected : {settle, 2 * settle, 4 * settle}) {
+        monitor.observe("a", false, now);
+        EXPECT_EQ(monitor.unstable_zones(now, settle), Zones{"a"});
+        monitor.observe("a", true, now += kSecond);
+        EXPECT_EQ(time_until_stable(), expected);
     }
     now += 700 * kSecond;
-    watch.observe("a", false, now);
-    watch.observe("a", true, now += kSecond);
-    EXPECT_EQ(settles_in(), settle) << "what was long ago is forgotten";
+    monitor.observe("a", false, now);
+    monitor.observe("a", true, now += kSecond);
+    EXPECT_EQ(time_until_stable(), settle) << "losses of more than ten minutes ago are forgotten";
 }
 
-// ---------------------------------------------------------------- always
+// ---------------------------------------------------------------- properties
 
 rc::Gen<ZoneRule> any_rule() {
     return rc::gen::exec([] {
-        ZoneRule r;
-        for (const auto& z : kAll) {
-            if (*rc::gen::inRange(0, 3)) r.allowed.push_back(z);
-            if (!*rc::gen::inRange(0, 3)) r.preferred.push_back(z);
+        ZoneRule rule;
+        for (const auto& zone : kAllZones) {
+            if (*rc::gen::inRange(0, 3)) rule.allowed.push_back(zone);
+            if (!*rc::gen::inRange(0, 3)) rule.preferred.push_back(zone);
         }
-        r.least_zones = *rc::gen::inRange(1, 4);
-        r.most_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
-        r.survive = *rc::gen::element(Survive::Nothing, Survive::Machine, Survive::Zone);
-        r.strict = *rc::gen::arbitrary<bool>();
-        r.rebalance = true;
-        return r;
+        rule.least_zones = *rc::gen::inRange(1, 4);
+        rule.most_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
+        rule.survive = *rc::gen::element(Survive::Nothing, Survive::Machine, Survive::Zone);
+        rule.strict = *rc::gen::arbitrary<bool>();
+        rule.rebalance = true;
+        return rule;
     });
 }
 
 JobSpec any_service(const std::string& ref) {
     JobSpec job = service(*rc::gen::inRange(1, 10), ref);
-    const int kind = *rc::gen::inRange(0, 6);
-    job.spread = kind == 0 || kind == 1;
-    job.one_zone = kind == 2;
-    if (kind == 3) job.zone = *rc::gen::elementOf(kAll);
+    const int constraint = *rc::gen::inRange(0, 6);
+    job.spread = constraint == 0 || constraint == 1;
+    job.one_zone = constraint == 2;
+    if (constraint == 3) job.zone = *rc::gen::elementOf(kAllZones);
     return job;
 }
 
-Zones some_zones() {
+Zones any_zones() {
     Zones zones;
-    for (const auto& z : kAll)
-        if (*rc::gen::inRange(0, 3)) zones.push_back(z);
+    for (const auto& zone : kAllZones)
+        if (*rc::gen::inRange(0, 3)) zones.push_back(zone);
     return zones;
 }
 
-RC_GTEST_PROP(ZonesAlways, WhatTheProtocolForbidsIsNeverOpened, ()) {
+RC_GTEST_PROP(TopologySpreadProperties, ARuleNeverOpensAZoneThatTheJobForbids, ()) {
     const JobSpec job = any_service("req-000001");
     const ZoneRule rule = *any_rule();
-    Counts there;
+    Counts counts;
     for (int i = 0; i < job.tasks; ++i) {
-        const Zones standing = some_zones(), with_room = some_zones();
-        const auto plain = choose_zones(job, nullptr, there, standing, kAll);
-        const bool known = *rc::gen::arbitrary<bool>();
-        const auto choice = choose_zones(job, &rule, there, standing, kAll, known ? &with_room : nullptr);
-        for (const auto& [zone, most] : choice.max_tasks) RC_ASSERT(most <= plain.max_tasks_in(zone));
-        const Zones zones = open(choice, there);
+        const Zones usable_zones = any_zones(), zones_with_room = any_zones();
+        const auto without_rule = choose_zones(job, nullptr, counts, usable_zones, kAllZones);
+        const bool room_is_known = *rc::gen::arbitrary<bool>();
+        const auto choice = choose_zones(job, &rule, counts, usable_zones, kAllZones,
+                                         room_is_known ? &zones_with_room : nullptr);
+        for (const auto& [zone, limit] : choice.max_tasks)
+            RC_ASSERT(limit <= without_rule.max_tasks_in(zone));
+        const Zones zones = open_zones(choice, counts);
         if (zones.empty()) {
-            if (rule.strict || known) continue;
-            // Nothing waits that need not.
-            for (const auto& z : standing) RC_ASSERT(plain.max_tasks_in(z) <= there[z]);
+            if (rule.strict || room_is_known) continue;
+            // A replica waits only if the job's own constraints leave no usable zone.
+            for (const auto& zone : usable_zones) RC_ASSERT(without_rule.max_tasks_in(zone) <= counts[zone]);
             continue;
         }
-        ++there[*rc::gen::elementOf(zones)];
+        ++counts[*rc::gen::elementOf(zones)];
     }
 }
 
-RC_GTEST_PROP(ZonesAlways, WhatWasPlacedWhereThereWasRoomIsNotMoved, ()) {
+RC_GTEST_PROP(TopologySpreadProperties, PlacementWithEnoughCapacityLeavesNoImbalance, ()) {
     const JobSpec job = any_service("req-000001");
     const ZoneRule rule = *any_rule();
-    Counts there;
+    Counts counts;
     for (int i = 0; i < job.tasks; ++i) {
-        const Zones zones = open(choose_zones(job, &rule, there, kAll, kAll), there);
+        const Zones zones = open_zones(choose_zones(job, &rule, counts, kAllZones, kAllZones), counts);
         if (zones.empty()) break;
-        ++there[*rc::gen::elementOf(zones)];
+        ++counts[*rc::gen::elementOf(zones)];
     }
-    RC_ASSERT(imbalance(job, &rule, there, kAll, kAll) == 0);
+    RC_ASSERT(imbalance(job, &rule, counts, kAllZones, kAllZones) == 0);
 }
 
-Shard any_shard(bool tight) {
-    Shard d;
+Shard any_shard(bool small_machines) {
+    Shard shard;
     const int machines = *rc::gen::inRange(1, 9);
     for (int i = 0; i < machines; ++i)
-        d.machine("m" + std::to_string(i), *rc::gen::elementOf(kAll),
-                  tight ? *rc::gen::inRange(0, 8) * 1'000 : 100'000);
-    d.policy.zones = {*any_rule()};
-    d.view.seed = *rc::gen::arbitrary<std::uint64_t>();
+        shard.add_machine("m" + std::to_string(i), *rc::gen::elementOf(kAllZones),
+                          small_machines ? *rc::gen::inRange(0, 8) * 1'000 : 100'000);
+    shard.policy.zones = {*any_rule()};
+    shard.view.seed = *rc::gen::arbitrary<std::uint64_t>();
     const int services = *rc::gen::inRange(1, 4);
     for (int j = 0; j < services; ++j) {
         const JobSpec job = any_service("req-00000" + std::to_string(j));
-        std::vector<std::string> on;
-        Counts there;
-        while (static_cast<int>(on.size()) < job.tasks) {
-            const auto choice = choose_zones(job, nullptr, there, kAll, kAll);
+        std::vector<std::string> placed_on;
+        Counts counts;
+        while (static_cast<int>(placed_on.size()) < job.tasks) {
+            const auto choice = choose_zones(job, nullptr, counts, kAllZones, kAllZones);
             std::vector<std::string> names;
-            for (const auto& m : d.view.machines)
-                if (choice.max_tasks_in(m.zone) > there[m.zone]) names.push_back(m.name);
+            for (const auto& machine : shard.view.machines)
+                if (choice.max_tasks_in(machine.zone) > counts[machine.zone]) names.push_back(machine.name);
             if (names.empty()) break;
-            on.push_back(*rc::gen::elementOf(names));
-            ++there[d.view.machines[d.index(on.back())].zone];
+            placed_on.push_back(*rc::gen::elementOf(names));
+            ++counts[shard.view.machines[shard.machine_index(placed_on.back())].zone];
         }
-        if (static_cast<int>(on.size()) == job.tasks) d.add(job, on);
+        if (static_cast<int>(placed_on.size()) == job.tasks) shard.add_service(job, placed_on);
     }
-    return d;
+    return shard;
 }
 
-RC_GTEST_PROP(ZonesAlways, MendingEndsAndNothingComesBackToWhereItWas, ()) {
-    const bool tight = *rc::gen::arbitrary<bool>();
-    Shard d = any_shard(tight);
-    std::map<std::pair<std::string, int>, std::set<std::string>> been;
+RC_GTEST_PROP(TopologySpreadProperties, RebalancingEndsAndNoReplicaReturnsToAMachineThatItLeft, ()) {
+    const bool small_machines = *rc::gen::arbitrary<bool>();
+    Shard shard = any_shard(small_machines);
+    std::map<std::pair<std::string, int>, std::set<std::string>> left_machines;
     for (int round = 0;; ++round) {
         RC_ASSERT(round < 200);
-        const auto moves = d.look();
+        const auto moves = shard.moves();
         if (moves.empty()) break;
-        std::set<std::string> moved;
-        for (const auto& m : moves) {
-            RC_ASSERT(moved.insert(m.job).second);  // so that all its others run
-            const TaskView& t = d.task(m);
-            const JobView& job = d.view.jobs[t.job];
-            RC_ASSERT(d.view.machines[t.machine].name == m.from);
-            const MachineView& to = d.view.machines[d.index(m.to)];
+        std::set<std::string> moved_jobs;
+        for (const auto& move : moves) {
+            RC_ASSERT(moved_jobs.insert(move.job).second);  // all other replicas of the service keep running
+            const TaskView& task = shard.task(move);
+            const JobView& job = shard.view.jobs[task.job];
+            RC_ASSERT(shard.view.machines[task.machine].name == move.from);
+            const MachineView& to = shard.view.machines[shard.machine_index(move.to)];
             RC_ASSERT(job.spec.request.fits(to.available()));
-            if (to.zone != d.view.machines[t.machine].zone) {
-                const auto plain = choose_zones(job.spec, nullptr, job.tasks_by_zone, kAll, kAll);
-                auto there = job.tasks_by_zone.find(to.zone);
-                RC_ASSERT((there == job.tasks_by_zone.end() ? 0 : there->second) <
-                          plain.max_tasks_in(to.zone));
+            if (to.zone != shard.view.machines[task.machine].zone) {
+                const auto without_rule =
+                    choose_zones(job.spec, nullptr, job.tasks_by_zone, kAllZones, kAllZones);
+                auto in_zone = job.tasks_by_zone.find(to.zone);
+                RC_ASSERT((in_zone == job.tasks_by_zone.end() ? 0 : in_zone->second) <
+                          without_rule.max_tasks_in(to.zone));
             }
-            auto& left = been[{m.job, m.task}];
-            left.insert(m.from);
-            RC_ASSERT(!left.count(m.to));
-            const std::size_t j = t.job;
-            const double before = d.imbalance_of(j);
-            auto sharing = [&] {
-                std::set<std::size_t> on;
-                for (const auto& task : d.view.tasks)
-                    if (task.job == j) on.insert(task.machine);
-                return d.view.jobs[j].spec.tasks - static_cast<int>(on.size());
+            auto& left = left_machines[{move.job, move.task}];
+            left.insert(move.from);
+            RC_ASSERT(!left.count(move.to));
+            const std::size_t job_index = task.job;
+            const double imbalance_before = shard.imbalance_of(job_index);
+            auto count_sharing = [&] {
+                std::set<std::size_t> machines;
+                for (const auto& replica : shard.view.tasks)
+                    if (replica.job == job_index) machines.insert(replica.machine);
+                return shard.view.jobs[job_index].spec.tasks - static_cast<int>(machines.size());
             };
-            const int shared = sharing();
-            d.carry_out(m);
-            const double after = d.imbalance_of(j);
-            RC_ASSERT(after < before || (after == before && sharing() < shared));
+            const int sharing_before = count_sharing();
+            shard.apply(move);
+            const double imbalance_after = shard.imbalance_of(job_index);
+            RC_ASSERT(imbalance_after < imbalance_before ||
+                      (imbalance_after == imbalance_before && count_sharing() < sharing_before));
         }
     }
-    if (!tight && d.rule().survive != Survive::Machine)
-        for (std::size_t j = 0; j < d.view.jobs.size(); ++j) RC_ASSERT(d.imbalance_of(j) == 0);
+    if (!small_machines && shard.rule().survive != Survive::Machine)
+        for (std::size_t j = 0; j < shard.view.jobs.size(); ++j) RC_ASSERT(shard.imbalance_of(j) == 0);
 }
 
-RC_GTEST_PROP(ZonesAlways, TheOrderOfMachinesDoesNotMatter, ()) {
-    const Shard d = any_shard(true);
-    Shard turned = d;
-    const std::size_t n = d.view.machines.size();
-    std::reverse(turned.view.machines.begin(), turned.view.machines.end());
-    for (auto& t : turned.view.tasks) t.machine = n - 1 - t.machine;
-    RC_ASSERT(turned.look() == d.look());
+RC_GTEST_PROP(TopologySpreadProperties, TheOrderOfMachinesDoesNotMatter, ()) {
+    const Shard shard = any_shard(true);
+    Shard reversed = shard;
+    const std::size_t machine_count = shard.view.machines.size();
+    std::reverse(reversed.view.machines.begin(), reversed.view.machines.end());
+    for (auto& task : reversed.view.tasks) task.machine = machine_count - 1 - task.machine;
+    RC_ASSERT(reversed.moves() == shard.moves());
 }
 
 }  // namespace
