--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -1,5 +1,5 @@
-// Zones by policy in a simulated world: where controllers place services that have a rule, and where replicas
-// come back when a zone is lost.
+// Zone rules in the simulator: where controllers place services that have a rule, and where replicas are
+// started again after a zone was lost.
 
 #include <gtest/gtest.h>
 
@@ -13,59 +13,59 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATION(s) EXPECT_TRUE((s).broken.empty()) << (s).broken.front() << "\n" << (s).story()
 
-const std::string kRef = "req-000001";
+const std::string kServiceRef = "req-000001";
 
 /// Three zones of three machines and one rule for all services.
 struct Site {
-    Site(std::uint64_t seed, const ZoneRule& rule) : w(seed, settings(rule), types()) {
+    Site(std::uint64_t seed, const ZoneRule& rule) : simulator(seed, settings(rule), types()) {
         for (int i = 0; i < 9; ++i) {
             const std::string zone(1, static_cast<char>('a' + i % 3));
-            zone_of[w.add_machine("small", zone)] = zone;
+            zone_by_machine[simulator.add_machine("small", zone)] = zone;
         }
-        w.start_nodes(1);
-        w.run(8 * kSecond);
+        simulator.start_nodes(1);
+        simulator.run(8 * kSecond);
     }
     static Settings settings(const ZoneRule& rule) {
-        Settings s = small_site();
-        s.zones = {"a", "b", "c"};
-        s.ops.idle_return = 600 * kSecond;  // what stands empty stays
-        s.ops.policy.emplace();
-        s.ops.policy->revision = 1;
-        s.ops.policy->zones = {rule};
-        return s;
+        Settings settings = small_site();
+        settings.zones = {"a", "b", "c"};
+        settings.ops.idle_return = 600 * kSecond;  // so that idle machines are not returned
+        settings.ops.policy.emplace();
+        settings.ops.policy->revision = 1;
+        settings.ops.policy->zones = {rule};
+        return settings;
     }
     static std::vector<MachineType> types() {
         auto types = small_types();
-        for (auto& t : types) t.zones = {"a", "b", "c"};
+        for (auto& type : types) type.zones = {"a", "b", "c"};
         return types;
     }
     JobSpec service(int replicas) {
-        JobSpec s = w.job(1, JobKind::Service, replicas);
-        s.rank = PriorityClass::Production;
-        return s;
+        JobSpec spec = simulator.job(1, JobKind::Service, replicas);
+        spec.rank = PriorityClass::Production;
+        return spec;
     }
-    /// Its replicas by zone, as the holder counts them.
-    Counts zones() {
-        for (int n = 0; n < w.node_count(); ++n) {
-            if (!w.owner_at(n)) continue;
-            auto job = w.owner_at(n)->jobs().find(kRef);
-            if (job != w.owner_at(n)->jobs().end()) return job->second->zones();
+    /// Returns the service's replicas by zone, as the shard's holder counts them.
+    Counts replicas_by_zone() {
+        for (int node = 0; node < simulator.node_count(); ++node) {
+            if (!simulator.owner_at(node)) continue;
+            auto job = simulator.owner_at(node)->jobs().find(kServiceRef);
+            if (job != simulator.owner_at(node)->jobs().end()) return job->second->zones();
         }
         return {};
     }
-    void cut_zone(const std::string& zone, bool on) {
-        for (const auto& [machine, at] : zone_of) {
-            if (at != zone) continue;
-            for (int n = 0; n < w.node_count(); ++n) {
-                const std::string node = "loom-" + std::to_string(n);
-                on ? w.cut(machine, node) : w.heal(machine, node);
+    void set_zone_cut(const std::string& zone, bool is_cut) {
+        for (const auto& [machine, machine_zone] : zone_by_machine) {
+            if (machine_zone != zone) continue;
+            for (int i = 0; i < simulator.node_count(); ++i) {
+                const std::string node = "loom-" + std::to_string(i);
+                is_cut ? simulator.cut(machine, node) : simulator.heal(machine, node);
             }
         }
     }
-    std::map<std::string, std::string> zone_of;  // by machine
-    Simulator w;
+    std::map<std::string, std::string> zone_by_machine;
+    Simulator simulator;
 };
 
 TEST(ZonePlacement, AServiceIsSpreadAsItsRuleAsks) {
@@ -73,86 +73,88 @@
         ZoneRule rule;
         rule.most_share = 1.0 / 3;
         rule.survive = Survive::Machine;
-        Site s(seed, rule);
-        s.w.submit(s.service(9), 0);
-        s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}})) << s.w.story();
-        EXPECT_EQ(s.w.machines_of(kRef).size(), 9u) << "no two on one machine";
-        EXPECT_RULES(s.w);
+        Site site(seed, rule);
+        site.simulator.submit(site.service(9), 0);
+        site.simulator.run(5 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}})) << site.simulator.story();
+        EXPECT_EQ(site.simulator.machines_of(kServiceRef).size(), 9u) << "no two replicas on one machine";
+        EXPECT_NO_VIOLATION(site.simulator);
     }
 }
 
-TEST(ZonePlacement, AllowedZonesAreKeptToWhateverElseIsEmpty) {
+TEST(ZonePlacement, OnlyAllowedZonesAreUsedEvenIfOthersAreEmpty) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.allowed = {"b", "c"};
         rule.least_zones = 2;
-        Site s(seed, rule);
-        s.w.submit(s.service(2), 0);
-        s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"b", 1}, {"c", 1}})) << s.w.story();
-        JobSpec gang = s.w.job(2, JobKind::Gang, 3);
-        s.w.submit(gang, 20 * kSecond);
-        s.w.run(5 * kSecond);
-        EXPECT_EQ(s.w.running(gang.ref), 3) << s.w.story();
-        for (const auto& m : s.w.machines_of(gang.ref)) EXPECT_NE(s.zone_of.at(m), "a");
-        EXPECT_RULES(s.w);
+        Site site(seed, rule);
+        site.simulator.submit(site.service(2), 0);
+        site.simulator.run(5 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"b", 1}, {"c", 1}})) << site.simulator.story();
+        JobSpec gang = site.simulator.job(2, JobKind::Gang, 3);
+        site.simulator.submit(gang, 20 * kSecond);
+        site.simulator.run(5 * kSecond);
+        EXPECT_EQ(site.simulator.running(gang.ref), 3) << site.simulator.story();
+        for (const auto& machine : site.simulator.machines_of(gang.ref))
+            EXPECT_NE(site.zone_by_machine.at(machine), "a");
+        EXPECT_NO_VIOLATION(site.simulator);
     }
 }
 
-TEST(ZonePlacement, WhatALostZoneHeldComesBackLevelInTheOthersAfterTheLease) {
+TEST(ZonePlacement, ReplicasOfALostZoneAreSpreadOverTheOthersAfterTheLease) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.most_share = 1.0 / 3;
-        Site s(seed, rule);
-        s.w.submit(s.service(6), 0);
-        s.w.run(5 * kSecond);
-        ASSERT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.story();
-        s.cut_zone("c", true);
-        s.w.run(8 * kSecond);
-        EXPECT_EQ(s.zones()["c"], 2) << "in doubt as long as the lease may last";
-        EXPECT_EQ(s.w.starts(kRef), 6);
-        s.w.run(12 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}})) << s.w.story();
-        EXPECT_EQ(s.w.running(kRef), 6) << s.w.story();
-        EXPECT_RULES(s.w);
+        Site site(seed, rule);
+        site.simulator.submit(site.service(6), 0);
+        site.simulator.run(5 * kSecond);
+        ASSERT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << site.simulator.story();
+        site.set_zone_cut("c", true);
+        site.simulator.run(8 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone()["c"], 2) << "in doubt as long as the lease may last";
+        EXPECT_EQ(site.simulator.starts(kServiceRef), 6);
+        site.simulator.run(12 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}})) << site.simulator.story();
+        EXPECT_EQ(site.simulator.running(kServiceRef), 6) << site.simulator.story();
+        EXPECT_NO_VIOLATION(site.simulator);
     }
 }
 
-TEST(ZonePlacement, StrictWaitsForTheZone) {
+TEST(ZonePlacement, AStrictRuleWaitsForTheLostZone) {
     ZoneRule rule;
     rule.most_share = 1.0 / 3;
     rule.strict = true;
-    Site s(3, rule);
-    s.w.submit(s.service(6), 0);
-    s.w.run(5 * kSecond);
-    s.cut_zone("c", true);
-    s.w.run(20 * kSecond);
-    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}})) << s.w.story();
-    s.cut_zone("c", false);
-    s.w.run(10 * kSecond);
-    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.story();
-    EXPECT_RULES(s.w);
+    Site site(3, rule);
+    site.simulator.submit(site.service(6), 0);
+    site.simulator.run(5 * kSecond);
+    site.set_zone_cut("c", true);
+    site.simulator.run(20 * kSecond);
+    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}})) << site.simulator.story();
+    site.set_zone_cut("c", false);
+    site.simulator.run(10 * kSecond);
+    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << site.simulator.story();
+    EXPECT_NO_VIOLATION(site.simulator);
 }
 
-TEST(ZonePlacement, SpreadHoldsThoughARuleGivesWay) {
+TEST(ZonePlacement, SpreadHoldsEvenIfTheRuleIsRelaxed) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.preferred = {"a"};
         rule.most_share = 0.4;
-        Site s(seed, rule);
-        JobSpec job = s.service(5);
+        Site site(seed, rule);
+        JobSpec job = site.service(5);
         job.spread = true;
-        s.w.submit(job, 0);
-        s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones()["a"], 2) << s.w.story();
-        for (const char* zone : {"b", "c"}) s.cut_zone(zone, true);
-        s.w.run(20 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"a", 3}})) << "half of five, rounded up; the rest waits";
-        for (const char* zone : {"b", "c"}) s.cut_zone(zone, false);
-        s.w.run(10 * kSecond);
-        EXPECT_EQ(s.w.running(kRef), 5) << s.w.story();
-        EXPECT_RULES(s.w);
+        site.simulator.submit(job, 0);
+        site.simulator.run(5 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone()["a"], 2) << site.simulator.story();
+        for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, true);
+        site.simulator.run(20 * kSecond);
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}}))
+            << "half of five replicas, rounded up; the others wait";
+        for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, false);
+        site.simulator.run(10 * kSecond);
+        EXPECT_EQ(site.simulator.running(kServiceRef), 5) << site.simulator.story();
+        EXPECT_NO_VIOLATION(site.simulator);
     }
 }
 
