--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -1,4 +1,4 @@
-// GpuSettings in pieces: what they are worth, and moves that make room for a large task.
+// Fragmentation of GPUs: the penalty for it, and moves that make room for a large task.
 
 #include "scheduling/gpu_packing.hpp"
 
@@ -16,11 +16,12 @@
 
 using namespace scheduling;
 
-Resources part(int gpus) {
+/// Returns GPUs with their proportional part of a machine's cores and memory.
+Resources gpu_share(int gpus) {
     return {gpus * 12'000, gpus * 1'000, gpus * 96'000};
 }
 
-/// A shard, put together in words.
+/// A shard view that tests build up step by step.
 struct Site {
     ShardView view;
     policy::Policy policy;
@@ -29,587 +30,608 @@
         policy.gpus.make_room = true;
         policy.moves.push_back({{"", "model"}, true});
     }
-    std::size_t machine(const std::string& zone = "a") {
-        MachineView m;
-        m.name = "n-" + std::to_string(view.machines.size());
-        m.type = "g8";
-        m.zone = zone;
-        m.usable = true;
-        m.size = part(8);
-        view.machines.push_back(m);
+    std::size_t add_machine(const std::string& zone = "a") {
+        MachineView machine;
+        machine.name = "n-" + std::to_string(view.machines.size());
+        machine.type = "g8";
+        machine.zone = zone;
+        machine.usable = true;
+        machine.size = gpu_share(8);
+        view.machines.push_back(machine);
         return view.machines.size() - 1;
     }
-    /// A replica of a model that policy calls movable.
-    std::size_t job(int gpus, const std::string& job_class = "model") {
-        JobView j;
-        j.spec.ref = "j-" + std::to_string(view.jobs.size());
-        j.spec.job_class = job_class;
-        j.spec.kind = JobKind::Service;
-        j.spec.tasks = 1;
-        j.spec.request = part(gpus);
-        j.spec.image = "w-" + std::to_string(view.jobs.size());
-        j.spec.image_gb = 40'000;
-        j.tier = policy.tier(j.spec);
-        j.time_since_move = 3600 * kSecond;
-        view.jobs.push_back(j);
+    /// Adds a service of one replica, of a class that the policy calls movable.
+    std::size_t add_service(int gpus, const std::string& job_class = "model") {
+        JobView job;
+        job.spec.ref = "j-" + std::to_string(view.jobs.size());
+        job.spec.job_class = job_class;
+        job.spec.kind = JobKind::Service;
+        job.spec.tasks = 1;
+        job.spec.request = gpu_share(gpus);
+        job.spec.image = "w-" + std::to_string(view.jobs.size());
+        job.spec.image_gb = 40'000;
+        job.tier = policy.tier(job.spec);
+        job.time_since_move = 3600 * kSecond;
+        view.jobs.push_back(job);
         return view.jobs.size() - 1;
     }
-    std::size_t batch(int gpus, Micros ran, Micros checkpoint = 60 * kSecond) {
-        const std::size_t j = job(gpus, "render");
-        view.jobs[j].spec.kind = JobKind::Array;
-        view.jobs[j].spec.checkpoint = checkpoint;
-        ran_[j] = ran;
-        return j;
+    std::size_t add_batch(int gpus, Micros run_time, Micros checkpoint = 60 * kSecond) {
+        const std::size_t job = add_service(gpus, "render");
+        view.jobs[job].spec.kind = JobKind::Array;
+        view.jobs[job].spec.checkpoint = checkpoint;
+        run_times_[job] = run_time;
+        return job;
     }
-    std::size_t on(std::size_t m, std::size_t j) {
-        TaskView t;
-        t.job = j;
-        t.task = view.jobs[j].bound_tasks;
-        t.machine = m;
-        t.running = true;
-        t.run_time = ran_[j];
-        view.tasks.push_back(t);
-        view.machines[m].tasks.push_back(view.tasks.size() - 1);
-        view.machines[m].reserved += view.jobs[j].spec.request;
-        view.machines[m].images.push_back({view.jobs[j].spec.image, true});
-        ++view.jobs[j].bound_tasks;
-        ++view.jobs[j].tasks_by_zone[view.machines[m].zone];
+    std::size_t run_on(std::size_t machine, std::size_t job) {
+        TaskView task;
+        task.job = job;
+        task.task = view.jobs[job].bound_tasks;
+        task.machine = machine;
+        task.running = true;
+        task.run_time = run_times_[job];
+        view.tasks.push_back(task);
+        view.machines[machine].tasks.push_back(view.tasks.size() - 1);
+        view.machines[machine].reserved += view.jobs[job].spec.request;
+        view.machines[machine].images.push_back({view.jobs[job].spec.image, true});
+        ++view.jobs[job].bound_tasks;
+        ++view.jobs[job].tasks_by_zone[view.machines[machine].zone];
         return view.tasks.size() - 1;
     }
-    std::size_t waits(int gpus, int tasks = 1, Micros for_time = 10 * kSecond) {
-        const std::size_t j = job(gpus);
-        view.jobs[j].spec.tasks = view.jobs[j].waiting_tasks = tasks;
-        view.jobs[j].waiting_time = for_time;
-        return j;
+    std::size_t add_waiting(int gpus, int tasks = 1, Micros waiting_time = 10 * kSecond) {
+        const std::size_t job = add_service(gpus);
+        view.jobs[job].spec.tasks = view.jobs[job].waiting_tasks = tasks;
+        view.jobs[job].waiting_time = waiting_time;
+        return job;
     }
-    std::vector<RoomPlan> rooms() const { return plan_room_for_waiting_jobs(view, policy); }
+    std::vector<RoomPlan> plans() const { return plan_room_for_waiting_jobs(view, policy); }
 
   private:
-    std::map<std::size_t, Micros> ran_;
+    std::map<std::size_t, Micros> run_times_;  // by job
 };
 
-/// Two machines, four GPUs free on each, by a model on either.
-struct Halves : Site {
-    Halves() {
-        machine();
-        machine();
-        on(0, job(4));
-        on(1, job(4));
+/// Two machines with a model of four GPUs on each, so that four GPUs are free on either.
+struct HalfFullSite : Site {
+    HalfFullSite() {
+        add_machine();
+        add_machine();
+        run_on(0, add_service(4));
+        run_on(1, add_service(4));
     }
 };
 
 // ---------------------------------------------------------------- packing
 
-TEST(CardsPacking, FreeCardsAreOfUseToShapesThatFitThem) {
-    GpuDemand s;
-    EXPECT_EQ(s.unusable_share(4000), 0);  // nothing is asked for
-    s.add(8000, 1);
-    EXPECT_EQ(s.unusable_share(4000), 1);
-    EXPECT_EQ(s.unusable_share(8000), 0);
-    s.add(1000, 1);
-    EXPECT_EQ(s.unusable_share(4000), 0.5);
-    EXPECT_EQ(s.unusable_share(0), 0);
+TEST(GpuPacking, FreeGpusAreUsableByDemandedCountsThatFit) {
+    GpuDemand demand;
+    EXPECT_EQ(demand.unusable_share(4000), 0);  // without demand no GPU counts as unusable
+    demand.add(8000, 1);
+    EXPECT_EQ(demand.unusable_share(4000), 1);
+    EXPECT_EQ(demand.unusable_share(8000), 0);
+    demand.add(1000, 1);
+    EXPECT_EQ(demand.unusable_share(4000), 0.5);
+    EXPECT_EQ(demand.unusable_share(0), 0);
 }
 
-TEST(CardsPacking, WaitingShapesCountMoreThanRunningOnes) {
+TEST(GpuPacking, WaitingTasksWeighMoreThanRunningOnes) {
     Site site;
-    site.machine();
-    site.on(0, site.job(4));
-    site.waits(8);
-    // Four GPUs that run, eight that wait and count threefold.
+    site.add_machine();
+    site.run_on(0, site.add_service(4));
+    site.add_waiting(8);
+    // Four GPUs of running tasks, and eight of waiting ones that count threefold.
     EXPECT_NEAR(gpu_demand_of(site.view).unusable_share(4000), 24.0 / 28.0, 1e-9);
 }
 
-TEST(CardsPacking, TheTightestMachineCostsLeast) {
-    GpuDemand s;
-    for (const int n : {1, 2, 4, 8}) s.add(n * 1000, 1);
-    auto cost = [&](int reserved, int gpus) { return gpu_penalty(part(8), part(reserved), part(gpus), s); };
-    EXPECT_LT(cost(7, 1), cost(4, 1));
-    EXPECT_LT(cost(4, 1), cost(0, 1));
-    EXPECT_LT(cost(4, 4), cost(0, 4));
-    EXPECT_GT(cost(0, 1), 20);  // as much as a term of the score
+TEST(GpuPacking, TheMachineWithTheFewestFreeGpusHasTheLowestPenalty) {
+    GpuDemand demand;
+    for (const int gpus : {1, 2, 4, 8}) demand.add(gpus * 1000, 1);
+    auto penalty = [&](int reserved, int gpus) {
+        return gpu_penalty(gpu_share(8), gpu_share(reserved), gpu_share(gpus), demand);
+    };
+    EXPECT_LT(penalty(7, 1), penalty(4, 1));
+    EXPECT_LT(penalty(4, 1), penalty(0, 1));
+    EXPECT_LT(penalty(4, 4), penalty(0, 4));
+    EXPECT_GT(penalty(0, 1), 20);  // as much as another term of the score
 }
 
-TEST(CardsPacking, WorkWithoutCardsIsKeptOffMachinesWithCards) {
-    GpuDemand s;
-    s.add(1000, 1);
-    const Resources cores{4'000, 0, 16'000};
-    EXPECT_EQ(gpu_penalty({96'000, 0, 768'000}, {}, cores, s), 0);
-    EXPECT_GT(gpu_penalty(part(8), {}, cores, s), 100);
+TEST(GpuPacking, TasksWithoutGpusAreKeptOffMachinesWithGpus) {
+    GpuDemand demand;
+    demand.add(1000, 1);
+    const Resources no_gpus{4'000, 0, 16'000};
+    EXPECT_EQ(gpu_penalty({96'000, 0, 768'000}, {}, no_gpus, demand), 0);
+    EXPECT_GT(gpu_penalty(gpu_share(8), {}, no_gpus, demand), 100);
 }
 
-TEST(CardsPacking, CoresThatFreeCardsNeedCost) {
-    GpuDemand s;
-    s.add(1000, 1);
-    const Resources even = part(1);
-    const Resources greedy{84'000, 1'000, 96'000};
-    EXPECT_LE(gpu_penalty(part(8), {}, even, s), 0);
-    EXPECT_GT(gpu_penalty(part(8), {}, greedy, s), 100);
+TEST(GpuPacking, TakingCoresThatFreeGpusNeedIsPenalized) {
+    GpuDemand demand;
+    demand.add(1000, 1);
+    const Resources proportional = gpu_share(1);
+    const Resources core_heavy{84'000, 1'000, 96'000};
+    EXPECT_LE(gpu_penalty(gpu_share(8), {}, proportional, demand), 0);
+    EXPECT_GT(gpu_penalty(gpu_share(8), {}, core_heavy, demand), 100);
 }
 
 // ---------------------------------------------------------------- moves
 
-TEST(CardsMoves, AModelOfEightCardsStartsAfterOneMove) {
-    Halves site;
-    const auto job = site.waits(8);
+TEST(GpuMoves, ATaskOfEightGpusGetsRoomByOneMove) {
+    HalfFullSite site;
+    const auto job = site.add_waiting(8);
     const auto plan = plan_room_for_job(site.view, job, site.policy);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->reservation, (Reservation{"j-2", "n-0", 1}));
     EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", MoveReason::MakeRoom, "j-2"}}));
-    // Three seconds for each of stop, proof, start (5) and of the fetch of 40 GB.
+    // For a service each second counts threefold: 5 s to stop, prove gone and start, and 40 s to fetch 40 GB.
     EXPECT_EQ(plan->cost, 3 * 45);
 }
 
-TEST(CardsMoves, WeightsGoWhereTheyAreCached) {
-    Halves site;
-    site.waits(8);
+TEST(GpuMoves, ATaskMovesToAMachineThatHasItsImage) {
+    HalfFullSite site;
+    site.add_waiting(8);
     site.view.machines[0].images.push_back({"w-1", true});
-    auto plans = site.rooms();
+    auto plans = site.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].moves[0].job, "j-1");
     EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_EQ(plans[0].cost, 15);
-    // Half the fetch where another copy comes; a further fetch beside it halves the rate.
+    // Half a fetch remains if the machine is fetching the image; another fetch at the same time halves the
+    // rate.
     site.view.machines[0].images.back().ready = false;
-    EXPECT_EQ(site.rooms()[0].cost, 3 * 25);
+    EXPECT_EQ(site.plans()[0].cost, 3 * 25);
     site.view.machines[0].images.push_back({"other", false});
-    EXPECT_EQ(site.rooms()[0].cost, 3 * 45);
+    EXPECT_EQ(site.plans()[0].cost, 3 * 45);
 }
 
-TEST(CardsMoves, NothingIsPlannedIfNothingMayMove) {
-    Halves site;
-    site.waits(8);
-    ASSERT_FALSE(site.rooms().empty());
-    Halves still;
-    still.waits(8);
-    still.policy.moves.clear();
-    EXPECT_TRUE(still.rooms().empty());
+TEST(GpuMoves, NothingIsPlannedIfNoTaskMayMove) {
+    HalfFullSite site;
+    site.add_waiting(8);
+    ASSERT_FALSE(site.plans().empty());
+    HalfFullSite without_move_rules;
+    without_move_rules.add_waiting(8);
+    without_move_rules.policy.moves.clear();
+    EXPECT_TRUE(without_move_rules.plans().empty());
 }
 
-TEST(CardsMoves, LiveWorkIsNeverTouchedNorWhatStandsHigher) {
-    Halves site;
-    site.waits(8);
+TEST(GpuMoves, TasksOfLiveJobsAndOfHigherTiersAreNotMoved) {
+    HalfFullSite site;
+    site.add_waiting(8);
     for (const auto tier : {policy::Tier::Live, policy::Tier::Urgent}) {
-        for (const std::size_t j : {0u, 1u}) site.view.jobs[j].tier = tier;
-        EXPECT_TRUE(site.rooms().empty());
+        for (const std::size_t job : {0u, 1u}) site.view.jobs[job].tier = tier;
+        EXPECT_TRUE(site.plans().empty());
     }
     site.view.jobs[2].tier = policy::Tier::Urgent;
-    EXPECT_FALSE(site.rooms().empty());
+    EXPECT_FALSE(site.plans().empty());
 }
 
-TEST(CardsMoves, WhatMovesOrStopsOrBelongsToAGangStays) {
-    auto with = [](auto change) {
-        Halves site;
-        site.waits(8);
+TEST(GpuMoves, TasksThatMoveOrStopOrBelongToAGangAreNotMoved) {
+    auto plans_with = [](auto change) {
+        HalfFullSite site;
+        site.add_waiting(8);
         change(site.view);
-        return site.rooms().size();
+        return site.plans().size();
     };
-    EXPECT_EQ(with([](ShardView&) {}), 1u);
-    EXPECT_EQ(with([](ShardView& v) { v.tasks[0].has_planned_move = v.tasks[1].has_planned_move = true; }),
+    EXPECT_EQ(plans_with([](ShardView&) {}), 1u);
+    EXPECT_EQ(plans_with([](ShardView& view) {
+                  view.tasks[0].has_planned_move = view.tasks[1].has_planned_move = true;
+              }),
               0u);
-    EXPECT_EQ(with([](ShardView& v) { v.tasks[0].stopping = v.tasks[1].stopping = true; }), 0u);
-    EXPECT_EQ(with([](ShardView& v) {
-                  for (auto& j : v.jobs) j.spec.kind = JobKind::Gang;
+    EXPECT_EQ(plans_with([](ShardView& view) { view.tasks[0].stopping = view.tasks[1].stopping = true; }),
+              0u);
+    EXPECT_EQ(plans_with([](ShardView& view) {
+                  for (auto& job : view.jobs) job.spec.kind = JobKind::Gang;
               }),
               0u);
-    EXPECT_EQ(
-        with([](ShardView& v) { v.jobs[0].time_since_move = v.jobs[1].time_since_move = 29 * kSecond; }), 0u);
-    EXPECT_EQ(with([](ShardView& v) { v.jobs[0].cancelled = v.jobs[1].cancelled = true; }), 0u);
+    EXPECT_EQ(plans_with([](ShardView& view) {
+                  view.jobs[0].time_since_move = view.jobs[1].time_since_move = 29 * kSecond;
+              }),
+              0u);
+    EXPECT_EQ(plans_with([](ShardView& view) { view.jobs[0].cancelled = view.jobs[1].cancelled = true; }),
+              0u);
 }
 
-TEST(CardsMoves, ADestinationThatDiesIsNone) {
-    Halves site;
-    site.waits(8);
+TEST(GpuMoves, AnUnusableMachineIsNoDestination) {
+    HalfFullSite site;
+    site.add_waiting(8);
     site.view.machines[1].usable = false;
-    EXPECT_TRUE(site.rooms().empty());
+    EXPECT_TRUE(site.plans().empty());
 }
 
-TEST(CardsMoves, ADestinationObeysWhatTheMovedJobAsksFor) {
-    auto with = [](auto change) {
-        Halves site;
-        site.waits(8);
+TEST(GpuMoves, ADestinationMeetsTheConstraintsOfTheMovedJob) {
+    auto plans_with = [](auto change) {
+        HalfFullSite site;
+        site.add_waiting(8);
         site.view.machines[1].zone = "b";
-        site.view.jobs[1].tier = policy::Tier::Live;  // only j-0 may move, only to n-1
+        site.view.jobs[1].tier = policy::Tier::Live;  // so that only j-0 may move, and only to n-1
         site.view.jobs[1].tasks_by_zone = {{"b", 1}};
         change(site);
-        return site.rooms().size();
+        return site.plans().size();
     };
-    EXPECT_EQ(with([](Site&) {}), 1u);
-    EXPECT_EQ(with([](Site& s) { s.view.jobs[0].spec.zone = "a"; }), 0u);
-    EXPECT_EQ(with([](Site& s) { s.view.jobs[0].spec.types = {{"g4"}}; }), 0u);
-    EXPECT_EQ(with([](Site& s) { s.view.jobs[0].spec.one_zone = true; }), 0u);
-    EXPECT_EQ(with([](Site& s) { s.view.machines[1].spot = true; }), 0u);
-    EXPECT_EQ(with([](Site& s) {
-                  s.view.machines[1].spot = true;
-                  s.view.jobs[0].spec.spot = true;
+    EXPECT_EQ(plans_with([](Site&) {}), 1u);
+    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.zone = "a"; }), 0u);
+    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.types = {{"g4"}}; }), 0u);
+    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.one_zone = true; }), 0u);
+    EXPECT_EQ(plans_with([](Site& site) { site.view.machines[1].spot = true; }), 0u);
+    EXPECT_EQ(plans_with([](Site& site) {
+                  site.view.machines[1].spot = true;
+                  site.view.jobs[0].spec.spot = true;
               }),
               1u);
-    EXPECT_EQ(with([](Site& s) {
-                  s.view.jobs[0].spec.spread = true;
-                  s.view.jobs[0].spec.tasks = 2;
-                  s.view.jobs[0].tasks_by_zone = {{"a", 1}, {"b", 1}};
+    EXPECT_EQ(plans_with([](Site& site) {
+                  site.view.jobs[0].spec.spread = true;
+                  site.view.jobs[0].spec.tasks = 2;
+                  site.view.jobs[0].tasks_by_zone = {{"a", 1}, {"b", 1}};
               }),
               0u);
-    EXPECT_EQ(with([](Site& s) {
-                  s.policy.zones.push_back({});
-                  s.policy.zones.back().scope.job_class = "model";
-                  s.policy.zones.back().allowed = {"a"};
+    EXPECT_EQ(plans_with([](Site& site) {
+                  site.policy.zones.push_back({});
+                  site.policy.zones.back().scope.job_class = "model";
+                  site.policy.zones.back().allowed = {"a"};
               }),
               0u);
 }
 
-TEST(CardsMoves, BatchThatSavesGoesBeforeReplicasAndTheYoungestSaveFirst) {
+TEST(GpuMoves, TheTaskThatSavedLastMovesFirstUnlessAReplicaLosesLess) {
     Site site;
-    for (int i = 0; i < 3; ++i) site.machine();
-    site.on(0, site.job(4));
-    site.on(1, site.batch(4, 150 * kSecond));  // 30 s since it saved
-    site.on(2, site.batch(4, 125 * kSecond));  // 5 s
-    for (auto& j : site.view.jobs) j.spec.image_gb = 0;
-    site.waits(8);
-    const auto plans = site.rooms();
+    for (int i = 0; i < 3; ++i) site.add_machine();
+    site.run_on(0, site.add_service(4));
+    site.run_on(1, site.add_batch(4, 150 * kSecond));  // saved 30 s ago
+    site.run_on(2, site.add_batch(4, 125 * kSecond));  // saved 5 s ago
+    for (auto& job : site.view.jobs) job.spec.image_gb = 0;
+    site.add_waiting(8);
+    const auto plans = site.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].moves[0].job, "j-2");
     EXPECT_EQ(plans[0].cost, 10);
-    // After a long run without a save a replica is cheaper.
+    // A replica is cheaper to move than batch that has not saved for 55 s.
     site.view.tasks[1].run_time = site.view.tasks[2].run_time = 55 * kSecond;
-    EXPECT_EQ(site.rooms()[0].moves[0].job, "j-0");
+    EXPECT_EQ(site.plans()[0].moves[0].job, "j-0");
 }
 
-TEST(CardsMoves, NobodyIsMovedForAShortWaitOrForWhatFitsOrHasRoomKept) {
-    Halves site;
-    const auto job = site.waits(8);
+TEST(GpuMoves, NothingMovesForAJobThatWaitsBrieflyOrFitsOrHasAReservation) {
+    HalfFullSite site;
+    const auto job = site.add_waiting(8);
     site.view.jobs[job].waiting_time = 4 * kSecond;
-    EXPECT_TRUE(site.rooms().empty());
+    EXPECT_TRUE(site.plans().empty());
     site.view.jobs[job].waiting_time = 5 * kSecond;
-    EXPECT_EQ(site.rooms().size(), 1u);
+    EXPECT_EQ(site.plans().size(), 1u);
     site.view.jobs[job].reserved_tasks = 1;
-    EXPECT_TRUE(site.rooms().empty());
+    EXPECT_TRUE(site.plans().empty());
     site.view.jobs[job].reserved_tasks = 0;
-    site.machine();
-    EXPECT_TRUE(site.rooms().empty());
+    site.add_machine();
+    EXPECT_TRUE(site.plans().empty());
     EXPECT_FALSE(plan_room_for_job(site.view, job, site.policy));
 }
 
-TEST(CardsMoves, RoomThatIsOnItsWayIsKeptWithoutAMove) {
-    Halves site;
-    site.waits(8);
+TEST(GpuMoves, CapacityOfStoppingTasksIsReservedWithoutAMove) {
+    HalfFullSite site;
+    site.add_waiting(8);
     site.view.tasks[1].stopping = true;
-    site.view.machines[1].stopping = part(4);
-    const auto plans = site.rooms();
+    site.view.machines[1].stopping = gpu_share(4);
+    const auto plans = site.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_TRUE(plans[0].moves.empty());
 }
 
-TEST(CardsMoves, ADestinationIsNotRoomThatIsStillToBeFreed) {
-    Halves site;
-    site.waits(8);
-    site.on(1, site.job(4));
-    site.view.tasks[2].stopping = true;  // n-1 is full until it has gone
-    site.view.machines[1].stopping = part(4);
+TEST(GpuMoves, CapacityOfStoppingTasksIsNoDestination) {
+    HalfFullSite site;
+    site.add_waiting(8);
+    site.run_on(1, site.add_service(4));
+    site.view.tasks[2].stopping = true;  // n-1 is full until this task is gone
+    site.view.machines[1].stopping = gpu_share(4);
     site.view.jobs[1].tier = policy::Tier::Live;
-    EXPECT_TRUE(site.rooms().empty());
+    EXPECT_TRUE(site.plans().empty());
 }
 
-TEST(CardsMoves, AGangHasRoomForAllItsTasksOrForNone) {
+TEST(GpuMoves, AGangGetsRoomForAllItsTasksOrForNone) {
     Site site;
     for (int i = 0; i < 4; ++i) {
-        site.machine(i < 2 ? "a" : "b");
-        site.on(static_cast<std::size_t>(i), site.batch(4, 0));
+        site.add_machine(i < 2 ? "a" : "b");
+        site.run_on(static_cast<std::size_t>(i), site.add_batch(4, 0));
     }
-    const auto gang = site.waits(8, 2);
+    const auto gang = site.add_waiting(8, 2);
     site.view.jobs[gang].spec.kind = JobKind::Gang;
-    auto plans = site.rooms();
+    auto plans = site.plans();
     ASSERT_EQ(plans.size(), 2u);
-    for (const auto& p : plans) {
-        EXPECT_EQ(p.reservation.tasks, 1);
-        EXPECT_EQ(p.moves.size(), 1u);
+    for (const auto& plan : plans) {
+        EXPECT_EQ(plan.reservation.tasks, 1);
+        EXPECT_EQ(plan.moves.size(), 1u);
     }
-    // In one zone both machines have to be emptied into the other one.
+    // If the gang has to be in one zone, both machines of a zone are emptied into the other zone.
     site.view.jobs[gang].spec.one_zone = true;
-    plans = site.rooms();
+    plans = site.plans();
     ASSERT_EQ(plans.size(), 2u);
-    std::set<std::string> gathered{plans[0].reservation.machine, plans[1].reservation.machine};
-    EXPECT_TRUE(gathered == (std::set<std::string>{"n-0", "n-1"}) ||
-                gathered == (std::set<std::string>{"n-2", "n-3"}));
-    // With one of the four machines gone there is room for one task: nothing is moved.
+    std::set<std::string> reserved{plans[0].reservation.machine, plans[1].reservation.machine};
+    EXPECT_TRUE(reserved == (std::set<std::string>{"n-0", "n-1"}) ||
+                reserved == (std::set<std::string>{"n-2", "n-3"}));
+    // Without one of the four machines only one task could get room, so nothing is moved.
     site.view.jobs[gang].spec.one_zone = false;
     site.view.machines[3].usable = false;
-    EXPECT_TRUE(site.rooms().empty());
+    EXPECT_TRUE(site.plans().empty());
 }
 
-TEST(CardsMoves, TheHighestTierAndTheLongestWaitGoFirst) {
-    Halves site;
-    site.waits(8, 1, 10 * kSecond);
-    site.waits(8, 1, 20 * kSecond);
-    ASSERT_EQ(site.rooms().size(), 1u);
-    EXPECT_EQ(site.rooms()[0].reservation.job, "j-3");
+TEST(GpuMoves, TheHighestTierAndThenTheLongestWaitGoFirst) {
+    HalfFullSite site;
+    site.add_waiting(8, 1, 10 * kSecond);
+    site.add_waiting(8, 1, 20 * kSecond);
+    ASSERT_EQ(site.plans().size(), 1u);
+    EXPECT_EQ(site.plans()[0].reservation.job, "j-3");
     site.view.jobs[2].tier = policy::Tier::Urgent;
-    EXPECT_EQ(site.rooms()[0].reservation.job, "j-2");
+    EXPECT_EQ(site.plans()[0].reservation.job, "j-2");
 }
 
-TEST(CardsMoves, AServiceIsMovedOnceInACall) {
+TEST(GpuMoves, AServiceIsMovedOnceInACall) {
     Site site;
-    for (int i = 0; i < 4; ++i) site.machine();
-    const auto service = site.job(4);
-    for (std::size_t i = 0; i < 4; ++i) site.on(i, service);
-    site.waits(8, 2);
-    EXPECT_EQ(site.rooms().size(), 1u);
+    for (int i = 0; i < 4; ++i) site.add_machine();
+    const auto service = site.add_service(4);
+    for (std::size_t i = 0; i < 4; ++i) site.run_on(i, service);
+    site.add_waiting(8, 2);
+    EXPECT_EQ(site.plans().size(), 1u);
 }
 
-// ---------------------------------------------------------------- always
+// ---------------------------------------------------------------- properties
 
-/// Small sites of every kind: replicas and batch, movable or not, gangs, machines out of use, rooms kept.
-Site random_site(std::mt19937_64& random, int machines, int waiting) {
-    auto upto = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n + 1)); };
+/// Returns a small random site with replicas and batch, movable or not, gangs, unusable machines and capacity
+/// that is set aside.
+Site random_site(std::mt19937_64& random, int machines, int waiting_jobs) {
+    auto up_to = [&](int maximum) {
+        return static_cast<int>(random() % static_cast<std::uint64_t>(maximum + 1));
+    };
     Site site;
     for (int i = 0; i < machines; ++i) {
-        const std::size_t m = site.machine(upto(2) == 0 ? "b" : "a");
-        int free = 8;
-        while (free > 0 && upto(5) > 0) {
-            const int gpus = 1 << upto(2);
-            if (gpus > free) continue;
-            free -= gpus;
-            const std::size_t j = upto(1) ? site.job(gpus, upto(5) ? "model" : "fixed")
-                                          : site.batch(gpus, upto(100) * kSecond, upto(3) * 30 * kSecond);
-            JobView& job = site.view.jobs[j];
-            if (upto(8) == 0) job.tier = policy::Tier::Live;
-            if (upto(8) == 0) job.spec.zone = site.view.machines[m].zone;
-            const std::size_t t = site.on(m, j);
-            if (upto(12) == 0) {
-                site.view.tasks[t].stopping = true;
-                site.view.machines[m].stopping += job.spec.request;
+        const std::size_t machine = site.add_machine(up_to(2) == 0 ? "b" : "a");
+        int free_gpus = 8;
+        while (free_gpus > 0 && up_to(5) > 0) {
+            const int gpus = 1 << up_to(2);
+            if (gpus > free_gpus) continue;
+            free_gpus -= gpus;
+            const std::size_t job_index =
+                up_to(1) ? site.add_service(gpus, up_to(5) ? "model" : "fixed")
+                         : site.add_batch(gpus, up_to(100) * kSecond, up_to(3) * 30 * kSecond);
+            JobView& job = site.view.jobs[job_index];
+            if (up_to(8) == 0) job.tier = policy::Tier::Live;
+            if (up_to(8) == 0) job.spec.zone = site.view.machines[machine].zone;
+            const std::size_t task = site.run_on(machine, job_index);
+            if (up_to(12) == 0) {
+                site.view.tasks[task].stopping = true;
+                site.view.machines[machine].stopping += job.spec.request;
             }
-            if (upto(12) == 0) site.view.tasks[t].has_planned_move = true;
+            if (up_to(12) == 0) site.view.tasks[task].has_planned_move = true;
         }
-        if (upto(10) == 0) site.view.machines[m].usable = false;
-        if (free > 0 && upto(10) == 0) site.view.machines[m].set_aside = part(1);
+        if (up_to(10) == 0) site.view.machines[machine].usable = false;
+        if (free_gpus > 0 && up_to(10) == 0) site.view.machines[machine].set_aside = gpu_share(1);
     }
-    for (int i = 0; i < waiting; ++i) {
-        const std::size_t j = site.waits(upto(2) ? 8 : 4, 1 + upto(1), (5 + upto(9)) * kSecond);
-        if (upto(2) == 0) site.view.jobs[j].spec.kind = JobKind::Gang;
+    for (int i = 0; i < waiting_jobs; ++i) {
+        const std::size_t job = site.add_waiting(up_to(2) ? 8 : 4, 1 + up_to(1), (5 + up_to(9)) * kSecond);
+        if (up_to(2) == 0) site.view.jobs[job].spec.kind = JobKind::Gang;
     }
     return site;
 }
 
-Site any_site(int machines, int waiting) {
+Site any_site(int machines, int waiting_jobs) {
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-    return random_site(random, machines, waiting);
+    return random_site(random, machines, waiting_jobs);
 }
 
-std::size_t index_of(const ShardView& view, const std::string& machine) {
-    for (std::size_t m = 0; m < view.machines.size(); ++m)
-        if (view.machines[m].name == machine) return m;
-    throw std::runtime_error("no machine " + machine);
+std::size_t machine_index(const ShardView& view, const std::string& name) {
+    for (std::size_t i = 0; i < view.machines.size(); ++i)
+        if (view.machines[i].name == name) return i;
+    throw std::runtime_error("unknown machine " + name);
 }
-std::size_t job_of(const ShardView& view, const std::string& ref) {
+std::size_t job_index(const ShardView& view, const std::string& ref) {
     return static_cast<std::size_t>(std::stoul(ref.substr(2))) < view.jobs.size()
                ? static_cast<std::size_t>(std::stoul(ref.substr(2)))
-               : throw std::runtime_error("no job " + ref);
+               : throw std::runtime_error("unknown job " + ref);
 }
 
-RC_GTEST_PROP(CardsAlways, APlanFitsWhenItIsReplayedAndNoRoomIsUsedTwice, ()) {
+RC_GTEST_PROP(GpuMovesProperties, PlansFitOnTheirMachinesAndUseNoCapacityTwice, ()) {
     const Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
-    const auto plans = site.rooms();
-    std::vector<Resources> arrives(site.view.machines.size()), leaves = arrives, starts = arrives;
-    for (const auto& p : plans) {
-        for (const auto& m : p.moves) {
-            const Resources need = site.view.jobs[job_of(site.view, m.job)].spec.request;
-            arrives[index_of(site.view, m.to)] += need;
-            leaves[index_of(site.view, m.from)] += need;
-            RC_ASSERT(m.for_job == p.reservation.job);
+    const auto plans = site.plans();
+    std::vector<Resources> arriving(site.view.machines.size()), leaving = arriving, starting = arriving;
+    for (const auto& plan : plans) {
+        for (const auto& move : plan.moves) {
+            const Resources request = site.view.jobs[job_index(site.view, move.job)].spec.request;
+            arriving[machine_index(site.view, move.to)] += request;
+            leaving[machine_index(site.view, move.from)] += request;
+            RC_ASSERT(move.for_job == plan.reservation.job);
         }
-        for (int i = 0; i < p.reservation.tasks; ++i)
-            starts[index_of(site.view, p.reservation.machine)] +=
-                site.view.jobs[job_of(site.view, p.reservation.job)].spec.request;
+        for (int i = 0; i < plan.reservation.tasks; ++i)
+            starting[machine_index(site.view, plan.reservation.machine)] +=
+                site.view.jobs[job_index(site.view, plan.reservation.job)].spec.request;
     }
-    for (std::size_t m = 0; m < arrives.size(); ++m) {
-        const MachineView& machine = site.view.machines[m];
-        RC_ASSERT(arrives[m].fits(machine.available()) || arrives[m].gpus == 0);  // before anything has left
-        const Resources used = arrives[m] + starts[m];
-        if (used.gpus > 0) RC_ASSERT(used.fits(machine.available() + machine.stopping + leaves[m]));
+    for (std::size_t i = 0; i < arriving.size(); ++i) {
+        const MachineView& machine = site.view.machines[i];
+        // Moved tasks must fit before any other task has left.
+        RC_ASSERT(arriving[i].fits(machine.available()) || arriving[i].gpus == 0);
+        const Resources used = arriving[i] + starting[i];
+        if (used.gpus > 0) RC_ASSERT(used.fits(machine.available() + machine.stopping + leaving[i]));
         if (used.gpus > 0) RC_ASSERT(machine.usable);
     }
 }
 
-RC_GTEST_PROP(CardsAlways, NothingMovesThatMayNotNorMoreThanTheBudgetsAllow, ()) {
+RC_GTEST_PROP(GpuMovesProperties, OnlyMovableTasksMoveAndWithinTheBudgets, ()) {
     Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
     site.policy.budgets.moves_per_minute = *rc::gen::inRange(0, 6);
     site.policy.budgets.moves_per_placement = *rc::gen::inRange(0, 4);
     std::set<std::pair<std::string, int>> moved;
-    for (const auto& p : site.rooms()) {
-        RC_ASSERT(static_cast<int>(p.moves.size()) <=
-                  p.reservation.tasks * site.policy.budgets.moves_per_placement);
-        for (const auto& m : p.moves) {
-            RC_ASSERT(moved.emplace(m.job, m.task).second);
-            const JobView& job = site.view.jobs[job_of(site.view, m.job)];
+    for (const auto& plan : site.plans()) {
+        RC_ASSERT(static_cast<int>(plan.moves.size()) <=
+                  plan.reservation.tasks * site.policy.budgets.moves_per_placement);
+        for (const auto& move : plan.moves) {
+            RC_ASSERT(moved.emplace(move.job, move.task).second);
+            const JobView& job = site.view.jobs[job_index(site.view, move.job)];
             RC_ASSERT(site.policy.movable(job.spec) && job.spec.kind != JobKind::Gang);
-            RC_ASSERT(job.tier >= site.view.jobs[job_of(site.view, p.reservation.job)].tier);
+            RC_ASSERT(job.tier >= site.view.jobs[job_index(site.view, plan.reservation.job)].tier);
             RC_ASSERT(job.tier != policy::Tier::Live);
-            for (const auto& t : site.view.tasks)
-                if (t.task == m.task && site.view.jobs[t.job].spec.ref == m.job)
-                    RC_ASSERT(!t.has_planned_move && !t.stopping &&
-                              site.view.machines[t.machine].name == m.from);
+            for (const auto& task : site.view.tasks)
+                if (task.task == move.task && site.view.jobs[task.job].spec.ref == move.job)
+                    RC_ASSERT(!task.has_planned_move && !task.stopping &&
+                              site.view.machines[task.machine].name == move.from);
             if (job.spec.zone)
-                RC_ASSERT(site.view.machines[index_of(site.view, m.to)].zone == *job.spec.zone);
+                RC_ASSERT(site.view.machines[machine_index(site.view, move.to)].zone == *job.spec.zone);
         }
     }
     RC_ASSERT(static_cast<int>(moved.size()) <= site.policy.budgets.moves_per_minute);
 }
 
-RC_GTEST_PROP(CardsAlways, TheSameViewGivesTheSamePlansAndGangsAreWhole, ()) {
+RC_GTEST_PROP(GpuMovesProperties, TheSameViewGivesTheSamePlansAndGangsStartWhole, ()) {
     const Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
-    const auto one = site.rooms(), two = site.rooms();
-    RC_ASSERT(one.size() == two.size());
-    std::map<std::string, int> started;
-    for (std::size_t i = 0; i < one.size(); ++i) {
-        RC_ASSERT(one[i].reservation == two[i].reservation && one[i].moves == two[i].moves);
-        started[one[i].reservation.job] += one[i].reservation.tasks;
+    const auto first = site.plans(), second = site.plans();
+    RC_ASSERT(first.size() == second.size());
+    std::map<std::string, int> reserved_tasks;
+    for (std::size_t i = 0; i < first.size(); ++i) {
+        RC_ASSERT(first[i].reservation == second[i].reservation && first[i].moves == second[i].moves);
+        reserved_tasks[first[i].reservation.job] += first[i].reservation.tasks;
     }
-    for (const auto& [ref, n] : started) {
-        const JobView& job = site.view.jobs[job_of(site.view, ref)];
-        RC_ASSERT(n <= job.waiting_tasks);
-        if (job.spec.kind == JobKind::Gang) RC_ASSERT(n == job.waiting_tasks);
+    for (const auto& [ref, count] : reserved_tasks) {
+        const JobView& job = site.view.jobs[job_index(site.view, ref)];
+        RC_ASSERT(count <= job.waiting_tasks);
+        if (job.spec.kind == JobKind::Gang) RC_ASSERT(count == job.waiting_tasks);
     }
 }
 
-/// Every way to empty a machine by up to `moves` moves into room that is free at once.
-bool brute_force(const Site& site, std::size_t job, std::size_t target, int moves) {
-    const ShardView& v = site.view;
-    std::vector<Resources> free;
-    for (const auto& m : v.machines) free.push_back(m.usable ? m.available() : Resources{});
-    const Resources need = v.jobs[job].spec.request;
-    std::set<std::size_t> gone;
-    auto tried = [&](auto&& self, Resources room, int left) -> bool {
-        if (need.fits(room)) return true;
-        if (left == 0) return false;
-        for (const std::size_t t : v.machines[target].tasks) {
-            const JobView& j = v.jobs[v.tasks[t].job];
-            if (gone.count(t) || v.tasks[t].has_planned_move || v.tasks[t].stopping ||
-                j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live || !site.policy.movable(j.spec))
+/// Returns true if some sequence of up to `max_moves` moves into capacity that is free at once makes room for
+/// a task of the job on the target machine. All sequences are tried.
+bool exhaustive_search(const Site& site, std::size_t waiting_job, std::size_t target, int max_moves) {
+    const ShardView& view = site.view;
+    std::vector<Resources> available;
+    for (const auto& machine : view.machines)
+        available.push_back(machine.usable ? machine.available() : Resources{});
+    const Resources request = view.jobs[waiting_job].spec.request;
+    std::set<std::size_t> moved_tasks;
+    auto search = [&](auto&& self, Resources room, int moves_left) -> bool {
+        if (request.fits(room)) return true;
+        if (moves_left == 0) return false;
+        for (const std::size_t task : view.machines[target].tasks) {
+            const JobView& job = view.jobs[view.tasks[task].job];
+            if (moved_tasks.count(task) || view.tasks[task].has_planned_move || view.tasks[task].stopping ||
+                job.tier < view.jobs[waiting_job].tier || job.tier == policy::Tier::Live ||
+                !site.policy.movable(job.spec))
                 continue;
-            for (std::size_t to = 0; to < free.size(); ++to) {
-                if (to == target || !j.spec.request.fits(free[to])) continue;
-                if (j.spec.zone && *j.spec.zone != v.machines[to].zone) continue;
-                gone.insert(t);
-                free[to] -= j.spec.request;
-                const bool found = self(self, room + j.spec.request, left - 1);
-                free[to] += j.spec.request;
-                gone.erase(t);
+            for (std::size_t to = 0; to < available.size(); ++to) {
+                if (to == target || !job.spec.request.fits(available[to])) continue;
+                if (job.spec.zone && *job.spec.zone != view.machines[to].zone) continue;
+                moved_tasks.insert(task);
+                available[to] -= job.spec.request;
+                const bool found = self(self, room + job.spec.request, moves_left - 1);
+                available[to] += job.spec.request;
+                moved_tasks.erase(task);
                 if (found) return true;
             }
         }
         return false;
     };
-    const MachineView& m = v.machines[target];
-    return m.usable && need.fits(m.size) && tried(tried, m.available() + m.stopping, moves);
+    const MachineView& machine = view.machines[target];
+    return machine.usable && request.fits(machine.size) &&
+           search(search, machine.available() + machine.stopping, max_moves);
 }
 
-RC_GTEST_PROP(CardsAlways, APlanExistsWheneverTryingEverythingFindsOne, ()) {
+RC_GTEST_PROP(GpuMovesProperties, APlanIsFoundWheneverExhaustiveSearchFindsOne, ()) {
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     for (int i = 0; i < 20; ++i) {
         Site site = random_site(random, 2 + static_cast<int>(random() % 3), 0);
-        const std::size_t job = site.waits(random() % 2 ? 4 : 8);
-        const int moves = site.policy.budgets.moves_per_placement = 1 + static_cast<int>(random() % 3);
-        bool fits = false, any = false;
+        const std::size_t job = site.add_waiting(random() % 2 ? 4 : 8);
+        const int max_moves = site.policy.budgets.moves_per_placement = 1 + static_cast<int>(random() % 3);
+        bool fits = false, has_plan = false;
         for (std::size_t m = 0; m < site.view.machines.size(); ++m) {
             const MachineView& machine = site.view.machines[m];
             fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.available()));
-            any = any || brute_force(site, job, m, moves);
+            has_plan = has_plan || exhaustive_search(site, job, m, max_moves);
         }
-        RC_ASSERT(plan_room_for_job(site.view, job, site.policy).has_value() == (any && !fits));
+        RC_ASSERT(plan_room_for_job(site.view, job, site.policy).has_value() == (has_plan && !fits));
     }
 }
 
-// ---------------------------------------------------------------- against the least
+// ---------------------------------------------------------------- comparison with an exact solver
 
-/// The least number of moves after which `job` fits somewhere, moves of what may move in any order and chains
-/// counted as possible; -1: none.
-int least_moves(const Site& site, std::size_t job) {
-    const ShardView& v = site.view;
-    glp_prob* lp = glp_create_prob();
-    glp_set_obj_dir(lp, GLP_MIN);
-    const int n = static_cast<int>(v.machines.size());
-    std::vector<int> rows{0}, cols{0};
+/// Returns the smallest number of moves after which the waiting job fits somewhere, or -1 if there is none.
+/// It is a lower bound: tasks may move in any order and in chains, and only GPUs are counted.
+int minimum_moves(const Site& site, std::size_t waiting_job) {
+    const ShardView& view = site.view;
+    glp_prob* problem = glp_create_prob();
+    glp_set_obj_dir(problem, GLP_MIN);
+    const int machine_count = static_cast<int>(view.machines.size());
+    std::vector<int> rows{0}, columns{0};
     std::vector<double> values{0};
-    auto set = [&](int row, int col, double value) {
+    auto set_coefficient = [&](int row, int column, double value) {
         rows.push_back(row);
-        cols.push_back(col);
+        columns.push_back(column);
         values.push_back(value);
     };
-    auto binary = [&](double cost) {
-        const int c = glp_add_cols(lp, 1);
-        glp_set_col_kind(lp, c, GLP_BV);
-        glp_set_obj_coef(lp, c, cost);
-        return c;
+    auto add_binary_column = [&](double cost) {
+        const int column = glp_add_cols(problem, 1);
+        glp_set_col_kind(problem, column, GLP_BV);
+        glp_set_obj_coef(problem, column, cost);
+        return column;
     };
-    glp_add_rows(lp, n + 1);
-    for (int m = 0; m < n; ++m) {
-        const MachineView& machine = v.machines[static_cast<std::size_t>(m)];
-        const Milli room = machine.available().gpus + machine.stopping.gpus;
-        glp_set_row_bnds(lp, m + 1, GLP_UP, 0, machine.usable ? static_cast<double>(room) / 1000 : 0);
+    glp_add_rows(problem, machine_count + 1);
+    for (int m = 0; m < machine_count; ++m) {
+        const MachineView& machine = view.machines[static_cast<std::size_t>(m)];
+        const Milli available = machine.available().gpus + machine.stopping.gpus;
+        glp_set_row_bnds(problem, m + 1, GLP_UP, 0,
+                         machine.usable ? static_cast<double>(available) / 1000 : 0);
     }
-    glp_set_row_bnds(lp, n + 1, GLP_FX, 1, 1);
-    for (int m = 0; m < n; ++m) {
-        if (!v.machines[static_cast<std::size_t>(m)].usable) continue;
-        const int c = binary(0);
-        set(m + 1, c, static_cast<double>(v.jobs[job].spec.request.gpus) / 1000);
-        set(n + 1, c, 1);
+    glp_set_row_bnds(problem, machine_count + 1, GLP_FX, 1, 1);
+    for (int m = 0; m < machine_count; ++m) {
+        if (!view.machines[static_cast<std::size_t>(m)].usable) continue;
+        const int starts_here = add_binary_column(0);
+        set_coefficient(m + 1, starts_here,
+                        static_cast<double>(view.jobs[waiting_job].spec.request.gpus) / 1000);
+        set_coefficient(machine_count + 1, starts_here, 1);
     }
-    for (const auto& t : v.tasks) {
-        const JobView& j = v.jobs[t.job];
-        if (t.has_planned_move || t.stopping || j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live ||
-            !site.policy.movable(j.spec) || !v.machines[t.machine].usable)
+    for (const auto& task : view.tasks) {
+        const JobView& job = view.jobs[task.job];
+        if (task.has_planned_move || task.stopping || job.tier < view.jobs[waiting_job].tier ||
+            job.tier == policy::Tier::Live || !site.policy.movable(job.spec) ||
+            !view.machines[task.machine].usable)
             continue;
-        const int once = glp_add_rows(lp, 1);
-        glp_set_row_bnds(lp, once, GLP_UP, 0, 1);
-        for (int m = 0; m < n; ++m) {
-            const MachineView& to = v.machines[static_cast<std::size_t>(m)];
-            if (static_cast<std::size_t>(m) == t.machine || !to.usable) continue;
-            if (j.spec.zone && *j.spec.zone != to.zone) continue;
-            const int c = binary(1);
-            const double gpus = static_cast<double>(j.spec.request.gpus) / 1000;
-            set(once, c, 1);
-            set(m + 1, c, gpus);
-            set(static_cast<int>(t.machine) + 1, c, -gpus);
+        const int at_most_one_move = glp_add_rows(problem, 1);
+        glp_set_row_bnds(problem, at_most_one_move, GLP_UP, 0, 1);
+        for (int m = 0; m < machine_count; ++m) {
+            const MachineView& to = view.machines[static_cast<std::size_t>(m)];
+            if (static_cast<std::size_t>(m) == task.machine || !to.usable) continue;
+            if (job.spec.zone && *job.spec.zone != to.zone) continue;
+            const int moves_here = add_binary_column(1);
+            const double gpus = static_cast<double>(job.spec.request.gpus) / 1000;
+            set_coefficient(at_most_one_move, moves_here, 1);
+            set_coefficient(m + 1, moves_here, gpus);
+            set_coefficient(static_cast<int>(task.machine) + 1, moves_here, -gpus);
         }
     }
-    glp_load_matrix(lp, static_cast<int>(rows.size()) - 1, rows.data(), cols.data(), values.data());
-    glp_iocp how;
-    glp_init_iocp(&how);
-    how.presolve = GLP_ON;
-    how.msg_lev = GLP_MSG_OFF;
-    const bool solved = glp_intopt(lp, &how) == 0 && glp_mip_status(lp) == GLP_OPT;
-    const int moves = solved ? static_cast<int>(glp_mip_obj_val(lp) + 0.5) : -1;
-    glp_delete_prob(lp);
+    glp_load_matrix(problem, static_cast<int>(rows.size()) - 1, rows.data(), columns.data(), values.data());
+    glp_iocp options;
+    glp_init_iocp(&options);
+    options.presolve = GLP_ON;
+    options.msg_lev = GLP_MSG_OFF;
+    const bool solved = glp_intopt(problem, &options) == 0 && glp_mip_status(problem) == GLP_OPT;
+    const int moves = solved ? static_cast<int>(glp_mip_obj_val(problem) + 0.5) : -1;
+    glp_delete_prob(problem);
     return moves;
 }
 
-TEST(CardsMoves, AreHardlyMoreThanTheLeastThatAnExactSolverFinds) {
+TEST(GpuMoves, AreCloseToTheMinimumOfAnExactSolver) {
     glp_term_out(GLP_OFF);
     std::mt19937_64 random(23);
-    int compared = 0, ours = 0, least = 0, missed = 0;
+    int compared = 0, planned_moves = 0, minimum = 0, without_plan = 0;
     for (int i = 0; i < 3000; ++i) {
         Site site = random_site(random, 3 + static_cast<int>(random() % 6), 0);
-        const std::size_t job = site.waits(random() % 2 ? 8 : 4);
-        const int exact = least_moves(site, job);
+        const std::size_t job = site.add_waiting(random() % 2 ? 8 : 4);
+        const int exact = minimum_moves(site, job);
         if (exact <= 0 || exact > site.policy.budgets.moves_per_placement) continue;
         const auto plan = plan_room_for_job(site.view, job, site.policy);
         if (!plan) {
-            ++missed;
+            ++without_plan;
             continue;
         }
         ++compared;
-        ours += static_cast<int>(plan->moves.size());
-        least += exact;
+        planned_moves += static_cast<int>(plan->moves.size());
+        minimum += exact;
         EXPECT_GE(static_cast<int>(plan->moves.size()), exact);
     }
     std::printf(
-        "%d instances: %d moves, least %d; %d only by chains or into room that is still to be freed\n",
-        compared, ours, least, missed);
+        "%d instances: %d moves, minimum %d; %d only by chains of moves or capacity still to be freed\n",
+        compared, planned_moves, minimum, without_plan);
     ASSERT_GT(compared, 100);
-    EXPECT_LE(static_cast<double>(ours), 1.3 * least);
-    EXPECT_LE(missed * 5, compared);
+    EXPECT_LE(static_cast<double>(planned_moves), 1.3 * minimum);
+    EXPECT_LE(without_plan * 5, compared);
 }
 
 }  // namespace
