--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -1,5 +1,6 @@
-// Machines with GPUs over an hour, simulated in small: what packing and moves change. The table is printed;
-// docs/policy.md has it for 200 machines (COTTONWAY_CARDS_MACHINES=200 COTTONWAY_CARDS_SEEDS=10).
+// Simulates a shard of machines with GPUs over an hour and compares placement without packing, with packing,
+// and with packing and moves. The test prints a table; docs/policy.md has the one for 200 machines
+// (COTTONWAY_CARDS_MACHINES=200 COTTONWAY_CARDS_SEEDS=10).
 
 #include <gtest/gtest.h>
 
@@ -18,286 +19,305 @@
 
 using namespace scheduling;
 
-struct Measured {
-    double large = 0, large_soon = 0;         // of 8 GPUs; begun within 60 s while as many GPUs were free
-    double mid = 0, mid_soon = 0;             // of 4
-    double used = 0, useless = 0, total = 0;  // GPU seconds
-    double moves = 0, made = 0, most_moves = 0;
-    double begun = 0, waited = 0;  // all tasks, seconds
-    void add(const Measured& o) {
-        large += o.large, large_soon += o.large_soon, mid += o.mid, mid_soon += o.mid_soon;
-        used += o.used, useless += o.useless, total += o.total, moves += o.moves, made += o.made;
-        most_moves = std::max(most_moves, o.most_moves), begun += o.begun, waited += o.waited;
+struct Measurement {
+    // Tasks of 8 and of 4 GPUs, and those of them that started within 60 s in which enough GPUs were free.
+    double large = 0, large_prompt = 0;
+    double medium = 0, medium_prompt = 0;
+    double used = 0, unusable = 0, total = 0;  // GPU seconds
+    double moves = 0, plans = 0, most_moves = 0;
+    double started = 0, waiting_time = 0;  // all tasks, seconds
+    void add(const Measurement& other) {
+        large += other.large, large_prompt += other.large_prompt, medium += other.medium,
+            medium_prompt += other.medium_prompt;
+        used += other.used, unusable += other.unusable, total += other.total, moves += other.moves,
+            plans += other.plans;
+        most_moves = std::max(most_moves, other.most_moves), started += other.started,
+        waiting_time += other.waiting_time;
     }
 };
 
-/// One run by whole seconds. Shapes of 1, 2, 4 and 8 GPUs arrive so that each asks for as many GPUs; half
-/// are batch that saves every minute, the others replicas that may move, with weights of 20 to 140 GB.
-class Simulated {
+/// One simulation run in steps of a second. Tasks of 1, 2, 4 and 8 GPUs arrive at rates at which each size
+/// asks for the same number of GPUs. Half of them are batch that saves every minute, the others are movable
+/// replicas with images of 20 to 140 GB.
+class GpuSimulation {
   public:
-    Simulated(int machines, double load, std::uint64_t seed, bool pack, bool moves)
+    GpuSimulation(int machines, double load, std::uint64_t seed, bool pack, bool moves)
         : load_(load), arrivals_(seed), random_(seed), pack_(pack) {
         policy_.gpus = {pack, moves, 5 * kSecond};
         policy_.moves.push_back({{"", "model"}, true});
         for (int i = 0; i < machines; ++i) {
-            MachineView m;
-            m.name = "n-" + std::to_string(i);
-            m.type = "g8";
-            m.zone = "a";
-            m.usable = true;
-            m.size = {96'000, 8'000, 768'000};
-            m.fetch_gb_per_s = 1;
-            machines_.push_back({m, 0, {}});
+            MachineView machine;
+            machine.name = "n-" + std::to_string(i);
+            machine.type = "g8";
+            machine.zone = "a";
+            machine.usable = true;
+            machine.size = {96'000, 8'000, 768'000};
+            machine.fetch_gb_per_s = 1;
+            machines_.push_back({machine, 0, {}});
         }
     }
 
-    Measured run(int seconds, int warm) {
+    Measurement run(int seconds, int warmup) {
         for (now_ = 0; now_ < seconds; ++now_) {
-            counts_ = now_ >= warm;
-            arrive();
-            leave();
-            moved_arrive();
-            start_waiting();
-            if (policy_.gpus.make_room) make();
+            is_measuring_ = now_ >= warmup;
+            add_arrivals();
+            end_tasks();
+            start_moved_tasks();
+            start_waiting_tasks();
+            if (policy_.gpus.make_room) make_room();
             measure();
         }
-        return out_;
+        return measurement_;
     }
 
   private:
     struct Task {
         JobView job;
-        int left = 0;  // seconds of run, once started
-        int since = 0, free_for = 0;
+        int seconds_left = 0;  // of its run time
+        int arrived_at = 0, seconds_with_enough_gpus = 0;
         std::ptrdiff_t machine = -1;
-        int begun = 0;
+        int started_at = 0;  // while stopping: when it is proven gone
         bool stopping = false;
-        std::string to;  // where a move goes to
-        int there = -1;  // when it starts there
+        std::string destination;  // of a move
+        int restart_at = -1;      // at the destination
         bool over = false, judged = false;
     };
     struct Machine {
         MachineView view;
         int tasks = 0;
-        std::vector<std::pair<std::string, Resources>> kept;  // for whom
-        Resources room(const std::string& by) const {
-            Resources r = view.size - view.reserved;
-            for (const auto& [ref, need] : kept)
-                if (ref != by) r -= need;
-            return r;
+        std::vector<std::pair<std::string, Resources>> reservations;  // by job
+        Resources available_to(const std::string& job) const {
+            Resources available = view.size - view.reserved;
+            for (const auto& [ref, request] : reservations)
+                if (ref != job) available -= request;
+            return available;
         }
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(arrivals_); }
 
-    void arrive() {
-        constexpr int kMean = 600;
-        const double per_shape = 0.25 * load_ * 8 * static_cast<double>(machines_.size()) / kMean;
+    void add_arrivals() {
+        constexpr int kMeanRunSeconds = 600;
+        const double gpus_per_size =
+            0.25 * load_ * 8 * static_cast<double>(machines_.size()) / kMeanRunSeconds;
         for (const int gpus : {1, 2, 4, 8}) {
-            const int n = std::poisson_distribution<int>(per_shape / gpus)(arrivals_);
-            for (int i = 0; i < n; ++i) {
-                Task t;
-                JobSpec& s = t.job.spec;
-                s.ref = "j-" + std::to_string(tasks_.size());
-                s.tasks = 1;
-                const bool batch = uniform() < 0.5;
-                s.kind = batch ? JobKind::Array : JobKind::Service;
-                s.job_class = batch ? "train" : "model";
-                s.checkpoint = batch ? 60 * kSecond : 0;
-                s.save = batch ? 2 * kSecond : 0;
-                s.request = {gpus * (4'000 + static_cast<Milli>(uniform() * 8'000)), gpus * 1'000,
-                             gpus * 64'000};
-                s.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
-                s.image_gb = 20'000 * (1 + std::hash<std::string>{}(s.image) % 7);
-                t.job.time_since_move = 3600 * kSecond;
-                t.left = 1 + static_cast<int>(std::exponential_distribution<double>(1.0 / kMean)(arrivals_));
-                t.since = now_;
+            const int arrivals = std::poisson_distribution<int>(gpus_per_size / gpus)(arrivals_);
+            for (int i = 0; i < arrivals; ++i) {
+                Task task;
+                JobSpec& spec = task.job.spec;
+                spec.ref = "j-" + std::to_string(tasks_.size());
+                spec.tasks = 1;
+                const bool is_batch = uniform() < 0.5;
+                spec.kind = is_batch ? JobKind::Array : JobKind::Service;
+                spec.job_class = is_batch ? "train" : "model";
+                spec.checkpoint = is_batch ? 60 * kSecond : 0;
+                spec.save = is_batch ? 2 * kSecond : 0;
+                spec.request = {gpus * (4'000 + static_cast<Milli>(uniform() * 8'000)), gpus * 1'000,
+                                gpus * 64'000};
+                spec.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
+                spec.image_gb = 20'000 * (1 + std::hash<std::string>{}(spec.image) % 7);
+                task.job.time_since_move = 3600 * kSecond;
+                task.seconds_left =
+                    1 +
+                    static_cast<int>(std::exponential_distribution<double>(1.0 / kMeanRunSeconds)(arrivals_));
+                task.arrived_at = now_;
                 waiting_.push_back(tasks_.size());
-                tasks_.push_back(std::move(t));
+                tasks_.push_back(std::move(task));
             }
         }
     }
 
-    void take(Task& t, Machine& m, int sign) {
-        if (sign > 0) m.view.reserved += t.job.spec.request;
-        if (sign < 0) m.view.reserved -= t.job.spec.request;
-        m.tasks += sign;
+    void change_reserved(Task& task, Machine& machine, int sign) {
+        if (sign > 0) machine.view.reserved += task.job.spec.request;
+        if (sign < 0) machine.view.reserved -= task.job.spec.request;
+        machine.tasks += sign;
     }
 
-    void begin(std::size_t i, std::size_t m) {
-        Task& t = tasks_[i];
-        t.machine = static_cast<std::ptrdiff_t>(m);
-        t.begun = now_;
-        take(t, machines_[m], 1);
-        cache(machines_[m].view, t.job.spec);
-        for (auto& other : machines_)
-            std::erase_if(other.kept, [&](const auto& k) { return k.first == t.job.spec.ref; });
-        running_.push_back(i);
+    void start(std::size_t task_index, std::size_t machine_index) {
+        Task& task = tasks_[task_index];
+        task.machine = static_cast<std::ptrdiff_t>(machine_index);
+        task.started_at = now_;
+        change_reserved(task, machines_[machine_index], 1);
+        cache_image(machines_[machine_index].view, task.job.spec);
+        for (auto& machine : machines_)
+            std::erase_if(machine.reservations,
+                          [&](const auto& entry) { return entry.first == task.job.spec.ref; });
+        running_.push_back(task_index);
     }
-    static void cache(MachineView& m, const JobSpec& s) {
-        for (const auto& image : m.images)
-            if (image.name == s.image) return;
-        m.images.push_back({s.image, true});
-        if (m.images.size() > 5) m.images.erase(m.images.begin());
+    static void cache_image(MachineView& machine, const JobSpec& spec) {
+        for (const auto& image : machine.images)
+            if (image.name == spec.image) return;
+        machine.images.push_back({spec.image, true});
+        if (machine.images.size() > 5) machine.images.erase(machine.images.begin());
     }
 
-    void leave() {
+    void end_tasks() {
         std::erase_if(running_, [&](std::size_t i) {
-            Task& t = tasks_[i];
-            if (t.stopping && now_ >= t.begun) {  // stopped and proven gone: on its way
-                take(t, machines_[static_cast<std::size_t>(t.machine)], -1);
-                t.stopping = false;
-                t.there = now_ + 2;
-                on_way_.push_back(i);
+            Task& task = tasks_[i];
+            if (task.stopping && now_ >= task.started_at) {  // proven gone, and restarts at its destination
+                change_reserved(task, machines_[static_cast<std::size_t>(task.machine)], -1);
+                task.stopping = false;
+                task.restart_at = now_ + 2;
+                moving_.push_back(i);
                 return true;
             }
-            if (t.stopping || --t.left > 0) return false;
-            take(t, machines_[static_cast<std::size_t>(t.machine)], -1);
-            t.over = true;
+            if (task.stopping || --task.seconds_left > 0) return false;
+            change_reserved(task, machines_[static_cast<std::size_t>(task.machine)], -1);
+            task.over = true;
             return true;
         });
     }
 
-    void moved_arrive() {
-        std::erase_if(on_way_, [&](std::size_t i) {
-            if (now_ < tasks_[i].there) return false;
+    void start_moved_tasks() {
+        std::erase_if(moving_, [&](std::size_t i) {
+            if (now_ < tasks_[i].restart_at) return false;
             for (std::size_t m = 0; m < machines_.size(); ++m)
-                if (machines_[m].view.name == tasks_[i].to) begin(i, m);
-            tasks_[i].left += 60;  // fetched and done again
+                if (machines_[m].view.name == tasks_[i].destination) start(i, m);
+            tasks_[i].seconds_left += 60;  // to fetch the image and repeat lost work
             tasks_[i].job.time_since_move = 0;
             return true;
         });
     }
 
-    GpuDemand shapes() const {
-        ShardView v;
-        for (const auto* list : {&waiting_, &running_})
-            for (const std::size_t i : *list) {
-                v.jobs.push_back(tasks_[i].job);
-                (list == &waiting_ ? v.jobs.back().waiting_tasks : v.jobs.back().bound_tasks) = 1;
+    GpuDemand gpu_demand() const {
+        ShardView view;
+        for (const auto* tasks : {&waiting_, &running_})
+            for (const std::size_t i : *tasks) {
+                view.jobs.push_back(tasks_[i].job);
+                (tasks == &waiting_ ? view.jobs.back().waiting_tasks : view.jobs.back().bound_tasks) = 1;
             }
-        return gpu_demand_of(v);
+        return gpu_demand_of(view);
     }
 
-    void start_waiting() {
-        const GpuDemand asked = shapes();
-        std::vector<std::size_t> still;
-        Milli free = 0;
-        for (const auto& m : machines_) free += m.view.size.gpus - m.view.reserved.gpus;
-        for (const std::size_t i : on_way_) free -= tasks_[i].job.spec.request.gpus;
+    void start_waiting_tasks() {
+        const GpuDemand demand = gpu_demand();
+        std::vector<std::size_t> still_waiting;
+        Milli free_gpus = 0;
+        for (const auto& machine : machines_)
+            free_gpus += machine.view.size.gpus - machine.view.reserved.gpus;
+        for (const std::size_t i : moving_) free_gpus -= tasks_[i].job.spec.request.gpus;
         for (const std::size_t i : waiting_) {
-            Task& t = tasks_[i];
-            const Resources& need = t.job.spec.request;
-            std::vector<Candidate> list;
+            Task& task = tasks_[i];
+            const Resources& request = task.job.spec.request;
+            std::vector<Candidate> candidates;
             for (std::size_t m = 0; m < machines_.size(); ++m) {
-                const Resources room = machines_[m].room(t.job.spec.ref);
-                if (!need.fits(room)) continue;
-                Candidate c;
-                c.index = m;
-                c.size = machines_[m].view.size;
-                c.reserved = c.size - room;
-                c.tasks = machines_[m].tasks;
+                const Resources available = machines_[m].available_to(task.job.spec.ref);
+                if (!request.fits(available)) continue;
+                Candidate candidate;
+                candidate.index = m;
+                candidate.size = machines_[m].view.size;
+                candidate.reserved = candidate.size - available;
+                candidate.tasks = machines_[m].tasks;
                 for (const auto& image : machines_[m].view.images)
-                    c.has_image = c.has_image || image.name == t.job.spec.image;
-                if (pack_) c.penalty = gpu_penalty(c.size, c.reserved, need, asked);
-                list.push_back(c);
+                    candidate.has_image = candidate.has_image || image.name == task.job.spec.image;
+                if (pack_)
+                    candidate.penalty = gpu_penalty(candidate.size, candidate.reserved, request, demand);
+                candidates.push_back(candidate);
             }
-            const auto chosen = place(list, need, PlacementSettings{}, random_);
-            // Each waiting task has a claim on what is free, the longest waiting first.
-            if (free >= need.gpus) {
-                ++t.free_for;
-                free -= need.gpus;
+            const auto chosen = place(candidates, request, PlacementSettings{}, random_);
+            // Free GPUs are counted for each waiting task in turn, the longest waiting first.
+            if (free_gpus >= request.gpus) {
+                ++task.seconds_with_enough_gpus;
+                free_gpus -= request.gpus;
             }
-            judge(t, chosen >= 0);
+            judge(task, chosen >= 0);
             if (chosen < 0) {
-                still.push_back(i);
+                still_waiting.push_back(i);
                 continue;
             }
-            if (counts_) ++out_.begun, out_.waited += now_ - t.since;
-            begin(i, static_cast<std::size_t>(chosen));
+            if (is_measuring_) ++measurement_.started, measurement_.waiting_time += now_ - task.arrived_at;
+            start(i, static_cast<std::size_t>(chosen));
         }
-        waiting_ = std::move(still);
+        waiting_ = std::move(still_waiting);
     }
 
-    /// Once: begun, or not within 60 s in which as many GPUs were free.
-    void judge(Task& t, bool begins) {
-        if (t.judged || (!begins && t.free_for <= 60)) return;
-        t.judged = true;
-        if (!counts_) return;
-        const bool soon = begins && t.free_for <= 60;
-        if (t.job.spec.request.gpus == 8'000) ++out_.large, out_.large_soon += soon;
-        if (t.job.spec.request.gpus == 4'000) ++out_.mid, out_.mid_soon += soon;
+    /// Decides once for each task whether it started promptly, that is before enough GPUs were free in total
+    /// for more than 60 s.
+    void judge(Task& task, bool starts_now) {
+        if (task.judged || (!starts_now && task.seconds_with_enough_gpus <= 60)) return;
+        task.judged = true;
+        if (!is_measuring_) return;
+        const bool is_prompt = starts_now && task.seconds_with_enough_gpus <= 60;
+        if (task.job.spec.request.gpus == 8'000) ++measurement_.large, measurement_.large_prompt += is_prompt;
+        if (task.job.spec.request.gpus == 4'000)
+            ++measurement_.medium, measurement_.medium_prompt += is_prompt;
     }
 
-    void make() {
-        ShardView v;
-        v.now = now_ * kSecond;
-        for (const auto& m : machines_) {
-            v.machines.push_back(m.view);
-            for (const auto& [ref, need] : m.kept) v.machines.back().set_aside += need;
+    void make_room() {
+        ShardView view;
+        view.now = now_ * kSecond;
+        for (const auto& machine : machines_) {
+            view.machines.push_back(machine.view);
+            for (const auto& [ref, request] : machine.reservations) view.machines.back().set_aside += request;
         }
-        std::vector<std::size_t> task_of;
+        std::vector<std::size_t> running_tasks;
         for (const std::size_t i : waiting_) {
-            const Task& t = tasks_[i];
-            v.jobs.push_back(t.job);
-            v.jobs.back().waiting_tasks = 1;
-            v.jobs.back().waiting_time = (now_ - t.since) * kSecond;
-            for (const auto& m : machines_)
-                for (const auto& [ref, need] : m.kept) v.jobs.back().reserved_tasks += ref == t.job.spec.ref;
+            const Task& task = tasks_[i];
+            view.jobs.push_back(task.job);
+            view.jobs.back().waiting_tasks = 1;
+            view.jobs.back().waiting_time = (now_ - task.arrived_at) * kSecond;
+            for (const auto& machine : machines_)
+                for (const auto& [ref, request] : machine.reservations)
+                    view.jobs.back().reserved_tasks += ref == task.job.spec.ref;
         }
         for (const std::size_t i : running_) {
-            const Task& t = tasks_[i];
-            v.jobs.push_back(t.job);
-            v.jobs.back().bound_tasks = 1;
-            if (t.job.time_since_move == 0) v.jobs.back().time_since_move = (now_ - t.begun) * kSecond;
-            TaskView tv;
-            tv.job = v.jobs.size() - 1;
-            tv.machine = static_cast<std::size_t>(t.machine);
-            tv.running = true;
-            tv.stopping = tv.has_planned_move = t.stopping;
-            tv.run_time = (now_ - t.begun) * kSecond;
-            v.machines[tv.machine].tasks.push_back(v.tasks.size());
-            if (t.stopping) v.machines[tv.machine].stopping += t.job.spec.request;
-            v.tasks.push_back(tv);
-            task_of.push_back(i);
+            const Task& task = tasks_[i];
+            view.jobs.push_back(task.job);
+            view.jobs.back().bound_tasks = 1;
+            if (task.job.time_since_move == 0)
+                view.jobs.back().time_since_move = (now_ - task.started_at) * kSecond;
+            TaskView task_view;
+            task_view.job = view.jobs.size() - 1;
+            task_view.machine = static_cast<std::size_t>(task.machine);
+            task_view.running = true;
+            task_view.stopping = task_view.has_planned_move = task.stopping;
+            task_view.run_time = (now_ - task.started_at) * kSecond;
+            view.machines[task_view.machine].tasks.push_back(view.tasks.size());
+            if (task.stopping) view.machines[task_view.machine].stopping += task.job.spec.request;
+            view.tasks.push_back(task_view);
+            running_tasks.push_back(i);
         }
-        if (minute_ != now_ / 60) minute_ = now_ / 60, moves_in_minute_ = 0;
-        policy::Policy p = policy_;
-        p.budgets.moves_per_minute -= moves_in_minute_;
-        for (const auto& plan : plan_room_for_waiting_jobs(v, p)) {
-            for (auto& m : machines_)
-                if (m.view.name == plan.reservation.machine)
-                    m.kept.emplace_back(plan.reservation.job,
-                                        tasks_[std::stoul(plan.reservation.job.substr(2))].job.spec.request);
+        if (current_minute_ != now_ / 60) current_minute_ = now_ / 60, moves_in_minute_ = 0;
+        policy::Policy policy = policy_;
+        policy.budgets.moves_per_minute -= moves_in_minute_;
+        for (const auto& plan : plan_room_for_waiting_jobs(view, policy)) {
+            for (auto& machine : machines_)
+                if (machine.view.name == plan.reservation.machine)
+                    machine.reservations.emplace_back(
+                        plan.reservation.job,
+                        tasks_[std::stoul(plan.reservation.job.substr(2))].job.spec.request);
             for (const auto& move : plan.moves) {
-                Task& t = tasks_[std::stoul(move.job.substr(2))];
-                t.stopping = true;
-                t.begun = now_ + 3;
-                t.to = move.to;
-                for (auto& m : machines_)
-                    if (m.view.name == move.to) m.kept.emplace_back(move.job, t.job.spec.request);
+                Task& task = tasks_[std::stoul(move.job.substr(2))];
+                task.stopping = true;
+                task.started_at = now_ + 3;
+                task.destination = move.to;
+                for (auto& machine : machines_)
+                    if (machine.view.name == move.to)
+                        machine.reservations.emplace_back(move.job, task.job.spec.request);
             }
             moves_in_minute_ += static_cast<int>(plan.moves.size());
-            if (!counts_ || plan.moves.empty()) continue;
-            ++out_.made;
-            out_.moves += static_cast<double>(plan.moves.size());
-            out_.most_moves = std::max(out_.most_moves, static_cast<double>(plan.moves.size()));
+            if (!is_measuring_ || plan.moves.empty()) continue;
+            ++measurement_.plans;
+            measurement_.moves += static_cast<double>(plan.moves.size());
+            measurement_.most_moves =
+                std::max(measurement_.most_moves, static_cast<double>(plan.moves.size()));
         }
     }
 
-    /// Free GPUs that nothing waiting can use while something waits for GPUs.
+    /// Counts GPUs in use, and free GPUs that are too few on their machine for any waiting task.
     void measure() {
-        if (!counts_) return;
-        Milli smallest = 0;
+        if (!is_measuring_) return;
+        Milli smallest_request = 0;
         for (const std::size_t i : waiting_) {
-            const Milli c = tasks_[i].job.spec.request.gpus;
-            smallest = smallest == 0 ? c : std::min(smallest, c);
+            const Milli gpus = tasks_[i].job.spec.request.gpus;
+            smallest_request = smallest_request == 0 ? gpus : std::min(smallest_request, gpus);
         }
-        for (const auto& m : machines_) {
-            const Milli free = m.view.size.gpus - m.view.reserved.gpus;
-            out_.total += 8;
-            out_.used += static_cast<double>(m.view.reserved.gpus) / 1000;
-            if (smallest > 0 && free < smallest) out_.useless += static_cast<double>(free) / 1000;
+        for (const auto& machine : machines_) {
+            const Milli free = machine.view.size.gpus - machine.view.reserved.gpus;
+            measurement_.total += 8;
+            measurement_.used += static_cast<double>(machine.view.reserved.gpus) / 1000;
+            if (smallest_request > 0 && free < smallest_request)
+                measurement_.unusable += static_cast<double>(free) / 1000;
         }
     }
 
@@ -307,24 +327,25 @@
     policy::Policy policy_;
     std::vector<Machine> machines_;
     std::vector<Task> tasks_;
-    std::vector<std::size_t> waiting_, running_, on_way_;
+    std::vector<std::size_t> waiting_, running_, moving_;
     int now_ = 0;
-    int minute_ = 0, moves_in_minute_ = 0;
-    bool counts_ = false;
-    Measured out_;
+    int current_minute_ = 0, moves_in_minute_ = 0;
+    bool is_measuring_ = false;
+    Measurement measurement_;
 };
 
-int setting(const char* name, int otherwise) {
+int environment_int(const char* name, int default_value) {
     const char* value = std::getenv(name);
-    return value ? std::atoi(value) : otherwise;
+    return value ? std::atoi(value) : default_value;
 }
 
-/// `shards` times as many machines, each shard with its own arrivals and its own holder.
-Measured measured(int shards, int machines, double load, bool pack, bool moves) {
-    Measured sum;
-    const int seeds = setting("COTTONWAY_CARDS_SEEDS", 2);
-    for (int s = 1; s <= seeds * shards; ++s)
-        sum.add(Simulated(machines, load, static_cast<std::uint64_t>(s), pack, moves).run(3600, 1800));
+/// Simulates `shards` shards of `machines` machines, each with its own arrivals and its own holder, prints a
+/// row of the table and returns the sums.
+Measurement measure_and_print(int shards, int machines, double load, bool pack, bool moves) {
+    Measurement sum;
+    const int seeds = environment_int("COTTONWAY_CARDS_SEEDS", 2);
+    for (int seed = 1; seed <= seeds * shards; ++seed)
+        sum.add(GpuSimulation(machines, load, static_cast<std::uint64_t>(seed), pack, moves).run(3600, 1800));
     std::printf(
         "| %d x %d, %.0f%% | %s | %.1f%% of %.0f | %.1f%% of %.0f | %.2f%% | %.1f%% | %.1f s | %.0f, %.2f, "
         "%.0f |\n",
@@ -332,25 +353,25 @@
         moves  ? "packing and moves"
         : pack ? "packing"
                : "before",
-        100 * sum.large_soon / sum.large, sum.large, 100 * sum.mid_soon / sum.mid, sum.mid,
-        100 * sum.useless / sum.total, 100 * sum.used / sum.total, sum.waited / sum.begun, sum.moves,
-        sum.made > 0 ? sum.moves / sum.made : 0, sum.most_moves);
+        100 * sum.large_prompt / sum.large, sum.large, 100 * sum.medium_prompt / sum.medium, sum.medium,
+        100 * sum.unusable / sum.total, 100 * sum.used / sum.total, sum.waiting_time / sum.started, sum.moves,
+        sum.plans > 0 ? sum.moves / sum.plans : 0, sum.most_moves);
     return sum;
 }
 
-TEST(CardsSimulated, PackingAndMovesLetLargeOnesBegin) {
-    const bool all = setting("COTTONWAY_CARDS_ALL", 0) != 0;
+TEST(GpuSimulations, PackingAndMovesLetMoreLargeTasksStartPromptly) {
+    const bool all = environment_int("COTTONWAY_CARDS_ALL", 0) != 0;
     for (const auto& [shards, machines] : all ? std::vector<std::pair<int, int>>{{1, 200}, {5, 40}}
                                               : std::vector<std::pair<int, int>>{{1, 24}})
         for (const double load : all ? std::vector<double>{0.9, 0.95, 1.0} : std::vector<double>{0.95}) {
-            const Measured before = measured(shards, machines, load, false, false);
-            const Measured packing = measured(shards, machines, load, true, false);
-            const Measured both = measured(shards, machines, load, true, true);
-            EXPECT_GE(packing.large_soon / packing.large, before.large_soon / before.large);
-            EXPECT_GE(both.large_soon / both.large, packing.large_soon / packing.large);
+            const Measurement before = measure_and_print(shards, machines, load, false, false);
+            const Measurement packing = measure_and_print(shards, machines, load, true, false);
+            const Measurement both = measure_and_print(shards, machines, load, true, true);
+            EXPECT_GE(packing.large_prompt / packing.large, before.large_prompt / before.large);
+            EXPECT_GE(both.large_prompt / both.large, packing.large_prompt / packing.large);
             EXPECT_LE(both.most_moves, 3);
             if (!all) {
-                EXPECT_GT(both.large_soon / both.large, before.large_soon / before.large);
+                EXPECT_GT(both.large_prompt / both.large, before.large_prompt / before.large);
             }
         }
 }
