--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -21,7 +21,8 @@
 
 // Time of any move: the task is stopped, proven gone and started.
 constexpr double kMoveSeconds = 5;
-// A second without a service's replica costs as much as this many of batch work, because users wait for it.
+// A second without a service's replica costs as much as this many seconds of lost batch work, because users
+// wait for it.
 constexpr double kServiceWeight = 3;
 
 // Bounds of the search. If each of up to m leaving tasks has at least m destinations, no choice for one task
@@ -140,11 +141,11 @@
         std::stable_sort(machines_with_free_gpus_.begin(), machines_with_free_gpus_.end(),
                          [this](auto a, auto b) { return available_now_[a].gpus < available_now_[b].gpus; });
         planned_starts_.resize(view.jobs.size());
-        job_may_move_.resize(view.jobs.size());
-        for (std::size_t j = 0; j < view.jobs.size(); ++j) job_may_move_[j] = may_move(view.jobs[j]);
+        job_is_movable_.resize(view.jobs.size());
+        for (std::size_t j = 0; j < view.jobs.size(); ++j) job_is_movable_[j] = is_movable(view.jobs[j]);
     }
 
-    /// Returns true if the job has tasks that wait for GPUs long enough and without a reservation.
+    /// Returns true if the job has tasks that have waited for GPUs long enough and have no reservation.
     bool needs_room(std::size_t job_index) const {
         const JobView& job = view_.jobs[job_index];
         if (job.cancelled || job.spec.request.gpus <= 0 || job.waiting_time < policy_.gpus.after)
@@ -193,7 +194,7 @@
     }
 
   private:
-    bool may_move(const JobView& job) const {
+    bool is_movable(const JobView& job) const {
         if (job.cancelled || job.spec.kind == JobKind::Gang || job.tier == policy::Tier::Live) return false;
         if (!policy_.movable(job.spec)) return false;
         return job.spec.kind != JobKind::Service || job.time_since_move >= policy_.budgets.service_pause;
@@ -210,8 +211,9 @@
                std::find(rule->allowed.begin(), rule->allowed.end(), machine.zone) != rule->allowed.end();
     }
 
-    /// Returns true if the machine's zone may hold one more task of the job. Counted are the tasks there, one
-    /// that is about to leave included, the starts planned in this call and `extra_by_zone`.
+    /// Returns true if the machine's zone may hold one more task of the job. The tasks in the zone are
+    /// counted, including one that is about to leave, and so are the starts planned in this call and
+    /// `extra_by_zone`.
     bool zone_admits_task(std::size_t job_index, std::size_t machine,
                           const std::map<std::string, int>* extra_by_zone) const {
         const JobView& job = view_.jobs[job_index];
@@ -348,7 +350,7 @@
     bool can_move(std::size_t task_index, std::size_t for_job) const {
         const TaskView& task = view_.tasks[task_index];
         if (task.job == for_job || moved_[task_index] || task.has_planned_move || task.stopping ||
-            !job_may_move_[task.job])
+            !job_is_movable_[task.job])
             return false;
         // A lower tier never delays a higher one.
         if (view_.jobs[task.job].tier < view_.jobs[for_job].tier) return false;
@@ -425,8 +427,8 @@
         return false;
     }
 
-    /// Returns the cheapest plan to start one task of the job on the machine. All sets of up to `max_moves`
-    /// leaving tasks are tried from which no task could be dropped.
+    /// Returns the cheapest plan to start one task of the job on the machine. It tries every set of up to
+    /// `max_moves` leaving tasks that frees enough and contains no superfluous task.
     std::optional<TaskPlan> plan_on_machine(std::size_t job, std::size_t machine, int max_moves) {
         const Resources lacking = view_.jobs[job].spec.request - available_later_[machine];
         if (lacking.cores <= 0 && lacking.gpus <= 0 && lacking.ram <= 0) return TaskPlan{machine, {}, 0};
@@ -572,7 +574,7 @@
     std::vector<Resources> available_later_;  // by machine: after stopping and leaving tasks are gone
     std::vector<int> fetches_;                // by machine: image fetches, those of planned moves included
     std::vector<bool> moved_;                 // by task: part of a plan of this call
-    std::vector<bool> job_may_move_;          // by job
+    std::vector<bool> job_is_movable_;        // by job
     std::vector<std::map<std::string, int>> planned_starts_;  // by job: starts planned in this call, by zone
     std::map<std::size_t, std::vector<Destination>> destinations_by_job_;
     std::vector<std::size_t> all_machines_, machines_with_free_gpus_;  // the latter: fewest free GPUs first
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -17,7 +17,7 @@
 
 struct PlannedMove {
     Move move;
-    std::int64_t attempt = 0;        // the attempt that the move stops; a later attempt was started since
+    std::int64_t attempt = 0;        // the attempt to stop; a later one shows that the task was started again
     std::int64_t planned_at_ms = 0;  // wall clock
     bool operator==(const PlannedMove&) const = default;
 };
@@ -93,8 +93,8 @@
     /// Returns the preferred machine for the new start of a task that is being moved; empty: any machine.
     std::string destination(const std::string& job, int task) const;
     /// Returns the reserved capacity by machine: the stored reservations, and one for each stored move at its
-    /// destination. Only the job of a reservation may use its capacity. Reservations that were used by the
-    /// last call of `advance` are left out.
+    /// destination. Only the job of a reservation may use its capacity. Tasks that were already bound at
+    /// the last call of `advance` are subtracted.
     const std::map<std::string, std::vector<Reservation>>& reserved_by_machine() const {
         return reserved_by_machine_;
     }
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -19,7 +19,7 @@
     bool image_ready = false;    // the machine has the image
     double machine_penalty = 0;  // for the caller: the part of `penalty` that depends on the machine alone,
                                  // not on where the job's other tasks are
-    double penalty = 0;  // added to the score unchanged
+    double penalty = 0;          // added to the score unchanged
 };
 
 /// Returns the `index` of the chosen candidate, or -1 if none can hold the task.
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -116,8 +116,7 @@
     const bool is_first_overdue = reserves.first_overdue == &job && as_overdue;
     if (job.tier != Tier::Live && !is_first_overdue) {
         Resources withheld = reserves.owed_to_overdue;
-        // An overdue job of tier Batch is among the jobs that the floor is for, so that it is not counted
-        // twice.
+        // An overdue job of tier Batch also claims the floor of that tier and must not be counted twice.
         if (job.tier < Tier::Batch && !as_overdue) {
             const bool overdue_is_batch =
                 reserves.first_overdue && reserves.first_overdue->tier == Tier::Batch;
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -15,7 +15,7 @@
 constexpr double kSameZonePenalty = 25;  // added to a score for each replica of the service in the zone
 constexpr double kNotPreferredPenalty = 50;
 constexpr Micros kLossHistory = 600 * kSecond;  // losses of a zone older than this are forgotten
-constexpr int kMaxDoublings = 5;
+constexpr int kMaxDoublings = 5;  // of the pause between moves and of the settle time: a factor of 32
 
 using Counts = std::map<std::string, int>;
 using Zones = std::vector<std::string>;
--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -19,9 +19,9 @@
 
 /// The zones that a job's next task may be placed in, with a penalty for each.
 struct ZoneChoice {
-    /// The most tasks that each zone may hold, tasks already there (in-doubt ones included) counted. A zone
-    /// that is not listed takes none. The choice holds for the next task only and has to be made again after
-    /// that is bound. It never exceeds what the job's own `spread`, `one_zone` and `mill` allow.
+    /// The most tasks that each zone may hold, including the tasks already there (also those in doubt). A
+    /// zone that is not listed takes none. The choice holds for the next task only and has to be made again
+    /// after that is bound. It never exceeds what the job's own `spread`, `one_zone` and `mill` allow.
     std::map<std::string, int> max_tasks;
     /// Added to a candidate's score in the zone (lower is better).
     std::map<std::string, double> penalty;
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -27,7 +27,7 @@
     Resources size;
     Resources reserved;   // requests of all tasks on the machine, in-doubt and stopping ones included
     Resources stopping;   // the part of `reserved` that belongs to stopping tasks
-    Resources set_aside;  // free capacity that reservations and planned moves keep for other tasks
+    Resources set_aside;  // free capacity held by reservations and for planned moves to the machine
     double fetch_gb_per_s = 1;
     std::vector<ImageView> images;
     std::vector<std::size_t> tasks;  // indices into ShardView::tasks
