--- a/src/scheduling/migrations.cpp
+++ b/src/scheduling/migrations.cpp
@@ -186,13 +186,13 @@
     if (task.stopping) return false;
     // The task was not stopped yet, so the move is cancelled as soon as it serves no purpose.
     if (planned.move.reason == MoveReason::Balance)
-        return planned.move.to.empty() || !shard.machine_usable(planned.move.to);
+        return planned.move.to.empty() || !shard.is_machine_usable(planned.move.to);
     return !is_waiting(shard.job(planned.move.for_job)) || !has_reservation_for(planned.move.for_job);
 }
 
 bool MigrationPlan::is_over(const PlannedReservation& planned, const ShardQuery& shard) {
     return !is_waiting(shard.job(planned.reservation.job)) ||
-           !shard.machine_usable(planned.reservation.machine) ||
+           !shard.is_machine_usable(planned.reservation.machine) ||
            shard.tasks_on(planned.reservation.job, planned.reservation.machine) >=
                planned.tasks_when_planned + planned.reservation.tasks;
 }
@@ -235,7 +235,7 @@
 
     Actions actions;
     for (PlannedMove& planned : moves_) {
-        if (!planned.move.to.empty() && !shard.machine_usable(planned.move.to)) {
+        if (!planned.move.to.empty() && !shard.is_machine_usable(planned.move.to)) {
             planned.move.to.clear();
             changed_ = true;
         }
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -56,7 +56,7 @@
         virtual JobState job(const std::string& ref) const = 0;
         /// Returns the number of the job's tasks on the machine, in-doubt and stopping ones included.
         virtual int tasks_on(const std::string& job, const std::string& machine) const = 0;
-        virtual bool machine_usable(const std::string& machine) const = 0;
+        virtual bool is_machine_usable(const std::string& machine) const = 0;
     };
     /// What the holder has to do now. The same action may be returned again; it is idempotent.
     struct Actions {
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -55,7 +55,7 @@
         return static_cast<int>(std::count_if(m->tasks.begin(), m->tasks.end(),
                                               [&](const TaskRef& t) { return t.job->spec.ref == ref; }));
     }
-    bool machine_usable(const std::string& machine) const override {
+    bool is_machine_usable(const std::string& machine) const override {
         const Machine* m = rebalancer_.shard_state_.machine(machine);
         return m && rebalancer_.of_.usable(*m);
     }
--- a/tests/migrations_test.cpp
+++ b/tests/migrations_test.cpp
@@ -44,7 +44,7 @@
         return static_cast<int>(std::count_if(jobs.at(job).begin(), jobs.at(job).end(),
                                               [&](const Task& each) { return each.machine == machine; }));
     }
-    bool machine_usable(const std::string& machine) const override {
+    bool is_machine_usable(const std::string& machine) const override {
         return !unusable_machines.count(machine);
     }
     Task& task_at(const std::string& job, int task) {
