--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -1,6 +1,6 @@
 // Simulates a shard of machines with GPUs over an hour and compares placement without packing, with packing,
 // and with packing and moves. The test prints a table; docs/policy.md has the one for 200 machines
-// (COTTONWAY_CARDS_MACHINES=200 COTTONWAY_CARDS_SEEDS=10).
+// (COTTONWAY_CARDS_ALL=1 COTTONWAY_CARDS_SEEDS=10).
 
 #include <gtest/gtest.h>
 
