--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -148,7 +148,7 @@
 void ShardOwner::apply_heartbeat(Machine& m, const Report& r, bool is_report) {
     const Micros now = context_.runtime().now();
     if (!recovery::is_news({r.session, r.seq}, {m.session, m.seq}, m.min_session)) return;
-    const bool was_usable = usable(m);
+    const bool was_usable = is_usable(m);
     // That it reports does not tell that it hears us.
     if (is_report && hears(m, r)) m.suspect = false;
     if (r.session > m.session) {
@@ -211,7 +211,7 @@
     for (const auto& t : missing) absent(m, *t.job, t.task, r, is_report);
     if (!m.tasks.empty()) m.idle_since = m.last_heartbeat_listening;
     if (!m.orphaned_tasks.empty()) request_dispatch(m);
-    if (!was_usable && usable(m)) plan_due_ = true;
+    if (!was_usable && is_usable(m)) plan_due_ = true;
 }
 
 recovery::Stored ShardOwner::stored(const Job* job, const Slot* slot, const Machine& m,
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -54,10 +54,10 @@
     };
     auto more = [](Json& n) { n = n.get<int>() + 1; };
     for (const auto& [name, m] : shard_state_.machines) {
-        if (!Scheduler::allowed(job, *m)) continue;
+        if (!Scheduler::is_allowed(job, *m)) continue;
         Json& z = zone(m->zone);
         more(z["machines"]);
-        if (!usable(*m)) continue;
+        if (!is_usable(*m)) continue;
         more(z["usable"]);
         if (job.spec.request.fits(m->type->size - m->reserved)) more(z["with_room"]);
     }
@@ -69,7 +69,7 @@
 Json ShardOwner::gpus_for(const Job& job) const {
     Milli free = 0, most = 0;
     for (const auto& [name, m] : shard_state_.machines) {
-        if (!usable(*m) || !Scheduler::allowed(job, *m)) continue;
+        if (!is_usable(*m) || !Scheduler::is_allowed(job, *m)) continue;
         const Milli here = std::max<Milli>(m->type->size.gpus - m->reserved.gpus, 0);
         free += here;
         most = std::max(most, here);
@@ -91,7 +91,7 @@
         why.push_back("it fails everywhere: one task is tried at a time, the next in " +
                       std::to_string(std::max<Micros>(job.try_after - now, 0) / kMillisecond) + " ms");
     const int at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
-    if (!scheduler_.quota_allows(job, at_once)) why.push_back("its team has used up its limit here");
+    if (!scheduler_.is_within_quota(job, at_once)) why.push_back("its team has used up its limit here");
     int machines = 0, usable_ones = 0, with_room = 0, zones_open = 0;
     for (const auto& [name, z] : zones.items()) {
         machines += z["machines"].get<int>();
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -60,7 +60,7 @@
         ++d.machines;
         d.capacity += m->type->size.cores;
         if (!m->spot) d.ordinary += m->type->size.cores;
-        if (!usable(*m)) continue;
+        if (!is_usable(*m)) continue;
         // Idle work gives way to everything else.
         (m->spot ? d.free_spot : d.free_ordinary) +=
             scheduling::available_cores(m->type->size - m->reserved, m->type->size) + m->idle_work;
@@ -93,7 +93,7 @@
     const Job* first = nullptr;
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->waiting() > 0 && now - job->waiting_since > kWantAfter &&
-            (scheduler_.quota_allows(*job, 1) || lacks_room(*job, now)) &&
+            (scheduler_.is_within_quota(*job, 1) || lacks_room(*job, now)) &&
             (!first || turn(*job) < turn(*first)))
             first = job.get();
     if (!first) return std::nullopt;
@@ -127,7 +127,7 @@
     const Micros now = context_.runtime().listened();
     std::vector<Machine*> idle;
     for (auto& [name, m] : shard_state_.machines) {
-        if (!usable(*m) || !m->tasks.empty() || !m->exited.empty() || !m->unacknowledged_launches.empty())
+        if (!is_usable(*m) || !m->tasks.empty() || !m->exited.empty() || !m->unacknowledged_launches.empty())
             continue;
         if (!m->launches_in_responses.empty() || m->direct_in_flight || m->raising) continue;
         if (now - m->idle_since < kIdleOffer) continue;
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -57,7 +57,7 @@
     }
     bool machine_usable(const std::string& machine) const override {
         const Machine* m = rebalancer_.shard_state_.machine(machine);
-        return m && rebalancer_.of_.usable(*m);
+        return m && rebalancer_.of_.is_usable(*m);
     }
 
   private:
@@ -65,7 +65,7 @@
 };
 
 Rebalancer::Rebalancer(ShardContext& context, std::string shard, Revision shard_revision,
-                       const ShardState& shard_state, Scheduler::Shard& of)
+                       const ShardState& shard_state, Scheduler::Owner& of)
     : context_(context),
       shard_(std::move(shard)),
       shard_revision_(shard_revision),
@@ -77,7 +77,7 @@
     *alive_ = false;
 }
 
-void Rebalancer::adopt() {
+void Rebalancer::load_stored_plan() {
     // What is read is of after the shard became ours, so no write of a predecessor is still to come.
     const PlanCache::Stored* stored = context_.stored_plan(shard_);
     if (!stored) return;
@@ -196,7 +196,7 @@
         v.type = m->type_name;
         v.zone = m->zone;
         v.spot = m->spot;
-        v.usable = of_.usable(*m);
+        v.usable = of_.is_usable(*m);
         if (m->type) v.size = m->type->size;
         if (m->type && m->type->fetch_gb_per_s > 0) v.fetch_gb_per_s = m->type->fetch_gb_per_s;
         v.reserved = m->reserved;
@@ -263,7 +263,7 @@
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         const Slot& slot = job.slots[i];
         if (static_cast<int>(i) == task) continue;
-        if (!runs(slot) || !slot.machine || !of_.usable(*slot.machine)) return false;
+        if (!runs(slot) || !slot.machine || !of_.is_usable(*slot.machine)) return false;
     }
     return true;
 }
@@ -278,8 +278,8 @@
     if (move.reason == Reason::Room && !context_.policy().movable(job.spec)) return false;
     if (move.to.empty()) return !service;
     const Machine* to = shard_state_.machine(move.to);
-    return to && of_.usable(*to) && Scheduler::allowed(job, *to) &&
-           job.spec.request.fits(to->type->size - to->reserved - kept_from(job, *to));
+    return to && of_.is_usable(*to) && Scheduler::is_allowed(job, *to) &&
+           job.spec.request.fits(to->type->size - to->reserved - resources_reserved_for_others(job, *to));
 }
 
 void Rebalancer::stop(const std::vector<Move>& moves) {
@@ -310,7 +310,7 @@
     }
 }
 
-Resources Rebalancer::kept_from(const Job& job, const Machine& m) const {
+Resources Rebalancer::resources_reserved_for_others(const Job& job, const Machine& m) const {
     Resources kept;
     auto it = plan_.kept().find(m.name);
     if (it == plan_.kept().end()) return kept;
@@ -325,14 +325,14 @@
     return kept;
 }
 
-bool Rebalancer::keeps_for(const Job& job) const {
+bool Rebalancer::has_reservation(const Job& job) const {
     return std::any_of(plan_.kept().begin(), plan_.kept().end(), [&](const auto& machine) {
         return std::any_of(machine.second.begin(), machine.second.end(),
                            [&](const Gather& g) { return g.job == job.spec.ref; });
     });
 }
 
-const Machine* Rebalancer::destination(const Job& job, int task) const {
+const Machine* Rebalancer::move_destination(const Job& job, int task) const {
     if (plan_.moves().empty()) return nullptr;
     const std::string name = plan_.destination(job.spec.ref, task);
     return name.empty() ? nullptr : shard_state_.machine(name);
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -23,20 +23,20 @@
 class Rebalancer {
   public:
     Rebalancer(ShardContext& context, std::string shard, Revision shard_revision,
-               const ShardState& shard_state, Scheduler::Shard& of);
+               const ShardState& shard_state, Scheduler::Owner& of);
     ~Rebalancer();
 
     /// Reads what is stored. To be called once all of the shard is loaded.
-    void adopt();
+    void load_stored_plan();
     /// What follows from time passing; called about ten times a second, once the shard is active.
     void tick();
 
     /// Room of a machine that is kept for others, as far as the job does not go before them.
-    Resources kept_from(const Job& job, const Machine& m) const;
+    Resources resources_reserved_for_others(const Job& job, const Machine& m) const;
     /// Whether room is kept for the job anywhere.
-    bool keeps_for(const Job& job) const;
+    bool has_reservation(const Job& job) const;
     /// Where a task in a move had better start, nullptr: anywhere.
-    const Machine* destination(const Job& job, int task) const;
+    const Machine* move_destination(const Job& job, int task) const;
     const scheduling::Plan& plan() const { return plan_; }
 
     /// The shard as it is now, with the room that the plan keeps.
@@ -62,7 +62,7 @@
     std::string shard_;
     Revision shard_revision_;
     const ShardState& shard_state_;
-    Scheduler::Shard& of_;
+    Scheduler::Owner& of_;
     Micros since_;  // this process holds the shard
     scheduling::Plan plan_;
     scheduling::ZoneWatch zones_;
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -40,7 +40,7 @@
     return count;
 }
 
-Scheduler::Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Shard& of)
+Scheduler::Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Owner& of)
     : context_(context),
       shard_(std::move(shard)),
       shard_state_(shard_state),
@@ -51,7 +51,7 @@
     shard_state_.bind(job, task, m, attempt);
     if (auto zone = zone_cores_.find(m.zone); zone != zone_cores_.end())
         zone->second.free -= job.spec.request.cores;
-    of_.bound(job, task);
+    of_.on_task_bound(job, task);
 }
 
 policy::Tier Scheduler::tier(const Job& job) const {
@@ -86,13 +86,13 @@
 
 /// It waits for the team's limit, not for room; what merely gives way to others of its team does not.
 void Scheduler::miss_quota(const Job& job, int tasks) {
-    if (limit_allows(job, tasks)) return;
-    auto& missing = short_of_quota_[job.spec.team];
+    if (is_within_limit(job, tasks)) return;
+    auto& missing = quota_shortfalls_[job.spec.team];
     missing.cores += job.spec.request.cores * job.idle;
     missing.gpus += job.spec.request.gpus * job.idle;
 }
 
-bool Scheduler::allowed(const Job& job, const Machine& m) {
+bool Scheduler::is_allowed(const Job& job, const Machine& m) {
     return scheduling::may_use(job.spec, m.type_name, m.zone, m.spot);
 }
 
@@ -104,20 +104,20 @@
     return sum;
 }
 
-bool Scheduler::limit_allows(const Job& job, int tasks) const {
+bool Scheduler::is_within_limit(const Job& job, int tasks) const {
     const Resources share = context_.share(shard_, job.spec.team);
     const Resources sum = used_with(job, tasks);
     return sum.cores <= share.cores && sum.gpus <= share.gpus;
 }
 
-bool Scheduler::quota_allows(const Job& job, int tasks) const {
+bool Scheduler::is_within_quota(const Job& job, int tasks) const {
     const Resources sum = used_with(job, tasks);
-    return sum.cores <= job.most.cores && sum.gpus <= job.most.gpus && limit_allows(job, tasks);
+    return sum.cores <= job.most.cores && sum.gpus <= job.most.gpus && is_within_limit(job, tasks);
 }
 
 /// What a pass has found to need more room than any machine has, nothing that needs as much will find either.
 bool Scheduler::is_unschedulable(const Job& job) const {
-    if (of_.keeps_for(job)) return false;  // others may have failed for that very room
+    if (of_.has_reservation(job)) return false;  // others may have failed for that very room
     const bool further = takes_surplus(job);
     return std::any_of(no_room_.begin(), no_room_.end(),
                        [&](const Room& r) { return (r.surplus || !further) && r.within(job.spec); });
@@ -178,7 +178,7 @@
     const Micros waited = context_.runtime().now() - job.waiting_since;
     if (waited > aims.front() * 3 / 5) return false;
     return std::none_of(usable_.begin(), usable_.end(), [&](const Machine* m) {
-        if (!job.spec.request.fits(m->type->size - m->reserved) || !allowed(job, *m)) return false;
+        if (!job.spec.request.fits(m->type->size - m->reserved) || !is_allowed(job, *m)) return false;
         const Micros fetch = fetch_time(job, *m);
         return fetch > 0 && waited + fetch < aims.front();
     });
@@ -256,11 +256,11 @@
     machines.reserve(usable_.size());
     for (Machine* m : reach == Reach::Surplus ? surplus_ : usable_) {
         if (reach != Reach::Surplus && m->out_of_reach() != (reach == Reach::Relayed)) continue;
-        if (!allowed(job, *m) || keeps_off(job, *m)) continue;
+        if (!is_allowed(job, *m) || keeps_off(job, *m)) continue;
         Candidate c;
         c.index = machines.size();
         c.size = m->type->size;
-        c.reserved = m->reserved + of_.kept_from(job, *m);
+        c.reserved = m->reserved + of_.resources_reserved_for_others(job, *m);
         c.tasks = static_cast<int>(m->tasks.size());
         for (const auto& image : m->images)
             if (image.name == job.spec.image) {
@@ -394,7 +394,7 @@
     return waiting;
 }
 
-void Scheduler::plan() {
+void Scheduler::run_pass() {
     const Micros now = context_.runtime().now();
     // Idle work is bound in batches: that takes fewer changes and less time.
     const bool idle_turn = now - idle_planned_at_ >= kIdleEvery;
@@ -404,9 +404,9 @@
     usable_.clear();
     surplus_.clear();
     for (const auto& [name, m] : shard_state_.machines)
-        if (of_.usable(*m))
+        if (of_.is_usable(*m))
             usable_.push_back(m.get());
-        else if (of_.surplus(*m))
+        else if (of_.is_usable_but_draining(*m))
             surplus_.push_back(m.get());
     const std::vector<Job*> waiting = queue(idle_turn);
     std::vector<scheduling::Queued> asked;
@@ -424,7 +424,7 @@
     idle_bound_ = std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& j) {
         return j.second->rank == PriorityClass::Low && j.second->bound > 0;
     });
-    short_of_quota_.clear();
+    quota_shortfalls_.clear();
     claimed_.clear();
     preemptions_left_ = kPreemptions;
     const bool preempts = now - preempted_at_ >= kPreemptEvery;
@@ -438,7 +438,7 @@
         if (!placed && !job.overdue && preempts && !job.backing_off &&
             (now - job.waiting_since > kPreemptAfter || job.rank == PriorityClass::Production))
             preempt(job);
-        if (preempts && tier(job) == policy::Tier::Live && job.idle > 0 && !limit_allows(job, 1) &&
+        if (preempts && tier(job) == policy::Tier::Live && job.idle > 0 && !is_within_limit(job, 1) &&
             now - job.waiting_since > kLimitAfter)
             free_limit(job);
     }
@@ -498,7 +498,7 @@
     if (!z.rule) return z;
     std::set<std::string> standing;
     for (const Machine* m : usable_)
-        if (allowed(job, *m)) standing.insert(m->zone);
+        if (is_allowed(job, *m)) standing.insert(m->zone);
     z.standing.assign(standing.begin(), standing.end());
     return z;
 }
@@ -633,7 +633,7 @@
             continue;
         }
         // In the first moments of a holder, what is moving waits until its destination has been heard.
-        const Machine* better = of_.destination(job, static_cast<int>(i));
+        const Machine* better = of_.move_destination(job, static_cast<int>(i));
         if (better && better->seq == 0 && now - better->known_since < 2 * context_.settings().report_every)
             continue;
         // A part must not outgrow its value, unless that may be stored in pieces; the next ones have room.
@@ -641,7 +641,7 @@
             i = (i / job.part_tasks + 1) * job.part_tasks - 1;
             continue;
         }
-        if (!quota_allows(job, 1)) {  // not for want of room
+        if (!is_within_quota(job, 1)) {  // not for want of room
             miss_quota(job, 1);
             return true;
         }
@@ -713,7 +713,7 @@
         if (job.slots[i].state == SlotState::Idle &&
             (job.slots[i].retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))))
             return true;
-    if (!quota_allows(job, job.idle)) {
+    if (!is_within_quota(job, job.idle)) {
         miss_quota(job, job.idle);
         return true;
     }
@@ -782,9 +782,9 @@
     const bool idle_only = job.rank > PriorityClass::High && !reclaims;
     const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.idle : 1;
     const bool hurries = !aims.empty() && now - job.waiting_since < aims.front();
-    if (preemptions_left_ <= 0 || !quota_allows(job, 1)) return;
+    if (preemptions_left_ <= 0 || !is_within_quota(job, 1)) return;
     const bool ready_only = waits_for_image(job);
-    if (!ready_only && !of_.keeps_for(job) && is_futile(job, may_waste, reclaims)) {
+    if (!ready_only && !of_.has_reservation(job) && is_futile(job, may_waste, reclaims)) {
         job.image_wait_over = true;
         return;
     }
@@ -795,14 +795,14 @@
     std::vector<Machine*> within = usable_;
     if (takes_surplus(job)) within.insert(within.end(), surplus_.begin(), surplus_.end());
     for (int waiting = 1; waiting <= most && preemptions_left_ > 0; ++waiting) {
-        if (!quota_allows(job, waiting)) return;
+        if (!is_within_quota(job, waiting)) return;
         Machine* best = nullptr;
         std::vector<Victim> victims;
         double loss = 0;
         const auto choice = choose_zones(job, zoning, per_zone, zoning.rule ? &zones : nullptr);
         for (Machine* machine : within) {
             Machine& m = *machine;
-            if (!allowed(job, m)) continue;
+            if (!is_allowed(job, m)) continue;
             if (ready_only && fetch_time(job, m) > 0) continue;
             auto used = per_zone.find(m.zone);
             const int there = used == per_zone.end() ? 0 : used->second;
@@ -872,7 +872,7 @@
 /// what would have to be stopped, nothing if enough is stopping already.
 std::optional<double> Scheduler::room_for(const Job& job, const Machine& m, bool may_waste, bool reclaims,
                                           bool hurries, std::vector<Victim>& taken) const {
-    Resources room = m.type->size - m.reserved - of_.kept_from(job, m);
+    Resources room = m.type->size - m.reserved - of_.resources_reserved_for_others(job, m);
     if (auto claimed = claimed_.find(&m); claimed != claimed_.end()) room -= claimed->second;
     std::vector<std::pair<Job*, Slot*>> may_stop;
     Resources most;
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -24,38 +24,38 @@
 class Scheduler {
   public:
     /// What planning needs of the shard's holder.
-    class Shard {
+    class Owner {
       public:
-        virtual ~Shard() = default;
+        virtual ~Owner() = default;
         /// Whether new tasks may be bound to it.
-        virtual bool usable(const Machine& m) const = 0;
+        virtual bool is_usable(const Machine& m) const = 0;
         /// Whether it could be, but is being emptied, since machines of its kind are too many on average.
-        virtual bool surplus(const Machine& m) const = 0;
+        virtual bool is_usable_but_draining(const Machine& m) const = 0;
         /// A task has been bound in the books: its record is to be written.
-        virtual void bound(Job& job, int task) = 0;
+        virtual void on_task_bound(Job& job, int task) = 0;
         /// Tells a task to stop, with that much time to save.
         virtual void stop(Slot& slot, Micros grace) = 0;
         /// Room of a machine that is kept for others than the job.
-        virtual Resources kept_from(const Job& job, const Machine& m) const = 0;
+        virtual Resources resources_reserved_for_others(const Job& job, const Machine& m) const = 0;
         /// Whether room is kept for the job anywhere.
-        virtual bool keeps_for(const Job& job) const = 0;
+        virtual bool has_reservation(const Job& job) const = 0;
         /// Where a task that is being moved had better start, nullptr: anywhere.
-        virtual const Machine* destination(const Job& job, int task) const = 0;
+        virtual const Machine* move_destination(const Job& job, int task) const = 0;
     };
-    Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Shard& of);
+    Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Owner& of);
 
     /// One pass over everything that waits.
-    void plan();
+    void run_pass();
 
-    static bool allowed(const Job& job, const Machine& m);
+    static bool is_allowed(const Job& job, const Machine& m);
     /// Within the shard's part of its team's limit.
-    bool limit_allows(const Job& job, int tasks) const;
+    bool is_within_limit(const Job& job, int tasks) const;
     /// The same, less what is due to others of its team as of the last pass.
-    bool quota_allows(const Job& job, int tasks) const;
+    bool is_within_quota(const Job& job, int tasks) const;
     /// Whether it waits for a machine that has its image rather than fetch it elsewhere.
     bool waits_for_image(const Job& job) const;
     /// What waits for a larger part of a team's limit, as of the last pass.
-    const std::map<std::string, Resources>& short_of_quota() const { return short_of_quota_; }
+    const std::map<std::string, Resources>& quota_shortfalls() const { return quota_shortfalls_; }
 
   private:
     std::vector<Job*> queue(bool idle_turn);
@@ -154,8 +154,8 @@
     ShardContext& context_;
     std::string shard_;
     ShardState& shard_state_;
-    Shard& of_;
-    std::map<std::string, Resources> short_of_quota_;
+    Owner& of_;
+    std::map<std::string, Resources> quota_shortfalls_;
     std::vector<std::string> zones_;  // of the settings and of the shard's machines, in the current pass
     Micros preempted_at_ = 0;
     int preemptions_left_ = 0;
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -165,7 +165,7 @@
     std::size_t bound = 0;
     for (const auto& [name, m] : shard_state_.machines) bound += m->tasks.size();
     const Micros now = context_.runtime().now();
-    rebalancer_.adopt();
+    rebalancer_.load_stored_plan();
     startup_.began(now, now - taken_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
     spdlog::info("domain {}: active with {} jobs and {} machines, token {}", shard_, shard_state_.jobs.size(),
                  shard_state_.machines.size(), mod_revision_);
@@ -233,10 +233,10 @@
     startup_.waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
                                  [](const auto& j) { return j.second->waiting() > 0; }),
                      now);
-    scheduler_.plan();
+    scheduler_.run_pass();
 }
 
-void ShardOwner::bound(Job& job, int task) {
+void ShardOwner::on_task_bound(Job& job, int task) {
     startup_.bound(context_.runtime().now());
     touch(job, static_cast<std::size_t>(task) / job.part_tasks);
 }
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -76,7 +76,7 @@
                               std::function<void(bool)> done) = 0;
 };
 
-class ShardOwner : private Scheduler::Shard {
+class ShardOwner : private Scheduler::Owner {
   public:
     ShardOwner(ShardContext& context, std::string shard, Revision mod_revision, Micros former_authority_end);
     ~ShardOwner() override;
@@ -131,7 +131,7 @@
     /// What waits for room, if anything has for a while.
     std::optional<peer::CapacityRequest> want() const;
     /// What waits for a larger part of a team's limit.
-    const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.short_of_quota(); }
+    const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.quota_shortfalls(); }
     /// Idle machines that would hold such tasks, for another shard; from here on nothing is bound to them
     /// until `keep`.
     std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& want);
@@ -169,18 +169,18 @@
     policy::Tier tier(const Job& job) const { return context_.policy().tier(job.spec, job.rank); }
 
     std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mod_revision_, m.token); }
-    // Scheduler::Shard.
-    bool usable(const Machine& m) const override { return !m.draining && bindable(m); }
-    bool surplus(const Machine& m) const override { return m.draining && bindable(m); }
+    // Scheduler::Owner.
+    bool is_usable(const Machine& m) const override { return !m.draining && bindable(m); }
+    bool is_usable_but_draining(const Machine& m) const override { return m.draining && bindable(m); }
     bool bindable(const Machine& m) const;
-    void bound(Job& job, int task) override;
+    void on_task_bound(Job& job, int task) override;
     void stop(Slot& slot, Micros grace) override;
-    Resources kept_from(const Job& job, const Machine& m) const override {
-        return rebalancer_.kept_from(job, m);
+    Resources resources_reserved_for_others(const Job& job, const Machine& m) const override {
+        return rebalancer_.resources_reserved_for_others(job, m);
     }
-    bool keeps_for(const Job& job) const override { return rebalancer_.keeps_for(job); }
-    const Machine* destination(const Job& job, int task) const override {
-        return rebalancer_.destination(job, task);
+    bool has_reservation(const Job& job) const override { return rebalancer_.has_reservation(job); }
+    const Machine* move_destination(const Job& job, int task) const override {
+        return rebalancer_.move_destination(job, task);
     }
 
     bool lease_over(const Machine& m) const;
