--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -18,9 +18,10 @@
                                          {name_of(Tier::Urgent), Tier::Urgent},
                                          {name_of(Tier::Batch), Tier::Batch},
                                          {name_of(Tier::BestEffort), Tier::BestEffort}};
-const std::map<std::string, Survive> kSurvive{{name_of(Survive::Nothing), Survive::Nothing},
-                                              {name_of(Survive::Machine), Survive::Machine},
-                                              {name_of(Survive::Zone), Survive::Zone}};
+const std::map<std::string, FailureDomain> kFailureDomains{
+    {name_of(FailureDomain::None), FailureDomain::None},
+    {name_of(FailureDomain::Machine), FailureDomain::Machine},
+    {name_of(FailureDomain::Zone), FailureDomain::Zone}};
 
 double in_seconds(Micros m) {
     return static_cast<double>(m) / 1e6;
@@ -45,8 +46,8 @@
     void enough(const std::string& key, const ZoneRule& rule) const {
         if (!settings_ || settings_->zones.empty()) return;
         const std::size_t there = rule.allowed.empty() ? settings_->zones.size() : rule.allowed.size();
-        if (static_cast<std::size_t>(rule.least_zones) > there)
-            fail(key, fmt::format("{} are asked for, there are {}", rule.least_zones, there));
+        if (static_cast<std::size_t>(rule.min_zones) > there)
+            fail(key, fmt::format("{} are asked for, there are {}", rule.min_zones, there));
     }
 
   private:
@@ -71,9 +72,9 @@
     names.zones(x.path("allowed"), r.allowed);
     r.preferred = x.texts("preferred", {});
     names.zones(x.path("preferred"), r.preferred);
-    r.least_zones = x.count("least_zones", r.least_zones, 64, 1);
-    r.most_share = x.number("most_share", r.most_share, 0, 1);
-    r.survive = one_of(x.path("survive"), x.text("survive", name_of(r.survive)), kSurvive);
+    r.min_zones = x.count("least_zones", r.min_zones, 64, 1);
+    r.max_zone_share = x.number("most_share", r.max_zone_share, 0, 1);
+    r.survive = one_of(x.path("survive"), x.text("survive", name_of(r.survive)), kFailureDomains);
     r.strict = x.flag("strict");
     r.rebalance = x.flag("rebalance");
     names.enough(x.path("least_zones"), r);
@@ -98,11 +99,11 @@
     Json v{{"revision", p.revision}};
     v["tiers"] = rules_value(p.tiers, [](const TierRule& r) { return Json{{"tier", name_of(r.tier)}}; });
     v["priority"] = {{"floor", p.priority.floor},
-                     {"begin_within_s", in_seconds(p.priority.begin_within)},
-                     {"reserve", p.priority.reserve}};
+                     {"begin_within_s", in_seconds(p.priority.overdue_after)},
+                     {"reserve", p.priority.live_reserve}};
     v["zones"] = rules_value(p.zones, [](const ZoneRule& r) {
         return Json{{"allowed", r.allowed},          {"preferred", r.preferred},
-                    {"least_zones", r.least_zones},  {"most_share", r.most_share},
+                    {"least_zones", r.min_zones},    {"most_share", r.max_zone_share},
                     {"survive", name_of(r.survive)}, {"strict", r.strict},
                     {"rebalance", r.rebalance}};
     });
@@ -110,9 +111,9 @@
     v["budgets"] = {{"moves_per_minute", p.budgets.moves_per_minute},
                     {"moves_per_placement", p.budgets.moves_per_placement},
                     {"service_pause_s", in_seconds(p.budgets.service_pause)},
-                    {"settle_s", in_seconds(p.budgets.settle)}};
+                    {"settle_s", in_seconds(p.budgets.settle_time)}};
     v["cards"] = {
-        {"pack", p.gpus.pack}, {"make_room", p.gpus.make_room}, {"after_s", in_seconds(p.gpus.after)}};
+        {"pack", p.gpus.pack}, {"make_room", p.gpus.make_room}, {"after_s", in_seconds(p.gpus.min_wait)}};
     return v;
 }
 
@@ -130,8 +131,8 @@
         });
         t.table("priority", [&](Table& x) {
             p.priority.floor = x.number("floor", p.priority.floor, 0, 0.5);
-            p.priority.begin_within = x.seconds("begin_within_s", in_seconds(p.priority.begin_within));
-            p.priority.reserve = x.number("reserve", p.priority.reserve, 0, 0.5);
+            p.priority.overdue_after = x.seconds("begin_within_s", in_seconds(p.priority.overdue_after));
+            p.priority.live_reserve = x.number("reserve", p.priority.live_reserve, 0, 0.5);
         });
         t.rows("zones", [&](Table& x) { p.zones.push_back(zone_rule(x, names)); });
         t.rows("moves", [&](Table& x) {
@@ -143,15 +144,15 @@
             b.moves_per_minute = x.count("moves_per_minute", b.moves_per_minute);
             b.moves_per_placement = x.count("moves_per_placement", b.moves_per_placement);
             b.service_pause = x.seconds("service_pause_s", in_seconds(b.service_pause));
-            b.settle = x.seconds("settle_s", in_seconds(b.settle));
+            b.settle_time = x.seconds("settle_s", in_seconds(b.settle_time));
         });
         t.table("cards", [&](Table& x) {
             p.gpus.pack = x.flag("pack");
             p.gpus.make_room = x.flag("make_room");
-            p.gpus.after = x.seconds("after_s", in_seconds(p.gpus.after));
+            p.gpus.min_wait = x.seconds("after_s", in_seconds(p.gpus.min_wait));
         });
     }
-    if (const std::string problem = problem_of(p); !problem.empty()) throw std::runtime_error(problem);
+    if (const std::string problem = validation_error(p); !problem.empty()) throw std::runtime_error(problem);
     return p;
 }
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -19,7 +19,7 @@
 const Rule* rule_for(const std::vector<Rule>& rules, const JobSpec& job) {
     const Rule* best = nullptr;
     for (const auto& r : rules)
-        if (r.scope.covers(job) && (!best || r.scope.weight() > best->scope.weight())) best = &r;
+        if (r.scope.covers(job) && (!best || r.scope.specificity() > best->scope.specificity())) best = &r;
     return best;
 }
 
@@ -73,14 +73,13 @@
     for (const auto& z : r.preferred)
         if (!r.allowed.empty() && std::find(r.allowed.begin(), r.allowed.end(), z) == r.allowed.end())
             bad(at + ".preferred", fmt::format("{} is not among the zones allowed", z));
-    within<int>(at + ".least_zones", r.least_zones, 1, static_cast<int>(kMaxZones));
-    if (!r.allowed.empty() && r.least_zones > static_cast<int>(r.allowed.size()))
-        bad(at + ".least_zones",
-            fmt::format("{} are asked for, {} allowed", r.least_zones, r.allowed.size()));
-    if (!(r.most_share > 0 && r.most_share <= 1)) bad(at + ".most_share", "must be over 0, up to 1");
-    if (r.allowed.size() == 1 && r.most_share < 1)
+    within<int>(at + ".least_zones", r.min_zones, 1, static_cast<int>(kMaxZones));
+    if (!r.allowed.empty() && r.min_zones > static_cast<int>(r.allowed.size()))
+        bad(at + ".least_zones", fmt::format("{} are asked for, {} allowed", r.min_zones, r.allowed.size()));
+    if (!(r.max_zone_share > 0 && r.max_zone_share <= 1)) bad(at + ".most_share", "must be over 0, up to 1");
+    if (r.allowed.size() == 1 && r.max_zone_share < 1)
         bad(at + ".most_share", "only one zone is allowed, which has to hold all");
-    if (r.allowed.size() == 1 && r.survive == Survive::Zone)
+    if (r.allowed.size() == 1 && r.survive == FailureDomain::Zone)
         bad(at + ".survive", "only one zone is allowed, so its loss takes all");
 }
 
@@ -93,17 +92,18 @@
             bad(fmt::format("tiers[{}].tier", i), "there is no such tier");
     for (std::size_t i = 0; i < p.zones.size(); ++i) {
         const std::string at = fmt::format("zones[{}]", i);
-        if (p.zones[i].survive > Survive::Zone) bad(at + ".survive", "must be nothing, machine or zone");
+        if (p.zones[i].survive > FailureDomain::Zone)
+            bad(at + ".survive", "must be nothing, machine or zone");
         zone_rule_fits(at, p.zones[i]);
     }
     within("priority.floor", p.priority.floor, 0.0, 0.5);
-    within("priority.reserve", p.priority.reserve, 0.0, 0.5);
-    seconds_within("priority.begin_within_s", p.priority.begin_within, kSecond, 86'400 * kSecond);
+    within("priority.reserve", p.priority.live_reserve, 0.0, 0.5);
+    seconds_within("priority.begin_within_s", p.priority.overdue_after, kSecond, 86'400 * kSecond);
     within("budgets.moves_per_minute", p.budgets.moves_per_minute, 0, 10'000);
     within("budgets.moves_per_placement", p.budgets.moves_per_placement, 0, 100);
     seconds_within("budgets.service_pause_s", p.budgets.service_pause, 0, 86'400 * kSecond);
-    seconds_within("budgets.settle_s", p.budgets.settle, 0, 86'400 * kSecond);
-    seconds_within("cards.after_s", p.gpus.after, 0, 86'400 * kSecond);
+    seconds_within("budgets.settle_s", p.budgets.settle_time, 0, 86'400 * kSecond);
+    seconds_within("cards.after_s", p.gpus.min_wait, 0, 86'400 * kSecond);
 }
 
 // ---------------------------------------------------------------- the record
@@ -199,13 +199,13 @@
     return "unknown";
 }
 
-const char* name_of(Survive survive) {
-    switch (survive) {
-        case Survive::Nothing:
+const char* name_of(FailureDomain domain) {
+    switch (domain) {
+        case FailureDomain::None:
             return "nothing";
-        case Survive::Machine:
+        case FailureDomain::Machine:
             return "machine";
-        case Survive::Zone:
+        case FailureDomain::Zone:
             return "zone";
     }
     return "unknown";
@@ -238,7 +238,7 @@
     return rule_for(zones, job);
 }
 
-bool Policy::movable(const JobSpec& job) const {
+bool Policy::is_movable(const JobSpec& job) const {
     if (tier(job) == Tier::Live) return false;
     if (job.kind != JobKind::Service && job.checkpoint > 0) return true;
     const MoveRule* rule = rule_for(moves, job);
@@ -249,7 +249,7 @@
     return {};
 }
 
-std::string problem_of(const Policy& policy) {
+std::string validation_error(const Policy& policy) {
     try {
         check(policy);
     } catch (const Problem& p) {
@@ -269,8 +269,8 @@
         Json e = scope_value(r.scope);
         if (!r.allowed.empty()) e["a"] = r.allowed;
         if (!r.preferred.empty()) e["p"] = r.preferred;
-        e["n"] = r.least_zones;
-        e["m"] = r.most_share;
+        e["n"] = r.min_zones;
+        e["m"] = r.max_zone_share;
         e["s"] = static_cast<unsigned>(r.survive);
         if (r.strict) e["strict"] = true;
         if (r.rebalance) e["bal"] = true;
@@ -282,12 +282,12 @@
         v["moves"].push_back(std::move(e));
     }
     v["prio"] = {
-        {"floor", p.priority.floor}, {"begin", p.priority.begin_within}, {"keep", p.priority.reserve}};
+        {"floor", p.priority.floor}, {"begin", p.priority.overdue_after}, {"keep", p.priority.live_reserve}};
     v["bud"] = {{"min", p.budgets.moves_per_minute},
                 {"place", p.budgets.moves_per_placement},
                 {"pause", p.budgets.service_pause},
-                {"settle", p.budgets.settle}};
-    v["cards"] = {{"pack", p.gpus.pack}, {"room", p.gpus.make_room}, {"after", p.gpus.after}};
+                {"settle", p.budgets.settle_time}};
+    v["cards"] = {{"pack", p.gpus.pack}, {"room", p.gpus.make_room}, {"after", p.gpus.min_wait}};
     return v;
 }
 
@@ -299,8 +299,8 @@
     in.rules("zones", p.zones, [](Reader& r, ZoneRule& rule) {
         r.texts("a", rule.allowed);
         r.texts("p", rule.preferred);
-        r.count("n", rule.least_zones, kMostCount);
-        r.number("m", rule.most_share);
+        r.count("n", rule.min_zones, kMostCount);
+        r.number("m", rule.max_zone_share);
         r.count("s", rule.survive, 255);
         r.flag("strict", rule.strict);
         r.flag("bal", rule.rebalance);
@@ -308,21 +308,21 @@
     in.rules("moves", p.moves, [](Reader& r, MoveRule& rule) { r.flag("ok", rule.movable); });
     in.map("prio", [&](Reader& r) {
         r.number("floor", p.priority.floor);
-        r.count("begin", p.priority.begin_within, kMostMicros);
-        r.number("keep", p.priority.reserve);
+        r.count("begin", p.priority.overdue_after, kMostMicros);
+        r.number("keep", p.priority.live_reserve);
     });
     in.map("bud", [&](Reader& r) {
         r.count("min", p.budgets.moves_per_minute, kMostCount);
         r.count("place", p.budgets.moves_per_placement, kMostCount);
         r.count("pause", p.budgets.service_pause, kMostMicros);
-        r.count("settle", p.budgets.settle, kMostMicros);
+        r.count("settle", p.budgets.settle_time, kMostMicros);
     });
     in.map("cards", [&](Reader& r) {
         r.flag("pack", p.gpus.pack);
         r.flag("room", p.gpus.make_room);
-        r.count("after", p.gpus.after, kMostMicros);
+        r.count("after", p.gpus.min_wait, kMostMicros);
     });
-    if (!in.ok() || p.revision == 0 || !problem_of(p).empty()) return std::nullopt;
+    if (!in.ok() || p.revision == 0 || !validation_error(p).empty()) return std::nullopt;
     return p;
 }
 
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -33,7 +33,7 @@
     bool covers(const JobSpec& job) const {
         return (team.empty() || team == job.team) && (job_class.empty() || job_class == job.job_class);
     }
-    int weight() const { return (team.empty() ? 0 : 1) + (job_class.empty() ? 0 : 2); }
+    int specificity() const { return (team.empty() ? 0 : 1) + (job_class.empty() ? 0 : 2); }
     auto operator<=>(const Scope&) const = default;
 };
 
@@ -44,21 +44,21 @@
 };
 
 /// How batch queues behind live work.
-struct Priority {
+struct PrioritySettings {
     /// Part of a team's limit, less what its live work uses, that waiting work of each lower batch tier is
     /// due while higher batch tiers wait as well, 0 to 0.5.
     double floor = 0.2;
     /// A job none of whose tasks has begun for this long goes before all other batch of its team, and room is
     /// gathered for it, so that the largest begin as well.
-    Micros begin_within = 120 * kSecond;
+    Micros overdue_after = 120 * kSecond;
     /// Part of the cores of each zone that batch leaves free for live work, 0 to 0.5. What is overdue may
     /// take it.
-    double reserve = 0;
-    bool operator==(const Priority&) const = default;
+    double live_reserve = 0;
+    bool operator==(const PrioritySettings&) const = default;
 };
 
 /// What a service must outlive without losing more than a part of its replicas.
-enum class Survive : std::uint8_t { Nothing, Machine, Zone };
+enum class FailureDomain : std::uint8_t { None, Machine, Zone };
 
 /// Where the services of a team may run, and how far apart. It narrows what a job asks for itself (`spread`,
 /// `one_zone`, `mill`), never widens it.
@@ -66,9 +66,9 @@
     Scope scope;
     std::vector<std::string> allowed;    // empty: all
     std::vector<std::string> preferred;  // among those allowed; empty: no preference
-    int least_zones = 1;
-    double most_share = 1.0;  // of a service's replicas in one zone, rounded up; over 0, up to 1
-    Survive survive = Survive::Nothing;
+    int min_zones = 1;
+    double max_zone_share = 1.0;  // of a service's replicas in one zone, rounded up; over 0, up to 1
+    FailureDomain survive = FailureDomain::None;
     /// What cannot be met waits; else it is met as far as it can be, and mended later.
     bool strict = false;
     /// Replicas are moved back into balance once zones and machines stand again.
@@ -87,15 +87,15 @@
     int moves_per_minute = 30;            // of a shard
     int moves_per_placement = 3;          // for one large task
     Micros service_pause = 30 * kSecond;  // between two moves of one service
-    Micros settle = 10 * kSecond;         // how long a zone has to stand before anything is moved back
+    Micros settle_time = 10 * kSecond;    // how long a zone has to stand before anything is moved back
     bool operator==(const Budgets&) const = default;
 };
 
 /// Packing of machines with GPUs.
 struct GpuSettings {
-    bool pack = false;           // placement keeps GPUs together, and work without GPUs off them
-    bool make_room = false;      // waiting tasks with GPUs get room by moves
-    Micros after = 5 * kSecond;  // that a task has waited before anything is moved for it
+    bool pack = false;              // placement keeps GPUs together, and work without GPUs off them
+    bool make_room = false;         // waiting tasks with GPUs get room by moves
+    Micros min_wait = 5 * kSecond;  // that a task has waited before anything is moved for it
     bool operator==(const GpuSettings&) const = default;
 };
 
@@ -103,7 +103,7 @@
     /// 0: the default that follows from the settings, stored nowhere.
     std::uint64_t revision = 0;
     std::vector<TierRule> tiers;
-    Priority priority;
+    PrioritySettings priority;
     std::vector<ZoneRule> zones;
     std::vector<MoveRule> moves;
     Budgets budgets;
@@ -117,18 +117,18 @@
     /// The rule for a job's zones, nullptr: none but its own.
     const ZoneRule* zone_rule(const JobSpec& job) const;
     /// Live work never; batch that saves always; anything else as the rules say.
-    bool movable(const JobSpec& job) const;
+    bool is_movable(const JobSpec& job) const;
 };
 
 const char* name_of(Tier tier);
-const char* name_of(Survive survive);
+const char* name_of(FailureDomain domain);
 
 /// What all controllers go by until operators have set one.
 Policy default_policy(const Settings& settings);
 
 /// What of it is out of bounds or contradicts itself: one line that names the key and the reason; "" if
 /// nothing.
-std::string problem_of(const Policy& policy);
+std::string validation_error(const Policy& policy);
 
 /// The record's value, and back; nothing if it is damaged (a revision of 0 is). Unknown fields are ignored.
 Json to_value(const Policy& policy);
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -138,7 +138,7 @@
     /// Whether planning has anything to do for it.
     bool due(std::size_t job) const {
         const JobView& j = view_.jobs[job];
-        if (j.cancelled || j.spec.request.gpus <= 0 || j.waiting < policy_.gpus.after) return false;
+        if (j.cancelled || j.spec.request.gpus <= 0 || j.waiting < policy_.gpus.min_wait) return false;
         return j.spec.kind == JobKind::Gang ? j.idle > 0 && j.gathered == 0 : j.idle > j.gathered;
     }
 
@@ -183,7 +183,7 @@
   private:
     bool may_move(const JobView& job) const {
         if (job.cancelled || job.spec.kind == JobKind::Gang || job.tier == policy::Tier::Live) return false;
-        if (!policy_.movable(job.spec)) return false;
+        if (!policy_.is_movable(job.spec)) return false;
         return job.spec.kind != JobKind::Service || job.since_moved >= policy_.budgets.service_pause;
     }
 
@@ -203,7 +203,7 @@
         const JobView& j = view_.jobs[job];
         const std::string& zone = view_.machines[machine].zone;
         const policy::ZoneRule* rule = policy_.zone_rule(j.spec);
-        const double share = rule ? rule->most_share : 1.0;
+        const double share = rule ? rule->max_zone_share : 1.0;
         if (!j.spec.spread && !j.spec.one_zone && share >= 1) return true;
         std::map<std::string, int> there = j.zones;
         for (const auto& [z, n] : added_[job]) there[z] += n;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -47,8 +47,8 @@
     return std::tuple(within(q.task, k.half), -q.age, q.index);
 }
 
-bool overdue(const Queued& q, const policy::Priority& priority) {
-    return q.tier != Tier::Live && !q.begun && q.age >= priority.begin_within;
+bool overdue(const Queued& q, const policy::PrioritySettings& priority) {
+    return q.tier != Tier::Live && !q.begun && q.age >= priority.overdue_after;
 }
 
 /// What tier Batch is due and does not have, while a higher tier may take it: its floor of what live work
@@ -72,7 +72,7 @@
 
 std::map<std::string, Kept> kept_by_team(const std::vector<Queued>& queue,
                                          const std::map<std::string, TeamUse>& teams,
-                                         const policy::Priority& priority) {
+                                         const policy::PrioritySettings& priority) {
     std::map<std::string, Kept> kept;
     auto part = [&](Milli of) { return static_cast<Milli>(static_cast<double>(of) * priority.floor); };
     for (const auto& [team, use] : teams) {
@@ -145,7 +145,7 @@
 }  // namespace
 
 std::vector<Turn> turns(const std::vector<Queued>& queue, const std::map<std::string, TeamUse>& teams,
-                        const policy::Priority& priority) {
+                        const policy::PrioritySettings& priority) {
     const auto kept = kept_by_team(queue, teams, priority);
     std::vector<const Queued*> live, late, rest;
     for (const Queued& q : queue) {
@@ -177,7 +177,7 @@
     const JobView* largest = nullptr;
     for (const JobView& j : view.jobs) {
         if (j.tier == Tier::Live || j.cancelled || j.idle == 0 || j.bound > 0) continue;
-        if (j.waiting < policy.priority.begin_within) continue;
+        if (j.waiting < policy.priority.overdue_after) continue;
         auto size = [](const JobView& x) {
             const Milli tasks = x.spec.kind == JobKind::Gang ? x.idle : 1;
             return std::tuple(-x.spec.request.gpus * tasks, -x.spec.request.cores * tasks, -x.waiting,
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -51,9 +51,9 @@
 /// to wait until it is overdue. BestEffort work is due no part, as it starts only where nothing else wants
 /// the room, until it is overdue.
 std::vector<Turn> turns(const std::vector<Queued>& queue, const std::map<std::string, TeamUse>& teams,
-                        const policy::Priority& priority);
+                        const policy::PrioritySettings& priority);
 
-/// Room for the largest waiting batch job that has not begun within `begin_within`: the machines on which it
+/// Room for the largest waiting batch job that has not begun within `overdue_after`: the machines on which it
 /// is there soonest if what runs ends by itself. A gang gets all of it or none. Nothing where there is room
 /// now, or never would be.
 std::vector<Gather> gather(const View& view, const policy::Policy& policy);
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -49,15 +49,15 @@
     Asked(const JobSpec& job, const policy::ZoneRule* rule) : job_(job), rule_(rule), cap_(job.tasks) {
         if (!rule || job.kind != JobKind::Service) return;
         // The margin takes what a share such as a third is off in binary.
-        cap_ = static_cast<int>(std::ceil(rule->most_share * job.tasks - 1e-9));
-        if (rule->survive == policy::Survive::Zone) cap_ = std::min(cap_, (job.tasks + 1) / 2);
+        cap_ = static_cast<int>(std::ceil(rule->max_zone_share * job.tasks - 1e-9));
+        if (rule->survive == policy::FailureDomain::Zone) cap_ = std::min(cap_, (job.tasks + 1) / 2);
         cap_ = std::clamp(cap_, 1, std::max(1, job.tasks));
-        least_ = std::clamp(rule->least_zones, 0, job.tasks);
+        least_ = std::clamp(rule->min_zones, 0, job.tasks);
     }
 
     int cap() const { return cap_; }
     bool apart() const {
-        return rule_ && job_.kind == JobKind::Service && rule_->survive == policy::Survive::Machine;
+        return rule_ && job_.kind == JobKind::Service && rule_->survive == policy::FailureDomain::Machine;
     }
     bool allows(const std::string& zone) const {
         return !rule_ || rule_->allowed.empty() || has(rule_->allowed, zone);
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -94,7 +94,7 @@
 bool Rebalancer::wanted() const {
     const policy::Policy& policy = context_.policy();
     if (policy.revision == 0) return false;
-    return policy.gpus.make_room || policy.priority.begin_within > 0 ||
+    return policy.gpus.make_room || policy.priority.overdue_after > 0 ||
            std::any_of(policy.zones.begin(), policy.zones.end(),
                        [](const policy::ZoneRule& rule) { return rule.rebalance; });
 }
@@ -149,7 +149,7 @@
 
 std::vector<std::string> Rebalancer::troubled() const {
     std::vector<std::string> zones =
-        zones_.troubled(context_.runtime().now(), context_.policy().budgets.settle);
+        zones_.troubled(context_.runtime().now(), context_.policy().budgets.settle_time);
     // Those that no machine of the shard is in any more trouble nobody here.
     std::erase_if(zones, [this](const std::string& zone) {
         return std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
@@ -231,7 +231,7 @@
 void Rebalancer::propose() {
     // Nothing is begun while a node comes or ends, or with a plan that is not known to be stored.
     const policy::Policy& policy = context_.policy();
-    if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle) return;
+    if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle_time) return;
     const scheduling::View now = view();
     std::vector<Move> moves = scheduling::rebalance(now, policy, context_.settings().zones);
     std::vector<Gather> gathers;
@@ -275,7 +275,7 @@
     const bool service = job.spec.kind == JobKind::Service;
     if (service && (job.idle > 0 || !others_run(job, move.task))) return false;
     if (move.reason == Reason::Balance && !troubled().empty()) return false;
-    if (move.reason == Reason::Room && !context_.policy().movable(job.spec)) return false;
+    if (move.reason == Reason::Room && !context_.policy().is_movable(job.spec)) return false;
     if (move.to.empty()) return !service;
     const Machine* to = shard_state_.machine(move.to);
     return to && of_.is_usable(*to) && Scheduler::is_allowed(job, *to) &&
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -61,7 +61,7 @@
 /// Cores of each zone, if the policy keeps some of them for live work.
 void Scheduler::weigh_zones() {
     zone_cores_.clear();
-    if (context_.policy().priority.reserve <= 0) return;
+    if (context_.policy().priority.live_reserve <= 0) return;
     for (const Machine* m : usable_) {
         auto& zone = zone_cores_[m->zone];
         zone.size += m->type->size.cores;
@@ -80,7 +80,7 @@
     auto cores = zone_cores_.find(zone);
     if (cores == zone_cores_.end()) return true;
     const auto kept =
-        static_cast<Milli>(context_.policy().priority.reserve * static_cast<double>(cores->second.size));
+        static_cast<Milli>(context_.policy().priority.live_reserve * static_cast<double>(cores->second.size));
     return cores->second.free - job.spec.request.cores * (chosen + 1) >= kept;
 }
 
@@ -865,7 +865,7 @@
 bool Scheduler::comes_back_first(const Job& job) const {
     if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
-    return tier(job) != policy::Tier::Live && age >= context_.policy().priority.begin_within;
+    return tier(job) != policy::Tier::Live && age >= context_.policy().priority.overdue_after;
 }
 
 /// What would be lost by making room for one more task on the machine, if that can be done; `taken` tells
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -441,7 +441,7 @@
         for (const auto& m : p.moves) {
             RC_ASSERT(moved.emplace(m.job, m.task).second);
             const JobView& job = site.view.jobs[job_of(site.view, m.job)];
-            RC_ASSERT(site.policy.movable(job.spec) && job.spec.kind != JobKind::Gang);
+            RC_ASSERT(site.policy.is_movable(job.spec) && job.spec.kind != JobKind::Gang);
             RC_ASSERT(job.tier >= site.view.jobs[job_of(site.view, p.gather.job)].tier);
             RC_ASSERT(job.tier != policy::Tier::Live);
             for (const auto& t : site.view.tasks)
@@ -483,7 +483,7 @@
         for (const std::size_t t : v.machines[target].tasks) {
             const JobView& j = v.jobs[v.tasks[t].job];
             if (gone.count(t) || v.tasks[t].moving || v.tasks[t].stopping || j.tier < v.jobs[job].tier ||
-                j.tier == policy::Tier::Live || !site.policy.movable(j.spec))
+                j.tier == policy::Tier::Live || !site.policy.is_movable(j.spec))
                 continue;
             for (std::size_t to = 0; to < free.size(); ++to) {
                 if (to == target || !j.spec.request.fits(free[to])) continue;
@@ -556,7 +556,7 @@
     for (const auto& t : v.tasks) {
         const JobView& j = v.jobs[t.job];
         if (t.moving || t.stopping || j.tier < v.jobs[job].tier || j.tier == policy::Tier::Live ||
-            !site.policy.movable(j.spec) || !v.machines[t.machine].usable)
+            !site.policy.is_movable(j.spec) || !v.machines[t.machine].usable)
             continue;
         const int once = glp_add_rows(lp, 1);
         glp_set_row_bnds(lp, once, GLP_UP, 0, 1);
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -31,7 +31,7 @@
 policy::Policy asked() {
     policy::Policy p;
     p.revision = 1;
-    p.budgets.settle = 3 * kSecond;
+    p.budgets.settle_time = 3 * kSecond;
     p.budgets.service_pause = 5 * kSecond;
     return p;
 }
@@ -43,7 +43,7 @@
     policy::Policy p = asked();
     policy::ZoneRule rule;
     rule.scope.team = "red";
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     rule.rebalance = true;
     p.zones = {rule};
     s.ops.policy = p;
@@ -240,7 +240,7 @@
         s.teams[0].limit = {128'000, 64'000, 0};
         policy::Policy p = asked();
         p.gpus.make_room = true;
-        p.gpus.after = 2 * kSecond;
+        p.gpus.min_wait = 2 * kSecond;
         s.ops.policy = p;
         return s;
     }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(tier("blue", "bridge"), Tier::Urgent);
     EXPECT_EQ(tier("red", "x"), Tier::Batch);
     EXPECT_EQ(tier("blue", "x"), Tier::BestEffort);
-    p.zones = {{{"red", ""}, {"a"}, {}, 1, 1.0, policy::Survive::Nothing, false, false}};
+    p.zones = {{{"red", ""}, {"a"}, {}, 1, 1.0, policy::FailureDomain::None, false, false}};
     EXPECT_EQ(p.zone_rule(job_of("blue", "x", PriorityClass::Normal, JobKind::Service)), nullptr);
     EXPECT_EQ(p.zone_rule(job_of("red", "x", PriorityClass::Normal, JobKind::Service)), &p.zones[0]);
 }
@@ -62,12 +62,12 @@
 TEST(PolicyRules, LiveWorkIsNeverMovedAndBatchThatSavesAlwaysMayBe) {
     Policy p;
     p.moves = {{{"red", ""}, true}, {{"", "fixed"}, false}};
-    EXPECT_FALSE(p.movable(job_of("red", "x", PriorityClass::Production, JobKind::Service)));
-    EXPECT_TRUE(p.movable(job_of("red", "x", PriorityClass::Normal, JobKind::Service)));
+    EXPECT_FALSE(p.is_movable(job_of("red", "x", PriorityClass::Production, JobKind::Service)));
+    EXPECT_TRUE(p.is_movable(job_of("red", "x", PriorityClass::Normal, JobKind::Service)));
     JobSpec batch = job_of("blue", "fixed", PriorityClass::Normal, JobKind::Array);
-    EXPECT_FALSE(p.movable(batch));
+    EXPECT_FALSE(p.is_movable(batch));
     batch.checkpoint = kSecond;
-    EXPECT_TRUE(p.movable(batch));
+    EXPECT_TRUE(p.is_movable(batch));
 }
 
 // ---------------------------------------------------------------- the file
@@ -162,9 +162,9 @@
         const int zones = *rc::gen::inRange(0, 5);
         for (int z = 0; z < zones; ++z) r.allowed.push_back("z" + std::to_string(z));
         if (zones > 1) r.preferred = {"z1"};
-        r.least_zones = *rc::gen::inRange(1, std::max(zones, 1) + 1);
-        r.most_share = zones == 1 ? 1 : part(0.001, 1);
-        r.survive = static_cast<policy::Survive>(*rc::gen::inRange(0, zones == 1 ? 2 : 3));
+        r.min_zones = *rc::gen::inRange(1, std::max(zones, 1) + 1);
+        r.max_zone_share = zones == 1 ? 1 : part(0.001, 1);
+        r.survive = static_cast<policy::FailureDomain>(*rc::gen::inRange(0, zones == 1 ? 2 : 3));
         r.strict = *rc::gen::arbitrary<bool>();
         r.rebalance = *rc::gen::arbitrary<bool>();
     });
@@ -178,7 +178,7 @@
 
 RC_GTEST_PROP(PolicyRecord, ComesBackAsItWasOverTheWire, ()) {
     const Policy p = some_policy();
-    RC_ASSERT(policy::problem_of(p).empty());
+    RC_ASSERT(policy::validation_error(p).empty());
     Json v = policy::to_value(p);
     v["of_a_later_version"] = 1;
     const auto back = policy::from_value(wire::decode(wire::encode(v)).value());
@@ -206,12 +206,12 @@
     const auto p = policy::from_value(v);
     if (!p) return;
     RC_ASSERT(p->revision > 0);
-    RC_ASSERT(policy::problem_of(*p).empty());
+    RC_ASSERT(policy::validation_error(*p).empty());
     for (const auto& r : p->tiers) RC_ASSERT(r.tier <= Tier::BestEffort);
     for (const auto& r : p->zones) {
-        RC_ASSERT(r.most_share > 0 && r.most_share <= 1);
-        RC_ASSERT(r.least_zones >= 1);
-        RC_ASSERT(r.survive <= policy::Survive::Zone);
+        RC_ASSERT(r.max_zone_share > 0 && r.max_zone_share <= 1);
+        RC_ASSERT(r.min_zones >= 1);
+        RC_ASSERT(r.survive <= policy::FailureDomain::Zone);
     }
     RC_ASSERT(p->priority.floor >= 0 && p->priority.floor <= 0.5);
     RC_ASSERT(p->budgets.moves_per_minute >= 0 && p->budgets.service_pause >= 0);
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -84,7 +84,7 @@
     s.teams.front().guarantee.cores = s.teams.front().limit.cores = 100'000;
     s.ops.policy.emplace();
     s.ops.policy->revision = 1;
-    s.ops.policy->priority.reserve = 0.5;
+    s.ops.policy->priority.live_reserve = 0.5;
     Simulator w(7, s);
     for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace simulation;
-using policy::Survive;
+using policy::FailureDomain;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
@@ -71,8 +71,8 @@
 TEST(ZonePlacement, AServiceIsSpreadAsItsRuleAsks) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
-        rule.most_share = 1.0 / 3;
-        rule.survive = Survive::Machine;
+        rule.max_zone_share = 1.0 / 3;
+        rule.survive = FailureDomain::Machine;
         Site s(seed, rule);
         s.w.submit(s.service(9), 0);
         s.w.run(5 * kSecond);
@@ -86,7 +86,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.allowed = {"b", "c"};
-        rule.least_zones = 2;
+        rule.min_zones = 2;
         Site s(seed, rule);
         s.w.submit(s.service(2), 0);
         s.w.run(5 * kSecond);
@@ -103,7 +103,7 @@
 TEST(ZonePlacement, WhatALostZoneHeldComesBackLevelInTheOthersAfterTheLease) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
-        rule.most_share = 1.0 / 3;
+        rule.max_zone_share = 1.0 / 3;
         Site s(seed, rule);
         s.w.submit(s.service(6), 0);
         s.w.run(5 * kSecond);
@@ -121,7 +121,7 @@
 
 TEST(ZonePlacement, StrictWaitsForTheZone) {
     ZoneRule rule;
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     rule.strict = true;
     Site s(3, rule);
     s.w.submit(s.service(6), 0);
@@ -139,7 +139,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.preferred = {"a"};
-        rule.most_share = 0.4;
+        rule.max_zone_share = 0.4;
         Site s(seed, rule);
         JobSpec job = s.service(5);
         job.spread = true;
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace scheduling;
-using policy::Survive;
+using policy::FailureDomain;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 using Zones = std::vector<std::string>;
@@ -147,30 +147,30 @@
 
 TEST(ZoneChoices, AShareIsRoundedUpAndALeastNumberOfZonesIsReached) {
     ZoneRule rule;
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     Counts there;
     EXPECT_TRUE(fill(service(9), rule, there, kAll));
     EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}, {"c", 3}}));
-    rule.most_share = 0.07;
+    rule.max_zone_share = 0.07;
     EXPECT_EQ(choose_zones(service(100), &rule, {}, kAll, kAll).most_in("a"), 7)
         << "whatever 0.07 is in binary";
-    rule.most_share = 1;
-    rule.least_zones = 3;
+    rule.max_zone_share = 1;
+    rule.min_zones = 3;
     there.clear();
     EXPECT_TRUE(fill(service(4), rule, there, kAll));
     EXPECT_EQ(there.size(), 3u);
-    rule.least_zones = 1;
-    rule.survive = Survive::Zone;
+    rule.min_zones = 1;
+    rule.survive = FailureDomain::Zone;
     EXPECT_EQ(choose_zones(service(5), &rule, {}, kAll, kAll).most_in("a"), 3);
 }
 
 TEST(ZoneChoices, WhatIsLostComesBackLevelInWhatStands) {
     ZoneRule rule;
-    rule.most_share = 0.34;
+    rule.max_zone_share = 0.34;
     Counts there{{"a", 2}, {"b", 2}};  // two of "c" are proven gone
     EXPECT_TRUE(fill(service(6), rule, there, {"a", "b"})) << "a third rounded up";
     EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}}));
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     there = {{"a", 2}, {"b", 2}};
     EXPECT_FALSE(fill(service(6), rule, there, {"a", "b"})) << "more than asked for in both, and it says so";
     EXPECT_EQ(there, (Counts{{"a", 3}, {"b", 3}}));
@@ -178,7 +178,7 @@
 
 TEST(ZoneChoices, StrictWaits) {
     ZoneRule rule;
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     rule.strict = true;
     const Counts there{{"a", 2}};
     const auto c = choose_zones(service(4), &rule, there, {"a"}, kAll);
@@ -189,7 +189,7 @@
     EXPECT_EQ(relaxed.most_in("a"), 3) << "no further than need be";
     EXPECT_FALSE(relaxed.as_asked);
     rule = {};
-    rule.least_zones = 2;
+    rule.min_zones = 2;
     rule.strict = true;
     const Counts one{{"a", 1}};
     EXPECT_EQ(open(choose_zones(service(3), &rule, one, {"a"}, kAll), one), Zones{"a"})
@@ -212,14 +212,14 @@
     job.zone.reset();
     job.one_zone = true;
     rule = {};
-    rule.least_zones = 2;
+    rule.min_zones = 2;
     EXPECT_EQ(open(choose_zones(job, &rule, there, kAll, kAll), there), Zones{"a"});
 }
 
 TEST(ZoneChoices, PreferredZonesFillFirstAsFarAsTheRestOfTheRuleAllows) {
     ZoneRule rule;
     rule.preferred = {"b"};
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     Counts there;
     EXPECT_TRUE(fill(service(4), rule, there, kAll));
     EXPECT_EQ(there, (Counts{{"a", 2}, {"b", 2}}));
@@ -244,9 +244,9 @@
 TEST(ZoneChoices, BatchIsKeptToZonesButNotSpread) {
     ZoneRule rule;
     rule.allowed = {"a", "b"};
-    rule.most_share = 0.5;
-    rule.least_zones = 2;
-    rule.survive = Survive::Machine;
+    rule.max_zone_share = 0.5;
+    rule.min_zones = 2;
+    rule.survive = FailureDomain::Machine;
     JobSpec job = service(6);
     job.kind = JobKind::Gang;
     const auto c = choose_zones(job, &rule, {{"a", 5}}, kAll, kAll);
@@ -264,7 +264,7 @@
     Shard d;
     for (const auto& zone : kAll)
         for (int i = 0; i < 2; ++i) d.machine(zone + std::to_string(i), zone);
-    d.rule().most_share = 1.0 / 3;
+    d.rule().max_zone_share = 1.0 / 3;
     d.add(service(6), {"a0", "a1", "b0", "b1", "a0", "b0"});
     return d;
 }
@@ -369,7 +369,7 @@
     for (int i = 0; i < 3; ++i) d.machine("a" + std::to_string(i), "a");
     d.add(service(3), {"a0", "a0", "a0"});
     EXPECT_TRUE(d.look().empty());
-    d.rule().survive = Survive::Machine;
+    d.rule().survive = FailureDomain::Machine;
     std::set<std::string> to;
     for (int round = 0; round < 2; ++round) {
         const auto moves = d.look();
@@ -383,15 +383,15 @@
 TEST(Rebalancing, OfReplicasThatShareAMachineOneLeavesTheZoneFirst) {
     Shard d;
     for (const char* name : {"a0", "a1", "b0"}) d.machine(name, std::string(1, name[0]));
-    d.rule().least_zones = 2;
-    d.rule().survive = Survive::Machine;
+    d.rule().min_zones = 2;
+    d.rule().survive = FailureDomain::Machine;
     d.add(service(3), {"a1", "a0", "a0"});
     EXPECT_EQ(d.look().at(0).from, "a0");
 }
 
 TEST(Rebalancing, WhatIsInALostZoneIsNotAskedToLeaveIt) {
     ZoneRule rule;
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     EXPECT_EQ(imbalance(service(6), &rule, {{"c", 6}}, {"a", "b"}, kAll), 0);
     EXPECT_GT(imbalance(service(6), &rule, {{"c", 6}}, kAll, kAll), 0);
 }
@@ -441,9 +441,9 @@
             if (*rc::gen::inRange(0, 3)) r.allowed.push_back(z);
             if (!*rc::gen::inRange(0, 3)) r.preferred.push_back(z);
         }
-        r.least_zones = *rc::gen::inRange(1, 4);
-        r.most_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
-        r.survive = *rc::gen::element(Survive::Nothing, Survive::Machine, Survive::Zone);
+        r.min_zones = *rc::gen::inRange(1, 4);
+        r.max_zone_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
+        r.survive = *rc::gen::element(FailureDomain::None, FailureDomain::Machine, FailureDomain::Zone);
         r.strict = *rc::gen::arbitrary<bool>();
         r.rebalance = true;
         return r;
@@ -564,7 +564,7 @@
             RC_ASSERT(after < before || (after == before && sharing() < shared));
         }
     }
-    if (!tight && d.rule().survive != Survive::Machine)
+    if (!tight && d.rule().survive != FailureDomain::Machine)
         for (std::size_t j = 0; j < d.view.jobs.size(); ++j) RC_ASSERT(d.imbalance_of(j) == 0);
 }
 
