--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -14,23 +14,25 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kPreemptEvery = 150 * kMillisecond;
-constexpr Micros kLasting = 30 * kSecond;  // a start that is stopped sooner does not count for its user
-constexpr Micros kIdleLong = 8 * kSecond;
-constexpr Micros kSetBack = 20 * kSecond;  // what being stopped costs a task: saving, waiting, a fetch
-constexpr double kSpoilt = 30;
-constexpr double kShortStart = 10;
-constexpr Micros kForgetUse = 60 * kSecond;  // a peak of use halves in this time
-constexpr double kFetchPenalty = 10;         // a second
-constexpr Micros kIdleEvery = 500 * kMillisecond;
-constexpr Micros kLacksRoom = 10 * kSecond;  // how long nothing is kept for what has found no room
-constexpr Micros kLimitAfter = 2 * kSecond;  // until then others may give of their share of the limit
-// Starts a second of idle work, per core that the process may use: with all that follows from one (a bind, a
-// launch, reports, a result) that is a fifth of its time.
-constexpr double kIdleStarts = 600;
-constexpr Micros kSurplusAfter = 5 * kSecond;  // machines that are being emptied are left alone until then
-constexpr Micros kPreemptAfter = 100 * kMillisecond;
-constexpr int kPreemptions = 20;  // in one pass
+constexpr Micros kPreemptionInterval = 150 * kMillisecond;
+constexpr Micros kMinUsefulRun = 30 * kSecond;  // to the user, a start that is stopped sooner does not count
+constexpr Micros kMaxBestEffortInterval = 8 * kSecond;
+constexpr Micros kRestartDelay = 20 * kSecond;  // that a stop costs a task: saving, waiting, fetching
+constexpr double kMissedObjectiveLoss = 30;     // seconds of lost work
+constexpr double kShortRunLoss = 10;            // seconds of lost work
+constexpr Micros kPeakUseHalfLife = 60 * kSecond;
+constexpr double kFetchPenaltyPerSecond = 10;
+constexpr Micros kBestEffortInterval = 500 * kMillisecond;
+// How long nothing of a team's limit is kept for a job after it found no machine.
+constexpr Micros kLacksRoomPeriod = 10 * kSecond;
+// Until a live task has waited this long, other shards may give it some of their share of the limit.
+constexpr Micros kLimitPreemptionDelay = 2 * kSecond;
+// Best-effort starts a second for each core that the process may use: with everything that follows from a
+// start (a bind, a launch, reports, a result) that is a fifth of the process's time.
+constexpr double kBestEffortStartsPerSecond = 600;
+constexpr Micros kDrainingMachinesDelay = 5 * kSecond;  // draining machines get no task before that
+constexpr Micros kPreemptionDelay = 100 * kMillisecond;
+constexpr int kMaxPreemptionsPerPass = 20;
 }  // namespace
 
 std::map<std::string, int> Job::zones() const {
@@ -40,331 +42,366 @@
     return count;
 }
 
-Scheduler::Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Owner& of)
+Scheduler::Scheduler(ShardContext& context, std::string shard, ShardState& shard_state, Owner& owner)
     : context_(context),
       shard_(std::move(shard)),
       shard_state_(shard_state),
-      of_(of),
-      idle_starts_(kIdleStarts * context.settings().cpu_share, kIdleStarts * context.settings().cpu_share) {}
+      owner_(owner),
+      best_effort_start_budget_(kBestEffortStartsPerSecond * context.settings().cpu_share,
+                                kBestEffortStartsPerSecond * context.settings().cpu_share) {}
 
-void Scheduler::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
-    shard_state_.bind(job, task, m, attempt);
-    if (auto zone = zone_cores_.find(m.zone); zone != zone_cores_.end())
+void Scheduler::bind(Job& job, int task, Machine& machine, std::int64_t attempt) {
+    shard_state_.bind(job, task, machine, attempt);
+    if (auto zone = zone_cores_.find(machine.zone); zone != zone_cores_.end())
         zone->second.free -= job.spec.request.cores;
-    of_.on_task_bound(job, task);
+    owner_.on_task_bound(job, task);
 }
 
 policy::Tier Scheduler::tier(const Job& job) const {
     return context_.policy().tier(job.spec, job.rank);
 }
 
-/// Cores of each zone, if the policy keeps some of them for live work.
-void Scheduler::weigh_zones() {
+/// Counts the cores of each zone, if the policy reserves some of them for live work.
+void Scheduler::update_zone_cores() {
     zone_cores_.clear();
     if (context_.policy().priority.live_reserve <= 0) return;
-    for (const Machine* m : usable_) {
-        auto& zone = zone_cores_[m->zone];
-        zone.size += m->type->size.cores;
-        zone.free += m->type->size.cores - m->reserved.cores;
+    for (const Machine* machine : usable_machines_) {
+        auto& zone = zone_cores_[machine->zone];
+        zone.total += machine->type->size.cores;
+        zone.free += machine->type->size.cores - machine->reserved.cores;
     }
 }
 
-/// Whether it has to leave room for live work.
-bool Scheduler::spares(const Job& job) const {
+/// Returns whether the job must leave the cores free that are reserved for live work.
+bool Scheduler::must_leave_reserve(const Job& job) const {
     return !zone_cores_.empty() && !job.overdue && tier(job) != policy::Tier::Live;
 }
 
-/// Whether a task of it may start in the zone beside `chosen` others of it that are not bound yet.
-bool Scheduler::leaves_reserve(const Job& job, const std::string& zone, int chosen) const {
-    if (!spares(job)) return true;
+/// Returns whether the live reserve of the zone stays free when a task of the job starts there in addition to
+/// `unbound_in_zone` tasks of the job that are chosen for the zone and not bound yet.
+bool Scheduler::leaves_reserve(const Job& job, const std::string& zone, int unbound_in_zone) const {
+    if (!must_leave_reserve(job)) return true;
     auto cores = zone_cores_.find(zone);
     if (cores == zone_cores_.end()) return true;
-    const auto kept =
-        static_cast<Milli>(context_.policy().priority.live_reserve * static_cast<double>(cores->second.size));
-    return cores->second.free - job.spec.request.cores * (chosen + 1) >= kept;
+    const auto reserve = static_cast<Milli>(context_.policy().priority.live_reserve *
+                                            static_cast<double>(cores->second.total));
+    return cores->second.free - job.spec.request.cores * (unbound_in_zone + 1) >= reserve;
 }
 
-/// It waits for the team's limit, not for room; what merely gives way to others of its team does not.
-void Scheduler::miss_quota(const Job& job, int tasks) {
+/// Records what the job's waiting tasks need beyond the shard's share of the team's limit. A job that waits
+/// only because other jobs of its team go first is not recorded.
+void Scheduler::record_quota_shortfall(const Job& job, int tasks) {
     if (is_within_limit(job, tasks)) return;
-    auto& missing = quota_shortfalls_[job.spec.team];
-    missing.cores += job.spec.request.cores * job.idle;
-    missing.gpus += job.spec.request.gpus * job.idle;
+    auto& shortfall = quota_shortfalls_[job.spec.team];
+    shortfall.cores += job.spec.request.cores * job.idle;
+    shortfall.gpus += job.spec.request.gpus * job.idle;
 }
 
-bool Scheduler::is_allowed(const Job& job, const Machine& m) {
-    return scheduling::may_use(job.spec, m.type_name, m.zone, m.spot);
+bool Scheduler::is_allowed(const Job& job, const Machine& machine) {
+    return scheduling::may_use(job.spec, machine.type_name, machine.zone, machine.spot);
 }
 
-/// What the team would use with so many more tasks of the job.
-Resources Scheduler::used_with(const Job& job, int tasks) const {
-    Resources sum = shard_state_.used(job.spec.team);
-    sum.cores += job.spec.request.cores * tasks;
-    sum.gpus += job.spec.request.gpus * tasks;
-    return sum;
+/// Returns what the team would use with so many more tasks of the job.
+Resources Scheduler::usage_with(const Job& job, int tasks) const {
+    Resources usage = shard_state_.used(job.spec.team);
+    usage.cores += job.spec.request.cores * tasks;
+    usage.gpus += job.spec.request.gpus * tasks;
+    return usage;
 }
 
 bool Scheduler::is_within_limit(const Job& job, int tasks) const {
     const Resources share = context_.share(shard_, job.spec.team);
-    const Resources sum = used_with(job, tasks);
-    return sum.cores <= share.cores && sum.gpus <= share.gpus;
+    const Resources usage = usage_with(job, tasks);
+    return usage.cores <= share.cores && usage.gpus <= share.gpus;
 }
 
 bool Scheduler::is_within_quota(const Job& job, int tasks) const {
-    const Resources sum = used_with(job, tasks);
-    return sum.cores <= job.most.cores && sum.gpus <= job.most.gpus && is_within_limit(job, tasks);
+    const Resources usage = usage_with(job, tasks);
+    return usage.cores <= job.most.cores && usage.gpus <= job.most.gpus && is_within_limit(job, tasks);
 }
 
-/// What a pass has found to need more room than any machine has, nothing that needs as much will find either.
+/// Returns whether the current pass has already found no machine for a task that needs at most as much under
+/// the same constraints.
 bool Scheduler::is_unschedulable(const Job& job) const {
-    if (of_.has_reservation(job)) return false;  // others may have failed for that very room
-    const bool further = takes_surplus(job);
-    return std::any_of(no_room_.begin(), no_room_.end(),
-                       [&](const Room& r) { return (r.surplus || !further) && r.within(job.spec); });
+    // Other jobs may have failed only because of the resources that are reserved for this one.
+    if (owner_.has_reservation(job)) return false;
+    const bool may_use_draining = may_use_draining_machines(job);
+    return std::any_of(unschedulable_.begin(), unschedulable_.end(), [&](const Requirement& requirement) {
+        return (requirement.includes_draining || !may_use_draining) && requirement.is_at_most(job.spec);
+    });
 }
 
-void Scheduler::remember_no_room(const Job& job, bool surplus) {
-    const JobSpec& s = job.spec;
-    // Only where the rest of its constraints have not played a part.
-    if (s.spread || s.one_zone || is_unschedulable(job)) return;
-    no_room_.push_back(room_of(job));
-    no_room_.back().surplus = surplus;
+void Scheduler::remember_unschedulable(const Job& job, bool includes_draining) {
+    const JobSpec& spec = job.spec;
+    // `spread` and `one_zone` are no part of a Requirement, so that a failure under them says nothing about
+    // other jobs.
+    if (spec.spread || spec.one_zone || is_unschedulable(job)) return;
+    unschedulable_.push_back(requirement_of(job));
+    unschedulable_.back().includes_draining = includes_draining;
 }
 
-Scheduler::Room Scheduler::room_of(const Job& job) {
+Scheduler::Requirement Scheduler::requirement_of(const Job& job) {
     return {job.spec.spot, job.spec.zone, job.spec.types, job.spec.request};
 }
 
-/// The same constraints, and at least as much needed.
-bool Scheduler::Room::within(const JobSpec& s) const {
-    return spot == s.spot && zone == s.zone && types == s.types && request.fits(s.request);
+/// Returns whether a task of the spec has the same constraints and needs at least as much.
+bool Scheduler::Requirement::is_at_most(const JobSpec& spec) const {
+    return spot == spec.spot && zone == spec.zone && types == spec.types && request.fits(spec.request);
 }
 
-/// Whether the pass has found already that nothing may be stopped to make as much room.
-bool Scheduler::is_futile(const Job& job, bool may_waste, bool reclaims) const {
+/// Returns whether the current pass has already found that no task may be stopped to free as much.
+bool Scheduler::is_preemption_futile(const Job& job, bool may_discard_work, bool reclaims_guarantee) const {
     return std::any_of(futile_preemptions_.begin(), futile_preemptions_.end(),
-                       [&](const FutilePreemption& v) {
-                           return v.rank == job.rank && v.may_waste == may_waste && v.reclaims == reclaims &&
-                                  (!reclaims || v.team == job.spec.team) && v.room.within(job.spec);
+                       [&](const FutilePreemption& futile) {
+                           return futile.rank == job.rank && futile.may_discard_work == may_discard_work &&
+                                  futile.reclaims_guarantee == reclaims_guarantee &&
+                                  (!reclaims_guarantee || futile.team == job.spec.team) &&
+                                  futile.requirement.is_at_most(job.spec);
                        });
 }
 
-/// The operators' aims for a class, looked up once in a pass.
-const Scheduler::Goals& Scheduler::goals(const Job& job) const {
-    auto [it, added] = goals_.try_emplace(job.spec.job_class);
+/// Returns the operators' objectives for the job's class, which are looked up once in a pass.
+const Scheduler::Objectives& Scheduler::objectives(const Job& job) const {
+    auto [it, added] = objectives_by_class_.try_emplace(job.spec.job_class);
     if (added)
         it->second = {context_.settings().goals("wait", job.spec.job_class),
                       context_.settings().goals("finished", job.spec.job_class)};
     return it->second;
 }
 
-/// How long a task would wait for its image. Several fetches at a time share a machine's rate.
-Micros Scheduler::fetch_time(const Job& job, const Machine& m) {
-    int others = 0;
-    for (const auto& image : m.images) {
+/// Returns how long a task would wait for its image. Concurrent fetches share a machine's bandwidth.
+Micros Scheduler::image_fetch_time(const Job& job, const Machine& machine) {
+    int other_fetches = 0;
+    for (const auto& image : machine.images) {
         if (image.name == job.spec.image && image.ready) return 0;
-        others += !image.ready && image.name != job.spec.image;
+        other_fetches += !image.ready && image.name != job.spec.image;
     }
-    const double rate = m.type && m.type->fetch_gb_per_s > 0 ? m.type->fetch_gb_per_s : 1.0;
-    return static_cast<Micros>(static_cast<double>(job.spec.image_gb) * 1000.0 / rate * (1 + others));
+    const double gb_per_s =
+        machine.type && machine.type->fetch_gb_per_s > 0 ? machine.type->fetch_gb_per_s : 1.0;
+    return static_cast<Micros>(static_cast<double>(job.spec.image_gb) * 1000.0 / gb_per_s *
+                               (1 + other_fetches));
 }
 
-/// Where fetching the image would take longer than the operators' aim allows a service to wait, room is made
-/// on a machine that has it, rather than a fetch begun elsewhere; but for no longer than that can help.
+/// Where fetching the image would take longer than the operators' wait objective for a service, the scheduler
+/// preempts on a machine that has the image instead of starting a fetch on another one. It does so only for
+/// as long as the objective can still be met that way.
 bool Scheduler::waits_for_image(const Job& job) const {
     if (job.rank != PriorityClass::Production || job.image_wait_over) return false;
-    const auto& aims = goals(job).wait;
-    if (aims.empty()) return false;
+    const auto& wait_objectives = objectives(job).wait;
+    if (wait_objectives.empty()) return false;
     const Micros waited = context_.runtime().now() - job.waiting_since;
-    if (waited > aims.front() * 3 / 5) return false;
-    return std::none_of(usable_.begin(), usable_.end(), [&](const Machine* m) {
-        if (!job.spec.request.fits(m->type->size - m->reserved) || !is_allowed(job, *m)) return false;
-        const Micros fetch = fetch_time(job, *m);
-        return fetch > 0 && waited + fetch < aims.front();
+    if (waited > wait_objectives.front() * 3 / 5) return false;
+    return std::none_of(usable_machines_.begin(), usable_machines_.end(), [&](const Machine* machine) {
+        if (!job.spec.request.fits(machine->type->size - machine->reserved) || !is_allowed(job, *machine))
+            return false;
+        const Micros fetch = image_fetch_time(job, *machine);
+        return fetch > 0 && waited + fetch < wait_objectives.front();
     });
 }
 
-/// Idle work takes what other work has not used lately, so that a burst of that finds room at once. On spot
-/// machines only, where there are any: others may wait for the ordinary ones that can use no other.
-void Scheduler::weigh_idle_room() {
+/// Computes the cores that best-effort work may take: those that other work has not used lately, so that a
+/// burst of other work finds free cores at once. Where there are spot machines, only those count: jobs that
+/// cannot use spot machines may wait for the ordinary ones.
+void Scheduler::update_best_effort_cores() {
     const Micros now = context_.runtime().now();
-    spot_machines_ = std::count_if(usable_.begin(), usable_.end(), [](const Machine* m) { return m->spot; });
-    Milli size = 0, used = 0, idle = 0;
-    for (const Machine* m : usable_) {
-        if (spot_machines_ > 0 && !m->spot) continue;
-        size += m->type->size.cores;
-        used += m->reserved.cores - m->idle_work;
-        idle += m->idle_work;
+    spot_machine_count_ = std::count_if(usable_machines_.begin(), usable_machines_.end(),
+                                        [](const Machine* machine) { return machine->spot; });
+    Milli total = 0, used = 0, best_effort = 0;
+    for (const Machine* machine : usable_machines_) {
+        if (spot_machine_count_ > 0 && !machine->spot) continue;
+        total += machine->type->size.cores;
+        used += machine->reserved.cores - machine->idle_work;
+        best_effort += machine->idle_work;
     }
-    // What waits counts as far as its team's limit lets it start: the rest takes no room.
-    std::map<std::string, Milli> wanted;
+    // Waiting tasks count as used as far as their team's limit lets them start; the others take no cores.
+    std::map<std::string, Milli> waiting_cores;
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.spot || spot_machines_ == 0)
-            wanted[job->spec.team] += job->spec.request.cores * job->waiting();
-    for (const auto& [team, cores] : wanted)
+        if (job->spec.spot || spot_machine_count_ == 0)
+            waiting_cores[job->spec.team] += job->spec.request.cores * job->waiting();
+    for (const auto& [team, cores] : waiting_cores)
         used +=
             std::clamp<Milli>(context_.share(shard_, team).cores - shard_state_.used(team).cores, 0, cores);
-    const auto passed = static_cast<double>(peak_use_at_ > 0 ? now - peak_use_at_ : 0);
-    peak_use_at_ = now;
-    peak_use_ = std::max(static_cast<double>(std::min(used, size)),
-                         peak_use_ * std::exp2(-passed / static_cast<double>(kForgetUse)));
-    idle_room_ = size - static_cast<Milli>(peak_use_) - idle;
-}
-
-/// Whether it misses its first aim whatever is done now, and need not hurry for a later one either: then
-/// others of its rank that can still make it go first.
-bool Scheduler::can_wait(const Job& job) const {
-    const auto& aims = goals(job).finished;
-    if (aims.empty()) return false;
+    const auto elapsed = static_cast<double>(peak_updated_at_ > 0 ? now - peak_updated_at_ : 0);
+    peak_updated_at_ = now;
+    peak_used_cores_ =
+        std::max(static_cast<double>(std::min(used, total)),
+                 peak_used_cores_ * std::exp2(-elapsed / static_cast<double>(kPeakUseHalfLife)));
+    best_effort_cores_ = total - static_cast<Milli>(peak_used_cores_) - best_effort;
+}
+
+/// Returns whether the job misses its first objective in any case and is in no danger yet of missing a later
+/// one. Jobs of its rank that can still meet theirs go first.
+bool Scheduler::can_be_deferred(const Job& job) const {
+    const auto& finish_objectives = objectives(job).finished;
+    if (finish_objectives.empty()) return false;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
-    const Micros needs = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
-    if (age + needs <= aims.front()) return false;
-    return aims.size() == 1 || age + needs < aims.back() * 3 / 4;
+    const Micros needed = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
+    if (age + needed <= finish_objectives.front()) return false;
+    return finish_objectives.size() == 1 || age + needed < finish_objectives.back() * 3 / 4;
 }
 
-/// Machines that it may use but had better not: those it failed on, until something of it has run elsewhere,
-/// and for idle work the ordinary ones, which others may wait for that can use no other.
-bool Scheduler::keeps_off(const Job& job, const Machine& m) const {
-    if (job.failed_on.count(m.name)) return true;
-    return job.is_best_effort() && job.spec.spot && !m.spot && spot_machines_ > 0;
+/// Returns whether the job is allowed on the machine and should still not use it: a machine that it failed
+/// on, until a task of it has run elsewhere; and an ordinary machine for best-effort work that may use spot
+/// machines, as jobs that may not use those could wait for it.
+bool Scheduler::avoids(const Job& job, const Machine& machine) const {
+    if (job.failed_on.count(machine.name)) return true;
+    return job.is_best_effort() && job.spec.spot && !machine.spot && spot_machine_count_ > 0;
 }
 
-void Scheduler::evaluate_gpu_demand() {
-    shapes_.reset();
+void Scheduler::update_gpu_demand() {
+    gpu_shapes_.reset();
     if (!context_.policy().gpus.pack) return;
-    if (std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
-                     [](const auto& m) { return m.second->type && m.second->type->size.gpus > 0; }))
+    if (std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(), [](const auto& entry) {
+            return entry.second->type && entry.second->type->size.gpus > 0;
+        }))
         return;
-    shapes_.emplace();
+    gpu_shapes_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->open) shapes_->add(job->spec.request.gpus, job->idle, job->bound);
+        if (job->open) gpu_shapes_->add(job->spec.request.gpus, job->idle, job->bound);
 }
 
-/// Whether it takes room on machines that are being emptied once it finds none elsewhere: urgent work at
-/// once, other work when it has waited for longer than it takes to find room by others' ends. What is left
-/// over never needs them.
-bool Scheduler::takes_surplus(const Job& job) const {
-    if (surplus_.empty() || (job.is_best_effort() && !job.overdue)) return false;
-    return job.rank <= PriorityClass::High || context_.runtime().now() - job.waiting_since > kSurplusAfter;
+/// Returns whether the job takes machines that are being drained once it finds no other: urgent work at once,
+/// other work after it has waited for longer than tasks usually take to end and free a machine. Best-effort
+/// work never does.
+bool Scheduler::may_use_draining_machines(const Job& job) const {
+    if (draining_machines_.empty() || (job.is_best_effort() && !job.overdue)) return false;
+    return job.rank <= PriorityClass::High ||
+           context_.runtime().now() - job.waiting_since > kDrainingMachinesDelay;
 }
 
-/// The machines that a job may use and that have room for a task of it, of one part.
-std::vector<Candidate> Scheduler::candidates_for(const Job& job, Reach reach,
+/// Returns the machines of a group that the job may use and appends them to `machines`. Whether a task fits
+/// is left to the placement steps.
+std::vector<Candidate> Scheduler::candidates_for(const Job& job, MachineGroup group,
                                                  std::vector<Machine*>& machines) {
-    std::vector<Candidate> list;
-    list.reserve(usable_.size());
-    machines.reserve(usable_.size());
-    for (Machine* m : reach == Reach::Surplus ? surplus_ : usable_) {
-        if (reach != Reach::Surplus && m->out_of_reach() != (reach == Reach::Relayed)) continue;
-        if (!is_allowed(job, *m) || keeps_off(job, *m)) continue;
-        Candidate c;
-        c.index = machines.size();
-        c.size = m->type->size;
-        c.reserved = m->reserved + of_.resources_reserved_for_others(job, *m);
-        c.tasks = static_cast<int>(m->tasks.size());
-        for (const auto& image : m->images)
+    std::vector<Candidate> candidates;
+    candidates.reserve(usable_machines_.size());
+    machines.reserve(usable_machines_.size());
+    for (Machine* machine : group == MachineGroup::Draining ? draining_machines_ : usable_machines_) {
+        if (group != MachineGroup::Draining && machine->out_of_reach() != (group == MachineGroup::Relayed))
+            continue;
+        if (!is_allowed(job, *machine) || avoids(job, *machine)) continue;
+        Candidate candidate;
+        candidate.index = machines.size();
+        candidate.size = machine->type->size;
+        candidate.reserved = machine->reserved + owner_.resources_reserved_for_others(job, *machine);
+        candidate.tasks = static_cast<int>(machine->tasks.size());
+        for (const auto& image : machine->images)
             if (image.name == job.spec.image) {
-                c.has_image = true;
-                c.image_ready = image.ready;
+                candidate.has_image = true;
+                candidate.image_ready = image.ready;
             }
-        // Urgent work without its image starts where that comes soonest.
+        // Urgent work starts where its image is ready soonest.
         if (job.rank <= PriorityClass::High)
-            c.penalty += kFetchPenalty * static_cast<double>(fetch_time(job, *m)) / 1e6;
-        if (shapes_) c.penalty += scheduling::gpu_penalty(c.size, c.reserved, job.spec.request, *shapes_);
-        c.own_penalty = c.penalty;
-        list.push_back(c);
-        machines.push_back(m);
+            candidate.penalty +=
+                kFetchPenaltyPerSecond * static_cast<double>(image_fetch_time(job, *machine)) / 1e6;
+        if (gpu_shapes_)
+            candidate.penalty +=
+                scheduling::gpu_penalty(candidate.size, candidate.reserved, job.spec.request, *gpu_shapes_);
+        candidate.own_penalty = candidate.penalty;
+        candidates.push_back(candidate);
+        machines.push_back(machine);
     }
-    return list;
-}
-
-/// The parts of the machines that the five steps are tried over, one after another, where a part is clearly
-/// better: those that have the image, or at least fetch it already, for urgent work, since a fetch takes
-/// longer than anything else in a start; spot machines, for what may use them, since that leaves the ordinary
-/// ones to what may not; machines without GPUs, for what needs none.
-std::vector<Scheduler::Part> Scheduler::parts_of(const Job& job, const std::vector<const Candidate*>& open,
-                                                 const std::vector<Machine*>& machines,
-                                                 bool ready_only) const {
-    std::vector<Image> order{Image::Any};
-    // Idle work stays together where its image is, so that one report and one change settle many tasks.
+    return candidates;
+}
+
+/// Returns groups of candidates, the best group first; the placement steps run over one group after another.
+/// For urgent work, machines that have the image come first, then those that are fetching it, since a fetch
+/// takes longer than anything else in a start. For work that may use spot machines, those come first, so that
+/// the ordinary ones are left to work that may not. For work without GPUs, machines without GPUs come first.
+std::vector<Scheduler::CandidateGroup> Scheduler::group_candidates(
+    const Job& job, const std::vector<const Candidate*>& eligible, const std::vector<Machine*>& machines,
+    bool image_ready_only) const {
+    std::vector<ImageRequirement> image_order{ImageRequirement::Any};
+    // Work of low rank is kept together where its image is, so that one report and one change cover many of
+    // its tasks.
     if (job.rank <= PriorityClass::High || job.rank == PriorityClass::Low)
-        order = {Image::Ready, Image::Fetching, Image::Any};
-    if (ready_only) order = {Image::Ready};
-    // Work without GPUs takes machines without them first; urgent work only where its image comes as soon.
-    const bool bare_first = shapes_ && job.spec.request.gpus <= 0;
-    std::vector<std::pair<Image, bool>> steps;
-    if (bare_first && job.rank > PriorityClass::High)
-        for (const Image image : order) steps.emplace_back(image, true);
-    for (const Image image : order) {
-        if (bare_first && job.rank <= PriorityClass::High) steps.emplace_back(image, true);
+        image_order = {ImageRequirement::Ready, ImageRequirement::Fetching, ImageRequirement::Any};
+    if (image_ready_only) image_order = {ImageRequirement::Ready};
+    // Work without GPUs takes machines without GPUs first; urgent work only where its image is ready as soon.
+    const bool prefers_no_gpus = gpu_shapes_ && job.spec.request.gpus <= 0;
+    std::vector<std::pair<ImageRequirement, bool>> steps;
+    if (prefers_no_gpus && job.rank > PriorityClass::High)
+        for (const ImageRequirement image : image_order) steps.emplace_back(image, true);
+    for (const ImageRequirement image : image_order) {
+        if (prefers_no_gpus && job.rank <= PriorityClass::High) steps.emplace_back(image, true);
         steps.emplace_back(image, false);
     }
-    std::vector<Part> parts;
-    for (const auto& [image, bare] : steps)
-        for (const bool spot : {true, false}) {
-            if (spot && !job.spec.spot) continue;
-            Part& part = parts.emplace_back(Part{image, spot, bare, {}});
-            for (const auto* c : open)
-                if (part.takes(*c, *machines[c->index])) part.candidates.push_back(c);
+    std::vector<CandidateGroup> groups;
+    for (const auto& [image, without_gpus_only] : steps)
+        for (const bool spot_only : {true, false}) {
+            if (spot_only && !job.spec.spot) continue;
+            CandidateGroup& group =
+                groups.emplace_back(CandidateGroup{image, spot_only, without_gpus_only, {}});
+            for (const auto* candidate : eligible)
+                if (group.accepts(*candidate, *machines[candidate->index]))
+                    group.candidates.push_back(candidate);
         }
-    return parts;
+    return groups;
 }
 
-bool Scheduler::Part::takes(const Candidate& c, const Machine& m) const {
-    if ((spot && !m.spot) || (bare && c.size.gpus > 0)) return false;
-    return image == Image::Any || c.image_ready || (image == Image::Fetching && c.has_image);
+bool Scheduler::CandidateGroup::accepts(const Candidate& candidate, const Machine& machine) const {
+    if ((spot_only && !machine.spot) || (without_gpus_only && candidate.size.gpus > 0)) return false;
+    return image == ImageRequirement::Any || candidate.image_ready ||
+           (image == ImageRequirement::Fetching && candidate.has_image);
 }
 
-std::ptrdiff_t Scheduler::place_for(const Job& job, const std::vector<Part>& parts) {
-    for (const auto& part : parts) {
-        const auto chosen = place(part.candidates, job.spec.request, context_.settings().ops.placement,
+std::ptrdiff_t Scheduler::place_in_groups(const Job& job, const std::vector<CandidateGroup>& groups) {
+    for (const auto& group : groups) {
+        const auto chosen = place(group.candidates, job.spec.request, context_.settings().ops.placement,
                                   context_.runtime().random());
         if (chosen >= 0) return chosen;
     }
     return -1;
 }
 
-/// A task of the job is to start on the candidate.
-void Scheduler::book(Candidate& c, const Job& job) const {
-    const Resources& need = job.spec.request;
-    auto gpus = [&] { return shapes_ ? scheduling::gpu_penalty(c.size, c.reserved, need, *shapes_) : 0.0; };
-    const double before = gpus();
-    c.reserved += need;
-    const double more = gpus() - before;
-    c.own_penalty += more;
-    c.penalty += more;
-    ++c.tasks;
+/// Counts a task of the job, which is to start on the candidate, in the candidate's resources and penalty.
+void Scheduler::add_task(Candidate& candidate, const Job& job) const {
+    const Resources& request = job.spec.request;
+    auto gpu_penalty = [&] {
+        return gpu_shapes_
+                   ? scheduling::gpu_penalty(candidate.size, candidate.reserved, request, *gpu_shapes_)
+                   : 0.0;
+    };
+    const double before = gpu_penalty();
+    candidate.reserved += request;
+    const double increase = gpu_penalty() - before;
+    candidate.own_penalty += increase;
+    candidate.penalty += increase;
+    ++candidate.tasks;
 }
 
-scheduling::Queued Scheduler::queued(const Job& job, std::size_t index) const {
+scheduling::Queued Scheduler::queue_entry(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
     const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
-    const JobSpec& s = job.spec;
-    scheduling::Queued q;
-    q.index = index;
-    q.team = s.team;
-    q.tier = tier(job);
-    q.rank = job.rank;
-    q.within_guarantee = job.within_guarantee;
-    q.late = can_wait(job);
-    q.due_ms = job.due_ms;
-    // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
-    // up for size, so that none waits for ever.
-    const auto left = static_cast<double>(job.idle + job.bound) *
-                      static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
-                      static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
-    q.weight = left / static_cast<double>(age_ms + 10'000);
-    q.age = age_ms * kMillisecond;
-    // Of work that takes what is left over one task at least runs, once it has waited for so long.
-    q.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
-    q.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoom;
-    auto of = [&s](int tasks) { return Resources{s.request.cores * tasks, s.request.gpus * tasks, 0}; };
-    q.waits = of(job.idle);
-    q.task = of(s.kind == JobKind::Gang ? job.idle : 1);
-    return q;
-}
-
-std::map<std::string, scheduling::TeamUse> Scheduler::team_uses() const {
+    const JobSpec& spec = job.spec;
+    scheduling::Queued entry;
+    entry.index = index;
+    entry.team = spec.team;
+    entry.tier = tier(job);
+    entry.rank = job.rank;
+    entry.within_guarantee = job.within_guarantee;
+    entry.late = can_be_deferred(job);
+    entry.due_ms = job.due_ms;
+    // The job with the least work left goes first, so that one wide array does not delay many small jobs.
+    // Waiting makes up for size, so that no job starves.
+    const auto work_left = static_cast<double>(job.idle + job.bound) *
+                           static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
+                           static_cast<double>(std::max<Micros>(spec.estimate, kSecond)) / 1e6;
+    entry.weight = work_left / static_cast<double>(age_ms + 10'000);
+    entry.age = age_ms * kMillisecond;
+    // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
+    // is overdue.
+    entry.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
+    entry.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoomPeriod;
+    auto resources_of = [&spec](int tasks) {
+        return Resources{spec.request.cores * tasks, spec.request.gpus * tasks, 0};
+    };
+    entry.waits = resources_of(job.idle);
+    entry.task = resources_of(spec.kind == JobKind::Gang ? job.idle : 1);
+    return entry;
+}
+
+std::map<std::string, scheduling::TeamUse> Scheduler::team_usage() const {
     std::map<std::string, scheduling::TeamUse> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->bound == 0) continue;
@@ -377,18 +414,18 @@
     return teams;
 }
 
-/// What may be placed now, by reference, so that its order is the same whoever decides.
-std::vector<Job*> Scheduler::queue(bool idle_turn) {
+/// Returns the jobs that may be placed now, ordered by reference, so that every owner gets the same order.
+std::vector<Job*> Scheduler::eligible_jobs(bool is_best_effort_turn) {
     const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
     for (auto& [ref, job] : shard_state_.jobs) {
         if (job->stage != Stage::Queued || job->leaving || job->idle == 0) continue;
-        // The gate: every bind comes from here, and nothing of a job starts before all that it needs are
-        // done.
+        // The dependency gate: every bind comes from here, so no task of a job starts before all jobs that it
+        // depends on are done.
         if (!job->open) continue;
         if (job->backing_off && (now < job->try_after || job->bound > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
-        if (job->is_best_effort() && (!idle_turn || now < job->idle_turn)) continue;
+        if (job->is_best_effort() && (!is_best_effort_turn || now < job->idle_turn)) continue;
         waiting.push_back(job.get());
     }
     return waiting;
@@ -396,364 +433,400 @@
 
 void Scheduler::run_pass() {
     const Micros now = context_.runtime().now();
-    // Idle work is bound in batches: that takes fewer changes and less time.
-    const bool idle_turn = now - idle_planned_at_ >= kIdleEvery;
-    if (idle_turn) idle_planned_at_ = now;
-    goals_.clear();
-    // Nothing that a pass does makes a machine usable, or no longer so.
-    usable_.clear();
-    surplus_.clear();
-    for (const auto& [name, m] : shard_state_.machines)
-        if (of_.is_usable(*m))
-            usable_.push_back(m.get());
-        else if (of_.is_usable_but_draining(*m))
-            surplus_.push_back(m.get());
-    const std::vector<Job*> waiting = queue(idle_turn);
-    std::vector<scheduling::Queued> asked;
-    asked.reserve(waiting.size());
-    for (const Job* job : waiting) asked.push_back(queued(*job, asked.size()));
-    no_room_.clear();
-    const auto& named = context_.settings().zones;
-    std::set<std::string> zones(named.begin(), named.end());
-    for (const auto& [name, m] : shard_state_.machines) zones.insert(m->zone);
-    zones_.assign(zones.begin(), zones.end());
+    // Best-effort work is bound in batches, which takes fewer changes and less time.
+    const bool is_best_effort_turn = now - best_effort_scheduled_at_ >= kBestEffortInterval;
+    if (is_best_effort_turn) best_effort_scheduled_at_ = now;
+    objectives_by_class_.clear();
+    // Nothing that a pass does changes which machines are usable.
+    usable_machines_.clear();
+    draining_machines_.clear();
+    for (const auto& [name, machine] : shard_state_.machines)
+        if (owner_.is_usable(*machine))
+            usable_machines_.push_back(machine.get());
+        else if (owner_.is_usable_but_draining(*machine))
+            draining_machines_.push_back(machine.get());
+    const std::vector<Job*> waiting = eligible_jobs(is_best_effort_turn);
+    std::vector<scheduling::Queued> queue;
+    queue.reserve(waiting.size());
+    for (const Job* job : waiting) queue.push_back(queue_entry(*job, queue.size()));
+    unschedulable_.clear();
+    const auto& configured_zones = context_.settings().zones;
+    std::set<std::string> zones(configured_zones.begin(), configured_zones.end());
+    for (const auto& [name, machine] : shard_state_.machines) zones.insert(machine->zone);
+    all_zones_.assign(zones.begin(), zones.end());
     futile_preemptions_.clear();
-    if (idle_turn) weigh_idle_room();
-    evaluate_gpu_demand();
-    weigh_zones();
-    idle_bound_ = std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& j) {
-        return j.second->rank == PriorityClass::Low && j.second->bound > 0;
-    });
+    if (is_best_effort_turn) update_best_effort_cores();
+    update_gpu_demand();
+    update_zone_cores();
+    has_bound_low_priority_ =
+        std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& entry) {
+            return entry.second->rank == PriorityClass::Low && entry.second->bound > 0;
+        });
     quota_shortfalls_.clear();
     claimed_.clear();
-    preemptions_left_ = kPreemptions;
-    const bool preempts = now - preempted_at_ >= kPreemptEvery;
-    if (preempts) preempted_at_ = now;
-    for (const auto& turn : scheduling::turns(asked, team_uses(), context_.policy().priority)) {
+    preemptions_left_ = kMaxPreemptionsPerPass;
+    const bool may_preempt = now - last_preemption_pass_at_ >= kPreemptionInterval;
+    if (may_preempt) last_preemption_pass_at_ = now;
+    for (const auto& turn : scheduling::turns(queue, team_usage(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
-        if (job.idle == 0) continue;  // all of it began in its turn for being overdue
+        if (job.idle == 0) continue;  // an earlier turn, for being overdue, has placed all of its tasks
         job.most = {turn.most_cores, turn.most_gpus, 0};
         job.overdue = turn.overdue;
-        const bool placed = plan_job(job);
-        if (!placed && !job.overdue && preempts && !job.backing_off &&
-            (now - job.waiting_since > kPreemptAfter || job.rank == PriorityClass::Production))
+        const bool placed = place_job(job);
+        if (!placed && !job.overdue && may_preempt && !job.backing_off &&
+            (now - job.waiting_since > kPreemptionDelay || job.rank == PriorityClass::Production))
             preempt(job);
-        if (preempts && tier(job) == policy::Tier::Live && job.idle > 0 && !is_within_limit(job, 1) &&
-            now - job.waiting_since > kLimitAfter)
-            free_limit(job);
+        if (may_preempt && tier(job) == policy::Tier::Live && job.idle > 0 && !is_within_limit(job, 1) &&
+            now - job.waiting_since > kLimitPreemptionDelay)
+            preempt_within_team_limit(job);
     }
-    usable_.clear();
+    usable_machines_.clear();
 }
 
-/// Live work goes before the batch of its own team inside their limit as well: as much of that is stopped as
-/// it needs for one task more, the least loss first.
-void Scheduler::free_limit(const Job& job) {
+/// Live work goes before the batch work of its own team inside their limit as well: stops as much of that
+/// batch work as one more live task needs, the least loss first.
+void Scheduler::preempt_within_team_limit(const Job& job) {
     const Resources share = context_.share(shard_, job.spec.team);
-    Resources over = used_with(job, 1) - share;
+    Resources excess = usage_with(job, 1) - share;
     std::vector<Victim> victims;
     for (auto& [ref, other] : shard_state_.jobs) {
         if (other->spec.team != job.spec.team || other->bound == 0) continue;
-        const bool batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
+        const bool is_batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
         for (auto& slot : other->slots) {
             if (slot.state != SlotState::Bound) continue;
             if (slot.stop)
-                over -= other->spec.request;  // on its way out already
-            else if (batch)
-                victims.push_back(victim(slot, *other, false));
+                excess -= other->spec.request;  // is stopping already
+            else if (is_batch)
+                victims.push_back(evaluate_victim(slot, *other, false));
         }
     }
     std::sort(victims.begin(), victims.end(),
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
-    for (const auto& v : victims) {
-        if ((over.cores <= 0 && over.gpus <= 0) || preemptions_left_ <= 0) return;
-        // Of no use where the GPUs are short.
-        if (over.cores <= 0 && v.job->spec.request.gpus == 0) continue;
-        over -= v.job->spec.request;
+    for (const auto& victim : victims) {
+        if ((excess.cores <= 0 && excess.gpus <= 0) || preemptions_left_ <= 0) return;
+        // Stopping a task without GPUs is of no use when only GPUs are missing.
+        if (excess.cores <= 0 && victim.job->spec.request.gpus == 0) continue;
+        excess -= victim.job->spec.request;
         --preemptions_left_;
-        spdlog::info("task {}/{}: stopped, {} needs its part of the limit", v.job->spec.ref,
-                     v.slot - v.job->slots.data(), job.spec.ref);
-        of_.stop(*v.slot, v.grace);
-        futile_preemptions_.clear();  // what stops makes room for others as well
+        spdlog::info("task {}/{}: stopped, {} needs its share of the team's limit", victim.job->spec.ref,
+                     victim.slot - victim.job->slots.data(), job.spec.ref);
+        owner_.stop(*victim.slot, victim.grace);
+        futile_preemptions_.clear();  // the task that stops frees resources for other jobs as well
     }
 }
 
-/// Whether stopping a task would make its job miss an aim that it can still make.
-bool Scheduler::wastes_work(const Job& job, Micros ran) const {
-    const auto& aims = goals(job).finished;
+/// Returns whether a stop of one of the job's tasks would make the job miss an objective that it can still
+/// meet.
+bool Scheduler::stop_misses_objective(const Job& job, Micros ran) const {
+    const auto& finish_objectives = objectives(job).finished;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
     const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
-    return std::any_of(aims.begin(), aims.end(),
-                       [&](Micros goal) { return age + left <= goal && age + left + kSetBack > goal; });
-}
-
-/// Idle work of long tasks is bound the more seldom: each bind costs a change, and what was just stopped to
-/// make room is likely to be stopped again.
-Micros Scheduler::idle_pause(const Job& job) {
-    return std::clamp(job.spec.estimate / 20, kIdleEvery, kIdleLong);
-}
-
-Scheduler::Zoning Scheduler::zoning_of(const Job& job) const {
-    Zoning z;
-    z.rule = context_.policy().zone_rule(job.spec);
-    if (!z.rule) return z;
-    std::set<std::string> standing;
-    for (const Machine* m : usable_)
-        if (is_allowed(job, *m)) standing.insert(m->zone);
-    z.standing.assign(standing.begin(), standing.end());
-    return z;
-}
-
-scheduling::ZoneChoice Scheduler::choose_zones(const Job& job, const Zoning& zoning,
-                                               const std::map<std::string, int>& per_zone,
-                                               const std::vector<std::string>* room) const {
-    return scheduling::choose_zones(job.spec, zoning.rule, per_zone, zoning.standing, zones_, room);
-}
-
-/// The candidates in zones that take another task of it; `apart`: on machines that do, too.
-std::vector<const Candidate*> Scheduler::open_in(const scheduling::ZoneChoice& choice, const Job& job,
-                                                 const std::map<std::string, int>& per_zone,
-                                                 std::vector<Candidate>& candidates,
-                                                 const std::vector<Machine*>& machines, bool apart) const {
-    std::map<std::string, double> zones;  // those open, with their penalty
-    for (const auto& [zone, most] : choice.most) {
-        auto used = per_zone.find(zone);
-        if ((used == per_zone.end() ? 0 : used->second) < most) zones[zone] = choice.penalty_in(zone);
+    return std::any_of(finish_objectives.begin(), finish_objectives.end(), [&](Micros objective) {
+        return age + left <= objective && age + left + kRestartDelay > objective;
+    });
+}
+
+/// Returns the time between two rounds of binding for a best-effort job. The longer its tasks run, the less
+/// often they are bound: each bind costs a change, and a task that was just preempted is likely to be
+/// preempted again.
+Micros Scheduler::best_effort_interval(const Job& job) {
+    return std::clamp(job.spec.estimate / 20, kBestEffortInterval, kMaxBestEffortInterval);
+}
+
+Scheduler::ZoneConstraints Scheduler::zone_constraints(const Job& job) const {
+    ZoneConstraints constraints;
+    constraints.rule = context_.policy().zone_rule(job.spec);
+    if (!constraints.rule) return constraints;
+    std::set<std::string> available;
+    for (const Machine* machine : usable_machines_)
+        if (is_allowed(job, *machine)) available.insert(machine->zone);
+    constraints.available.assign(available.begin(), available.end());
+    return constraints;
+}
+
+scheduling::ZoneChoice Scheduler::choose_zones(const Job& job, const ZoneConstraints& constraints,
+                                               const std::map<std::string, int>& tasks_per_zone,
+                                               const std::vector<std::string>* candidate_zones) const {
+    return scheduling::choose_zones(job.spec, constraints.rule, tasks_per_zone, constraints.available,
+                                    all_zones_, candidate_zones);
+}
+
+/// Returns the candidates in zones that may take another task of the job; with `limit_per_machine`, only
+/// those on machines that may take another one, too.
+std::vector<const Candidate*> Scheduler::eligible_candidates(
+    const scheduling::ZoneChoice& choice, const Job& job, const std::map<std::string, int>& tasks_per_zone,
+    std::vector<Candidate>& candidates, const std::vector<Machine*>& machines, bool limit_per_machine) const {
+    std::map<std::string, double> zone_penalties;  // of the zones that may take another task
+    for (const auto& [zone, max_tasks] : choice.most) {
+        auto tasks = tasks_per_zone.find(zone);
+        if ((tasks == tasks_per_zone.end() ? 0 : tasks->second) < max_tasks)
+            zone_penalties[zone] = choice.penalty_in(zone);
     }
-    std::vector<const Candidate*> open;
-    for (auto& c : candidates) {
-        const Machine& m = *machines[c.index];
-        auto zone = zones.find(m.zone);
-        if (zone == zones.end() || (apart && tasks_on(m, job) >= choice.machine_most)) continue;
-        if (!leaves_reserve(job, m.zone)) continue;
-        c.penalty = c.own_penalty + zone->second;
-        open.push_back(&c);
+    std::vector<const Candidate*> eligible;
+    for (auto& candidate : candidates) {
+        const Machine& machine = *machines[candidate.index];
+        auto zone = zone_penalties.find(machine.zone);
+        if (zone == zone_penalties.end() ||
+            (limit_per_machine && tasks_on(machine, job) >= choice.machine_most))
+            continue;
+        if (!leaves_reserve(job, machine.zone)) continue;
+        candidate.penalty = candidate.own_penalty + zone->second;
+        eligible.push_back(&candidate);
     }
-    return open;
+    return eligible;
 }
 
-int Scheduler::tasks_on(const Machine& m, const Job& job) {
-    return static_cast<int>(
-        std::count_if(m.tasks.begin(), m.tasks.end(), [&](const auto& t) { return t.job == &job; }));
+int Scheduler::tasks_on(const Machine& machine, const Job& job) {
+    return static_cast<int>(std::count_if(machine.tasks.begin(), machine.tasks.end(),
+                                          [&](const auto& task) { return task.job == &job; }));
 }
 
-/// Zones with a machine that a task of it fits on.
-std::vector<std::string> Scheduler::zones_with_room(const Job& job, const std::vector<Candidate>& candidates,
-                                                    const std::vector<Machine*>& machines, int machine_most) {
+/// Returns the zones with a machine that a task of the job fits on and that holds fewer than
+/// `max_tasks_per_machine` tasks of the job.
+std::vector<std::string> Scheduler::zones_with_capacity(const Job& job,
+                                                        const std::vector<Candidate>& candidates,
+                                                        const std::vector<Machine*>& machines,
+                                                        int max_tasks_per_machine) {
     std::set<std::string> zones;
-    for (const auto& c : candidates) {
-        const Machine& m = *machines[c.index];
-        if (job.spec.request.fits(c.size - c.reserved) &&
-            (machine_most == std::numeric_limits<int>::max() || tasks_on(m, job) < machine_most))
-            zones.insert(m.zone);
+    for (const auto& candidate : candidates) {
+        const Machine& machine = *machines[candidate.index];
+        if (job.spec.request.fits(candidate.size - candidate.reserved) &&
+            (max_tasks_per_machine == std::numeric_limits<int>::max() ||
+             tasks_on(machine, job) < max_tasks_per_machine))
+            zones.insert(machine.zone);
     }
     return {zones.begin(), zones.end()};
 }
 
-std::ptrdiff_t Scheduler::at(const Machine* better, const Job& job, const std::vector<const Candidate*>& open,
-                             const std::vector<Machine*>& machines) {
-    if (!better) return -1;
-    for (const auto* c : open)
-        if (machines[c->index] == better && job.spec.request.fits(c->size - c->reserved))
-            return static_cast<std::ptrdiff_t>(c->index);
+std::ptrdiff_t Scheduler::index_of_preferred(const Machine* preferred, const Job& job,
+                                             const std::vector<const Candidate*>& eligible,
+                                             const std::vector<Machine*>& machines) {
+    if (!preferred) return -1;
+    for (const auto* candidate : eligible)
+        if (machines[candidate->index] == preferred &&
+            job.spec.request.fits(candidate->size - candidate->reserved))
+            return static_cast<std::ptrdiff_t>(candidate->index);
     return -1;
 }
 
-/// In the zones where its rule wants the next task, on the `better` machine if there is one with room;
-/// `give_way`: else where there is room for it, as far as the rule admits that.
-std::ptrdiff_t Scheduler::place_by_zone(const Job& job, const Zoning& zoning,
-                                        const std::map<std::string, int>& per_zone,
+/// Places the next task in the zones where the job's rule wants it, on the `preferred` machine if there is
+/// one with enough free resources. With `may_relax_rule`, places it otherwise in any zone that has enough, as
+/// far as the rule permits.
+std::ptrdiff_t Scheduler::place_by_zone(const Job& job, const ZoneConstraints& constraints,
+                                        const std::map<std::string, int>& tasks_per_zone,
                                         std::vector<Candidate>& candidates,
-                                        const std::vector<Machine*>& machines, bool ready_only, bool give_way,
-                                        const Machine* better) {
-    const auto asked = choose_zones(job, zoning, per_zone);
-    const bool sharing_matters = asked.machine_most < std::numeric_limits<int>::max();
-    auto place_in = [&](const scheduling::ZoneChoice& choice, bool apart) {
-        const auto open = open_in(choice, job, per_zone, candidates, machines, apart);
-        const auto wished = at(better, job, open, machines);
-        return wished >= 0 ? wished : place_for(job, parts_of(job, open, machines, ready_only));
+                                        const std::vector<Machine*>& machines, bool image_ready_only,
+                                        bool may_relax_rule, const Machine* preferred) {
+    const auto wanted = choose_zones(job, constraints, tasks_per_zone);
+    const bool has_machine_limit = wanted.machine_most < std::numeric_limits<int>::max();
+    auto place_in = [&](const scheduling::ZoneChoice& choice, bool limit_per_machine) {
+        const auto eligible =
+            eligible_candidates(choice, job, tasks_per_zone, candidates, machines, limit_per_machine);
+        const auto on_preferred = index_of_preferred(preferred, job, eligible, machines);
+        return on_preferred >= 0
+                   ? on_preferred
+                   : place_in_groups(job, group_candidates(job, eligible, machines, image_ready_only));
     };
-    const auto chosen = place_in(asked, sharing_matters);
-    if (chosen >= 0 || !give_way) return chosen;
-    for (const bool apart : {true, false}) {
-        if (!apart && (asked.strict || !sharing_matters)) break;
-        const auto room = zones_with_room(job, candidates, machines,
-                                          apart ? asked.machine_most : std::numeric_limits<int>::max());
-        const auto choice = choose_zones(job, zoning, per_zone, &room);
-        const auto found = place_in(choice, apart && sharing_matters);
+    const auto chosen = place_in(wanted, has_machine_limit);
+    if (chosen >= 0 || !may_relax_rule) return chosen;
+    for (const bool limit_per_machine : {true, false}) {
+        if (!limit_per_machine && (wanted.strict || !has_machine_limit)) break;
+        const auto candidate_zones =
+            zones_with_capacity(job, candidates, machines,
+                                limit_per_machine ? wanted.machine_most : std::numeric_limits<int>::max());
+        const auto relaxed = choose_zones(job, constraints, tasks_per_zone, &candidate_zones);
+        const auto found = place_in(relaxed, limit_per_machine && has_machine_limit);
         if (found >= 0) return found;
     }
     return -1;
 }
 
-/// True if nothing is left to place.
-bool Scheduler::plan_job(Job& job) {
+/// Binds as many of the job's waiting tasks as possible. Returns false if a task found no machine; true if no
+/// task is left to place in this pass.
+bool Scheduler::place_job(Job& job) {
     const Micros now = context_.runtime().now();
     if (job.spec.kind != JobKind::Gang && is_unschedulable(job)) {
         job.no_room_at = now;
         return false;
     }
     std::vector<Machine*> machines;
-    std::vector<Candidate> candidates = candidates_for(job, Reach::Direct, machines);
-    if (candidates.empty() && !job.failed_on.empty()) {  // better where it failed than nowhere
+    std::vector<Candidate> candidates = candidates_for(job, MachineGroup::Direct, machines);
+    if (candidates.empty() && !job.failed_on.empty()) {  // a machine where it failed is better than none
         job.failed_on.clear();
-        candidates = candidates_for(job, Reach::Direct, machines);
+        candidates = candidates_for(job, MachineGroup::Direct, machines);
     }
-    auto ask_more = [&](Reach reach) {
-        const auto more = candidates_for(job, reach, machines);
+    auto add_candidates = [&](MachineGroup group) {
+        const auto more = candidates_for(job, group, machines);
         candidates.insert(candidates.end(), more.begin(), more.end());
         return !more.empty();
     };
     if (job.spec.kind == JobKind::Gang)
-        return plan_gang(job, candidates, machines) ||
-               (takes_surplus(job) && ask_more(Reach::Surplus) && plan_gang(job, candidates, machines));
-    if (job.is_best_effort() && !job.overdue) job.idle_turn = now + idle_pause(job);
+        return place_gang(job, candidates, machines) ||
+               (may_use_draining_machines(job) && add_candidates(MachineGroup::Draining) &&
+                place_gang(job, candidates, machines));
+    if (job.is_best_effort() && !job.overdue) job.idle_turn = now + best_effort_interval(job);
 
-    std::map<std::string, int> per_zone = job.zones();
-    const Zoning zoning = zoning_of(job);
+    std::map<std::string, int> tasks_per_zone = job.zones();
+    const ZoneConstraints constraints = zone_constraints(job);
     const int zone_cap = job.zone_cap();
-    const bool zoned =
-        job.spec.spread || job.spec.one_zone || job.spec.kind == JobKind::Service || spares(job);
-    std::vector<const Candidate*> open;
-    open.reserve(candidates.size());
-    std::vector<Part> parts;
-    // All tasks bound in one pass share an attempt number; it only tells one start from another.
+    const bool depends_on_zone =
+        job.spec.spread || job.spec.one_zone || job.spec.kind == JobKind::Service || must_leave_reserve(job);
+    std::vector<const Candidate*> eligible;
+    eligible.reserve(candidates.size());
+    std::vector<CandidateGroup> groups;
+    // All tasks that are bound in one pass share an attempt number, which only distinguishes one start of a
+    // task from another.
     const std::int64_t attempt = job.next_attempt;
-    bool all = true;
-    bool tried_relayed = false, tried_surplus = !takes_surplus(job);
-    const bool asks_surplus = !tried_surplus;
-    const bool ready_only = job.holding_out = waits_for_image(job);
-    const bool pieces = context_.store().uses_pieces();
+    bool all_placed = true;
+    bool tried_relayed = false, tried_draining = !may_use_draining_machines(job);
+    const bool includes_draining = !tried_draining;
+    const bool image_ready_only = job.holding_out = waits_for_image(job);
+    const bool values_in_pieces = context_.store().uses_pieces();
     while (job.first_idle < job.slots.size() && job.slots[job.first_idle].state != SlotState::Idle)
         ++job.first_idle;
     for (std::size_t i = job.first_idle; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state != SlotState::Idle) continue;
         if (slot.retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))) {
-            all = all && slot.retry_at > now;
+            all_placed = all_placed && slot.retry_at > now;
             continue;
         }
-        // In the first moments of a holder, what is moving waits until its destination has been heard.
-        const Machine* better = of_.move_destination(job, static_cast<int>(i));
-        if (better && better->seq == 0 && now - better->known_since < 2 * context_.settings().report_every)
+        // Just after the shard has changed owners, a task that is being moved waits until its destination has
+        // sent a report.
+        const Machine* preferred = owner_.move_destination(job, static_cast<int>(i));
+        if (preferred && preferred->seq == 0 &&
+            now - preferred->known_since < 2 * context_.settings().report_every)
             continue;
-        // A part must not outgrow its value, unless that may be stored in pieces; the next ones have room.
-        if (!pieces && job.part_of(static_cast<int>(i)).is_full(job.part_tasks)) {
+        // Unless values are stored in pieces, a stored part must not grow beyond the size of one value. The
+        // following parts still have room.
+        if (!values_in_pieces && job.part_of(static_cast<int>(i)).is_full(job.part_tasks)) {
             i = (i / job.part_tasks + 1) * job.part_tasks - 1;
             continue;
         }
-        if (!is_within_quota(job, 1)) {  // not for want of room
-            miss_quota(job, 1);
+        if (!is_within_quota(job, 1)) {  // no lack of machines, so preemption would not help
+            record_quota_shortfall(job, 1);
             return true;
         }
         if (job.is_best_effort() && !job.overdue) {
-            if (idle_room_ < job.spec.request.cores || idle_starts_.take(now, 1) > 0) return true;
-            idle_room_ -= job.spec.request.cores;
+            if (best_effort_cores_ < job.spec.request.cores || best_effort_start_budget_.take(now, 1) > 0)
+                return true;
+            best_effort_cores_ -= job.spec.request.cores;
         }
         std::ptrdiff_t chosen = -1;
         for (;;) {
-            if (zoning.rule) {
-                chosen = place_by_zone(job, zoning, per_zone, candidates, machines, ready_only, tried_relayed,
-                                       better);
+            if (constraints.rule) {
+                chosen = place_by_zone(job, constraints, tasks_per_zone, candidates, machines,
+                                       image_ready_only, tried_relayed, preferred);
             } else {
-                // Where zones play no part, only what is bound changes the choice (see below).
-                if (zoned || parts.empty()) {
-                    open.clear();
-                    for (auto& c : candidates) {
-                        auto used = per_zone.find(machines[c.index]->zone);
-                        const int there = used == per_zone.end() ? 0 : used->second;
-                        if (there >= zone_cap) continue;
-                        if (job.spec.one_zone && !per_zone.empty() && there == 0) continue;
-                        if (!leaves_reserve(job, machines[c.index]->zone)) continue;
-                        // Replicas are kept apart beyond what the job asks for.
-                        if (job.spec.kind == JobKind::Service) c.penalty = c.own_penalty + 25.0 * there;
-                        open.push_back(&c);
+                // For a job that does not depend on zones, only a bind changes the choice, which the code
+                // below handles.
+                if (depends_on_zone || groups.empty()) {
+                    eligible.clear();
+                    for (auto& candidate : candidates) {
+                        auto tasks = tasks_per_zone.find(machines[candidate.index]->zone);
+                        const int tasks_in_zone = tasks == tasks_per_zone.end() ? 0 : tasks->second;
+                        if (tasks_in_zone >= zone_cap) continue;
+                        if (job.spec.one_zone && !tasks_per_zone.empty() && tasks_in_zone == 0) continue;
+                        if (!leaves_reserve(job, machines[candidate.index]->zone)) continue;
+                        // The replicas of a service are spread over zones even if the job does not ask for
+                        // it.
+                        if (job.spec.kind == JobKind::Service)
+                            candidate.penalty = candidate.own_penalty + 25.0 * tasks_in_zone;
+                        eligible.push_back(&candidate);
                     }
-                    parts = parts_of(job, open, machines, ready_only);
+                    groups = group_candidates(job, eligible, machines, image_ready_only);
                 }
-                chosen = at(better, job, open, machines);
-                if (chosen < 0) chosen = place_for(job, parts);
+                chosen = index_of_preferred(preferred, job, eligible, machines);
+                if (chosen < 0) chosen = place_in_groups(job, groups);
             }
-            if (chosen >= 0 || (tried_relayed && tried_surplus)) break;
-            // Better a machine that only others reach than none, and one that is being emptied than none.
+            if (chosen >= 0 || (tried_relayed && tried_draining)) break;
+            // A machine that only other controllers reach is better than none, and so is one that is being
+            // drained.
             const bool relayed = !std::exchange(tried_relayed, true);
-            if (!relayed) tried_surplus = true;
-            const bool more = ask_more(relayed ? Reach::Relayed : Reach::Surplus);
-            if (!more && !zoning.rule && tried_surplus) break;
-            parts.clear();
+            if (!relayed) tried_draining = true;
+            const bool found_more = add_candidates(relayed ? MachineGroup::Relayed : MachineGroup::Draining);
+            if (!found_more && !constraints.rule && tried_draining) break;
+            groups.clear();
         }
         if (chosen < 0) {
-            if (!ready_only && !zoning.rule && !spares(job)) remember_no_room(job, asks_surplus);
-            if (!ready_only) job.no_room_at = now;
+            if (!image_ready_only && !constraints.rule && !must_leave_reserve(job))
+                remember_unschedulable(job, includes_draining);
+            if (!image_ready_only) job.no_room_at = now;
             return false;
         }
         job.no_room_at = 0;
-        Machine& m = *machines[static_cast<std::size_t>(chosen)];
-        bind(job, static_cast<int>(i), m, attempt);
+        Machine& machine = *machines[static_cast<std::size_t>(chosen)];
+        bind(job, static_cast<int>(i), machine, attempt);
         job.next_attempt = attempt + 1;
-        ++per_zone[m.zone];
-        auto& c = candidates[static_cast<std::size_t>(chosen)];
-        book(c, job);
-        if (!std::exchange(c.has_image, true))
-            for (auto& part : parts)
-                if (auto& list = part.candidates; part.image == Image::Fetching && part.takes(c, m))
-                    list.insert(std::lower_bound(list.begin(), list.end(), &c), &c);
-        spdlog::info("task {}/{}: attempt {} bound to {}", job.spec.ref, i, slot.attempt, m.name);
-        if (job.backing_off || job.overdue) return true;  // one start at a time
+        ++tasks_per_zone[machine.zone];
+        auto& candidate = candidates[static_cast<std::size_t>(chosen)];
+        add_task(candidate, job);
+        if (!std::exchange(candidate.has_image, true))
+            for (auto& group : groups)
+                if (auto& members = group.candidates;
+                    group.image == ImageRequirement::Fetching && group.accepts(candidate, machine))
+                    members.insert(std::lower_bound(members.begin(), members.end(), &candidate), &candidate);
+        spdlog::info("task {}/{}: attempt {} bound to {}", job.spec.ref, i, slot.attempt, machine.name);
+        if (job.backing_off || job.overdue) return true;  // these start one task at a time
     }
-    return all;
+    return all_placed;
 }
 
-/// A gang binds all its tasks in one pass or none.
-bool Scheduler::plan_gang(Job& job, const std::vector<Candidate>& candidates,
-                          const std::vector<Machine*>& machines) {
+/// Binds all tasks of a gang in one pass or none.
+bool Scheduler::place_gang(Job& job, const std::vector<Candidate>& candidates,
+                           const std::vector<Machine*>& machines) {
     const Micros now = context_.runtime().now();
     if (job.bound > 0 || job.idle < job.spec.tasks - job.done)
-        return true;  // the old attempt is not gone yet
+        return true;  // the previous attempt is not proven gone yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Idle &&
             (job.slots[i].retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))))
             return true;
     if (!is_within_quota(job, job.idle)) {
-        miss_quota(job, job.idle);
+        record_quota_shortfall(job, job.idle);
         return true;
     }
     std::vector<std::string> zones{""};
     if (job.spec.one_zone) {
         zones.clear();
-        for (const auto* m : machines)
-            if (std::find(zones.begin(), zones.end(), m->zone) == zones.end()) zones.push_back(m->zone);
+        for (const auto* machine : machines)
+            if (std::find(zones.begin(), zones.end(), machine->zone) == zones.end())
+                zones.push_back(machine->zone);
         std::shuffle(zones.begin(), zones.end(), context_.runtime().random());
     }
-    const Zoning zoning = zoning_of(job);
+    const ZoneConstraints constraints = zone_constraints(job);
     for (const auto& zone : zones) {
         std::vector<Candidate> trial = candidates;
-        std::map<std::string, int> per_zone;
+        std::map<std::string, int> tasks_per_zone;
         std::vector<std::pair<int, Machine*>> chosen;
         for (std::size_t i = 0; i < job.slots.size(); ++i) {
             if (job.slots[i].state != SlotState::Idle) continue;
-            std::vector<std::string> room;
-            if (zoning.rule) room = zones_with_room(job, trial, machines, std::numeric_limits<int>::max());
-            const auto choice = choose_zones(job, zoning, per_zone, zoning.rule ? &room : nullptr);
-            std::vector<Candidate> open;
-            for (const auto& c : trial) {
-                const std::string& at = machines[c.index]->zone;
-                if ((zone.empty() || at == zone) && per_zone[at] < choice.most_in(at) &&
-                    leaves_reserve(job, at, per_zone[at]))
-                    open.push_back(c);
+            std::vector<std::string> candidate_zones;
+            if (constraints.rule)
+                candidate_zones = zones_with_capacity(job, trial, machines, std::numeric_limits<int>::max());
+            const auto choice =
+                choose_zones(job, constraints, tasks_per_zone, constraints.rule ? &candidate_zones : nullptr);
+            std::vector<Candidate> eligible;
+            for (const auto& candidate : trial) {
+                const std::string& candidate_zone = machines[candidate.index]->zone;
+                if ((zone.empty() || candidate_zone == zone) &&
+                    tasks_per_zone[candidate_zone] < choice.most_in(candidate_zone) &&
+                    leaves_reserve(job, candidate_zone, tasks_per_zone[candidate_zone]))
+                    eligible.push_back(candidate);
             }
-            const auto pick =
-                place(open, job.spec.request, context_.settings().ops.placement, context_.runtime().random());
-            if (pick < 0) break;
-            auto& c = trial[static_cast<std::size_t>(pick)];
-            book(c, job);
-            Machine* m = machines[static_cast<std::size_t>(pick)];
-            ++per_zone[m->zone];
-            chosen.emplace_back(static_cast<int>(i), m);
+            const auto index = place(eligible, job.spec.request, context_.settings().ops.placement,
+                                     context_.runtime().random());
+            if (index < 0) break;
+            auto& candidate = trial[static_cast<std::size_t>(index)];
+            add_task(candidate, job);
+            Machine* machine = machines[static_cast<std::size_t>(index)];
+            ++tasks_per_zone[machine->zone];
+            chosen.emplace_back(static_cast<int>(i), machine);
         }
         if (static_cast<int>(chosen.size()) < job.idle) continue;
         const std::int64_t attempt = job.next_attempt++;
-        for (const auto& [task, m] : chosen) {
-            bind(job, task, *m, attempt);
+        for (const auto& [task, machine] : chosen) {
+            bind(job, task, *machine, attempt);
         }
         spdlog::info("gang {}: attempt {} bound, {} tasks", job.spec.ref, attempt, chosen.size());
         job.no_room_at = 0;
@@ -763,155 +836,171 @@
     return false;
 }
 
-/// Makes room for a job's waiting tasks: stops what is worth least on the machine where the least is lost.
-/// Room that is being made already is claimed first, in the order of the jobs.
+/// Frees resources for a job's waiting tasks: stops the tasks of least value on the machine where the least
+/// is lost. Resources that are being freed already are claimed first, in the order of the jobs.
 void Scheduler::preempt(Job& job) {
     const Micros now = context_.runtime().now();
-    // Stopping work that cannot save itself throws it away. Services may always do that; others only when
-    // their deadline is near, or when a guarantee has been waited for.
+    // Stopping work that cannot save its progress discards that work. Jobs of production rank may always do
+    // that; others only when their deadline is near, or to reclaim a guarantee that they have waited for.
     const std::int64_t now_ms = context_.runtime().wall_ms();
-    const bool late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
-    const bool may_waste = job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && late);
-    const bool reclaims = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
-    // Work of normal rank makes room only where idle work is.
-    if (job.rank > PriorityClass::High && !reclaims && (job.rank == PriorityClass::Low || !idle_bound_))
+    const bool is_late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
+    const bool may_discard_work =
+        job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && is_late);
+    const bool reclaims_guarantee = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
+    // Work of normal rank preempts only work of low rank.
+    if (job.rank > PriorityClass::High && !reclaims_guarantee &&
+        (job.rank == PriorityClass::Low || !has_bound_low_priority_))
         return;
-    // Where the operators want the tasks started soon, room is made for all of them.
-    const auto& aims = goals(job).wait;
-    // Stopping idle work costs next to nothing.
-    const bool idle_only = job.rank > PriorityClass::High && !reclaims;
-    const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.idle : 1;
-    const bool hurries = !aims.empty() && now - job.waiting_since < aims.front();
+    // Where the operators have set a wait objective, resources are freed for all of the waiting tasks at
+    // once.
+    const auto& wait_objectives = objectives(job).wait;
+    // Stopping work of low rank costs next to nothing.
+    const bool low_rank_only = job.rank > PriorityClass::High && !reclaims_guarantee;
+    const int max_tasks =
+        job.rank == PriorityClass::Production || !wait_objectives.empty() || low_rank_only ? job.idle : 1;
+    const bool stop_at_once = !wait_objectives.empty() && now - job.waiting_since < wait_objectives.front();
     if (preemptions_left_ <= 0 || !is_within_quota(job, 1)) return;
-    const bool ready_only = waits_for_image(job);
-    if (!ready_only && !of_.has_reservation(job) && is_futile(job, may_waste, reclaims)) {
+    const bool image_ready_only = waits_for_image(job);
+    if (!image_ready_only && !owner_.has_reservation(job) &&
+        is_preemption_futile(job, may_discard_work, reclaims_guarantee)) {
         job.image_wait_over = true;
         return;
     }
-    std::map<std::string, int> per_zone = job.zones();
-    const Zoning zoning = zoning_of(job);
-    // Zones in which room may be made; where nothing can be, a rule gives way.
-    std::vector<std::string> zones = zoning.standing;
-    std::vector<Machine*> within = usable_;
-    if (takes_surplus(job)) within.insert(within.end(), surplus_.begin(), surplus_.end());
-    for (int waiting = 1; waiting <= most && preemptions_left_ > 0; ++waiting) {
+    std::map<std::string, int> tasks_per_zone = job.zones();
+    const ZoneConstraints constraints = zone_constraints(job);
+    // Zones in which resources may be freed. A zone where nothing can be freed is dropped, and the zone rule
+    // is relaxed accordingly.
+    std::vector<std::string> zones = constraints.available;
+    std::vector<Machine*> machines = usable_machines_;
+    if (may_use_draining_machines(job))
+        machines.insert(machines.end(), draining_machines_.begin(), draining_machines_.end());
+    for (int waiting = 1; waiting <= max_tasks && preemptions_left_ > 0; ++waiting) {
         if (!is_within_quota(job, waiting)) return;
         Machine* best = nullptr;
         std::vector<Victim> victims;
-        double loss = 0;
-        const auto choice = choose_zones(job, zoning, per_zone, zoning.rule ? &zones : nullptr);
-        for (Machine* machine : within) {
-            Machine& m = *machine;
-            if (!is_allowed(job, m)) continue;
-            if (ready_only && fetch_time(job, m) > 0) continue;
-            auto used = per_zone.find(m.zone);
-            const int there = used == per_zone.end() ? 0 : used->second;
-            if (there >= choice.most_in(m.zone)) continue;
-            if (choice.strict && tasks_on(m, job) >= choice.machine_most) continue;
-            std::vector<Victim> taken;
-            const auto lost = room_for(job, m, may_waste, reclaims, hurries, taken);
-            if (!lost || (best && *lost >= loss)) continue;
-            best = &m;
-            loss = *lost;
-            victims = std::move(taken);
-            if (victims.empty() || idle_only) break;  // room is being made there already, or costs nothing
+        double least_loss = 0;
+        const auto choice =
+            choose_zones(job, constraints, tasks_per_zone, constraints.rule ? &zones : nullptr);
+        for (Machine* candidate : machines) {
+            Machine& machine = *candidate;
+            if (!is_allowed(job, machine)) continue;
+            if (image_ready_only && image_fetch_time(job, machine) > 0) continue;
+            auto tasks = tasks_per_zone.find(machine.zone);
+            const int tasks_in_zone = tasks == tasks_per_zone.end() ? 0 : tasks->second;
+            if (tasks_in_zone >= choice.most_in(machine.zone)) continue;
+            if (choice.strict && tasks_on(machine, job) >= choice.machine_most) continue;
+            std::vector<Victim> chosen;
+            const auto loss =
+                preemption_loss(job, machine, may_discard_work, reclaims_guarantee, stop_at_once, chosen);
+            if (!loss || (best && *loss >= least_loss)) continue;
+            best = &machine;
+            least_loss = *loss;
+            victims = std::move(chosen);
+            if (victims.empty() || low_rank_only)
+                break;  // enough is stopping there already, or costs nothing
         }
         if (!best) {
-            const auto tried = std::erase_if(zones, [&](const std::string& zone) {
-                auto used = per_zone.find(zone);
-                return (used == per_zone.end() ? 0 : used->second) < choice.most_in(zone);
+            const auto dropped_zones = std::erase_if(zones, [&](const std::string& zone) {
+                auto tasks = tasks_per_zone.find(zone);
+                return (tasks == tasks_per_zone.end() ? 0 : tasks->second) < choice.most_in(zone);
             });
-            if (tried > 0) {
+            if (dropped_zones > 0) {
                 --waiting;
                 continue;
             }
             job.image_wait_over = true;
-            // Only where the rest of its constraints have not played a part.
-            if (!ready_only && !zoning.rule && !job.spec.spread && !job.spec.one_zone)
-                futile_preemptions_.push_back({room_of(job), job.rank, may_waste, reclaims, job.spec.team});
+            // A failure under constraints that are no part of a Requirement says nothing about other jobs.
+            if (!image_ready_only && !constraints.rule && !job.spec.spread && !job.spec.one_zone)
+                futile_preemptions_.push_back(
+                    {requirement_of(job), job.rank, may_discard_work, reclaims_guarantee, job.spec.team});
             return;
         }
         claimed_[best] += job.spec.request;
-        ++per_zone[best->zone];
+        ++tasks_per_zone[best->zone];
         if (!victims.empty()) {
             --preemptions_left_;
-            futile_preemptions_.clear();  // what stops makes room for others as well
+            futile_preemptions_.clear();  // the tasks that stop free resources for other jobs as well
         }
-        for (const auto& v : victims) {
-            spdlog::info("task {}/{}: stopped to make room for {}", v.job->spec.ref,
-                         v.slot - v.job->slots.data(), job.spec.ref);
-            of_.stop(*v.slot, v.grace);
+        for (const auto& victim : victims) {
+            spdlog::info("task {}/{}: preempted by {}", victim.job->spec.ref,
+                         victim.slot - victim.job->slots.data(), job.spec.ref);
+            owner_.stop(*victim.slot, victim.grace);
         }
     }
 }
 
-/// What stopping a task costs. Saving takes its time, in which nothing is done: where less has been done
-/// since the last checkpoint, or somebody can't wait for it, the task exits at once.
-Scheduler::Victim Scheduler::victim(Slot& slot, Job& job, bool hurries) const {
+/// Returns what stopping a task costs. Saving takes time in which no work is done: the task is stopped
+/// without saving where less has been done since the last checkpoint, or where the job that preempts can't
+/// wait.
+Scheduler::Victim Scheduler::evaluate_victim(Slot& slot, Job& job, bool stop_at_once) const {
     const Micros now = context_.runtime().now();
     const Micros ran = slot.run_since ? now - slot.run_since : 0;
-    const Micros saving = job.spec.save + kSecond;
+    const Micros save_time = job.spec.save + kSecond;
     const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
-    const bool saves = job.spec.checkpoint > 0 && !hurries && unsaved > saving;
-    // A start that does not last is none for its user.
-    const double lost = static_cast<double>(saves ? saving : unsaved) / 1e6 + 1.0 +
-                        (ran < kLasting ? kShortStart : 0.0) + (wastes_work(job, ran) ? kSpoilt : 0.0);
+    const bool saves = job.spec.checkpoint > 0 && !stop_at_once && unsaved > save_time;
+    const double lost = static_cast<double>(saves ? save_time : unsaved) / 1e6 + 1.0 +
+                        (ran < kMinUsefulRun ? kShortRunLoss : 0.0) +
+                        (stop_misses_objective(job, ran) ? kMissedObjectiveLoss : 0.0);
     return {&slot, &job, lost * (1.0 + static_cast<double>(job.spec.request.cores) / 1000.0),
-            saves ? saving : 0};
+            saves ? save_time : 0};
 }
 
-/// Whether, with its only task stopped, it would be overdue again: then it goes before all but live work,
-/// comes back to the same room first, and neither runs.
-bool Scheduler::comes_back_first(const Job& job) const {
+/// Returns whether the job would be overdue again once its only task is stopped: then it would go before all
+/// work but live work and return to the same machine first, so that neither job makes progress.
+bool Scheduler::would_be_overdue_again(const Job& job) const {
     if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.overdue_after;
 }
 
-/// What would be lost by making room for one more task on the machine, if that can be done; `taken` tells
-/// what would have to be stopped, nothing if enough is stopping already.
-std::optional<double> Scheduler::room_for(const Job& job, const Machine& m, bool may_waste, bool reclaims,
-                                          bool hurries, std::vector<Victim>& taken) const {
-    Resources room = m.type->size - m.reserved - of_.resources_reserved_for_others(job, m);
-    if (auto claimed = claimed_.find(&m); claimed != claimed_.end()) room -= claimed->second;
-    std::vector<std::pair<Job*, Slot*>> may_stop;
-    Resources most;
-    const bool live = tier(job) == policy::Tier::Live;
-    for (const auto& [other, task] : m.tasks) {
+/// Returns what would be lost by freeing the resources for one more task on the machine; nothing if that
+/// cannot be done. `chosen` receives the tasks to stop, none if those that are stopping already free enough.
+std::optional<double> Scheduler::preemption_loss(const Job& job, const Machine& machine,
+                                                 bool may_discard_work, bool reclaims_guarantee,
+                                                 bool stop_at_once, std::vector<Victim>& chosen) const {
+    Resources available =
+        machine.type->size - machine.reserved - owner_.resources_reserved_for_others(job, machine);
+    if (auto claimed = claimed_.find(&machine); claimed != claimed_.end()) available -= claimed->second;
+    std::vector<std::pair<Job*, Slot*>> preemptible;
+    Resources preemptible_resources;
+    const bool is_live = tier(job) == policy::Tier::Live;
+    for (const auto& [other, task] : machine.tasks) {
         Slot& slot = other->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound) continue;
         if (slot.stop) {
-            room += other->spec.request;  // on its way out already
+            available += other->spec.request;  // is stopping already
             continue;
         }
         if (other->spec.kind == JobKind::Gang) continue;
-        const bool lower = other->rank == PriorityClass::Low
-                               ? job.rank < PriorityClass::Low
-                               : job.rank <= PriorityClass::High && other->rank > job.rank &&
-                                     (may_waste || other->spec.checkpoint > 0);
-        // What ranks higher would only come back to the same room, and be stopped again; so would what is
-        // within its own guarantee by now, whatever it was when it last waited.
-        const bool reclaim = reclaims && other->rank >= job.rank && other->spec.team != job.spec.team &&
-                             !context_.within_guarantee(other->spec.ref);
-        if (!lower && !reclaim) continue;
-        if (!live && comes_back_first(*other)) continue;
-        if (other->spec.kind == JobKind::Service && !reclaim) continue;
-        may_stop.emplace_back(other, &slot);
-        most += other->spec.request;
+        const bool has_lower_rank = other->rank == PriorityClass::Low
+                                        ? job.rank < PriorityClass::Low
+                                        : job.rank <= PriorityClass::High && other->rank > job.rank &&
+                                              (may_discard_work || other->spec.checkpoint > 0);
+        // A job of higher rank would only return to the same machine and preempt in turn; so would a job that
+        // is within its own guarantee by now, even if it was not when it last waited.
+        const bool is_reclaimable = reclaims_guarantee && other->rank >= job.rank &&
+                                    other->spec.team != job.spec.team &&
+                                    !context_.within_guarantee(other->spec.ref);
+        if (!has_lower_rank && !is_reclaimable) continue;
+        if (!is_live && would_be_overdue_again(*other)) continue;
+        if (other->spec.kind == JobKind::Service && !is_reclaimable) continue;
+        preemptible.emplace_back(other, &slot);
+        preemptible_resources += other->spec.request;
     }
-    if (job.spec.request.fits(room)) return 0.0;
-    if (!job.spec.request.fits(room + most)) return std::nullopt;
+    if (job.spec.request.fits(available)) return 0.0;
+    if (!job.spec.request.fits(available + preemptible_resources)) return std::nullopt;
     std::vector<Victim> victims;
-    victims.reserve(may_stop.size());
-    for (const auto& [other, slot] : may_stop) victims.push_back(victim(*slot, *other, hurries));
+    victims.reserve(preemptible.size());
+    for (const auto& [other, slot] : preemptible)
+        victims.push_back(evaluate_victim(*slot, *other, stop_at_once));
     std::sort(victims.begin(), victims.end(),
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
     double loss = 0;
-    for (const auto& v : victims) {
-        if (job.spec.request.fits(room)) break;
-        room += v.job->spec.request;
-        loss += v.loss;
-        taken.push_back(v);
+    for (const auto& victim : victims) {
+        if (job.spec.request.fits(available)) break;
+        available += victim.job->spec.request;
+        loss += victim.loss;
+        chosen.push_back(victim);
     }
     return loss;
 }
