--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -65,7 +65,7 @@
     std::vector<MachineView> machines;  // by name
     std::vector<JobView> jobs;          // by admission
     std::vector<TaskView> tasks;
-    /// Zones with no machine that was heard lately, or heard for less than `settle` since they were.
+    /// Zones with no machine that was heard lately, or heard for less than `settle_time` since they were.
     std::vector<std::string> troubled;
 };
 
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -15,26 +15,26 @@
 using scheduling::Reason;
 
 namespace {
-constexpr Micros kLookEvery = kSecond;
-constexpr std::int64_t kGiveUpMs = 300'000;
-constexpr std::int64_t kPatienceMs = 20'000;  // with a move that must not be begun for now
-constexpr Micros kReadAgain = 500 * kMillisecond;
-constexpr Micros kLately = 600 * kSecond;
-constexpr Micros kLongAgo = 3600 * kSecond;
-
-bool runs(const Slot& slot) {
+constexpr Micros kEvaluationInterval = kSecond;
+constexpr std::int64_t kPlanTimeoutMs = 300'000;        // a move or reservation is dropped after that
+constexpr std::int64_t kBlockedMoveTimeoutMs = 20'000;  // a move that may not begin is dropped after that
+constexpr Micros kRereadDelay = 500 * kMillisecond;
+constexpr Micros kBalanceMovesPeriod = 600 * kSecond;
+constexpr Micros kMoveHistoryPeriod = 3600 * kSecond;
+
+bool is_running(const Slot& slot) {
     return slot.state == SlotState::Bound && slot.seen && slot.phase == Phase::Running && !slot.stop;
 }
 
-bool waits(const Job& job) {
+bool has_waiting_tasks(const Job& job) {
     return job.stage == Stage::Queued && job.open && !job.backing_off && !job.leaving;
 }
 }  // namespace
 
-/// What the plan asks of the shard's books.
-class Rebalancer::Books : public scheduling::Plan::Knows {
+/// Answers the plan's questions about tasks, jobs and machines from the shard's state.
+class Rebalancer::ShardStateView : public scheduling::Plan::Knows {
   public:
-    explicit Books(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
+    explicit ShardStateView(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
     scheduling::TaskState task(const std::string& ref, int task) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job || task < 0 || static_cast<std::size_t>(task) >= job->slots.size()) return {};
@@ -47,17 +47,18 @@
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job) return {};
         return {true, job->stage == Stage::Cancelled, job->spec.kind == JobKind::Service,
-                waits(*job) ? job->idle : 0};
+                has_waiting_tasks(*job) ? job->idle : 0};
     }
     int tasks_on(const std::string& ref, const std::string& machine) const override {
-        const Machine* m = rebalancer_.shard_state_.machine(machine);
-        if (!m) return 0;
-        return static_cast<int>(std::count_if(m->tasks.begin(), m->tasks.end(),
-                                              [&](const TaskRef& t) { return t.job->spec.ref == ref; }));
+        const Machine* found = rebalancer_.shard_state_.machine(machine);
+        if (!found) return 0;
+        return static_cast<int>(
+            std::count_if(found->tasks.begin(), found->tasks.end(),
+                          [&](const TaskRef& bound_task) { return bound_task.job->spec.ref == ref; }));
     }
     bool machine_usable(const std::string& machine) const override {
-        const Machine* m = rebalancer_.shard_state_.machine(machine);
-        return m && rebalancer_.of_.is_usable(*m);
+        const Machine* found = rebalancer_.shard_state_.machine(machine);
+        return found && rebalancer_.owner_.is_usable(*found);
     }
 
   private:
@@ -65,33 +66,35 @@
 };
 
 Rebalancer::Rebalancer(ShardContext& context, std::string shard, Revision shard_revision,
-                       const ShardState& shard_state, Scheduler::Owner& of)
+                       const ShardState& shard_state, Scheduler::Owner& owner)
     : context_(context),
       shard_(std::move(shard)),
       shard_revision_(shard_revision),
       shard_state_(shard_state),
-      of_(of),
-      since_(context.runtime().now()) {}
+      owner_(owner),
+      owned_since_(context.runtime().now()) {}
 
 Rebalancer::~Rebalancer() {
     *alive_ = false;
 }
 
 void Rebalancer::load_stored_plan() {
-    // What is read is of after the shard became ours, so no write of a predecessor is still to come.
+    // The plan was read after this process took the shard, and a plan is written only on condition of the
+    // shard's revision: no write of an earlier owner can still arrive.
     const PlanCache::Stored* stored = context_.stored_plan(shard_);
     if (!stored) return;
-    known_ = stored->mod_revision;
+    known_revision_ = stored->mod_revision;
     if (stored->value.is_null()) return;
-    record_ = stored->mod_revision;
-    if (!plan_.take(stored->value)) spdlog::error("domain {}: its plan is damaged, and given up", shard_);
+    record_revision_ = stored->mod_revision;
+    if (!plan_.take(stored->value))
+        spdlog::error("domain {}: the stored plan is damaged and is dropped", shard_);
     if (!plan_.empty())
-        spdlog::info("domain {}: {} moves and room on {} machines to go on with", shard_,
-                     plan_.moves().size(), plan_.gathers().size());
+        spdlog::info("domain {}: continuing a stored plan of {} moves and reservations on {} machines",
+                     shard_, plan_.moves().size(), plan_.gathers().size());
 }
 
-/// Whether there is anything that could be moved or gathered for.
-bool Rebalancer::wanted() const {
+/// Returns whether the policy asks for moves or capacity reservations at all.
+bool Rebalancer::is_enabled_by_policy() const {
     const policy::Policy& policy = context_.policy();
     if (policy.revision == 0) return false;
     return policy.gpus.make_room || policy.priority.overdue_after > 0 ||
@@ -99,61 +102,66 @@
                        [](const policy::ZoneRule& rule) { return rule.rebalance; });
 }
 
-/// Whether the start is over: all machines that matter have been heard by this holder, or have had the time.
-bool Rebalancer::heard_all() const {
-    if (context_.runtime().now() - since_ > context_.settings().lease) return true;
-    auto heard = [this](const Machine& m) { return m.seq > 0 && m.token_seen >= shard_revision_; };
+/// Returns whether all machines that matter to the plan have reported to this owner, or have had the time of
+/// a lease to do so.
+bool Rebalancer::has_heard_all_machines() const {
+    if (context_.runtime().now() - owned_since_ > context_.settings().lease) return true;
+    auto has_reported = [this](const Machine& machine) {
+        return machine.seq > 0 && machine.token_seen >= shard_revision_;
+    };
     return std::all_of(shard_state_.machines.begin(), shard_state_.machines.end(), [&](const auto& entry) {
-        const Machine& m = *entry.second;
-        return heard(m) || (m.tasks.empty() && plan_.empty());
+        const Machine& machine = *entry.second;
+        return has_reported(machine) || (machine.tasks.empty() && plan_.empty());
     });
 }
 
 void Rebalancer::tick() {
     const Micros now = context_.runtime().now();
     const PlanCache::Stored* stored = context_.stored_plan(shard_);
-    if (stored && stored->mod_revision > known_ && !in_flight_ && !unsure_) {
-        // A write of ours that was taken for lost has come late.
-        known_ = stored->mod_revision;
-        record_ = stored->value.is_null() ? 0 : stored->mod_revision;
+    if (stored && stored->mod_revision > known_revision_ && !write_in_flight_ && !is_outcome_unknown_) {
+        // A write of this process that was taken for lost has been carried out late.
+        known_revision_ = stored->mod_revision;
+        record_revision_ = stored->value.is_null() ? 0 : stored->mod_revision;
         plan_.writing();
         plan_.written(false);
     }
-    const bool looks = now - looked_at_ >= kLookEvery && wanted();
-    if (looks) {
-        looked_at_ = now;
-        look_at_zones();
+    const bool evaluates = now - evaluated_at_ >= kEvaluationInterval && is_enabled_by_policy();
+    if (evaluates) {
+        evaluated_at_ = now;
+        update_zone_stability();
     }
-    if ((!looks && plan_.empty() && record_ == 0) || !heard_all()) return;
-    if (looks) propose();
-    carry_on();
+    if ((!evaluates && plan_.empty() && record_revision_ == 0) || !has_heard_all_machines()) return;
+    if (evaluates) propose_moves();
+    execute_plan();
 }
 
-/// A zone stands while machines of it are heard, and none of them that has tasks is in doubt.
-void Rebalancer::look_at_zones() {
+/// A zone is available while some of its machines report and all of those that have tasks do.
+void Rebalancer::update_zone_stability() {
     const Micros now = context_.runtime().now();
-    const Micros silent = context_.settings().report_every * 5 / 2 + kSecond;
-    std::map<std::string, std::pair<bool, bool>> zones;  // heard, in doubt
-    for (const auto& [name, m] : shard_state_.machines) {
-        auto& [heard, doubt] = zones[m->zone];
-        const bool lately = m->seq > 0 && context_.runtime().listened() - m->report_listened < silent;
-        heard = heard || lately;
-        doubt = doubt || (!lately && !m->tasks.empty());
+    const Micros max_silence = context_.settings().report_every * 5 / 2 + kSecond;
+    std::map<std::string, std::pair<bool, bool>> zones;  // has a machine that reports, has one in doubt
+    for (const auto& [name, machine] : shard_state_.machines) {
+        auto& [has_reporting, has_doubtful] = zones[machine->zone];
+        const bool reports_lately =
+            machine->seq > 0 && context_.runtime().listened() - machine->report_listened < max_silence;
+        has_reporting = has_reporting || reports_lately;
+        has_doubtful = has_doubtful || (!reports_lately && !machine->tasks.empty());
     }
-    for (const auto& [zone, is] : zones) zones_.see(zone, is.first && !is.second, now);
-    for (auto it = moved_.begin(); it != moved_.end();) {
-        std::erase_if(it->second.mended, [&](Micros at) { return at <= now - kLately; });
-        it = it->second.last <= now - kLongAgo ? moved_.erase(it) : std::next(it);
+    for (const auto& [zone, state] : zones) zone_watch_.see(zone, state.first && !state.second, now);
+    for (auto it = move_history_.begin(); it != move_history_.end();) {
+        std::erase_if(it->second.balance_moves_at,
+                      [&](Micros moved_at) { return moved_at <= now - kBalanceMovesPeriod; });
+        it = it->second.last_move_at <= now - kMoveHistoryPeriod ? move_history_.erase(it) : std::next(it);
     }
 }
 
-std::vector<std::string> Rebalancer::troubled() const {
+std::vector<std::string> Rebalancer::unstable_zones() const {
     std::vector<std::string> zones =
-        zones_.troubled(context_.runtime().now(), context_.policy().budgets.settle_time);
-    // Those that no machine of the shard is in any more trouble nobody here.
+        zone_watch_.troubled(context_.runtime().now(), context_.policy().budgets.settle_time);
+    // A zone where the shard has no machines any more is of no concern to it.
     std::erase_if(zones, [this](const std::string& zone) {
         return std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
-                            [&](const auto& m) { return m.second->zone == zone; });
+                            [&](const auto& entry) { return entry.second->zone == zone; });
     });
     return zones;
 }
@@ -164,171 +172,183 @@
     scheduling::View view;
     view.now = now;
     view.seed = shard_revision_ ^ static_cast<std::uint64_t>(now / kSecond);
-    view.troubled = troubled();
+    view.troubled = unstable_zones();
 
     std::vector<const Job*> jobs;
     for (const auto& [ref, job] : shard_state_.jobs) jobs.push_back(job.get());
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) { return a->serial < b->serial; });
-    std::map<const Job*, std::size_t> job_at;
+    std::map<const Job*, std::size_t> job_index;
     for (const Job* job : jobs) {
-        job_at[job] = view.jobs.size();
-        scheduling::JobView& j = view.jobs.emplace_back();
-        j.spec = job->spec;
-        j.tier = policy.tier(job->spec, job->rank);
-        j.rank = job->rank;
-        j.cancelled = job->stage == Stage::Cancelled;
-        j.idle = waits(*job) ? job->idle : 0;
-        j.bound = job->bound;
-        j.waiting = j.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
-        j.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
-        j.zones = job->zones();
-        auto moved = moved_.find(job->spec.ref);
-        // A predecessor may have moved it until we came.
-        j.since_moved = std::min(kLongAgo, now - (moved == moved_.end() ? since_ : moved->second.last));
-        if (moved != moved_.end()) j.moved_lately = static_cast<int>(moved->second.mended.size());
+        job_index[job] = view.jobs.size();
+        scheduling::JobView& job_view = view.jobs.emplace_back();
+        job_view.spec = job->spec;
+        job_view.tier = policy.tier(job->spec, job->rank);
+        job_view.rank = job->rank;
+        job_view.cancelled = job->stage == Stage::Cancelled;
+        job_view.idle = has_waiting_tasks(*job) ? job->idle : 0;
+        job_view.bound = job->bound;
+        job_view.waiting = job_view.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
+        job_view.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
+        job_view.zones = job->zones();
+        auto history = move_history_.find(job->spec.ref);
+        // An earlier owner may have moved a task of it until this process took the shard.
+        job_view.since_moved =
+            std::min(kMoveHistoryPeriod,
+                     now - (history == move_history_.end() ? owned_since_ : history->second.last_move_at));
+        if (history != move_history_.end())
+            job_view.moved_lately = static_cast<int>(history->second.balance_moves_at.size());
     }
 
-    std::map<std::string, std::size_t> machine_at;
-    for (const auto& [name, m] : shard_state_.machines) {
-        machine_at[name] = view.machines.size();
-        scheduling::MachineView& v = view.machines.emplace_back();
-        v.name = name;
-        v.type = m->type_name;
-        v.zone = m->zone;
-        v.spot = m->spot;
-        v.usable = of_.is_usable(*m);
-        if (m->type) v.size = m->type->size;
-        if (m->type && m->type->fetch_gb_per_s > 0) v.fetch_gb_per_s = m->type->fetch_gb_per_s;
-        v.reserved = m->reserved;
-        for (const auto& image : m->images) v.images.push_back({image.name, image.ready});
-        for (const TaskRef& t : m->tasks) {
-            const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
+    std::map<std::string, std::size_t> machine_index;
+    for (const auto& [name, machine] : shard_state_.machines) {
+        machine_index[name] = view.machines.size();
+        scheduling::MachineView& machine_view = view.machines.emplace_back();
+        machine_view.name = name;
+        machine_view.type = machine->type_name;
+        machine_view.zone = machine->zone;
+        machine_view.spot = machine->spot;
+        machine_view.usable = owner_.is_usable(*machine);
+        if (machine->type) machine_view.size = machine->type->size;
+        if (machine->type && machine->type->fetch_gb_per_s > 0)
+            machine_view.fetch_gb_per_s = machine->type->fetch_gb_per_s;
+        machine_view.reserved = machine->reserved;
+        for (const auto& image : machine->images) machine_view.images.push_back({image.name, image.ready});
+        for (const TaskRef& bound_task : machine->tasks) {
+            const Slot& slot = bound_task.job->slots[static_cast<std::size_t>(bound_task.task)];
             const scheduling::Plan& plan = plan_;
-            const bool moving = std::any_of(plan.moves().begin(), plan.moves().end(), [&](const auto& p) {
-                return p.move.job == t.job->spec.ref && p.move.task == t.task;
-            });
-            if (slot.stop) v.stopping += t.job->spec.request;
-            v.tasks.push_back(view.tasks.size());
-            view.tasks.push_back({job_at.at(t.job), t.task, view.machines.size() - 1, runs(slot), slot.stop,
-                                  moving, slot.run_since > 0 ? now - slot.run_since : 0});
+            const bool is_moving =
+                std::any_of(plan.moves().begin(), plan.moves().end(), [&](const auto& planned) {
+                    return planned.move.job == bound_task.job->spec.ref &&
+                           planned.move.task == bound_task.task;
+                });
+            if (slot.stop) machine_view.stopping += bound_task.job->spec.request;
+            machine_view.tasks.push_back(view.tasks.size());
+            view.tasks.push_back({job_index.at(bound_task.job), bound_task.task, view.machines.size() - 1,
+                                  is_running(slot), slot.stop, is_moving,
+                                  slot.run_since > 0 ? now - slot.run_since : 0});
         }
     }
-    auto keep = [&](const std::string& ref, const std::string& machine, int tasks, bool gathers) {
+    auto reserve = [&](const std::string& ref, const std::string& machine, int tasks, bool is_gather) {
         const Job* job = shard_state_.job(ref);
-        auto m = machine_at.find(machine);
-        if (!job || m == machine_at.end()) return;
-        for (int i = 0; i < tasks; ++i) view.machines[m->second].kept += job->spec.request;
-        if (gathers) view.jobs[job_at.at(job)].gathered += tasks;
+        auto index = machine_index.find(machine);
+        if (!job || index == machine_index.end()) return;
+        for (int i = 0; i < tasks; ++i) view.machines[index->second].kept += job->spec.request;
+        if (is_gather) view.jobs[job_index.at(job)].gathered += tasks;
     };
-    const Books books(*this);
-    for (const auto& p : plan_.gathers())
-        keep(p.gather.job, p.gather.machine,
-             p.gather.tasks - std::max(0, books.tasks_on(p.gather.job, p.gather.machine) - p.there), true);
-    for (const auto& p : plan_.moves()) keep(p.move.job, p.move.to, 1, false);
+    const ShardStateView shard_state_view(*this);
+    for (const auto& planned : plan_.gathers())
+        reserve(planned.gather.job, planned.gather.machine,
+                planned.gather.tasks -
+                    std::max(0, shard_state_view.tasks_on(planned.gather.job, planned.gather.machine) -
+                                    planned.there),
+                true);
+    for (const auto& planned : plan_.moves()) reserve(planned.move.job, planned.move.to, 1, false);
     return view;
 }
 
-void Rebalancer::propose() {
-    // Nothing is begun while a node comes or ends, or with a plan that is not known to be stored.
+void Rebalancer::propose_moves() {
+    // No move begins while a controller starts or ends, or while it is not known whether the plan is stored.
     const policy::Policy& policy = context_.policy();
-    if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle_time) return;
-    const scheduling::View now = view();
-    std::vector<Move> moves = scheduling::rebalance(now, policy, context_.settings().zones);
+    if (write_in_flight_ || is_outcome_unknown_ || context_.steady_for() < policy.budgets.settle_time) return;
+    const scheduling::View snapshot = view();
+    std::vector<Move> moves = scheduling::rebalance(snapshot, policy, context_.settings().zones);
     std::vector<Gather> gathers;
-    for (auto& room : scheduling::make_rooms(now, policy)) {
-        gathers.push_back(room.gather);
-        moves.insert(moves.end(), room.moves.begin(), room.moves.end());
+    for (auto& room_plan : scheduling::make_rooms(snapshot, policy)) {
+        gathers.push_back(room_plan.gather);
+        moves.insert(moves.end(), room_plan.moves.begin(), room_plan.moves.end());
     }
-    for (auto& room : scheduling::gather(now, policy)) gathers.push_back(std::move(room));
+    for (auto& gather : scheduling::gather(snapshot, policy)) gathers.push_back(std::move(gather));
     if (moves.empty() && gathers.empty()) return;
     const std::size_t added =
-        plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, Books(*this));
+        plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, ShardStateView(*this));
     if (added > 0)
-        spdlog::info("domain {}: {} moves and gatherings planned, {} in all", shard_, added,
+        spdlog::info("domain {}: {} moves and reservations planned, {} in all", shard_, added,
                      plan_.moves().size() + plan_.gathers().size());
 }
 
-void Rebalancer::carry_on() {
-    const scheduling::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
-    if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
-    const bool left_over = plan_.empty() && record_ != 0;
-    if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
-    if (context_.runtime().now() < not_before_ || !context_.store().room(Priority::Deferrable)) return;
-    if (plan_.empty() && record_ == 0) return;  // it was taken back before it was ever written
-    write();
+void Rebalancer::execute_plan() {
+    const scheduling::Plan::Doing actions =
+        plan_.step(ShardStateView(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
+    if (!is_outcome_unknown_ && context_.steady_for() > 0) stop_moving_tasks(actions.stop);
+    const bool is_obsolete_record = plan_.empty() && record_revision_ != 0;
+    if ((!actions.store && !is_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
+    if (context_.runtime().now() < write_not_before_ || !context_.store().room(Priority::Deferrable)) return;
+    if (plan_.empty() && record_revision_ == 0) return;  // the plan was taken back before it was ever written
+    write_plan();
 }
 
-/// The rest of a service runs, so that it lacks no more than the one that moves.
-bool Rebalancer::others_run(const Job& job, int task) const {
+/// Returns whether all other tasks of a service run, so that it lacks no replica besides the one that moves.
+bool Rebalancer::are_other_tasks_running(const Job& job, int task) const {
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         const Slot& slot = job.slots[i];
         if (static_cast<int>(i) == task) continue;
-        if (!runs(slot) || !slot.machine || !of_.is_usable(*slot.machine)) return false;
+        if (!is_running(slot) || !slot.machine || !owner_.is_usable(*slot.machine)) return false;
     }
     return true;
 }
 
-/// Whether a move may begin as things are now; they may have changed since it was planned.
-bool Rebalancer::may_stop(const Move& move, const Job& job) const {
+/// Returns whether a move may begin now; the shard may have changed since the move was planned.
+bool Rebalancer::may_begin(const Move& move, const Job& job) const {
     const Slot& slot = job.slots[static_cast<std::size_t>(move.task)];
     if (slot.state != SlotState::Bound || slot.stop) return false;
-    const bool service = job.spec.kind == JobKind::Service;
-    if (service && (job.idle > 0 || !others_run(job, move.task))) return false;
-    if (move.reason == Reason::Balance && !troubled().empty()) return false;
+    const bool is_service = job.spec.kind == JobKind::Service;
+    if (is_service && (job.idle > 0 || !are_other_tasks_running(job, move.task))) return false;
+    if (move.reason == Reason::Balance && !unstable_zones().empty()) return false;
     if (move.reason == Reason::Room && !context_.policy().is_movable(job.spec)) return false;
-    if (move.to.empty()) return !service;
-    const Machine* to = shard_state_.machine(move.to);
-    return to && of_.is_usable(*to) && Scheduler::is_allowed(job, *to) &&
-           job.spec.request.fits(to->type->size - to->reserved - resources_reserved_for_others(job, *to));
+    if (move.to.empty()) return !is_service;
+    const Machine* destination = shard_state_.machine(move.to);
+    return destination && owner_.is_usable(*destination) && Scheduler::is_allowed(job, *destination) &&
+           job.spec.request.fits(destination->type->size - destination->reserved -
+                                 resources_reserved_for_others(job, *destination));
 }
 
-void Rebalancer::stop(const std::vector<Move>& moves) {
+void Rebalancer::stop_moving_tasks(const std::vector<Move>& moves) {
     const std::int64_t now_ms = context_.runtime().wall_ms();
-    std::map<Job*, std::vector<const Move*>> by_job;  // a gang stops whole or not at all
+    std::map<Job*, std::vector<const Move*>> moves_by_job;  // a gang stops as a whole or not at all
     for (const Move& move : moves) {
         Job* job = shard_state_.job(move.job);
         if (!job) continue;
-        if (may_stop(move, *job)) {
-            by_job[job].push_back(&move);
+        if (may_begin(move, *job)) {
+            moves_by_job[job].push_back(&move);
         } else if (const auto* planned = plan_.moving(move.job, move.task);
-                   planned && now_ms - planned->since_ms > kPatienceMs) {
-            spdlog::info("task {}/{}: not moved after all", move.job, move.task);
+                   planned && now_ms - planned->since_ms > kBlockedMoveTimeoutMs) {
+            spdlog::info("task {}/{}: move dropped, it could not begin in time", move.job, move.task);
             plan_.take_back(move);
         }
     }
-    for (auto& [job, its] : by_job) {
-        if (job->spec.kind == JobKind::Gang && static_cast<int>(its.size()) < job->bound) continue;
-        for (const Move* move : its) {
+    for (auto& [job, job_moves] : moves_by_job) {
+        if (job->spec.kind == JobKind::Gang && static_cast<int>(job_moves.size()) < job->bound) continue;
+        for (const Move* move : job_moves) {
             spdlog::info("task {}/{}: stopped on {} to move to {}{}", move->job, move->task, move->from,
-                         move->to.empty() ? "where there is room" : move->to,
-                         move->for_job.empty() ? "" : ", which makes room for " + move->for_job);
-            of_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save + kSecond);
-            Moved& moved = moved_[move->job];
-            moved.last = context_.runtime().now();
-            if (move->reason == Reason::Balance) moved.mended.push_back(moved.last);
+                         move->to.empty() ? "any machine that fits" : move->to,
+                         move->for_job.empty() ? "" : ", to make room for " + move->for_job);
+            owner_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save + kSecond);
+            MoveHistory& history = move_history_[move->job];
+            history.last_move_at = context_.runtime().now();
+            if (move->reason == Reason::Balance) history.balance_moves_at.push_back(history.last_move_at);
         }
     }
 }
 
-Resources Rebalancer::resources_reserved_for_others(const Job& job, const Machine& m) const {
-    Resources kept;
-    auto it = plan_.kept().find(m.name);
-    if (it == plan_.kept().end()) return kept;
+Resources Rebalancer::resources_reserved_for_others(const Job& job, const Machine& machine) const {
+    Resources reserved;
+    auto it = plan_.kept().find(machine.name);
+    if (it == plan_.kept().end()) return reserved;
     const policy::Policy& policy = context_.policy();
     for (const Gather& gather : it->second) {
         const Job* other = shard_state_.job(gather.job);
         if (!other || other == &job ||
             policy.tier(job.spec, job.rank) < policy.tier(other->spec, other->rank))
             continue;
-        for (int i = 0; i < gather.tasks; ++i) kept += other->spec.request;
+        for (int i = 0; i < gather.tasks; ++i) reserved += other->spec.request;
     }
-    return kept;
+    return reserved;
 }
 
 bool Rebalancer::has_reservation(const Job& job) const {
-    return std::any_of(plan_.kept().begin(), plan_.kept().end(), [&](const auto& machine) {
-        return std::any_of(machine.second.begin(), machine.second.end(),
-                           [&](const Gather& g) { return g.job == job.spec.ref; });
+    return std::any_of(plan_.kept().begin(), plan_.kept().end(), [&](const auto& entry) {
+        return std::any_of(entry.second.begin(), entry.second.end(),
+                           [&](const Gather& gather) { return gather.job == job.spec.ref; });
     });
 }
 
@@ -338,37 +358,38 @@
     return name.empty() ? nullptr : shard_state_.machine(name);
 }
 
-// ---------------------------------------------------------------- the record
+// ---------------------------------------------------------------- the stored plan
 
-/// On the shard's mark, so that no ousted holder writes it, and on its own.
-void Rebalancer::write() {
+/// Writes the plan on condition of the shard's revision, so that no former owner can write it, and of the
+/// stored plan's own revision.
+void Rebalancer::write_plan() {
     const std::string key = keys::plan + shard_;
     const bool drops = plan_.empty();
     Change change;
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
-    change.when = {{keys::shard + shard_, shard_revision_}, {key, record_}};
+    change.when = {{keys::shard + shard_, shard_revision_}, {key, record_revision_}};
     change.then.push_back({key, drops ? Json() : plan_.value()});
-    in_flight_ = true;
+    write_in_flight_ = true;
     plan_.writing();
-    context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& r) {
-        if (*alive) written(r, drops);
+    context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& result) {
+        if (*alive) on_plan_written(result, drops);
     });
 }
 
-void Rebalancer::written(const CommitResult& result, bool dropped) {
-    in_flight_ = false;
+void Rebalancer::on_plan_written(const CommitResult& result, bool dropped) {
+    write_in_flight_ = false;
     plan_.written(result.status == CommitStatus::Ok);
     switch (result.status) {
         case CommitStatus::Ok:
-            record_ = dropped ? 0 : result.revision;
-            known_ = std::max(known_, result.revision);
+            record_revision_ = dropped ? 0 : result.revision;
+            known_revision_ = std::max(known_revision_, result.revision);
             return context_.wake();
         case CommitStatus::Unavailable:
-            not_before_ = context_.runtime().now() + kSecond;
+            write_not_before_ = context_.runtime().now() + kSecond;
             return;
         case CommitStatus::Rejected:
-            not_before_ = context_.runtime().now() + kRefused;
+            write_not_before_ = context_.runtime().now() + kRefused;
             return;
         case CommitStatus::Conflict:
             if (std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) !=
@@ -378,20 +399,20 @@
         case CommitStatus::Unknown:
             break;
     }
-    unsure_ = true;
-    read_again();
+    is_outcome_unknown_ = true;
+    reread_plan();
 }
 
-void Rebalancer::read_again() {
-    context_.store().read(keys::plan + shard_, [this, alive = alive_](const ReadResult& r) {
+void Rebalancer::reread_plan() {
+    context_.store().read(keys::plan + shard_, [this, alive = alive_](const ReadResult& result) {
         if (!*alive) return;
-        if (!r.ok)
-            return context_.runtime().after(kReadAgain, [this, alive] {
-                if (*alive) read_again();
+        if (!result.ok)
+            return context_.runtime().after(kRereadDelay, [this, alive] {
+                if (*alive) reread_plan();
             });
-        unsure_ = false;
-        record_ = r.found ? r.mod_revision : 0;
-        known_ = std::max(known_, record_);
+        is_outcome_unknown_ = false;
+        record_revision_ = result.found ? result.mod_revision : 0;
+        known_revision_ = std::max(known_revision_, record_revision_);
     });
 }
 
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Rebalancer: carries out a shard's plan of moves and gathered room (planning/moves.hpp). It looks at the
-// shard once a second where the policy asks for moves, writes the plan ahead as c/plan/DOMAIN, and only then
-// has tasks stopped. What its predecessor began it ends or takes back. It writes nothing while there is
-// nothing to move.
+// Rebalancer: carries out a shard's plan of moves and capacity reservations (scheduling/migrations.hpp).
+// Where the policy asks for moves, it evaluates the shard once a second, writes the plan ahead as
+// c/plan/DOMAIN, and only then has tasks stopped. It completes or takes back what an earlier owner of the
+// shard began. While there is nothing to move, it writes nothing.
 
 #include <map>
 #include <memory>
@@ -23,60 +23,61 @@
 class Rebalancer {
   public:
     Rebalancer(ShardContext& context, std::string shard, Revision shard_revision,
-               const ShardState& shard_state, Scheduler::Owner& of);
+               const ShardState& shard_state, Scheduler::Owner& owner);
     ~Rebalancer();
 
-    /// Reads what is stored. To be called once all of the shard is loaded.
+    /// Takes over the stored plan. To be called once all of the shard is loaded.
     void load_stored_plan();
-    /// What follows from time passing; called about ten times a second, once the shard is active.
+    /// Does what is due with the passing of time; called about ten times a second, once the shard is active.
     void tick();
 
-    /// Room of a machine that is kept for others, as far as the job does not go before them.
-    Resources resources_reserved_for_others(const Job& job, const Machine& m) const;
-    /// Whether room is kept for the job anywhere.
+    /// Returns the machine's resources that are reserved for other jobs, except for jobs of a lower tier.
+    Resources resources_reserved_for_others(const Job& job, const Machine& machine) const;
+    /// Returns whether resources are reserved for the job on any machine.
     bool has_reservation(const Job& job) const;
-    /// Where a task in a move had better start, nullptr: anywhere.
+    /// Returns the machine where a task that is being moved should start; nullptr: any machine will do.
     const Machine* move_destination(const Job& job, int task) const;
     const scheduling::Plan& plan() const { return plan_; }
 
-    /// The shard as it is now, with the room that the plan keeps.
+    /// Returns a snapshot of the shard, with the resources that the plan reserves.
     scheduling::View view() const;
 
   private:
-    class Books;
-    bool wanted() const;
-    bool heard_all() const;
-    void look_at_zones();
-    void propose();
-    void carry_on();
-    void stop(const std::vector<scheduling::Move>& moves);
-    bool may_stop(const scheduling::Move& move, const Job& job) const;
-    bool others_run(const Job& job, int task) const;
-    std::vector<std::string> troubled() const;
+    class ShardStateView;
+    bool is_enabled_by_policy() const;
+    bool has_heard_all_machines() const;
+    void update_zone_stability();
+    void propose_moves();
+    void execute_plan();
+    void stop_moving_tasks(const std::vector<scheduling::Move>& moves);
+    bool may_begin(const scheduling::Move& move, const Job& job) const;
+    bool are_other_tasks_running(const Job& job, int task) const;
+    std::vector<std::string> unstable_zones() const;
 
-    void write();
-    void written(const CommitResult& result, bool dropped);
-    void read_again();
+    void write_plan();
+    void on_plan_written(const CommitResult& result, bool dropped);
+    void reread_plan();
 
     ShardContext& context_;
     std::string shard_;
     Revision shard_revision_;
     const ShardState& shard_state_;
-    Scheduler::Owner& of_;
-    Micros since_;  // this process holds the shard
+    Scheduler::Owner& owner_;
+    Micros owned_since_;  // when this process took the shard
     scheduling::Plan plan_;
-    scheduling::ZoneWatch zones_;
-    Revision record_ = 0;  // mark of the record as we know it, 0: there is none
-    Revision known_ = 0;   // up to which change of it we know all
-    bool in_flight_ = false;
-    bool unsure_ = false;  // the outcome of a write: nothing is stopped or written until it is read again
-    Micros not_before_ = 0;
-    Micros looked_at_ = 0;
-    struct Moved {
-        Micros last = 0;
-        std::vector<Micros> mended;  // when one was moved into balance, the last ten minutes
+    scheduling::ZoneWatch zone_watch_;
+    Revision record_revision_ = 0;  // of the stored plan as last known, 0: there is none
+    Revision known_revision_ = 0;   // up to which all changes of the stored plan are known
+    bool write_in_flight_ = false;
+    /// The outcome of a write is unknown: nothing is stopped or written until the plan has been read again.
+    bool is_outcome_unknown_ = false;
+    Micros write_not_before_ = 0;
+    Micros evaluated_at_ = 0;
+    struct MoveHistory {
+        Micros last_move_at = 0;
+        std::vector<Micros> balance_moves_at;  // within the last ten minutes
     };
-    std::map<std::string, Moved> moved_;  // by job
+    std::map<std::string, MoveHistory> move_history_;  // by job
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
