--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -1,4 +1,4 @@
-// Why a job waits, as its holder sees it now: nothing here decides anything.
+// Explains why a job waits, from the current state of its shard. Nothing here takes a decision.
 
 #include <algorithm>
 #include <tuple>
@@ -9,9 +9,11 @@
 
 namespace {
 
-Json resources_value(const Resources& r) {
-    auto plain = [](Milli m) { return static_cast<double>(m) / 1000; };
-    return {{"cores", plain(r.cores)}, {"cards", plain(r.gpus)}, {"ram_gb", plain(r.ram)}};
+Json resources_value(const Resources& resources) {
+    auto in_units = [](Milli thousandths) { return static_cast<double>(thousandths) / 1000; };
+    return {{"cores", in_units(resources.cores)},
+            {"cards", in_units(resources.gpus)},
+            {"ram_gb", in_units(resources.ram)}};
 }
 
 const char* name_of(PriorityClass rank) {
@@ -21,62 +23,66 @@
 
 }  // namespace
 
-/// By what the order of placement rests on first: rank, guarantee, deadline. Among equals the plan weighs the
-/// work left by the time waited, here the older goes first.
+/// Returns the job's position in the queue by the first criteria of the placement order: rank, guarantee,
+/// deadline. Among equals, placement compares the work left to the time waited; here the older job goes
+/// first.
 Json ShardOwner::place_in_queue(const Job& job) const {
-    auto key = [&](const Job& j) {
-        return std::tuple(j.rank, !j.within_guarantee, j.due_ms, j.since_ms, j.serial);
+    auto order = [&](const Job& queued) {
+        return std::tuple(queued.rank, !queued.within_guarantee, queued.due_ms, queued.since_ms,
+                          queued.serial);
     };
     std::size_t all = 0, before = 0, before_of_team = 0;
     for (const auto& [ref, other] : shard_state_.jobs) {
         if (other->stage != Stage::Queued || !other->open || other->idle == 0) continue;
         ++all;
-        if (!(key(*other) < key(job))) continue;
+        if (!(order(*other) < order(job))) continue;
         ++before;
         before_of_team += other->spec.team == job.spec.team;
     }
     return {{"waiting_jobs", all}, {"before", before}, {"before_of_its_team", before_of_team}};
 }
 
-/// Machines of the shard by zone: those that it may use, and those that have room for a task of it now.
+/// Returns, by zone, how many machines of the shard the job is allowed on, how many of these are usable, and
+/// how many have room for a task of it now.
 Json ShardOwner::room_by_zone(const Job& job) const {
-    const auto there = job.zones();
+    const auto tasks_per_zone = job.zones();
     Json zones = Json::object();
-    auto zone = [&](const std::string& name) -> Json& {
+    auto zone_entry = [&](const std::string& name) -> Json& {
         if (!zones.contains(name)) {
-            auto tasks = there.find(name);
-            zones[name] = {{"tasks", tasks == there.end() ? 0 : tasks->second},
+            auto tasks = tasks_per_zone.find(name);
+            zones[name] = {{"tasks", tasks == tasks_per_zone.end() ? 0 : tasks->second},
                            {"machines", 0},
                            {"usable", 0},
                            {"with_room", 0}};
         }
         return zones[name];
     };
-    auto more = [](Json& n) { n = n.get<int>() + 1; };
-    for (const auto& [name, m] : shard_state_.machines) {
-        if (!Scheduler::is_allowed(job, *m)) continue;
-        Json& z = zone(m->zone);
-        more(z["machines"]);
-        if (!is_usable(*m)) continue;
-        more(z["usable"]);
-        if (job.spec.request.fits(m->type->size - m->reserved)) more(z["with_room"]);
+    auto increment = [](Json& count) { count = count.get<int>() + 1; };
+    for (const auto& [name, machine] : shard_state_.machines) {
+        if (!Scheduler::is_allowed(job, *machine)) continue;
+        Json& entry = zone_entry(machine->zone);
+        increment(entry["machines"]);
+        if (!is_usable(*machine)) continue;
+        increment(entry["usable"]);
+        if (job.spec.request.fits(machine->type->size - machine->reserved)) increment(entry["with_room"]);
     }
-    for (const auto& [name, tasks] : there) zone(name);
+    for (const auto& [name, tasks] : tasks_per_zone) zone_entry(name);
     return zones;
 }
 
-/// GpuSettings that are free on machines that it may use, in all and most on one.
+/// Returns how many GPUs are free on the machines that the job may use: in total, and on the machine with the
+/// most.
 Json ShardOwner::gpus_for(const Job& job) const {
-    Milli free = 0, most = 0;
-    for (const auto& [name, m] : shard_state_.machines) {
-        if (!is_usable(*m) || !Scheduler::is_allowed(job, *m)) continue;
-        const Milli here = std::max<Milli>(m->type->size.gpus - m->reserved.gpus, 0);
-        free += here;
-        most = std::max(most, here);
+    Milli total_free = 0, most_on_one_machine = 0;
+    for (const auto& [name, machine] : shard_state_.machines) {
+        if (!is_usable(*machine) || !Scheduler::is_allowed(job, *machine)) continue;
+        const Milli machine_free = std::max<Milli>(machine->type->size.gpus - machine->reserved.gpus, 0);
+        total_free += machine_free;
+        most_on_one_machine = std::max(most_on_one_machine, machine_free);
     }
     return {{"a_task_needs", job.spec.request.gpus / 1000},
-            {"free", static_cast<double>(free) / 1000},
-            {"most_on_one_machine", static_cast<double>(most) / 1000}};
+            {"free", static_cast<double>(total_free) / 1000},
+            {"most_on_one_machine", static_cast<double>(most_on_one_machine) / 1000}};
 }
 
 std::vector<std::string> ShardOwner::reasons(const Job& job, const Json& zones) const {
@@ -90,31 +96,32 @@
     if (job.backing_off)
         why.push_back("it fails everywhere: one task is tried at a time, the next in " +
                       std::to_string(std::max<Micros>(job.try_after - now, 0) / kMillisecond) + " ms");
-    const int at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
-    if (!scheduler_.is_within_quota(job, at_once)) why.push_back("its team has used up its limit here");
-    int machines = 0, usable_ones = 0, with_room = 0, zones_open = 0;
-    for (const auto& [name, z] : zones.items()) {
-        machines += z["machines"].get<int>();
-        usable_ones += z["usable"].get<int>();
-        with_room += z["with_room"].get<int>();
-        zones_open += z["with_room"].get<int>() > 0 && z["tasks"].get<int>() < job.zone_cap();
+    const int tasks_at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
+    if (!scheduler_.is_within_quota(job, tasks_at_once)) why.push_back("its team has used up its limit here");
+    int machines = 0, usable_machines = 0, with_room = 0, open_zones = 0;
+    for (const auto& [name, entry] : zones.items()) {
+        machines += entry["machines"].get<int>();
+        usable_machines += entry["usable"].get<int>();
+        with_room += entry["with_room"].get<int>();
+        open_zones += entry["with_room"].get<int>() > 0 && entry["tasks"].get<int>() < job.zone_cap();
     }
     if (machines == 0)
         why.push_back("no machine of this domain is of a type, zone and kind that it may use");
-    else if (usable_ones == 0)
+    else if (usable_machines == 0)
         why.push_back("no machine that it may use can take new tasks now");
     else if (with_room == 0)
         why.push_back("no machine that it may use has room for a task");
-    else if (zones_open == 0)
+    else if (open_zones == 0)
         why.push_back("zones with room hold as many of its tasks as they may");
     else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
         why.push_back("a gang starts as a whole, and there may not be room for all of it");
     if (job.is_best_effort()) why.push_back("it takes what other work leaves over, in turns");
     if (job.holding_out) why.push_back("it waits for a machine that has its image");
-    const auto failing = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& s) {
-        return s.state == SlotState::Idle && s.retry_at > now;
+    const auto waiting_to_retry = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& slot) {
+        return slot.state == SlotState::Idle && slot.retry_at > now;
     });
-    if (failing > 0) why.push_back(std::to_string(failing) + " of its tasks have failed and are tried later");
+    if (waiting_to_retry > 0)
+        why.push_back(std::to_string(waiting_to_retry) + " of its tasks have failed and are tried later");
     if (why.empty()) why.push_back("its turn comes with the next pass of planning");
     return why;
 }
@@ -124,39 +131,40 @@
     if (!found) return {};
     const Job& job = *found;
     const Micros now = context_.runtime().now();
-    Json v{{"domain", shard_},
-           {"team", job.spec.team},
-           {"class", job.spec.job_class},
-           {"tier", policy::name_of(tier(job))},
-           {"rank", name_of(job.rank)},
-           {"within_guarantee", job.within_guarantee},
-           {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
-           {"a_task_needs", resources_value(job.spec.request)},
-           {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
+    Json explanation{
+        {"domain", shard_},
+        {"team", job.spec.team},
+        {"class", job.spec.job_class},
+        {"tier", policy::name_of(tier(job))},
+        {"rank", name_of(job.rank)},
+        {"within_guarantee", job.within_guarantee},
+        {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
+        {"a_task_needs", resources_value(job.spec.request)},
+        {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
     if (job.idle > 0 && job.waiting_since > 0)
-        v["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
-    v["queue"] = place_in_queue(job);
-    v["limit"] = {{"here", resources_value(context_.share(shard_, job.spec.team))},
-                  {"used", resources_value(shard_state_.used(job.spec.team))}};
-    v["zones"] = room_by_zone(job);
-    if (job.spec.request.gpus > 0) v["cards"] = gpus_for(job);
-    v["why"] = reasons(job, v["zones"]);
-    return v;
+        explanation["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
+    explanation["queue"] = place_in_queue(job);
+    explanation["limit"] = {{"here", resources_value(context_.share(shard_, job.spec.team))},
+                            {"used", resources_value(shard_state_.used(job.spec.team))}};
+    explanation["zones"] = room_by_zone(job);
+    if (job.spec.request.gpus > 0) explanation["cards"] = gpus_for(job);
+    explanation["why"] = reasons(job, explanation["zones"]);
+    return explanation;
 }
 
-/// Jobs and tasks that wait, by tier.
+/// Returns the numbers of jobs and tasks that wait, by tier.
 Json ShardOwner::waiting_by_tier() const {
-    std::map<policy::Tier, std::pair<int, int>> sums;
+    std::map<policy::Tier, std::pair<int, int>> counts_by_tier;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->stage != Stage::Queued || !job->open || job->idle == 0) continue;
-        auto& sum = sums[tier(*job)];
-        ++sum.first;
-        sum.second += job->idle;
+        auto& counts = counts_by_tier[tier(*job)];
+        ++counts.first;
+        counts.second += job->idle;
     }
-    Json v = Json::object();
-    for (const auto& [tier, sum] : sums)
-        v[policy::name_of(tier)] = {{"jobs", sum.first}, {"tasks", sum.second}};
-    return v;
+    Json value = Json::object();
+    for (const auto& [tier, counts] : counts_by_tier)
+        value[policy::name_of(tier)] = {{"jobs", counts.first}, {"tasks", counts.second}};
+    return value;
 }
 
 }  // namespace cottonway
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -1,4 +1,5 @@
-// What an owner tells other controllers, and gives them: load, idle machines, waiting jobs, shares.
+// What a shard owner reports and gives to other controllers: its load, idle machines, waiting jobs and parts
+// of team limits.
 
 #include <algorithm>
 #include <tuple>
@@ -12,35 +13,42 @@
 
 namespace {
 
-constexpr Micros kWantAfter = 150 * kMillisecond;  // waiting for room before others are asked
-constexpr Micros kIdleOffer = 500 * kMillisecond;  // idle before it is given to another shard
-constexpr Micros kKeepsShare = 20 * kSecond;       // of a team's limit, by what finds no room
-constexpr Micros kGangKeepsShare = 60 * kSecond;   // room for all of it may have to be gathered
-constexpr Micros kTriesAgain = 10 * kSecond;       // to find room, which it had none of then
+// How long a job waits before machines of other shards are requested for it.
+constexpr Micros kCapacityRequestDelay = 150 * kMillisecond;
+// How long a machine must have been idle before it is given to another shard.
+constexpr Micros kMinIdleBeforeOffer = 500 * kMillisecond;
+// How long a job that finds no machine keeps its part of its team's limit from other jobs. A gang keeps it
+// longer, as the resources for all of its tasks may have to be reserved one machine after another.
+constexpr Micros kKeepsQuota = 20 * kSecond;
+constexpr Micros kGangKeepsQuota = 60 * kSecond;
+constexpr Micros kNoRoomValidity = 10 * kSecond;  // a failure to find a machine counts for this long
 
-/// Whether it has found no room for long. Then it keeps no part of its team's limit: where there is room
-/// others may use that meanwhile. It still looks for room, and asks for its part once there is some.
-bool lacks_room(const Job& job, Micros now) {
-    const Micros patience = job.spec.kind == JobKind::Gang ? kGangKeepsShare : kKeepsShare;
-    return job.no_room_at > 0 && now - job.waiting_since >= patience && now - job.no_room_at <= kTriesAgain;
+/// Returns whether the job has found no machine for long. Then it keeps no part of its team's limit, so that
+/// jobs that do find a machine can use that part meanwhile. The job stays in the queue and asks for its part
+/// again once there is a machine for it.
+bool is_long_unschedulable(const Job& job, Micros now) {
+    const Micros keeps_quota = job.spec.kind == JobKind::Gang ? kGangKeepsQuota : kKeepsQuota;
+    return job.no_room_at > 0 && now - job.waiting_since >= keeps_quota &&
+           now - job.no_room_at <= kNoRoomValidity;
 }
 
-/// What the machines of a shard have in all, and their types.
+/// The total resources of a shard's machines, and their types.
 struct Capacity {
     Resources total;
     std::set<const MachineType*> types;
 
     explicit Capacity(const std::map<std::string, std::unique_ptr<Machine>>& machines) {
-        for (const auto& [name, m] : machines) {
-            if (!m->type || m->retired) continue;
-            total += m->type->size;
-            types.insert(m->type);
+        for (const auto& [name, machine] : machines) {
+            if (!machine->type || machine->retired) continue;
+            total += machine->type->size;
+            types.insert(machine->type);
         }
     }
-    /// Cores that a task occupies, its part of the shard's GPUs included.
+    /// Returns the cores that a task occupies: its share of the shard's cores or of its GPUs, whichever is
+    /// larger, in cores.
     Milli occupied_by(const JobSpec& spec) const { return scheduling::gpu_bound_cores(spec.request, total); }
-    /// Whether a task leaves no room for a second one on any type of machine here.
-    bool filled_by(const JobSpec& spec) const {
+    /// Returns whether a task leaves no room for a second one on any type of machine here.
+    bool is_filled_by(const JobSpec& spec) const {
         return std::none_of(types.begin(), types.end(), [&spec](const MachineType* type) {
             return (spec.request + spec.request).fits(type->size);
         });
@@ -51,74 +59,79 @@
 
 peer::ShardLoad ShardOwner::load() const {
     const Capacity capacity(shard_state_.machines);
-    peer::ShardLoad d;
-    d.shard = shard_;
-    d.mod_revision = mod_revision_;
-    d.jobs = static_cast<std::uint32_t>(shard_state_.jobs.size());
-    for (const auto& [name, m] : shard_state_.machines) {
-        if (!m->type || m->retired) continue;
-        ++d.machines;
-        d.capacity += m->type->size.cores;
-        if (!m->spot) d.ordinary += m->type->size.cores;
-        if (!is_usable(*m)) continue;
-        // Idle work gives way to everything else.
-        (m->spot ? d.free_spot : d.free_ordinary) +=
-            scheduling::available_cores(m->type->size - m->reserved, m->type->size) + m->idle_work;
-        if (m->tasks.empty()) (m->spot ? d.idle_spot : d.idle_ordinary) += m->type->size.cores;
+    peer::ShardLoad shard_load;
+    shard_load.shard = shard_;
+    shard_load.mod_revision = mod_revision_;
+    shard_load.jobs = static_cast<std::uint32_t>(shard_state_.jobs.size());
+    for (const auto& [name, machine] : shard_state_.machines) {
+        if (!machine->type || machine->retired) continue;
+        ++shard_load.machines;
+        shard_load.capacity += machine->type->size.cores;
+        if (!machine->spot) shard_load.ordinary += machine->type->size.cores;
+        if (!is_usable(*machine)) continue;
+        // Best-effort work counts as free, since all other work preempts it.
+        (machine->spot ? shard_load.free_spot : shard_load.free_ordinary) +=
+            scheduling::available_cores(machine->type->size - machine->reserved, machine->type->size) +
+            machine->idle_work;
+        if (machine->tasks.empty())
+            (machine->spot ? shard_load.idle_spot : shard_load.idle_ordinary) += machine->type->size.cores;
     }
-    std::map<std::string, Resources> waiting;
+    std::map<std::string, Resources> waiting_by_team;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->rank == PriorityClass::Production && job->open)
-            d.production += job->spec.request.cores * (job->idle + job->bound);
+            shard_load.production += job->spec.request.cores * (job->idle + job->bound);
         if (job->waiting() == 0) continue;
-        d.waiting += capacity.occupied_by(job->spec) * job->idle;
-        if (lacks_room(*job, context_.runtime().now())) continue;
-        auto& w = waiting[job->spec.team];
-        w.cores += job->spec.request.cores * job->idle;
-        w.gpus += job->spec.request.gpus * job->idle;
+        shard_load.waiting += capacity.occupied_by(job->spec) * job->idle;
+        if (is_long_unschedulable(*job, context_.runtime().now())) continue;
+        auto& team_waiting = waiting_by_team[job->spec.team];
+        team_waiting.cores += job->spec.request.cores * job->idle;
+        team_waiting.gpus += job->spec.request.gpus * job->idle;
     }
     for (const auto& team : context_.settings().teams) {
-        d.teams.push_back(
-            {team.name, context_.share(shard_, team.name), shard_state_.used(team.name), waiting[team.name]});
+        shard_load.teams.push_back({team.name, context_.share(shard_, team.name),
+                                    shard_state_.used(team.name), waiting_by_team[team.name]});
     }
-    return d;
+    return shard_load;
 }
 
 std::optional<peer::CapacityRequest> ShardOwner::want() const {
     if (!active_) return std::nullopt;
     const Micros now = context_.runtime().now();
-    // The job that has waited longest for room speaks for those that need the same; live work before any
-    // other, which would have it stand behind a queue that may be long.
-    auto turn = [this](const Job& job) { return std::pair(tier(job) != policy::Tier::Live, job.serial); };
+    // The request is for the job that has waited longest, and stands for the jobs that need the same. Live
+    // work goes first: else it would wait behind a queue that may be long.
+    auto order = [this](const Job& job) { return std::pair(tier(job) != policy::Tier::Live, job.serial); };
     const Job* first = nullptr;
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->waiting() > 0 && now - job->waiting_since > kWantAfter &&
-            (scheduler_.is_within_quota(*job, 1) || lacks_room(*job, now)) &&
-            (!first || turn(*job) < turn(*first)))
+        if (job->waiting() > 0 && now - job->waiting_since > kCapacityRequestDelay &&
+            (scheduler_.is_within_quota(*job, 1) || is_long_unschedulable(*job, now)) &&
+            (!first || order(*job) < order(*first)))
             first = job.get();
     if (!first) return std::nullopt;
-    peer::CapacityRequest w;
-    w.shard = shard_;
-    w.mod_revision = mod_revision_;
-    w.task = first->spec.request;
-    w.spot = first->spec.spot;
-    if (first->spec.zone) w.zone = *first->spec.zone;
-    // Where the zones that it is in take no more, machines in another are what it needs.
-    if (first->spec.spread && w.zone.empty()) {
-        auto used = first->zones();
-        const bool full = std::any_of(used.begin(), used.end(),
-                                      [&](const auto& z) { return z.second >= first->zone_cap(); });
-        if (full)
-            w.zone = *std::min_element(
-                context_.settings().zones.begin(), context_.settings().zones.end(),
-                [&](const std::string& a, const std::string& b) { return used[a] < used[b]; });
+    peer::CapacityRequest request;
+    request.shard = shard_;
+    request.mod_revision = mod_revision_;
+    request.task = first->spec.request;
+    request.spot = first->spec.spot;
+    if (first->spec.zone) request.zone = *first->spec.zone;
+    // Where the zones that have tasks of the job may take no more, the job needs machines in another zone.
+    if (first->spec.spread && request.zone.empty()) {
+        auto tasks_per_zone = first->zones();
+        const bool is_zone_full =
+            std::any_of(tasks_per_zone.begin(), tasks_per_zone.end(),
+                        [&](const auto& zone) { return zone.second >= first->zone_cap(); });
+        if (is_zone_full)
+            request.zone =
+                *std::min_element(context_.settings().zones.begin(), context_.settings().zones.end(),
+                                  [&](const std::string& a, const std::string& b) {
+                                      return tasks_per_zone[a] < tasks_per_zone[b];
+                                  });
     }
-    if (first->spec.types && first->spec.types->size() == 1) w.type = first->spec.types->front();
+    if (first->spec.types && first->spec.types->size() == 1) request.type = first->spec.types->front();
     const Capacity capacity(shard_state_.machines);
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.spot == first->spec.spot && now - job->waiting_since > kWantAfter)
-            w.cores += capacity.occupied_by(job->spec) * job->waiting();
-    return w;
+        if (job->spec.spot == first->spec.spot && now - job->waiting_since > kCapacityRequestDelay)
+            request.cores += capacity.occupied_by(job->spec) * job->waiting();
+    return request;
 }
 
 std::vector<std::string> ShardOwner::offer_idle_machines(const peer::CapacityRequest& want) {
@@ -126,24 +139,26 @@
     if (!active_) return names;
     const Micros now = context_.runtime().listened();
     std::vector<Machine*> idle;
-    for (auto& [name, m] : shard_state_.machines) {
-        if (!is_usable(*m) || !m->tasks.empty() || !m->exited.empty() || !m->unacknowledged_launches.empty())
+    for (auto& [name, machine] : shard_state_.machines) {
+        if (!is_usable(*machine) || !machine->tasks.empty() || !machine->exited.empty() ||
+            !machine->unacknowledged_launches.empty())
             continue;
-        if (!m->launches_in_responses.empty() || m->direct_in_flight || m->raising) continue;
-        if (now - m->idle_since < kIdleOffer) continue;
-        if ((m->spot && !want.spot) || !want.task.fits(m->type->size)) continue;
-        if (!want.type.empty() && want.type != m->type_name) continue;
-        if (!want.zone.empty() && want.zone != m->zone) continue;
-        idle.push_back(m.get());
+        if (!machine->launches_in_responses.empty() || machine->direct_in_flight || machine->raising)
+            continue;
+        if (now - machine->idle_since < kMinIdleBeforeOffer) continue;
+        if ((machine->spot && !want.spot) || !want.task.fits(machine->type->size)) continue;
+        if (!want.type.empty() && want.type != machine->type_name) continue;
+        if (!want.zone.empty() && want.zone != machine->zone) continue;
+        idle.push_back(machine.get());
     }
-    // Half of what is idle stays, for what may come here next.
-    const std::size_t most = (idle.size() + 1) / 2;
-    Milli given = 0;
-    for (Machine* m : idle) {
-        if (names.size() >= most || given >= want.cores) break;
-        m->leaving = true;
-        given += m->type->size.cores;
-        names.push_back(m->name);
+    // Half of the idle machines stay here for jobs that arrive next.
+    const std::size_t max_offered = (idle.size() + 1) / 2;
+    Milli offered_cores = 0;
+    for (Machine* machine : idle) {
+        if (names.size() >= max_offered || offered_cores >= want.cores) break;
+        machine->leaving = true;
+        offered_cores += machine->type->size.cores;
+        names.push_back(machine->name);
     }
     return names;
 }
@@ -155,27 +170,29 @@
     plan_due_ = true;
 }
 
-/// The record names the owner, so one change of it is all there is to it. Only jobs of which no attempt was
-/// ever bound: of the others something may still be on machines of ours.
+/// The job's record names the shard, so one change of the record transfers the job. Only jobs that never had
+/// a task bound are transferred: attempts of the others may still be on this shard's machines.
 void ShardOwner::transfer_jobs(const std::string& to, RoomElsewhere room) {
     const Micros now = context_.runtime().now();
     const Capacity capacity(shard_state_.machines);
-    for (auto& [ref, owned] : shard_state_.jobs) {
-        Job& job = *owned;
+    for (auto& [ref, job_pointer] : shard_state_.jobs) {
+        Job& job = *job_pointer;
         auto& part = job.parts[0];
         if (job.stage != Stage::Queued || job.next_attempt != 1 || job.idle != job.spec.tasks) continue;
         if (part.in_flight || part.reloading || part.mod_revision == 0) continue;
-        if (!shard_state_.machines.empty() && (!job.open || now - job.waiting_since < kWantAfter)) continue;
-        const Milli need = capacity.occupied_by(job.spec) * job.spec.tasks;
-        // What fills a machine finds no room on two that are half free.
-        if (capacity.filled_by(job.spec) && need > room.idle_ordinary + (job.spec.spot ? room.idle_spot : 0))
+        if (!shard_state_.machines.empty() && (!job.open || now - job.waiting_since < kCapacityRequestDelay))
+            continue;
+        const Milli needed = capacity.occupied_by(job.spec) * job.spec.tasks;
+        // A task that fills a machine does not fit on two machines that are half free.
+        if (capacity.is_filled_by(job.spec) &&
+            needed > room.idle_ordinary + (job.spec.spot ? room.idle_spot : 0))
             continue;
-        if (need > room.ordinary + (job.spec.spot ? room.spot : 0)) continue;
-        const Milli from_spot = job.spec.spot ? std::min(need, room.spot) : 0;
+        if (needed > room.ordinary + (job.spec.spot ? room.spot : 0)) continue;
+        const Milli from_spot = job.spec.spot ? std::min(needed, room.spot) : 0;
         room.spot -= from_spot;
-        room.ordinary -= need - from_spot;
+        room.ordinary -= needed - from_spot;
         room.idle_spot -= from_spot;
-        room.idle_ordinary -= need - from_spot;
+        room.idle_ordinary -= needed - from_spot;
         if (!context_.store().room(Priority::Normal)) return;
         Change change;
         change.when = as_known(job);
@@ -187,17 +204,17 @@
         part.in_flight = true;
         job.leaving = true;
         context_.store().commit(std::move(change),
-                                [this, alive = alive_, ref = ref, to](const CommitResult& r) {
+                                [this, alive = alive_, ref = ref, to](const CommitResult& result) {
                                     if (!*alive) return;
                                     Job* found = shard_state_.job(ref);
                                     if (!found) return;
                                     found->parts[0].in_flight = false;
-                                    // Without an answer it may be carried out until the record is another:
-                                    // nothing is bound before.
-                                    found->leaving = r.status == CommitStatus::Unknown;
-                                    if (r.status == CommitStatus::Unavailable) return take_heard(ref);
-                                    if (r.status != CommitStatus::Ok) return reload(ref, 0);
-                                    spdlog::info("job {}: given to {}", ref, to);
+                                    // After an unknown outcome the change may still be carried out until the
+                                    // record changes: no task is bound before.
+                                    found->leaving = result.status == CommitStatus::Unknown;
+                                    if (result.status == CommitStatus::Unavailable) return take_heard(ref);
+                                    if (result.status != CommitStatus::Ok) return reload(ref, 0);
+                                    spdlog::info("job {}: transferred to {}", ref, to);
                                     given_away(*found);
                                 });
     }
@@ -206,7 +223,7 @@
 Resources ShardOwner::spare_quota(const std::string& team) const {
     Resources spare = unused_quota(team);
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.team == team && !lacks_room(*job, context_.runtime().now())) {
+        if (job->spec.team == team && !is_long_unschedulable(*job, context_.runtime().now())) {
             spare.cores -= job->spec.request.cores * job->waiting();
             spare.gpus -= job->spec.request.gpus * job->waiting();
         }
@@ -216,9 +233,11 @@
 Resources ShardOwner::unused_quota(const std::string& team) const {
     const Resources share = context_.share(shard_, team);
     const Resources used = shard_state_.used(team);
-    // What has no limit is not shared out, so there is nothing of it to give.
-    auto part = [](Milli of, Milli in_use) { return of == kNoLimit ? 0 : std::max<Milli>(of - in_use, 0); };
-    return {part(share.cores, used.cores), part(share.gpus, used.gpus), 0};
+    // A resource without a limit is not divided among shards, so there is nothing to give.
+    auto unused = [](Milli limit, Milli in_use) {
+        return limit == kNoLimit ? 0 : std::max<Milli>(limit - in_use, 0);
+    };
+    return {unused(share.cores, used.cores), unused(share.gpus, used.gpus), 0};
 }
 
 std::optional<Resources> ShardOwner::short_by(const std::string& team) const {
@@ -226,39 +245,41 @@
     std::optional<Resources> least;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->spec.team != team || job->stage != Stage::Queued || !job->open || job->backing_off) continue;
-        if (job->idle == 0 || lacks_room(*job, context_.runtime().now())) continue;
-        const Milli at_once = job->spec.kind == JobKind::Gang ? job->idle : 1;
-        const Resources lacks{std::max<Milli>(job->spec.request.cores * at_once - unused.cores, 0),
-                              std::max<Milli>(job->spec.request.gpus * at_once - unused.gpus, 0), 0};
-        if (!least || std::tie(lacks.gpus, lacks.cores) < std::tie(least->gpus, least->cores)) least = lacks;
+        if (job->idle == 0 || is_long_unschedulable(*job, context_.runtime().now())) continue;
+        const Milli tasks_at_once = job->spec.kind == JobKind::Gang ? job->idle : 1;
+        const Resources shortfall{std::max<Milli>(job->spec.request.cores * tasks_at_once - unused.cores, 0),
+                                  std::max<Milli>(job->spec.request.gpus * tasks_at_once - unused.gpus, 0),
+                                  0};
+        if (!least || std::tie(shortfall.gpus, shortfall.cores) < std::tie(least->gpus, least->cores))
+            least = shortfall;
     }
     return least;
 }
 
 Json ShardOwner::status() const {
-    int waiting = 0, running = 0;
+    int waiting = 0, bound = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->open) waiting += job->idle;
-        running += job->bound;
+        bound += job->bound;
     }
     Json machines = Json::array();
-    for (const auto& [name, m] : shard_state_.machines)
+    for (const auto& [name, machine] : shard_state_.machines)
         machines.push_back({{"name", name},
-                            {"block", m->block},
-                            {"type", m->type_name},
-                            {"zone", m->zone},
-                            {"spot", m->spot},
-                            {"tasks", m->tasks.size()},
-                            {"in_doubt", m->unacknowledged_launches.size()},
-                            {"silent_ms", silent_for(*m) / kMillisecond},
-                            {"relayed", m->relayed},
-                            {"retired", m->retired}});
+                            {"block", machine->block},
+                            {"type", machine->type_name},
+                            {"zone", machine->zone},
+                            {"spot", machine->spot},
+                            {"tasks", machine->tasks.size()},
+                            {"in_doubt", machine->unacknowledged_launches.size()},
+                            {"silent_ms", silent_for(*machine) / kMillisecond},
+                            {"relayed", machine->relayed},
+                            {"retired", machine->retired}});
     return {{"domain", shard_},
             {"token", mod_revision_},
             {"active", active_},
             {"jobs", shard_state_.jobs.size()},
             {"tasks_waiting", waiting},
-            {"tasks_bound", running},
+            {"tasks_bound", bound},
             {"machines", machines},
             {"start", startup_.value()},
             {"cancellations", cancellations_.value(context_.runtime().now())},
