--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -1,4 +1,4 @@
-// The operators' file. Its form is in docs/operations.md.
+// Reads and writes the operators' policy file. docs/operations.md describes its format.
 
 #include <algorithm>
 
@@ -23,137 +23,145 @@
     {name_of(FailureDomain::Machine), FailureDomain::Machine},
     {name_of(FailureDomain::Zone), FailureDomain::Zone}};
 
-double in_seconds(Micros m) {
-    return static_cast<double>(m) / 1e6;
+double in_seconds(Micros duration) {
+    return static_cast<double>(duration) / 1e6;
 }
 
-/// Checks names of teams and zones, if it is known which there are.
-class Names {
+/// Checks the names of teams and zones against the settings, if there are any.
+class NameChecker {
   public:
-    explicit Names(const Settings* settings) : settings_(settings) {}
-    void team(const std::string& key, const std::string& team) const {
+    explicit NameChecker(const Settings* settings) : settings_(settings) {}
+    void check_team(const std::string& key, const std::string& team) const {
         if (!settings_ || team.empty()) return;
         const auto& all = settings_->teams;
-        if (std::none_of(all.begin(), all.end(), [&](const Team& t) { return t.name == team; }))
-            fail(key, "there is no team " + team);
+        if (std::none_of(all.begin(), all.end(), [&](const Team& known) { return known.name == team; }))
+            fail(key, "unknown team " + team);
     }
-    void zones(const std::string& key, const std::vector<std::string>& zones) const {
+    void check_zones(const std::string& key, const std::vector<std::string>& zones) const {
         if (!settings_ || settings_->zones.empty()) return;
         const auto& all = settings_->zones;
-        for (const auto& z : zones)
-            if (std::find(all.begin(), all.end(), z) == all.end()) fail(key, "there is no zone " + z);
+        for (const auto& zone : zones)
+            if (std::find(all.begin(), all.end(), zone) == all.end()) fail(key, "unknown zone " + zone);
     }
-    void enough(const std::string& key, const ZoneRule& rule) const {
+    void check_min_zones(const std::string& key, const ZoneRule& rule) const {
         if (!settings_ || settings_->zones.empty()) return;
-        const std::size_t there = rule.allowed.empty() ? settings_->zones.size() : rule.allowed.size();
-        if (static_cast<std::size_t>(rule.min_zones) > there)
-            fail(key, fmt::format("{} are asked for, there are {}", rule.min_zones, there));
+        const std::size_t available = rule.allowed.empty() ? settings_->zones.size() : rule.allowed.size();
+        if (static_cast<std::size_t>(rule.min_zones) > available)
+            fail(key, fmt::format("requires {} zones, but there are only {}", rule.min_zones, available));
     }
 
   private:
     const Settings* settings_;
 };
 
-Scope scope(Table& x, const Names& names) {
-    Scope s{x.text("team", ""), x.text("class", "")};
-    names.team(x.path("team"), s.team);
-    return s;
+Scope read_scope(Table& table, const NameChecker& names) {
+    Scope scope{table.text("team", ""), table.text("class", "")};
+    names.check_team(table.path("team"), scope.team);
+    return scope;
 }
 
-/// What a rule is about has to be said: one that says nothing does nothing, by mistake.
-void needed(const Table& x, const char* key) {
-    if (!x.has(key)) fail(x.path(key), "is missing");
+/// Requires the key that gives a rule its effect: a rule without it would have none, by mistake.
+void require_key(const Table& table, const char* key) {
+    if (!table.has(key)) fail(table.path(key), "is missing");
 }
 
-ZoneRule zone_rule(Table& x, const Names& names) {
-    ZoneRule r;
-    r.scope = scope(x, names);
-    r.allowed = x.texts("allowed", {});
-    names.zones(x.path("allowed"), r.allowed);
-    r.preferred = x.texts("preferred", {});
-    names.zones(x.path("preferred"), r.preferred);
-    r.min_zones = x.count("least_zones", r.min_zones, 64, 1);
-    r.max_zone_share = x.number("most_share", r.max_zone_share, 0, 1);
-    r.survive = one_of(x.path("survive"), x.text("survive", name_of(r.survive)), kFailureDomains);
-    r.strict = x.flag("strict");
-    r.rebalance = x.flag("rebalance");
-    names.enough(x.path("least_zones"), r);
-    return r;
+ZoneRule read_zone_rule(Table& table, const NameChecker& names) {
+    ZoneRule rule;
+    rule.scope = read_scope(table, names);
+    rule.allowed = table.texts("allowed", {});
+    names.check_zones(table.path("allowed"), rule.allowed);
+    rule.preferred = table.texts("preferred", {});
+    names.check_zones(table.path("preferred"), rule.preferred);
+    rule.min_zones = table.count("least_zones", rule.min_zones, 64, 1);
+    rule.max_zone_share = table.number("most_share", rule.max_zone_share, 0, 1);
+    rule.survive =
+        one_of(table.path("survive"), table.text("survive", name_of(rule.survive)), kFailureDomains);
+    rule.strict = table.flag("strict");
+    rule.rebalance = table.flag("rebalance");
+    names.check_min_zones(table.path("least_zones"), rule);
+    return rule;
 }
 
-template <class Rule, class Tell>
-Json rules_value(const std::vector<Rule>& rules, Tell tell) {
+template <class Rule, class Describe>
+Json rules_to_value(const std::vector<Rule>& rules, Describe describe_rule) {
     Json list = Json::array();
-    for (const auto& r : rules) {
-        Json v = tell(r);
-        if (!r.scope.team.empty()) v["team"] = r.scope.team;
-        if (!r.scope.job_class.empty()) v["class"] = r.scope.job_class;
-        list.push_back(std::move(v));
+    for (const auto& rule : rules) {
+        Json value = describe_rule(rule);
+        if (!rule.scope.team.empty()) value["team"] = rule.scope.team;
+        if (!rule.scope.job_class.empty()) value["class"] = rule.scope.job_class;
+        list.push_back(std::move(value));
     }
     return list;
 }
 
 }  // namespace
 
-Json describe(const Policy& p) {
-    Json v{{"revision", p.revision}};
-    v["tiers"] = rules_value(p.tiers, [](const TierRule& r) { return Json{{"tier", name_of(r.tier)}}; });
-    v["priority"] = {{"floor", p.priority.floor},
-                     {"begin_within_s", in_seconds(p.priority.overdue_after)},
-                     {"reserve", p.priority.live_reserve}};
-    v["zones"] = rules_value(p.zones, [](const ZoneRule& r) {
-        return Json{{"allowed", r.allowed},          {"preferred", r.preferred},
-                    {"least_zones", r.min_zones},    {"most_share", r.max_zone_share},
-                    {"survive", name_of(r.survive)}, {"strict", r.strict},
-                    {"rebalance", r.rebalance}};
+Json describe(const Policy& policy) {
+    Json value{{"revision", policy.revision}};
+    value["tiers"] = rules_to_value(policy.tiers, [](const TierRule& rule) {
+        return Json{{"tier", name_of(rule.tier)}};
     });
-    v["moves"] = rules_value(p.moves, [](const MoveRule& r) { return Json{{"movable", r.movable}}; });
-    v["budgets"] = {{"moves_per_minute", p.budgets.moves_per_minute},
-                    {"moves_per_placement", p.budgets.moves_per_placement},
-                    {"service_pause_s", in_seconds(p.budgets.service_pause)},
-                    {"settle_s", in_seconds(p.budgets.settle_time)}};
-    v["cards"] = {
-        {"pack", p.gpus.pack}, {"make_room", p.gpus.make_room}, {"after_s", in_seconds(p.gpus.min_wait)}};
-    return v;
+    value["priority"] = {{"floor", policy.priority.floor},
+                         {"begin_within_s", in_seconds(policy.priority.overdue_after)},
+                         {"reserve", policy.priority.live_reserve}};
+    value["zones"] = rules_to_value(policy.zones, [](const ZoneRule& rule) {
+        return Json{{"allowed", rule.allowed},          {"preferred", rule.preferred},
+                    {"least_zones", rule.min_zones},    {"most_share", rule.max_zone_share},
+                    {"survive", name_of(rule.survive)}, {"strict", rule.strict},
+                    {"rebalance", rule.rebalance}};
+    });
+    value["moves"] = rules_to_value(policy.moves, [](const MoveRule& rule) {
+        return Json{{"movable", rule.movable}};
+    });
+    value["budgets"] = {{"moves_per_minute", policy.budgets.moves_per_minute},
+                        {"moves_per_placement", policy.budgets.moves_per_placement},
+                        {"service_pause_s", in_seconds(policy.budgets.service_pause)},
+                        {"settle_s", in_seconds(policy.budgets.settle_time)}};
+    value["cards"] = {{"pack", policy.gpus.pack},
+                      {"make_room", policy.gpus.make_room},
+                      {"after_s", in_seconds(policy.gpus.min_wait)}};
+    return value;
 }
 
 Policy load(const std::string& path, const Settings* settings) {
-    const Names names(settings);
+    const NameChecker names(settings);
     const toml::table file = settings::parse_file(path);
-    Policy p;
+    Policy policy;
     {
-        Table t(file, "");
-        if (!t.has("revision")) fail("revision", "is missing; raise it with every change");
-        p.revision = static_cast<std::uint64_t>(t.count("revision", 0, 2'000'000'000, 1));
-        t.rows("tiers", [&](Table& x) {
-            needed(x, "tier");
-            p.tiers.push_back({scope(x, names), one_of(x.path("tier"), x.text("tier", ""), kTiers)});
+        Table root(file, "");
+        if (!root.has("revision")) fail("revision", "is missing; increase it with every change");
+        policy.revision = static_cast<std::uint64_t>(root.count("revision", 0, 2'000'000'000, 1));
+        root.rows("tiers", [&](Table& row) {
+            require_key(row, "tier");
+            policy.tiers.push_back(
+                {read_scope(row, names), one_of(row.path("tier"), row.text("tier", ""), kTiers)});
         });
-        t.table("priority", [&](Table& x) {
-            p.priority.floor = x.number("floor", p.priority.floor, 0, 0.5);
-            p.priority.overdue_after = x.seconds("begin_within_s", in_seconds(p.priority.overdue_after));
-            p.priority.live_reserve = x.number("reserve", p.priority.live_reserve, 0, 0.5);
+        root.table("priority", [&](Table& section) {
+            policy.priority.floor = section.number("floor", policy.priority.floor, 0, 0.5);
+            policy.priority.overdue_after =
+                section.seconds("begin_within_s", in_seconds(policy.priority.overdue_after));
+            policy.priority.live_reserve = section.number("reserve", policy.priority.live_reserve, 0, 0.5);
         });
-        t.rows("zones", [&](Table& x) { p.zones.push_back(zone_rule(x, names)); });
-        t.rows("moves", [&](Table& x) {
-            needed(x, "movable");
-            p.moves.push_back({scope(x, names), x.flag("movable")});
+        root.rows("zones", [&](Table& row) { policy.zones.push_back(read_zone_rule(row, names)); });
+        root.rows("moves", [&](Table& row) {
+            require_key(row, "movable");
+            policy.moves.push_back({read_scope(row, names), row.flag("movable")});
         });
-        t.table("budgets", [&](Table& x) {
-            Budgets& b = p.budgets;
-            b.moves_per_minute = x.count("moves_per_minute", b.moves_per_minute);
-            b.moves_per_placement = x.count("moves_per_placement", b.moves_per_placement);
-            b.service_pause = x.seconds("service_pause_s", in_seconds(b.service_pause));
-            b.settle_time = x.seconds("settle_s", in_seconds(b.settle_time));
+        root.table("budgets", [&](Table& section) {
+            Budgets& budgets = policy.budgets;
+            budgets.moves_per_minute = section.count("moves_per_minute", budgets.moves_per_minute);
+            budgets.moves_per_placement = section.count("moves_per_placement", budgets.moves_per_placement);
+            budgets.service_pause = section.seconds("service_pause_s", in_seconds(budgets.service_pause));
+            budgets.settle_time = section.seconds("settle_s", in_seconds(budgets.settle_time));
         });
-        t.table("cards", [&](Table& x) {
-            p.gpus.pack = x.flag("pack");
-            p.gpus.make_room = x.flag("make_room");
-            p.gpus.min_wait = x.seconds("after_s", in_seconds(p.gpus.min_wait));
+        root.table("cards", [&](Table& section) {
+            policy.gpus.pack = section.flag("pack");
+            policy.gpus.make_room = section.flag("make_room");
+            policy.gpus.min_wait = section.seconds("after_s", in_seconds(policy.gpus.min_wait));
         });
     }
-    if (const std::string problem = validation_error(p); !problem.empty()) throw std::runtime_error(problem);
-    return p;
+    if (const std::string error = validation_error(policy); !error.empty()) throw std::runtime_error(error);
+    return policy;
 }
 
 }  // namespace cottonway::policy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -10,178 +10,185 @@
 
 namespace {
 
-constexpr std::size_t kMaxText = 256;
+constexpr std::size_t kMaxNameBytes = 256;
 constexpr std::size_t kMaxRules = 1000;
 constexpr std::size_t kMaxZones = 64;
 
-/// Of the rules that cover a job, the one that names most; nullptr: none does.
+/// Returns the most specific of the rules that cover a job; nullptr: none does.
 template <class Rule>
-const Rule* rule_for(const std::vector<Rule>& rules, const JobSpec& job) {
+const Rule* most_specific_rule(const std::vector<Rule>& rules, const JobSpec& job) {
     const Rule* best = nullptr;
-    for (const auto& r : rules)
-        if (r.scope.covers(job) && (!best || r.scope.specificity() > best->scope.specificity())) best = &r;
+    for (const auto& rule : rules)
+        if (rule.scope.covers(job) && (!best || rule.scope.specificity() > best->scope.specificity()))
+            best = &rule;
     return best;
 }
 
 // ---------------------------------------------------------------- bounds
 
-struct Problem {
+struct ValidationFailure {
     std::string text;
 };
 
-[[noreturn]] void bad(const std::string& key, const std::string& why) {
-    throw Problem{key + ": " + why};
+[[noreturn]] void fail_validation(const std::string& key, const std::string& reason) {
+    throw ValidationFailure{key + ": " + reason};
 }
 
 template <class T>
-void within(const std::string& key, T value, T low, T high) {
-    // Not (value < low || value > high), which a number that is none would pass.
-    if (!(value >= low && value <= high)) bad(key, fmt::format("must lie between {} and {}", low, high));
+void check_range(const std::string& key, T value, T low, T high) {
+    // Not (value < low || value > high): NaN would pass that.
+    if (!(value >= low && value <= high))
+        fail_validation(key, fmt::format("must lie between {} and {}", low, high));
 }
 
-void seconds_within(const std::string& key, Micros value, Micros low, Micros high) {
+void check_seconds_range(const std::string& key, Micros value, Micros low, Micros high) {
     if (value < low || value > high)
-        bad(key, fmt::format("must lie between {} and {} seconds", static_cast<double>(low) / 1e6,
-                             high / kSecond));
+        fail_validation(key, fmt::format("must lie between {} and {} seconds", static_cast<double>(low) / 1e6,
+                                         high / kSecond));
 }
 
 template <class Rule>
-void scopes(const std::string& key, const std::vector<Rule>& rules) {
-    if (rules.size() > kMaxRules) bad(key, fmt::format("must hold at most {} rules", kMaxRules));
+void check_scopes(const std::string& key, const std::vector<Rule>& rules) {
+    if (rules.size() > kMaxRules) fail_validation(key, fmt::format("must hold at most {} rules", kMaxRules));
     std::set<Scope> seen;
     for (std::size_t i = 0; i < rules.size(); ++i) {
-        const Scope& s = rules[i].scope;
-        const std::string at = fmt::format("{}[{}]", key, i);
-        if (s.team.size() > kMaxText) bad(at + ".team", "is too long");
-        if (s.job_class.size() > kMaxText) bad(at + ".class", "is too long");
-        if (!seen.insert(s).second) bad(at, "a rule before it is about the same jobs");
+        const Scope& scope = rules[i].scope;
+        const std::string rule_key = fmt::format("{}[{}]", key, i);
+        if (scope.team.size() > kMaxNameBytes) fail_validation(rule_key + ".team", "is too long");
+        if (scope.job_class.size() > kMaxNameBytes) fail_validation(rule_key + ".class", "is too long");
+        if (!seen.insert(scope).second) fail_validation(rule_key, "has the same scope as an earlier rule");
     }
 }
 
-void names(const std::string& key, const std::vector<std::string>& zones) {
-    if (zones.size() > kMaxZones) bad(key, fmt::format("must name at most {} zones", kMaxZones));
+void check_zone_names(const std::string& key, const std::vector<std::string>& zones) {
+    if (zones.size() > kMaxZones) fail_validation(key, fmt::format("must name at most {} zones", kMaxZones));
     std::set<std::string> seen;
-    for (const auto& z : zones) {
-        if (z.empty() || z.size() > kMaxText) bad(key, "a name of a zone is empty or too long");
-        if (!seen.insert(z).second) bad(key, fmt::format("{} is named twice", z));
+    for (const auto& zone : zones) {
+        if (zone.empty() || zone.size() > kMaxNameBytes)
+            fail_validation(key, "the name of a zone is empty or too long");
+        if (!seen.insert(zone).second) fail_validation(key, fmt::format("{} is named twice", zone));
     }
 }
 
-void zone_rule_fits(const std::string& at, const ZoneRule& r) {
-    names(at + ".allowed", r.allowed);
-    names(at + ".preferred", r.preferred);
-    for (const auto& z : r.preferred)
-        if (!r.allowed.empty() && std::find(r.allowed.begin(), r.allowed.end(), z) == r.allowed.end())
-            bad(at + ".preferred", fmt::format("{} is not among the zones allowed", z));
-    within<int>(at + ".least_zones", r.min_zones, 1, static_cast<int>(kMaxZones));
-    if (!r.allowed.empty() && r.min_zones > static_cast<int>(r.allowed.size()))
-        bad(at + ".least_zones", fmt::format("{} are asked for, {} allowed", r.min_zones, r.allowed.size()));
-    if (!(r.max_zone_share > 0 && r.max_zone_share <= 1)) bad(at + ".most_share", "must be over 0, up to 1");
-    if (r.allowed.size() == 1 && r.max_zone_share < 1)
-        bad(at + ".most_share", "only one zone is allowed, which has to hold all");
-    if (r.allowed.size() == 1 && r.survive == FailureDomain::Zone)
-        bad(at + ".survive", "only one zone is allowed, so its loss takes all");
+void check_zone_rule(const std::string& key, const ZoneRule& rule) {
+    check_zone_names(key + ".allowed", rule.allowed);
+    check_zone_names(key + ".preferred", rule.preferred);
+    for (const auto& zone : rule.preferred)
+        if (!rule.allowed.empty() &&
+            std::find(rule.allowed.begin(), rule.allowed.end(), zone) == rule.allowed.end())
+            fail_validation(key + ".preferred", fmt::format("{} is not one of the allowed zones", zone));
+    check_range<int>(key + ".least_zones", rule.min_zones, 1, static_cast<int>(kMaxZones));
+    if (!rule.allowed.empty() && rule.min_zones > static_cast<int>(rule.allowed.size()))
+        fail_validation(key + ".least_zones", fmt::format("requires {} zones, but only {} are allowed",
+                                                          rule.min_zones, rule.allowed.size()));
+    if (!(rule.max_zone_share > 0 && rule.max_zone_share <= 1))
+        fail_validation(key + ".most_share", "must be greater than 0 and at most 1");
+    if (rule.allowed.size() == 1 && rule.max_zone_share < 1)
+        fail_validation(key + ".most_share", "must be 1, as only one zone is allowed");
+    if (rule.allowed.size() == 1 && rule.survive == FailureDomain::Zone)
+        fail_validation(key + ".survive", "cannot be zone, as only one zone is allowed");
 }
 
-void check(const Policy& p) {
-    scopes("tiers", p.tiers);
-    scopes("zones", p.zones);
-    scopes("moves", p.moves);
-    for (std::size_t i = 0; i < p.tiers.size(); ++i)
-        if (p.tiers[i].tier > Tier::BestEffort)
-            bad(fmt::format("tiers[{}].tier", i), "there is no such tier");
-    for (std::size_t i = 0; i < p.zones.size(); ++i) {
-        const std::string at = fmt::format("zones[{}]", i);
-        if (p.zones[i].survive > FailureDomain::Zone)
-            bad(at + ".survive", "must be nothing, machine or zone");
-        zone_rule_fits(at, p.zones[i]);
+void check_policy(const Policy& policy) {
+    check_scopes("tiers", policy.tiers);
+    check_scopes("zones", policy.zones);
+    check_scopes("moves", policy.moves);
+    for (std::size_t i = 0; i < policy.tiers.size(); ++i)
+        if (policy.tiers[i].tier > Tier::BestEffort)
+            fail_validation(fmt::format("tiers[{}].tier", i), "is not a known tier");
+    for (std::size_t i = 0; i < policy.zones.size(); ++i) {
+        const std::string key = fmt::format("zones[{}]", i);
+        if (policy.zones[i].survive > FailureDomain::Zone)
+            fail_validation(key + ".survive", "must be nothing, machine or zone");
+        check_zone_rule(key, policy.zones[i]);
     }
-    within("priority.floor", p.priority.floor, 0.0, 0.5);
-    within("priority.reserve", p.priority.live_reserve, 0.0, 0.5);
-    seconds_within("priority.begin_within_s", p.priority.overdue_after, kSecond, 86'400 * kSecond);
-    within("budgets.moves_per_minute", p.budgets.moves_per_minute, 0, 10'000);
-    within("budgets.moves_per_placement", p.budgets.moves_per_placement, 0, 100);
-    seconds_within("budgets.service_pause_s", p.budgets.service_pause, 0, 86'400 * kSecond);
-    seconds_within("budgets.settle_s", p.budgets.settle_time, 0, 86'400 * kSecond);
-    seconds_within("cards.after_s", p.gpus.min_wait, 0, 86'400 * kSecond);
+    check_range("priority.floor", policy.priority.floor, 0.0, 0.5);
+    check_range("priority.reserve", policy.priority.live_reserve, 0.0, 0.5);
+    check_seconds_range("priority.begin_within_s", policy.priority.overdue_after, kSecond, 86'400 * kSecond);
+    check_range("budgets.moves_per_minute", policy.budgets.moves_per_minute, 0, 10'000);
+    check_range("budgets.moves_per_placement", policy.budgets.moves_per_placement, 0, 100);
+    check_seconds_range("budgets.service_pause_s", policy.budgets.service_pause, 0, 86'400 * kSecond);
+    check_seconds_range("budgets.settle_s", policy.budgets.settle_time, 0, 86'400 * kSecond);
+    check_seconds_range("cards.after_s", policy.gpus.min_wait, 0, 86'400 * kSecond);
 }
 
-// ---------------------------------------------------------------- the record
+// ---------------------------------------------------------------- the stored record
 
-Json scope_value(const Scope& s) {
-    Json v = Json::object();
-    if (!s.team.empty()) v["t"] = s.team;
-    if (!s.job_class.empty()) v["c"] = s.job_class;
-    return v;
+Json scope_to_value(const Scope& scope) {
+    Json value = Json::object();
+    if (!scope.team.empty()) value["t"] = scope.team;
+    if (!scope.job_class.empty()) value["c"] = scope.job_class;
+    return value;
 }
 
-/// Reads fields of a map into a policy; what is there but of the wrong kind makes the record damaged.
-class Reader {
+/// Reads the fields of a map into a policy. A missing field is left at its default; a field of the wrong type
+/// makes the record invalid.
+class FieldReader {
   public:
-    explicit Reader(const Json& v) : v_(v), ok_(v.is_object()) {}
-    void number(const char* key, double& to) { take(key, to, wire::number); }
-    void flag(const char* key, bool& to) { take(key, to, wire::flag); }
-    void text(const char* key, std::string& to) { take(key, to, wire::text); }
-    template <class Whole>
-    void count(const char* key, Whole& to, std::uint64_t most) {
-        std::uint64_t n = 0;
-        if (!take(key, n, wire::count)) return;
-        ok_ = ok_ && n <= most;
-        to = static_cast<Whole>(std::min(n, most));
+    explicit FieldReader(const Json& fields) : fields_(fields), is_valid_(fields.is_object()) {}
+    void number(const char* key, double& target) { read_field(key, target, wire::number); }
+    void flag(const char* key, bool& target) { read_field(key, target, wire::flag); }
+    void text(const char* key, std::string& target) { read_field(key, target, wire::text); }
+    template <class Integer>
+    void count(const char* key, Integer& target, std::uint64_t max) {
+        std::uint64_t value = 0;
+        if (!read_field(key, value, wire::count)) return;
+        is_valid_ = is_valid_ && value <= max;
+        target = static_cast<Integer>(std::min(value, max));
     }
-    void texts(const char* key, std::vector<std::string>& to) {
-        each(key, [&](const Json& entry) {
+    void texts(const char* key, std::vector<std::string>& target) {
+        for_each_entry(key, [&](const Json& entry) {
             if (!entry.is_string()) return false;
-            to.push_back(entry.get<std::string>());
+            target.push_back(entry.get<std::string>());
             return true;
         });
     }
     template <class Rule, class Read>
-    void rules(const char* key, std::vector<Rule>& to, Read read) {
-        each(key, [&](const Json& entry) {
+    void rules(const char* key, std::vector<Rule>& target, Read read) {
+        for_each_entry(key, [&](const Json& entry) {
             Rule rule;
-            Reader r(entry);
-            r.text("t", rule.scope.team);
-            r.text("c", rule.scope.job_class);
-            read(r, rule);
-            to.push_back(std::move(rule));
-            return r.ok();
+            FieldReader entry_reader(entry);
+            entry_reader.text("t", rule.scope.team);
+            entry_reader.text("c", rule.scope.job_class);
+            read(entry_reader, rule);
+            target.push_back(std::move(rule));
+            return entry_reader.is_valid();
         });
     }
     template <class Read>
     void map(const char* key, Read read) {
-        const Json* found = ok_ ? wire::find(v_, key) : nullptr;
+        const Json* found = is_valid_ ? wire::find(fields_, key) : nullptr;
         if (!found) return;
-        Reader r(*found);
-        read(r);
-        ok_ = ok_ && r.ok();
+        FieldReader map_reader(*found);
+        read(map_reader);
+        is_valid_ = is_valid_ && map_reader.is_valid();
     }
-    bool ok() const { return ok_; }
+    bool is_valid() const { return is_valid_; }
 
   private:
     template <class T, class Read>
-    bool take(const char* key, T& to, Read read) {
-        if (!ok_ || !wire::find(v_, key)) return false;
-        auto found = read(v_, key);
-        ok_ = found.has_value();
-        if (found) to = *found;
-        return ok_;
+    bool read_field(const char* key, T& target, Read read) {
+        if (!is_valid_ || !wire::find(fields_, key)) return false;
+        auto found = read(fields_, key);
+        is_valid_ = found.has_value();
+        if (found) target = *found;
+        return is_valid_;
     }
-    template <class F>
-    void each(const char* key, F use) {
-        const Json* list = ok_ ? wire::find(v_, key) : nullptr;
+    template <class Visitor>
+    void for_each_entry(const char* key, Visitor visit) {
+        const Json* list = is_valid_ ? wire::find(fields_, key) : nullptr;
         if (!list) return;
-        ok_ = list->is_array();
-        if (!ok_) return;
-        for (const auto& entry : *list) ok_ = ok_ && use(entry);
+        is_valid_ = list->is_array();
+        if (!is_valid_) return;
+        for (const auto& entry : *list) is_valid_ = is_valid_ && visit(entry);
     }
 
-    const Json& v_;
-    bool ok_;
+    const Json& fields_;
+    bool is_valid_;
 };
 
-constexpr std::uint64_t kMostCount = 1'000'000;
-constexpr std::uint64_t kMostMicros = std::uint64_t{1} << 50;
+constexpr std::uint64_t kMaxCount = 1'000'000;
+constexpr std::uint64_t kMaxMicros = std::uint64_t{1} << 50;
 
 }  // namespace
 
@@ -212,7 +219,7 @@
 }
 
 namespace {
-Tier by_rank(JobKind kind, PriorityClass rank) {
+Tier tier_by_rank(JobKind kind, PriorityClass rank) {
     switch (rank) {
         case PriorityClass::Production:
             return kind == JobKind::Service ? Tier::Live : Tier::Urgent;
@@ -228,20 +235,20 @@
 }  // namespace
 
 Tier Policy::tier(const JobSpec& job, PriorityClass rank) const {
-    const TierRule* rule = rule_for(tiers, job);
-    const Tier ranked = by_rank(job.kind, rank);
+    const TierRule* rule = most_specific_rule(tiers, job);
+    const Tier ranked = tier_by_rank(job.kind, rank);
     if (!rule) return ranked;
     return rank < job.rank ? std::min(rule->tier, ranked) : rule->tier;
 }
 
 const ZoneRule* Policy::zone_rule(const JobSpec& job) const {
-    return rule_for(zones, job);
+    return most_specific_rule(zones, job);
 }
 
 bool Policy::is_movable(const JobSpec& job) const {
     if (tier(job) == Tier::Live) return false;
     if (job.kind != JobKind::Service && job.checkpoint > 0) return true;
-    const MoveRule* rule = rule_for(moves, job);
+    const MoveRule* rule = most_specific_rule(moves, job);
     return rule && rule->movable;
 }
 
@@ -251,79 +258,83 @@
 
 std::string validation_error(const Policy& policy) {
     try {
-        check(policy);
-    } catch (const Problem& p) {
-        return p.text;
+        check_policy(policy);
+    } catch (const ValidationFailure& failure) {
+        return failure.text;
     }
     return "";
 }
 
-Json to_value(const Policy& p) {
-    Json v{{"rev", p.revision}};
-    for (const auto& r : p.tiers) {
-        Json e = scope_value(r.scope);
-        e["k"] = static_cast<unsigned>(r.tier);
-        v["tiers"].push_back(std::move(e));
+Json to_value(const Policy& policy) {
+    Json value{{"rev", policy.revision}};
+    for (const auto& rule : policy.tiers) {
+        Json entry = scope_to_value(rule.scope);
+        entry["k"] = static_cast<unsigned>(rule.tier);
+        value["tiers"].push_back(std::move(entry));
     }
-    for (const auto& r : p.zones) {
-        Json e = scope_value(r.scope);
-        if (!r.allowed.empty()) e["a"] = r.allowed;
-        if (!r.preferred.empty()) e["p"] = r.preferred;
-        e["n"] = r.min_zones;
-        e["m"] = r.max_zone_share;
-        e["s"] = static_cast<unsigned>(r.survive);
-        if (r.strict) e["strict"] = true;
-        if (r.rebalance) e["bal"] = true;
-        v["zones"].push_back(std::move(e));
+    for (const auto& rule : policy.zones) {
+        Json entry = scope_to_value(rule.scope);
+        if (!rule.allowed.empty()) entry["a"] = rule.allowed;
+        if (!rule.preferred.empty()) entry["p"] = rule.preferred;
+        entry["n"] = rule.min_zones;
+        entry["m"] = rule.max_zone_share;
+        entry["s"] = static_cast<unsigned>(rule.survive);
+        if (rule.strict) entry["strict"] = true;
+        if (rule.rebalance) entry["bal"] = true;
+        value["zones"].push_back(std::move(entry));
     }
-    for (const auto& r : p.moves) {
-        Json e = scope_value(r.scope);
-        e["ok"] = r.movable;
-        v["moves"].push_back(std::move(e));
+    for (const auto& rule : policy.moves) {
+        Json entry = scope_to_value(rule.scope);
+        entry["ok"] = rule.movable;
+        value["moves"].push_back(std::move(entry));
     }
-    v["prio"] = {
-        {"floor", p.priority.floor}, {"begin", p.priority.overdue_after}, {"keep", p.priority.live_reserve}};
-    v["bud"] = {{"min", p.budgets.moves_per_minute},
-                {"place", p.budgets.moves_per_placement},
-                {"pause", p.budgets.service_pause},
-                {"settle", p.budgets.settle_time}};
-    v["cards"] = {{"pack", p.gpus.pack}, {"room", p.gpus.make_room}, {"after", p.gpus.min_wait}};
-    return v;
+    value["prio"] = {{"floor", policy.priority.floor},
+                     {"begin", policy.priority.overdue_after},
+                     {"keep", policy.priority.live_reserve}};
+    value["bud"] = {{"min", policy.budgets.moves_per_minute},
+                    {"place", policy.budgets.moves_per_placement},
+                    {"pause", policy.budgets.service_pause},
+                    {"settle", policy.budgets.settle_time}};
+    value["cards"] = {
+        {"pack", policy.gpus.pack}, {"room", policy.gpus.make_room}, {"after", policy.gpus.min_wait}};
+    return value;
 }
 
 std::optional<Policy> from_value(const Json& value) {
-    Policy p;
-    Reader in(value);
-    in.count("rev", p.revision, UINT64_MAX);
-    in.rules("tiers", p.tiers, [](Reader& r, TierRule& rule) { r.count("k", rule.tier, 255); });
-    in.rules("zones", p.zones, [](Reader& r, ZoneRule& rule) {
-        r.texts("a", rule.allowed);
-        r.texts("p", rule.preferred);
-        r.count("n", rule.min_zones, kMostCount);
-        r.number("m", rule.max_zone_share);
-        r.count("s", rule.survive, 255);
-        r.flag("strict", rule.strict);
-        r.flag("bal", rule.rebalance);
+    Policy policy;
+    FieldReader record(value);
+    record.count("rev", policy.revision, UINT64_MAX);
+    record.rules("tiers", policy.tiers,
+                 [](FieldReader& fields, TierRule& rule) { fields.count("k", rule.tier, 255); });
+    record.rules("zones", policy.zones, [](FieldReader& fields, ZoneRule& rule) {
+        fields.texts("a", rule.allowed);
+        fields.texts("p", rule.preferred);
+        fields.count("n", rule.min_zones, kMaxCount);
+        fields.number("m", rule.max_zone_share);
+        fields.count("s", rule.survive, 255);
+        fields.flag("strict", rule.strict);
+        fields.flag("bal", rule.rebalance);
     });
-    in.rules("moves", p.moves, [](Reader& r, MoveRule& rule) { r.flag("ok", rule.movable); });
-    in.map("prio", [&](Reader& r) {
-        r.number("floor", p.priority.floor);
-        r.count("begin", p.priority.overdue_after, kMostMicros);
-        r.number("keep", p.priority.live_reserve);
+    record.rules("moves", policy.moves,
+                 [](FieldReader& fields, MoveRule& rule) { fields.flag("ok", rule.movable); });
+    record.map("prio", [&](FieldReader& fields) {
+        fields.number("floor", policy.priority.floor);
+        fields.count("begin", policy.priority.overdue_after, kMaxMicros);
+        fields.number("keep", policy.priority.live_reserve);
     });
-    in.map("bud", [&](Reader& r) {
-        r.count("min", p.budgets.moves_per_minute, kMostCount);
-        r.count("place", p.budgets.moves_per_placement, kMostCount);
-        r.count("pause", p.budgets.service_pause, kMostMicros);
-        r.count("settle", p.budgets.settle_time, kMostMicros);
+    record.map("bud", [&](FieldReader& fields) {
+        fields.count("min", policy.budgets.moves_per_minute, kMaxCount);
+        fields.count("place", policy.budgets.moves_per_placement, kMaxCount);
+        fields.count("pause", policy.budgets.service_pause, kMaxMicros);
+        fields.count("settle", policy.budgets.settle_time, kMaxMicros);
     });
-    in.map("cards", [&](Reader& r) {
-        r.flag("pack", p.gpus.pack);
-        r.flag("room", p.gpus.make_room);
-        r.count("after", p.gpus.min_wait, kMostMicros);
+    record.map("cards", [&](FieldReader& fields) {
+        fields.flag("pack", policy.gpus.pack);
+        fields.flag("room", policy.gpus.make_room);
+        fields.count("after", policy.gpus.min_wait, kMaxMicros);
     });
-    if (!in.ok() || p.revision == 0 || !validation_error(p).empty()) return std::nullopt;
-    return p;
+    if (!record.is_valid() || policy.revision == 0 || !validation_error(policy).empty()) return std::nullopt;
+    return policy;
 }
 
 }  // namespace cottonway::policy
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -92,7 +92,7 @@
 TEST(PolicyFile, EveryMistakeIsOneLineWithKeyAndReason) {
     const std::string rev = "revision = 1\n";
     EXPECT_EQ(error_of(rev), "");
-    EXPECT_EQ(error_of("[cards]\npack = true\n"), "revision: is missing; raise it with every change");
+    EXPECT_EQ(error_of("[cards]\npack = true\n"), "revision: is missing; increase it with every change");
     EXPECT_EQ(error_of("revision = 0\n"), "revision: must lie between 1 and 2000000000");
     EXPECT_EQ(error_of("revision = 1.5\n"), "revision: must be a whole number");
     EXPECT_EQ(error_of(rev + "extra = 1\n"), "extra: unknown key");
@@ -104,20 +104,21 @@
     EXPECT_EQ(error_of(rev + "tiers = 3\n"), "tiers: must hold tables");
     EXPECT_EQ(error_of(rev + "[[tiers]]\nteam = \"red\"\n"), "tiers[0].tier: is missing");
     EXPECT_EQ(error_of(rev + "[[tiers]]\nteam = \"green\"\ntier = \"live\"\n"),
-              "tiers[0].team: there is no team green");
+              "tiers[0].team: unknown team green");
     EXPECT_EQ(error_of(rev + "[[tiers]]\ntier = \"top\"\n"),
               "tiers[0].tier: must be one of batch, leftover, live, urgent, not top");
     EXPECT_EQ(error_of(rev + "[[tiers]]\ntier = \"live\"\n[[tiers]]\ntier = \"batch\"\n"),
-              "tiers[1]: a rule before it is about the same jobs");
+              "tiers[1]: has the same scope as an earlier rule");
     EXPECT_EQ(error_of(rev + "[[moves]]\nclass = \"x\"\n"), "moves[0].movable: is missing");
-    EXPECT_EQ(error_of(rev + "[[zones]]\nallowed = [\"c\"]\n"), "zones[0].allowed: there is no zone c");
+    EXPECT_EQ(error_of(rev + "[[zones]]\nallowed = [\"c\"]\n"), "zones[0].allowed: unknown zone c");
     EXPECT_EQ(error_of(rev + "[[zones]]\nallowed = [\"a\"]\npreferred = [\"b\"]\n"),
-              "zones[0].preferred: b is not among the zones allowed");
+              "zones[0].preferred: b is not one of the allowed zones");
     EXPECT_EQ(error_of(rev + "[[zones]]\nleast_zones = 3\n"),
-              "zones[0].least_zones: 3 are asked for, there are 2");
-    EXPECT_EQ(error_of(rev + "[[zones]]\nmost_share = 0\n"), "zones[0].most_share: must be over 0, up to 1");
+              "zones[0].least_zones: requires 3 zones, but there are only 2");
+    EXPECT_EQ(error_of(rev + "[[zones]]\nmost_share = 0\n"),
+              "zones[0].most_share: must be greater than 0 and at most 1");
     EXPECT_EQ(error_of(rev + "[[zones]]\nallowed = [\"a\"]\nsurvive = \"zone\"\n"),
-              "zones[0].survive: only one zone is allowed, so its loss takes all");
+              "zones[0].survive: cannot be zone, as only one zone is allowed");
 }
 
 TEST(PolicyFile, TheExampleLoadsForTheTeamsAndZonesOfAnySite) {
