--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -45,12 +45,12 @@
 /// Returns, by zone, how many machines of the shard the job is allowed on, how many of these are usable, and
 /// how many have room for a task of it now.
 Json ShardOwner::room_by_zone(const Job& job) const {
-    const auto tasks_per_zone = job.zones();
+    const auto tasks_by_zone = job.zones();
     Json zones = Json::object();
     auto zone_entry = [&](const std::string& name) -> Json& {
         if (!zones.contains(name)) {
-            auto tasks = tasks_per_zone.find(name);
-            zones[name] = {{"tasks", tasks == tasks_per_zone.end() ? 0 : tasks->second},
+            auto tasks = tasks_by_zone.find(name);
+            zones[name] = {{"tasks", tasks == tasks_by_zone.end() ? 0 : tasks->second},
                            {"machines", 0},
                            {"usable", 0},
                            {"with_room", 0}};
@@ -66,7 +66,7 @@
         increment(entry["usable"]);
         if (job.spec.request.fits(machine->type->size - machine->reserved)) increment(entry["with_room"]);
     }
-    for (const auto& [name, tasks] : tasks_per_zone) zone_entry(name);
+    for (const auto& [name, tasks] : tasks_by_zone) zone_entry(name);
     return zones;
 }
 
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -115,15 +115,15 @@
     if (first->spec.zone) request.zone = *first->spec.zone;
     // Where the zones that have tasks of the job may take no more, the job needs machines in another zone.
     if (first->spec.spread && request.zone.empty()) {
-        auto tasks_per_zone = first->zones();
+        auto tasks_by_zone = first->zones();
         const bool is_zone_full =
-            std::any_of(tasks_per_zone.begin(), tasks_per_zone.end(),
+            std::any_of(tasks_by_zone.begin(), tasks_by_zone.end(),
                         [&](const auto& zone) { return zone.second >= first->zone_cap(); });
         if (is_zone_full)
             request.zone =
                 *std::min_element(context_.settings().zones.begin(), context_.settings().zones.end(),
                                   [&](const std::string& a, const std::string& b) {
-                                      return tasks_per_zone[a] < tasks_per_zone[b];
+                                      return tasks_by_zone[a] < tasks_by_zone[b];
                                   });
     }
     if (first->spec.types && first->spec.types->size() == 1) request.type = first->spec.types->front();
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -32,9 +32,9 @@
 }  // namespace
 
 /// Answers the plan's questions about tasks, jobs and machines from the shard's state.
-class Rebalancer::ShardStateView : public scheduling::Plan::Knows {
+class Rebalancer::ShardStateQuery : public scheduling::Plan::Knows {
   public:
-    explicit ShardStateView(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
+    explicit ShardStateQuery(const Rebalancer& rebalancer) : rebalancer_(rebalancer) {}
     scheduling::TaskState task(const std::string& ref, int task) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job || task < 0 || static_cast<std::size_t>(task) >= job->slots.size()) return {};
@@ -228,18 +228,18 @@
                                   slot.run_since > 0 ? now - slot.run_since : 0});
         }
     }
-    auto reserve = [&](const std::string& ref, const std::string& machine, int tasks, bool is_gather) {
+    auto reserve = [&](const std::string& ref, const std::string& machine, int tasks, bool is_reservation) {
         const Job* job = shard_state_.job(ref);
         auto index = machine_index.find(machine);
         if (!job || index == machine_index.end()) return;
         for (int i = 0; i < tasks; ++i) view.machines[index->second].kept += job->spec.request;
-        if (is_gather) view.jobs[job_index.at(job)].gathered += tasks;
+        if (is_reservation) view.jobs[job_index.at(job)].gathered += tasks;
     };
-    const ShardStateView shard_state_view(*this);
+    const ShardStateQuery shard_state_query(*this);
     for (const auto& planned : plan_.gathers())
         reserve(planned.gather.job, planned.gather.machine,
                 planned.gather.tasks -
-                    std::max(0, shard_state_view.tasks_on(planned.gather.job, planned.gather.machine) -
+                    std::max(0, shard_state_query.tasks_on(planned.gather.job, planned.gather.machine) -
                                     planned.there),
                 true);
     for (const auto& planned : plan_.moves()) reserve(planned.move.job, planned.move.to, 1, false);
@@ -252,15 +252,16 @@
     if (write_in_flight_ || is_outcome_unknown_ || context_.steady_for() < policy.budgets.settle_time) return;
     const scheduling::View snapshot = view();
     std::vector<Move> moves = scheduling::rebalance(snapshot, policy, context_.settings().zones);
-    std::vector<Gather> gathers;
+    std::vector<Gather> reservations;
     for (auto& room_plan : scheduling::make_rooms(snapshot, policy)) {
-        gathers.push_back(room_plan.gather);
+        reservations.push_back(room_plan.gather);
         moves.insert(moves.end(), room_plan.moves.begin(), room_plan.moves.end());
     }
-    for (auto& gather : scheduling::gather(snapshot, policy)) gathers.push_back(std::move(gather));
-    if (moves.empty() && gathers.empty()) return;
+    for (auto& reservation : scheduling::gather(snapshot, policy))
+        reservations.push_back(std::move(reservation));
+    if (moves.empty() && reservations.empty()) return;
     const std::size_t added =
-        plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, ShardStateView(*this));
+        plan_.add(moves, reservations, context_.runtime().wall_ms(), policy.budgets, ShardStateQuery(*this));
     if (added > 0)
         spdlog::info("domain {}: {} moves and reservations planned, {} in all", shard_, added,
                      plan_.moves().size() + plan_.gathers().size());
@@ -268,7 +269,7 @@
 
 void Rebalancer::execute_plan() {
     const scheduling::Plan::Doing actions =
-        plan_.step(ShardStateView(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
+        plan_.step(ShardStateQuery(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
     if (!is_outcome_unknown_ && context_.steady_for() > 0) stop_moving_tasks(actions.stop);
     const bool is_obsolete_record = plan_.empty() && record_revision_ != 0;
     if ((!actions.store && !is_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
@@ -335,12 +336,12 @@
     auto it = plan_.kept().find(machine.name);
     if (it == plan_.kept().end()) return reserved;
     const policy::Policy& policy = context_.policy();
-    for (const Gather& gather : it->second) {
-        const Job* other = shard_state_.job(gather.job);
+    for (const Gather& reservation : it->second) {
+        const Job* other = shard_state_.job(reservation.job);
         if (!other || other == &job ||
             policy.tier(job.spec, job.rank) < policy.tier(other->spec, other->rank))
             continue;
-        for (int i = 0; i < gather.tasks; ++i) reserved += other->spec.request;
+        for (int i = 0; i < reservation.tasks; ++i) reserved += other->spec.request;
     }
     return reserved;
 }
@@ -348,7 +349,7 @@
 bool Rebalancer::has_reservation(const Job& job) const {
     return std::any_of(plan_.kept().begin(), plan_.kept().end(), [&](const auto& entry) {
         return std::any_of(entry.second.begin(), entry.second.end(),
-                           [&](const Gather& gather) { return gather.job == job.spec.ref; });
+                           [&](const Gather& reservation) { return reservation.job == job.spec.ref; });
     });
 }
 
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -43,7 +43,7 @@
     scheduling::View view() const;
 
   private:
-    class ShardStateView;
+    class ShardStateQuery;
     bool is_enabled_by_policy() const;
     bool has_heard_all_machines() const;
     void update_zone_stability();
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -249,15 +249,15 @@
 }
 
 void Scheduler::update_gpu_demand() {
-    gpu_shapes_.reset();
+    gpu_demand_.reset();
     if (!context_.policy().gpus.pack) return;
     if (std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(), [](const auto& entry) {
             return entry.second->type && entry.second->type->size.gpus > 0;
         }))
         return;
-    gpu_shapes_.emplace();
+    gpu_demand_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->open) gpu_shapes_->add(job->spec.request.gpus, job->idle, job->bound);
+        if (job->open) gpu_demand_->add(job->spec.request.gpus, job->idle, job->bound);
 }
 
 /// Returns whether the job takes machines that are being drained once it finds no other: urgent work at once,
@@ -294,9 +294,9 @@
         if (job.rank <= PriorityClass::High)
             candidate.penalty +=
                 kFetchPenaltyPerSecond * static_cast<double>(image_fetch_time(job, *machine)) / 1e6;
-        if (gpu_shapes_)
+        if (gpu_demand_)
             candidate.penalty +=
-                scheduling::gpu_penalty(candidate.size, candidate.reserved, job.spec.request, *gpu_shapes_);
+                scheduling::gpu_penalty(candidate.size, candidate.reserved, job.spec.request, *gpu_demand_);
         candidate.own_penalty = candidate.penalty;
         candidates.push_back(candidate);
         machines.push_back(machine);
@@ -318,7 +318,7 @@
         image_order = {ImageRequirement::Ready, ImageRequirement::Fetching, ImageRequirement::Any};
     if (image_ready_only) image_order = {ImageRequirement::Ready};
     // Work without GPUs takes machines without GPUs first; urgent work only where its image is ready as soon.
-    const bool prefers_no_gpus = gpu_shapes_ && job.spec.request.gpus <= 0;
+    const bool prefers_no_gpus = gpu_demand_ && job.spec.request.gpus <= 0;
     std::vector<std::pair<ImageRequirement, bool>> steps;
     if (prefers_no_gpus && job.rank > PriorityClass::High)
         for (const ImageRequirement image : image_order) steps.emplace_back(image, true);
@@ -358,8 +358,8 @@
 void Scheduler::add_task(Candidate& candidate, const Job& job) const {
     const Resources& request = job.spec.request;
     auto gpu_penalty = [&] {
-        return gpu_shapes_
-                   ? scheduling::gpu_penalty(candidate.size, candidate.reserved, request, *gpu_shapes_)
+        return gpu_demand_
+                   ? scheduling::gpu_penalty(candidate.size, candidate.reserved, request, *gpu_demand_)
                    : 0.0;
     };
     const double before = gpu_penalty();
@@ -370,38 +370,38 @@
     ++candidate.tasks;
 }
 
-scheduling::Queued Scheduler::queue_entry(const Job& job, std::size_t index) const {
+scheduling::Queued Scheduler::queued_job(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
     const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
     const JobSpec& spec = job.spec;
-    scheduling::Queued entry;
-    entry.index = index;
-    entry.team = spec.team;
-    entry.tier = tier(job);
-    entry.rank = job.rank;
-    entry.within_guarantee = job.within_guarantee;
-    entry.late = can_be_deferred(job);
-    entry.due_ms = job.due_ms;
+    scheduling::Queued queued;
+    queued.index = index;
+    queued.team = spec.team;
+    queued.tier = tier(job);
+    queued.rank = job.rank;
+    queued.within_guarantee = job.within_guarantee;
+    queued.late = can_be_deferred(job);
+    queued.due_ms = job.due_ms;
     // The job with the least work left goes first, so that one wide array does not delay many small jobs.
     // Waiting makes up for size, so that no job starves.
     const auto work_left = static_cast<double>(job.idle + job.bound) *
                            static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
                            static_cast<double>(std::max<Micros>(spec.estimate, kSecond)) / 1e6;
-    entry.weight = work_left / static_cast<double>(age_ms + 10'000);
-    entry.age = age_ms * kMillisecond;
+    queued.weight = work_left / static_cast<double>(age_ms + 10'000);
+    queued.age = age_ms * kMillisecond;
     // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
     // is overdue.
-    entry.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
-    entry.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoomPeriod;
+    queued.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
+    queued.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoomPeriod;
     auto resources_of = [&spec](int tasks) {
         return Resources{spec.request.cores * tasks, spec.request.gpus * tasks, 0};
     };
-    entry.waits = resources_of(job.idle);
-    entry.task = resources_of(spec.kind == JobKind::Gang ? job.idle : 1);
-    return entry;
+    queued.waits = resources_of(job.idle);
+    queued.task = resources_of(spec.kind == JobKind::Gang ? job.idle : 1);
+    return queued;
 }
 
-std::map<std::string, scheduling::TeamUse> Scheduler::team_usage() const {
+std::map<std::string, scheduling::TeamUse> Scheduler::usage_by_team() const {
     std::map<std::string, scheduling::TeamUse> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->bound == 0) continue;
@@ -448,7 +448,7 @@
     const std::vector<Job*> waiting = eligible_jobs(is_best_effort_turn);
     std::vector<scheduling::Queued> queue;
     queue.reserve(waiting.size());
-    for (const Job* job : waiting) queue.push_back(queue_entry(*job, queue.size()));
+    for (const Job* job : waiting) queue.push_back(queued_job(*job, queue.size()));
     unschedulable_.clear();
     const auto& configured_zones = context_.settings().zones;
     std::set<std::string> zones(configured_zones.begin(), configured_zones.end());
@@ -467,11 +467,11 @@
     preemptions_left_ = kMaxPreemptionsPerPass;
     const bool may_preempt = now - last_preemption_pass_at_ >= kPreemptionInterval;
     if (may_preempt) last_preemption_pass_at_ = now;
-    for (const auto& turn : scheduling::turns(queue, team_usage(), context_.policy().priority)) {
-        Job& job = *waiting[turn.index];
+    for (const auto& entry : scheduling::turns(queue, usage_by_team(), context_.policy().priority)) {
+        Job& job = *waiting[entry.index];
         if (job.idle == 0) continue;  // an earlier turn, for being overdue, has placed all of its tasks
-        job.most = {turn.most_cores, turn.most_gpus, 0};
-        job.overdue = turn.overdue;
+        job.most = {entry.most_cores, entry.most_gpus, 0};
+        job.overdue = entry.overdue;
         const bool placed = place_job(job);
         if (!placed && !job.overdue && may_preempt && !job.backing_off &&
             (now - job.waiting_since > kPreemptionDelay || job.rank == PriorityClass::Production))
@@ -537,29 +537,29 @@
     ZoneConstraints constraints;
     constraints.rule = context_.policy().zone_rule(job.spec);
     if (!constraints.rule) return constraints;
-    std::set<std::string> available;
+    std::set<std::string> usable_zones;
     for (const Machine* machine : usable_machines_)
-        if (is_allowed(job, *machine)) available.insert(machine->zone);
-    constraints.available.assign(available.begin(), available.end());
+        if (is_allowed(job, *machine)) usable_zones.insert(machine->zone);
+    constraints.usable_zones.assign(usable_zones.begin(), usable_zones.end());
     return constraints;
 }
 
 scheduling::ZoneChoice Scheduler::choose_zones(const Job& job, const ZoneConstraints& constraints,
-                                               const std::map<std::string, int>& tasks_per_zone,
-                                               const std::vector<std::string>* candidate_zones) const {
-    return scheduling::choose_zones(job.spec, constraints.rule, tasks_per_zone, constraints.available,
-                                    all_zones_, candidate_zones);
+                                               const std::map<std::string, int>& tasks_by_zone,
+                                               const std::vector<std::string>* zones_with_room) const {
+    return scheduling::choose_zones(job.spec, constraints.rule, tasks_by_zone, constraints.usable_zones,
+                                    all_zones_, zones_with_room);
 }
 
 /// Returns the candidates in zones that may take another task of the job; with `limit_per_machine`, only
 /// those on machines that may take another one, too.
 std::vector<const Candidate*> Scheduler::eligible_candidates(
-    const scheduling::ZoneChoice& choice, const Job& job, const std::map<std::string, int>& tasks_per_zone,
+    const scheduling::ZoneChoice& choice, const Job& job, const std::map<std::string, int>& tasks_by_zone,
     std::vector<Candidate>& candidates, const std::vector<Machine*>& machines, bool limit_per_machine) const {
     std::map<std::string, double> zone_penalties;  // of the zones that may take another task
     for (const auto& [zone, max_tasks] : choice.most) {
-        auto tasks = tasks_per_zone.find(zone);
-        if ((tasks == tasks_per_zone.end() ? 0 : tasks->second) < max_tasks)
+        auto tasks = tasks_by_zone.find(zone);
+        if ((tasks == tasks_by_zone.end() ? 0 : tasks->second) < max_tasks)
             zone_penalties[zone] = choice.penalty_in(zone);
     }
     std::vector<const Candidate*> eligible;
@@ -583,10 +583,10 @@
 
 /// Returns the zones with a machine that a task of the job fits on and that holds fewer than
 /// `max_tasks_per_machine` tasks of the job.
-std::vector<std::string> Scheduler::zones_with_capacity(const Job& job,
-                                                        const std::vector<Candidate>& candidates,
-                                                        const std::vector<Machine*>& machines,
-                                                        int max_tasks_per_machine) {
+std::vector<std::string> Scheduler::find_zones_with_room(const Job& job,
+                                                         const std::vector<Candidate>& candidates,
+                                                         const std::vector<Machine*>& machines,
+                                                         int max_tasks_per_machine) {
     std::set<std::string> zones;
     for (const auto& candidate : candidates) {
         const Machine& machine = *machines[candidate.index];
@@ -613,15 +613,15 @@
 /// one with enough free resources. With `may_relax_rule`, places it otherwise in any zone that has enough, as
 /// far as the rule permits.
 std::ptrdiff_t Scheduler::place_by_zone(const Job& job, const ZoneConstraints& constraints,
-                                        const std::map<std::string, int>& tasks_per_zone,
+                                        const std::map<std::string, int>& tasks_by_zone,
                                         std::vector<Candidate>& candidates,
                                         const std::vector<Machine*>& machines, bool image_ready_only,
                                         bool may_relax_rule, const Machine* preferred) {
-    const auto wanted = choose_zones(job, constraints, tasks_per_zone);
+    const auto wanted = choose_zones(job, constraints, tasks_by_zone);
     const bool has_machine_limit = wanted.machine_most < std::numeric_limits<int>::max();
     auto place_in = [&](const scheduling::ZoneChoice& choice, bool limit_per_machine) {
         const auto eligible =
-            eligible_candidates(choice, job, tasks_per_zone, candidates, machines, limit_per_machine);
+            eligible_candidates(choice, job, tasks_by_zone, candidates, machines, limit_per_machine);
         const auto on_preferred = index_of_preferred(preferred, job, eligible, machines);
         return on_preferred >= 0
                    ? on_preferred
@@ -631,10 +631,10 @@
     if (chosen >= 0 || !may_relax_rule) return chosen;
     for (const bool limit_per_machine : {true, false}) {
         if (!limit_per_machine && (wanted.strict || !has_machine_limit)) break;
-        const auto candidate_zones =
-            zones_with_capacity(job, candidates, machines,
-                                limit_per_machine ? wanted.machine_most : std::numeric_limits<int>::max());
-        const auto relaxed = choose_zones(job, constraints, tasks_per_zone, &candidate_zones);
+        const auto zones_with_room =
+            find_zones_with_room(job, candidates, machines,
+                                 limit_per_machine ? wanted.machine_most : std::numeric_limits<int>::max());
+        const auto relaxed = choose_zones(job, constraints, tasks_by_zone, &zones_with_room);
         const auto found = place_in(relaxed, limit_per_machine && has_machine_limit);
         if (found >= 0) return found;
     }
@@ -666,7 +666,7 @@
                 place_gang(job, candidates, machines));
     if (job.is_best_effort() && !job.overdue) job.idle_turn = now + best_effort_interval(job);
 
-    std::map<std::string, int> tasks_per_zone = job.zones();
+    std::map<std::string, int> tasks_by_zone = job.zones();
     const ZoneConstraints constraints = zone_constraints(job);
     const int zone_cap = job.zone_cap();
     const bool depends_on_zone =
@@ -715,7 +715,7 @@
         std::ptrdiff_t chosen = -1;
         for (;;) {
             if (constraints.rule) {
-                chosen = place_by_zone(job, constraints, tasks_per_zone, candidates, machines,
+                chosen = place_by_zone(job, constraints, tasks_by_zone, candidates, machines,
                                        image_ready_only, tried_relayed, preferred);
             } else {
                 // For a job that does not depend on zones, only a bind changes the choice, which the code
@@ -723,10 +723,10 @@
                 if (depends_on_zone || groups.empty()) {
                     eligible.clear();
                     for (auto& candidate : candidates) {
-                        auto tasks = tasks_per_zone.find(machines[candidate.index]->zone);
-                        const int tasks_in_zone = tasks == tasks_per_zone.end() ? 0 : tasks->second;
+                        auto tasks = tasks_by_zone.find(machines[candidate.index]->zone);
+                        const int tasks_in_zone = tasks == tasks_by_zone.end() ? 0 : tasks->second;
                         if (tasks_in_zone >= zone_cap) continue;
-                        if (job.spec.one_zone && !tasks_per_zone.empty() && tasks_in_zone == 0) continue;
+                        if (job.spec.one_zone && !tasks_by_zone.empty() && tasks_in_zone == 0) continue;
                         if (!leaves_reserve(job, machines[candidate.index]->zone)) continue;
                         // The replicas of a service are spread over zones even if the job does not ask for
                         // it.
@@ -758,7 +758,7 @@
         Machine& machine = *machines[static_cast<std::size_t>(chosen)];
         bind(job, static_cast<int>(i), machine, attempt);
         job.next_attempt = attempt + 1;
-        ++tasks_per_zone[machine.zone];
+        ++tasks_by_zone[machine.zone];
         auto& candidate = candidates[static_cast<std::size_t>(chosen)];
         add_task(candidate, job);
         if (!std::exchange(candidate.has_image, true))
@@ -797,21 +797,21 @@
     const ZoneConstraints constraints = zone_constraints(job);
     for (const auto& zone : zones) {
         std::vector<Candidate> trial = candidates;
-        std::map<std::string, int> tasks_per_zone;
+        std::map<std::string, int> tasks_by_zone;
         std::vector<std::pair<int, Machine*>> chosen;
         for (std::size_t i = 0; i < job.slots.size(); ++i) {
             if (job.slots[i].state != SlotState::Idle) continue;
-            std::vector<std::string> candidate_zones;
+            std::vector<std::string> zones_with_room;
             if (constraints.rule)
-                candidate_zones = zones_with_capacity(job, trial, machines, std::numeric_limits<int>::max());
+                zones_with_room = find_zones_with_room(job, trial, machines, std::numeric_limits<int>::max());
             const auto choice =
-                choose_zones(job, constraints, tasks_per_zone, constraints.rule ? &candidate_zones : nullptr);
+                choose_zones(job, constraints, tasks_by_zone, constraints.rule ? &zones_with_room : nullptr);
             std::vector<Candidate> eligible;
             for (const auto& candidate : trial) {
                 const std::string& candidate_zone = machines[candidate.index]->zone;
                 if ((zone.empty() || candidate_zone == zone) &&
-                    tasks_per_zone[candidate_zone] < choice.most_in(candidate_zone) &&
-                    leaves_reserve(job, candidate_zone, tasks_per_zone[candidate_zone]))
+                    tasks_by_zone[candidate_zone] < choice.most_in(candidate_zone) &&
+                    leaves_reserve(job, candidate_zone, tasks_by_zone[candidate_zone]))
                     eligible.push_back(candidate);
             }
             const auto index = place(eligible, job.spec.request, context_.settings().ops.placement,
@@ -820,7 +820,7 @@
             auto& candidate = trial[static_cast<std::size_t>(index)];
             add_task(candidate, job);
             Machine* machine = machines[static_cast<std::size_t>(index)];
-            ++tasks_per_zone[machine->zone];
+            ++tasks_by_zone[machine->zone];
             chosen.emplace_back(static_cast<int>(i), machine);
         }
         if (static_cast<int>(chosen.size()) < job.idle) continue;
@@ -866,11 +866,11 @@
         job.image_wait_over = true;
         return;
     }
-    std::map<std::string, int> tasks_per_zone = job.zones();
+    std::map<std::string, int> tasks_by_zone = job.zones();
     const ZoneConstraints constraints = zone_constraints(job);
     // Zones in which resources may be freed. A zone where nothing can be freed is dropped, and the zone rule
     // is relaxed accordingly.
-    std::vector<std::string> zones = constraints.available;
+    std::vector<std::string> zones = constraints.usable_zones;
     std::vector<Machine*> machines = usable_machines_;
     if (may_use_draining_machines(job))
         machines.insert(machines.end(), draining_machines_.begin(), draining_machines_.end());
@@ -880,13 +880,13 @@
         std::vector<Victim> victims;
         double least_loss = 0;
         const auto choice =
-            choose_zones(job, constraints, tasks_per_zone, constraints.rule ? &zones : nullptr);
+            choose_zones(job, constraints, tasks_by_zone, constraints.rule ? &zones : nullptr);
         for (Machine* candidate : machines) {
             Machine& machine = *candidate;
             if (!is_allowed(job, machine)) continue;
             if (image_ready_only && image_fetch_time(job, machine) > 0) continue;
-            auto tasks = tasks_per_zone.find(machine.zone);
-            const int tasks_in_zone = tasks == tasks_per_zone.end() ? 0 : tasks->second;
+            auto tasks = tasks_by_zone.find(machine.zone);
+            const int tasks_in_zone = tasks == tasks_by_zone.end() ? 0 : tasks->second;
             if (tasks_in_zone >= choice.most_in(machine.zone)) continue;
             if (choice.strict && tasks_on(machine, job) >= choice.machine_most) continue;
             std::vector<Victim> chosen;
@@ -901,8 +901,8 @@
         }
         if (!best) {
             const auto dropped_zones = std::erase_if(zones, [&](const std::string& zone) {
-                auto tasks = tasks_per_zone.find(zone);
-                return (tasks == tasks_per_zone.end() ? 0 : tasks->second) < choice.most_in(zone);
+                auto tasks = tasks_by_zone.find(zone);
+                return (tasks == tasks_by_zone.end() ? 0 : tasks->second) < choice.most_in(zone);
             });
             if (dropped_zones > 0) {
                 --waiting;
@@ -916,7 +916,7 @@
             return;
         }
         claimed_[best] += job.spec.request;
-        ++tasks_per_zone[best->zone];
+        ++tasks_by_zone[best->zone];
         if (!victims.empty()) {
             --preemptions_left_;
             futile_preemptions_.clear();  // the tasks that stop free resources for other jobs as well
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -67,8 +67,8 @@
     bool place_gang(Job& job, const std::vector<Candidate>& candidates,
                     const std::vector<Machine*>& machines);
     void bind(Job& job, int task, Machine& machine, std::int64_t attempt);
-    scheduling::Queued queue_entry(const Job& job, std::size_t index) const;
-    std::map<std::string, scheduling::TeamUse> team_usage() const;
+    scheduling::Queued queued_job(const Job& job, std::size_t index) const;
+    std::map<std::string, scheduling::TeamUse> usage_by_team() const;
     Resources usage_with(const Job& job, int tasks) const;
     void record_quota_shortfall(const Job& job, int tasks);
     void preempt_within_team_limit(const Job& job);
@@ -120,24 +120,24 @@
     /// A job's zone rule, nullptr if it has none, and with a rule the zones that the job could be placed in.
     struct ZoneConstraints {
         const policy::ZoneRule* rule = nullptr;
-        std::vector<std::string> available;
+        std::vector<std::string> usable_zones;
     };
     ZoneConstraints zone_constraints(const Job& job) const;
     scheduling::ZoneChoice choose_zones(const Job& job, const ZoneConstraints& constraints,
-                                        const std::map<std::string, int>& tasks_per_zone,
-                                        const std::vector<std::string>* candidate_zones = nullptr) const;
+                                        const std::map<std::string, int>& tasks_by_zone,
+                                        const std::vector<std::string>* zones_with_room = nullptr) const;
     std::vector<const Candidate*> eligible_candidates(const scheduling::ZoneChoice& choice, const Job& job,
-                                                      const std::map<std::string, int>& tasks_per_zone,
+                                                      const std::map<std::string, int>& tasks_by_zone,
                                                       std::vector<Candidate>& candidates,
                                                       const std::vector<Machine*>& machines,
                                                       bool limit_per_machine) const;
     static int tasks_on(const Machine& machine, const Job& job);
-    static std::vector<std::string> zones_with_capacity(const Job& job,
-                                                        const std::vector<Candidate>& candidates,
-                                                        const std::vector<Machine*>& machines,
-                                                        int max_tasks_per_machine);
+    static std::vector<std::string> find_zones_with_room(const Job& job,
+                                                         const std::vector<Candidate>& candidates,
+                                                         const std::vector<Machine*>& machines,
+                                                         int max_tasks_per_machine);
     std::ptrdiff_t place_by_zone(const Job& job, const ZoneConstraints& constraints,
-                                 const std::map<std::string, int>& tasks_per_zone,
+                                 const std::map<std::string, int>& tasks_by_zone,
                                  std::vector<Candidate>& candidates, const std::vector<Machine*>& machines,
                                  bool image_ready_only, bool may_relax_rule, const Machine* preferred);
     /// Returns the index of the candidate that is the preferred machine if a task of the job fits there, else
@@ -181,7 +181,7 @@
     std::ptrdiff_t spot_machine_count_ = 0;
     /// The GPU counts that tasks ask for, in the current pass; nothing unless the policy packs GPUs and some
     /// machine has any.
-    std::optional<scheduling::Shapes> gpu_shapes_;
+    std::optional<scheduling::Shapes> gpu_demand_;
     bool has_bound_low_priority_ = false;          // a task of low rank is bound
     std::map<const Machine*, Resources> claimed_;  // by waiting tasks, in the current pass
     struct ZoneCores {
