--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -231,7 +231,7 @@
 
 /// Returns whether the job misses its first objective in any case and is in no danger yet of missing a later
 /// one. Jobs of its rank that can still meet theirs go first.
-bool Scheduler::can_be_deferred(const Job& job) const {
+bool Scheduler::can_wait(const Job& job) const {
     const auto& finish_objectives = objectives(job).finished;
     if (finish_objectives.empty()) return false;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
@@ -380,7 +380,7 @@
     queued.tier = tier(job);
     queued.rank = job.rank;
     queued.within_guarantee = job.within_guarantee;
-    queued.late = can_be_deferred(job);
+    queued.late = can_wait(job);
     queued.due_ms = job.due_ms;
     // The job with the least work left goes first, so that one wide array does not delay many small jobs.
     // Waiting makes up for size, so that no job starves.
@@ -469,7 +469,7 @@
     if (may_preempt) last_preemption_pass_at_ = now;
     for (const auto& entry : scheduling::turns(queue, usage_by_team(), context_.policy().priority)) {
         Job& job = *waiting[entry.index];
-        if (job.idle == 0) continue;  // an earlier turn, for being overdue, has placed all of its tasks
+        if (job.idle == 0) continue;  // an earlier entry, for being overdue, has placed all of its tasks
         job.most = {entry.most_cores, entry.most_gpus, 0};
         job.overdue = entry.overdue;
         const bool placed = place_job(job);
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -78,7 +78,7 @@
     static Micros best_effort_interval(const Job& job);
     bool stop_misses_objective(const Job& job, Micros ran) const;
     static Micros image_fetch_time(const Job& job, const Machine& machine);
-    bool can_be_deferred(const Job& job) const;
+    bool can_wait(const Job& job) const;
 
     void preempt(Job& job);
     struct Victim {
