--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,6 +1,7 @@
-// Every team is at its limit when jobs are called off, their machines can't be asked, and the leader changes.
-// The world counts as the operators do: what may still run counts, also on a machine that hangs or is cut
-// off. What is freed is used again. Every sixth of all combinations is played, and with WORLD_ALL=1 each.
+// Jobs are cancelled while every team is at its limit, the jobs' machines are unreachable, and a controller
+// fails. No team may exceed its limit, and the resources that a cancellation frees have to be used again. The
+// simulator counts every task that may still run, also on a machine that hangs or is cut off. Every sixth of
+// all combinations is run; with WORLD_ALL=1, all of them.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -12,189 +13,210 @@
 using namespace simulation;
 namespace {
 
-constexpr Micros kUsedAgain = 90 * kSecond;
+constexpr Micros kMaxReuseDelay = 90 * kSecond;
 
-Settings site(bool several) {
-    Settings s = small_site();
-    if (several) s.cpu_share = 0.001;
-    s.ops.idle_return = 600 * kSecond;
-    return s;
+Settings site_settings(bool has_several_shards) {
+    Settings settings = small_site();
+    if (has_several_shards) settings.cpu_share = 0.001;
+    settings.ops.idle_return = 600 * kSecond;
+    return settings;
 }
 
-/// Cores that jobs which go on have on machines.
-Milli in_use(const Simulator& w, const std::map<std::string, JobSpec>& jobs, const std::string& team) {
-    Milli sum = 0;
-    for (const auto& [ref, s] : jobs)
-        if (s.team == team && w.told(ref) != "cancelled") sum += w.running(ref) * s.request.cores;
-    return sum;
+/// Returns the cores that the team's jobs use that are not cancelled.
+Milli cores_in_use(const Simulator& simulator, const std::map<std::string, JobSpec>& jobs,
+                   const std::string& team) {
+    Milli cores = 0;
+    for (const auto& [ref, spec] : jobs)
+        if (spec.team == team && simulator.told(ref) != "cancelled")
+            cores += simulator.running(ref) * spec.request.cores;
+    return cores;
 }
 
-/// Both teams have twice the work that their limits allow: arrays, gangs and services of tasks of one core.
-std::map<std::string, JobSpec> fill(Simulator& w) {
+/// Submits twice the work that the limits of both teams allow: arrays, gangs and services with tasks of one
+/// core.
+std::map<std::string, JobSpec> submit_twice_the_limits(Simulator& simulator) {
     std::map<std::string, JobSpec> jobs;
     int number = 1;
     for (const char* team : {"red", "blue"})
         for (int i = 0; i < 10; ++i) {
-            const bool red = team == std::string("red");
+            const bool is_red = team == std::string("red");
             const JobKind kind = i % 5 == 3 ? JobKind::Gang : i % 5 == 4 ? JobKind::Service : JobKind::Array;
-            JobSpec s = w.job(number++, kind, kind != JobKind::Array ? 2 : red ? 7 : 4);
-            s.team = team;
-            if (i % 2) s.checkpoint = 5 * kSecond, s.save = kSecond;
-            w.submit(s, 400 * kSecond);
-            jobs[s.ref] = s;
+            JobSpec spec = simulator.job(number++, kind, kind != JobKind::Array ? 2 : is_red ? 7 : 4);
+            spec.team = team;
+            if (i % 2) spec.checkpoint = 5 * kSecond, spec.save = kSecond;
+            simulator.submit(spec, 400 * kSecond);
+            jobs[spec.ref] = spec;
         }
     return jobs;
 }
 
-struct Unasked {  // why machines can't be asked, and for how long
-    const char* what;
-    Micros span;
+/// A fault that makes machines unreachable, and how long it lasts.
+struct MachineFault {
+    const char* kind;
+    Micros duration;
 };
-const Unasked kUnasked[] = {{"cut", 6 * kSecond},   {"cut", 25 * kSecond},  {"hang", 6 * kSecond},
-                            {"hang", 25 * kSecond}, {"deaf", 25 * kSecond}, {"mute", 25 * kSecond}};
-const char* const kChanges[] = {"none", "ends", "ends for long", "cut off", "refused", "stands still"};
-
-void unask(Simulator& w, const Unasked& how, const std::set<std::string>& machines, bool on) {
-    for (const auto& m : machines) {
-        const std::string what = how.what;
-        if (what == "hang") w.hang(m, on);
-        if (what == "deaf") w.deafen(m, on);
-        if (what == "mute") w.mute(m, on);
-        for (int i = 0; what == "cut" && i < w.node_count(); ++i) on ? w.cut(host(i), m) : w.heal(host(i), m);
+const MachineFault kMachineFaults[] = {{"cut", 6 * kSecond},   {"cut", 25 * kSecond},
+                                       {"hang", 6 * kSecond},  {"hang", 25 * kSecond},
+                                       {"deaf", 25 * kSecond}, {"mute", 25 * kSecond}};
+const char* const kControllerFaults[] = {"none",    "ends",    "ends for long",
+                                         "cut off", "refused", "stands still"};
+
+void set_machine_fault(Simulator& simulator, const MachineFault& fault, const std::set<std::string>& machines,
+                       bool on) {
+    for (const auto& machine : machines) {
+        const std::string kind = fault.kind;
+        if (kind == "hang") simulator.hang(machine, on);
+        if (kind == "deaf") simulator.deafen(machine, on);
+        if (kind == "mute") simulator.mute(machine, on);
+        for (int i = 0; kind == "cut" && i < simulator.node_count(); ++i)
+            on ? simulator.cut(host(i), machine) : simulator.heal(host(i), machine);
     }
 }
 
-void change(Simulator& w, const std::string& what, int node, Micros span) {
-    if (what == "ends") w.crash(node, 300 * kMillisecond);
-    if (what == "ends for long") w.crash(node, span);
-    if (what == "stands still") w.freeze(node, span);
-    if (what == "cut off") {
-        w.cut_off(node, true);
-        w.at(w.now() + span, [&w, node] { w.cut_off(node, false); });
+void start_controller_fault(Simulator& simulator, const std::string& kind, int node, Micros duration) {
+    if (kind == "ends") simulator.crash(node, 300 * kMillisecond);
+    if (kind == "ends for long") simulator.crash(node, duration);
+    if (kind == "stands still") simulator.freeze(node, duration);
+    if (kind == "cut off") {
+        simulator.cut_off(node, true);
+        simulator.at(simulator.now() + duration, [&simulator, node] { simulator.cut_off(node, false); });
     }
-    if (what == "refused") {
-        w.refuse(node, true);
-        w.at(w.now() + span, [&w, node] { w.refuse(node, false); });
+    if (kind == "refused") {
+        simulator.refuse(node, true);
+        simulator.at(simulator.now() + duration, [&simulator, node] { simulator.refuse(node, false); });
     }
 }
 
-/// Whether a job waits though its team's limit has room for a task of it, or for all of a gang.
-bool waits(const Simulator& w, const std::map<std::string, JobSpec>& jobs) {
-    return std::any_of(jobs.begin(), jobs.end(), [&](const auto& j) {
-        const auto& [ref, s] = j;
-        const int missing = s.tasks - w.running(ref);
-        const Milli at_once = s.kind == JobKind::Gang ? s.tasks : 1;
-        return w.told(ref) != "cancelled" && missing > 0 &&
-               in_use(w, jobs, s.team) + s.request.cores * at_once <= (s.team == "red" ? 24'000 : 16'000);
+/// Returns whether a job waits although its team's limit has room for one of its tasks, or for all of a gang.
+bool has_startable_job(const Simulator& simulator, const std::map<std::string, JobSpec>& jobs) {
+    return std::any_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
+        const auto& [ref, spec] = entry;
+        const int missing = spec.tasks - simulator.running(ref);
+        const Milli tasks_at_once = spec.kind == JobKind::Gang ? spec.tasks : 1;
+        return simulator.told(ref) != "cancelled" && missing > 0 &&
+               cores_in_use(simulator, jobs, spec.team) + spec.request.cores * tasks_at_once <=
+                   (spec.team == "red" ? 24'000 : 16'000);
     });
 }
 
-/// Until no job waits that its team's limit has room for; how long that took, at most `most`.
-Micros until_full(Simulator& w, const std::map<std::string, JobSpec>& jobs, Micros most) {
-    const Micros since = w.now();
-    while (w.now() - since < most && waits(w, jobs)) w.run(500 * kMillisecond);
-    return w.now() - since;
+/// Runs until no job waits that its team's limit has room for, for `max_duration` at most. Returns how long
+/// that took.
+Micros run_until_limits_are_used(Simulator& simulator, const std::map<std::string, JobSpec>& jobs,
+                                 Micros max_duration) {
+    const Micros start = simulator.now();
+    while (simulator.now() - start < max_duration && has_startable_job(simulator, jobs))
+        simulator.run(500 * kMillisecond);
+    return simulator.now() - start;
 }
 
-TEST(SharesOfALimit, WhatIsTooLittleForATaskInEachDomainIsUsedTogether) {
-    // Three shares of 8 cores. A task of each shard's fits into all of what they don't use, and into none's
-    // alone; one that is too large for all of it holds none back.
-    for (const int widest : {5, 10}) {
-        auto w = settled_simulator(static_cast<std::uint64_t>(widest), 9, site(true));
+TEST(TeamLimitShares, RemaindersOfSeveralShardsAreUsedTogether) {
+    // Three shards have a share of 8 cores each. The unused parts of their shares hold a waiting job of 5
+    // cores only together. A job of 10 cores, which is too large for all of them, must not hold any part
+    // back.
+    for (const int largest_job_cores : {5, 10}) {
+        auto simulator =
+            settled_simulator(static_cast<std::uint64_t>(largest_job_cores), 9, site_settings(true));
         for (int i = 1; i <= 9; ++i) {
-            JobSpec s = w->job(i, JobKind::Gang, i == 7 ? widest / 5 : 1, 5);
-            w->submit(s, 400 * kSecond);  // all at once, so that some wait in each shard
+            JobSpec spec = simulator->job(i, JobKind::Gang, i == 7 ? largest_job_cores / 5 : 1, 5);
+            simulator->submit(spec, 400 * kSecond);  // all at once, so that some wait in each shard
         }
-        w->run(20 * kSecond);
+        simulator->run(20 * kSecond);
         int running = 0;
-        for (const auto& ref : w->refs()) running += w->running(ref);
-        EXPECT_EQ(running, 4) << "of 5 cores each, 24 at most\n" << w->story();
-        const auto marks = [&] {
+        for (const auto& ref : simulator->refs()) running += simulator->running(ref);
+        EXPECT_EQ(running, 4) << "jobs of 5 cores, within a limit of 24\n" << simulator->story();
+        const auto sum_of_share_revisions = [&] {
             Revision sum = 0;
             for (int i = 0; i < 3; ++i)
-                sum += *wire::count(w->state().handle("GET", "/store/c/share/" + host(i), {}, w->now()).body,
-                                    "mark");
+                sum += *wire::count(
+                    simulator->state().handle("GET", "/store/c/share/" + host(i), {}, simulator->now()).body,
+                    "mark");
             return sum;
         };
-        const Revision before = marks();
-        w->run(20 * kSecond);
-        EXPECT_EQ(marks(), before) << "nothing goes to and fro\n" << w->story();
-        EXPECT_RULES(*w);
+        const Revision before = sum_of_share_revisions();
+        simulator->run(20 * kSecond);
+        EXPECT_EQ(sum_of_share_revisions(), before) << "shares move back and forth\n" << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(SharesOfALimit, WhatFindsNoRoomKeepsNoShareFromWhatWould) {
-    auto w = settled_simulator(3, 6, site(true));  // two machines of 8 cores a shard
+TEST(TeamLimitShares, JobWithoutAMachineKeepsNoShareFromJobsThatFit) {
+    auto simulator = settled_simulator(3, 6, site_settings(true));  // two machines of 8 cores a shard
     const auto submit = [&](int number, const char* team, int tasks) {
-        JobSpec s = w->job(number, JobKind::Array, tasks);
-        s.team = team;
-        w->submit(s, 400 * kSecond);
-        w->run(6 * kSecond);
-        return s.ref;
+        JobSpec spec = simulator->job(number, JobKind::Array, tasks);
+        spec.team = team;
+        simulator->submit(spec, 400 * kSecond);
+        simulator->run(6 * kSecond);
+        return spec.ref;
     };
     const std::string first = submit(1, "red", 14), other = submit(2, "red", 16);
-    submit(3, "guests", 16);  // so that no shard has machines to give
-    ASSERT_EQ(w->running(first), 14) << w->story();
-    ASSERT_EQ(w->running(other), 10) << "all of the limit is in use\n" << w->story();
-    w->kill_machine(*w->machines_of(first).begin());
-    w->run(30 * kSecond);  // in doubt for as long
-    const int left = w->running(first);
-    ASSERT_LT(left, 14);
-    w->run(60 * kSecond);
-    EXPECT_EQ(w->running(other), std::min(16, 24 - left)) << w->story();
-    EXPECT_RULES(*w);
+    submit(3, "guests", 16);  // so that no shard has idle machines to give
+    ASSERT_EQ(simulator->running(first), 14) << simulator->story();
+    ASSERT_EQ(simulator->running(other), 10) << "the whole limit is in use\n" << simulator->story();
+    simulator->kill_machine(*simulator->machines_of(first).begin());
+    simulator->run(30 * kSecond);  // until then its tasks are in doubt
+    const int still_running = simulator->running(first);
+    ASSERT_LT(still_running, 14);
+    simulator->run(60 * kSecond);
+    EXPECT_EQ(simulator->running(other), std::min(16, 24 - still_running)) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-class AtTheLimit : public testing::TestWithParam<int> {};
+class TeamsAtTheirLimit : public testing::TestWithParam<int> {};
 
-TEST_P(AtTheLimit, HoldAndAreUsedAgain) {
-    // One way of not being asked a test, with every change of hands, of the leader or of another holder.
-    const Unasked& how = kUnasked[GetParam() % 6];
-    const bool several = GetParam() < 6;
+TEST_P(TeamsAtTheirLimit, LimitsHoldAndFreedCoresAreUsedAgain) {
+    // Each test combines one machine fault with every kind of controller fault. The controller that fails is
+    // the leader or the busiest one.
+    const MachineFault& machine_fault = kMachineFaults[GetParam() % 6];
+    const bool has_several_shards = GetParam() < 6;
     int number = 0;
-    for (const std::string what : kChanges)
-        for (const Micros cancelled : {-400 * kMillisecond, 600 * kMillisecond, 3 * kSecond}) {
+    for (const std::string controller_fault : kControllerFaults)
+        for (const Micros cancellation_delay : {-400 * kMillisecond, 600 * kMillisecond, 3 * kSecond}) {
             if ((++number + GetParam()) % 6 > 0 && !std::getenv("WORLD_ALL")) continue;
-            auto w =
-                settled_simulator(static_cast<std::uint64_t>(100 * GetParam() + number), 12, site(several));
-            if (number % 2) w->late_next("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
-            auto jobs = fill(*w);
-            const Micros filled = number % 3 ? 60 * kSecond : kSecond;
-            if (until_full(*w, jobs, filled) >= filled) {
-                ASSERT_EQ(number % 3, 0) << w->story();
+            auto simulator = settled_simulator(static_cast<std::uint64_t>(100 * GetParam() + number), 12,
+                                               site_settings(has_several_shards));
+            if (number % 2) simulator->late_next("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
+            auto jobs = submit_twice_the_limits(*simulator);
+            const Micros fill_duration = number % 3 ? 60 * kSecond : kSecond;
+            if (run_until_limits_are_used(*simulator, jobs, fill_duration) >= fill_duration) {
+                ASSERT_EQ(number % 3, 0) << simulator->story();
             }
-            // Else while shares are still on their way.
-            w->run(1500 * kMillisecond);
-            std::vector<std::string> off;
+            // With one second only, the faults come while shares are still being transferred.
+            simulator->run(1500 * kMillisecond);
+            std::vector<std::string> cancelled;
             std::set<std::string> machines;
-            int turn = 0;  // every other job
-            for (const auto& [ref, s] : jobs)
-                if (w->running(ref) > 0 && ++turn % 2) {
-                    off.push_back(ref);
-                    for (const auto& m : w->machines_of(ref))
-                        if (machines.size() < 5) machines.insert(m);
+            int running_jobs = 0;
+            for (const auto& [ref, spec] : jobs)
+                if (simulator->running(ref) > 0 && ++running_jobs % 2) {  // every other job
+                    cancelled.push_back(ref);
+                    for (const auto& machine : simulator->machines_of(ref))
+                        if (machines.size() < 5) machines.insert(machine);
                 }
-            const Micros begin = w->now() + 500 * kMillisecond;
-            const int node = number % 2 ? w->leader() : w->busiest();
-            w->at(begin - 100 * kMillisecond, [&] { unask(*w, how, machines, true); });
-            w->at(begin, [&] { change(*w, what, node, 20 * kSecond); });
-            w->at(begin + cancelled, [&] {
-                for (const auto& ref : off) w->cancel(ref);
+            const Micros fault_start = simulator->now() + 500 * kMillisecond;
+            const int node = number % 2 ? simulator->leader() : simulator->busiest();
+            simulator->at(fault_start - 100 * kMillisecond,
+                          [&] { set_machine_fault(*simulator, machine_fault, machines, true); });
+            simulator->at(fault_start,
+                          [&] { start_controller_fault(*simulator, controller_fault, node, 20 * kSecond); });
+            simulator->at(fault_start + cancellation_delay, [&] {
+                for (const auto& ref : cancelled) simulator->cancel(ref);
             });
-            w->at(begin + how.span, [&] { unask(*w, how, machines, false); });
-            w->run(500 * kMillisecond + std::max(how.span, 20 * kSecond));
-            w->quiesce();
-            const std::string name =
-                fmt::format("{} for {} s, leader: {}, cancelled {} ms after, {}", how.what,
-                            how.span / kSecond, what, cancelled / kMillisecond, number);
-            const Micros took = until_full(*w, jobs, kUsedAgain);
-            EXPECT_LT(took, kUsedAgain) << name << "\n" << w->story();
-            for (const auto& ref : off) EXPECT_EQ(w->told(ref), "cancelled") << name;
-            EXPECT_TRUE(w->broken.empty()) << name << ": " << w->broken.front() << "\n" << w->story(150);
+            simulator->at(fault_start + machine_fault.duration,
+                          [&] { set_machine_fault(*simulator, machine_fault, machines, false); });
+            simulator->run(500 * kMillisecond + std::max(machine_fault.duration, 20 * kSecond));
+            simulator->quiesce();
+            const std::string description =
+                fmt::format("machines {} for {} s, controller {}, cancelled {} ms after, case {}",
+                            machine_fault.kind, machine_fault.duration / kSecond, controller_fault,
+                            cancellation_delay / kMillisecond, number);
+            const Micros reuse_delay = run_until_limits_are_used(*simulator, jobs, kMaxReuseDelay);
+            EXPECT_LT(reuse_delay, kMaxReuseDelay) << description << "\n" << simulator->story();
+            for (const auto& ref : cancelled) EXPECT_EQ(simulator->told(ref), "cancelled") << description;
+            EXPECT_TRUE(simulator->broken.empty()) << description << ": " << simulator->broken.front() << "\n"
+                                                   << simulator->story(150);
         }
 }
 
-INSTANTIATE_TEST_SUITE_P(Meetings, AtTheLimit, testing::Range(0, 12));
+INSTANTIATE_TEST_SUITE_P(Faults, TeamsAtTheirLimit, testing::Range(0, 12));
 
 }  // namespace
 }  // namespace cottonway::test
