--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -1,5 +1,6 @@
-// Many small jobs, and more work than room: at a tenth of the size of examples/lab/one-task-jobs.toml and
-// more-than-room.toml, with the same budget of changes a job, which the state service enforces.
+// Many small jobs, and more work than the machines can hold: at a tenth of the size of
+// examples/lab/one-task-jobs.toml and more-than-room.toml, with the same budget of store writes per job,
+// which the simulated state service enforces.
 
 #include <gtest/gtest.h>
 
@@ -15,127 +16,137 @@
 
 constexpr double kWriteRps = 25;
 
-std::uint64_t changes(Simulator& w) {
-    std::uint64_t n = 0;
-    for (int i = 0; i < w.node_count(); ++i)
-        if (w.node(i))
-            for (const auto& [purpose, sent] : w.node(i)->store().sent()) n += sent;
-    return n;
+std::uint64_t writes_sent(Simulator& simulator) {
+    std::uint64_t writes = 0;
+    for (int i = 0; i < simulator.node_count(); ++i)
+        if (simulator.node(i))
+            for (const auto& [purpose, sent] : simulator.node(i)->store().sent()) writes += sent;
+    return writes;
 }
 
-/// One-task jobs of 8 s, so many a second for a minute, a quarter of which their users call off.
+/// Submits one-task jobs of 8 s for a minute, at a rate of so many a second. A quarter of them is cancelled.
+/// With the second parameter, the busiest controller crashes meanwhile.
 class OneTaskJobs : public testing::TestWithParam<std::tuple<double, bool>> {};
 
 TEST_P(OneTaskJobs, AreAnsweredRunAndLeaveNoBacklog) {
-    const auto [rate, ends] = GetParam();
-    Settings s = small_site();
-    s.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.02;  // several shards
-    s.state_write_rps = s.next_write_rps = kWriteRps;
-    Simulator w(7, s, {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
-    for (int i = 0; i < 72; ++i) w.add_machine("wren", i % 2 ? "a" : "b");
-    w.cloud().capacity = 200;
-    w.start_nodes(5);
-    w.state().limits.write_rps = kWriteRps;
-    w.run(10 * kSecond);
-    const Micros start = w.now();
-    const auto before = changes(w);
-    std::map<std::string, Micros> sent;
-    std::vector<int> waiting;  // every ten seconds
-    const int jobs = static_cast<int>(rate * 60);
-    for (int i = 0; i < jobs; ++i)
-        w.at(start + static_cast<Micros>(i / rate * 1e6), [&, i] {
-            JobSpec job = w.job(i + 1, JobKind::Array, 1, 4);
+    const auto [jobs_per_second, has_crash] = GetParam();
+    Settings settings = small_site();
+    settings.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
+    settings.cpu_share = 0.02;  // so little that there are several shards
+    settings.state_write_rps = settings.next_write_rps = kWriteRps;
+    Simulator simulator(7, settings,
+                        {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
+    for (int i = 0; i < 72; ++i) simulator.add_machine("wren", i % 2 ? "a" : "b");
+    simulator.cloud().capacity = 200;
+    simulator.start_nodes(5);
+    simulator.state().limits.write_rps = kWriteRps;
+    simulator.run(10 * kSecond);
+    const Micros start = simulator.now();
+    const auto writes_before = writes_sent(simulator);
+    std::map<std::string, Micros> submitted_at;
+    std::vector<int> waiting_jobs;  // sampled every ten seconds
+    const int job_count = static_cast<int>(jobs_per_second * 60);
+    for (int i = 0; i < job_count; ++i)
+        simulator.at(start + static_cast<Micros>(i / jobs_per_second * 1e6), [&, i] {
+            JobSpec job = simulator.job(i + 1, JobKind::Array, 1, 4);
             job.estimate = 8 * kSecond;
-            sent[job.ref] = w.now();
-            w.submit(job, 8 * kSecond);
+            submitted_at[job.ref] = simulator.now();
+            simulator.submit(job, 8 * kSecond);
             if (i % 4 == 0)
-                w.at(w.now() + static_cast<Micros>(w.random() % 8'000) * kMillisecond,
-                     [&w, ref = job.ref] { w.cancel(ref); });
+                simulator.at(simulator.now() + static_cast<Micros>(simulator.random() % 8'000) * kMillisecond,
+                             [&simulator, ref = job.ref] { simulator.cancel(ref); });
         });
-    if (ends) w.at(start + 25 * kSecond, [&w] { w.crash(w.busiest(), 3 * kSecond); });
+    if (has_crash)
+        simulator.at(start + 25 * kSecond,
+                     [&simulator] { simulator.crash(simulator.busiest(), 3 * kSecond); });
     for (int i = 1; i <= 6; ++i)
-        w.at(start + i * 10 * kSecond, [&] {
-            const auto fates = w.fates();
-            waiting.push_back(static_cast<int>(std::count_if(
-                fates.begin(), fates.end(), [](const Fate& f) { return f.begun < 0 && !f.left_out; })));
+        simulator.at(start + i * 10 * kSecond, [&] {
+            const auto fates = simulator.fates();
+            waiting_jobs.push_back(
+                static_cast<int>(std::count_if(fates.begin(), fates.end(), [](const Fate& fate) {
+                    return fate.begun < 0 && !fate.left_out;
+                })));
         });
-    w.run(61 * kSecond);
-    const double each = static_cast<double>(changes(w) - before) / jobs;
-    w.quiesce();
-    w.run(40 * kSecond);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
-    Micros accept = 0, begin = 0;
-    for (const Fate& f : w.fates()) {
-        accept = std::max(accept, f.accepted - sent.at(f.spec.ref));
-        if (f.left_out) continue;
-        EXPECT_GE(f.done, 0) << f.spec.ref;
-        begin = std::max(begin, f.begun - f.accepted);
+    simulator.run(61 * kSecond);
+    const double writes_per_job = static_cast<double>(writes_sent(simulator) - writes_before) / job_count;
+    simulator.quiesce();
+    simulator.run(40 * kSecond);
+    EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << simulator.story();
+    Micros max_accept_delay = 0, max_start_delay = 0;
+    for (const Fate& fate : simulator.fates()) {
+        max_accept_delay = std::max(max_accept_delay, fate.accepted - submitted_at.at(fate.spec.ref));
+        if (fate.left_out) continue;
+        EXPECT_GE(fate.done, 0) << fate.spec.ref;
+        max_start_delay = std::max(max_start_delay, fate.begun - fate.accepted);
     }
-    EXPECT_EQ(w.fates().size(), static_cast<std::size_t>(jobs));
-    EXPECT_LT(accept, 5 * kSecond);
-    EXPECT_LT(begin, 9 * kSecond);
-    EXPECT_LT(each * rate, kWriteRps);
-    EXPECT_LE(waiting.back(), waiting[2]);  // no backlog that grows
+    EXPECT_EQ(simulator.fates().size(), static_cast<std::size_t>(job_count));
+    EXPECT_LT(max_accept_delay, 5 * kSecond);
+    EXPECT_LT(max_start_delay, 9 * kSecond);
+    EXPECT_LT(writes_per_job * jobs_per_second, kWriteRps);
+    EXPECT_LE(waiting_jobs.back(), waiting_jobs[2]);  // the backlog does not grow
     std::string backlog;
-    for (const int n : waiting) backlog += " " + std::to_string(n);
+    for (const int count : waiting_jobs) backlog += " " + std::to_string(count);
     std::printf(
-        "%.1f jobs a second%s: %.2f changes a job, accepted within %.1f s, begun within %.1f s, waiting%s\n",
-        rate, ends ? ", an end" : "", each, static_cast<double>(accept) / 1e6,
-        static_cast<double>(begin) / 1e6, backlog.c_str());
-    for (int i = 0; i < w.node_count(); ++i)
-        if (w.node(i) && std::getenv("WORLD_CHANGES"))
-            for (const auto& [purpose, n] : w.node(i)->store().sent())
-                std::printf("  loom-%d %s %d\n", i, purpose.c_str(), static_cast<int>(n));
+        "%.1f jobs a second%s: %.2f writes a job, accepted within %.1f s, started within %.1f s, waiting%s\n",
+        jobs_per_second, has_crash ? ", a crash" : "", writes_per_job,
+        static_cast<double>(max_accept_delay) / 1e6, static_cast<double>(max_start_delay) / 1e6,
+        backlog.c_str());
+    for (int i = 0; i < simulator.node_count(); ++i)
+        if (simulator.node(i) && std::getenv("WORLD_CHANGES"))
+            for (const auto& [purpose, writes] : simulator.node(i)->store().sent())
+                std::printf("  loom-%d %s %d\n", i, purpose.c_str(), static_cast<int>(writes));
 }
 
 INSTANTIATE_TEST_SUITE_P(Rates, OneTaskJobs, testing::Combine(testing::Values(4.0, 6.0), testing::Bool()));
 
-/// Half as much work again as there is room for, for two hundred seconds, urgent and not, of two teams, with
-/// messages that take up to 0.15 s and a leader that ends in between.
-TEST(MoreThanRoom, NobodyIsForgottenAndHalfOfEachIsServed) {
-    Settings s = small_site();
-    s.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}}, {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
-    s.cpu_share = 0.02;
-    s.state_write_rps = s.next_write_rps = kWriteRps;
-    Simulator w(3, s);
-    w.slow_links = 150 * kMillisecond;
-    for (int i = 0; i < 8; ++i) w.add_machine("small", i % 2 ? "a" : "b");
-    w.start_nodes(3);
-    w.state().limits.write_rps = kWriteRps;
-    w.run(10 * kSecond);
-    struct Kind {
+/// Two teams submit one and a half times the work that the machines can hold, urgent and not, for 200 s.
+/// Messages take up to 0.15 s, and the leader crashes halfway.
+TEST(Overload, NoJobStarvesAndHalfOfEachClassIsServed) {
+    Settings settings = small_site();
+    settings.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}},
+                      {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
+    settings.cpu_share = 0.02;
+    settings.state_write_rps = settings.next_write_rps = kWriteRps;
+    Simulator simulator(3, settings);
+    simulator.slow_links = 150 * kMillisecond;
+    for (int i = 0; i < 8; ++i) simulator.add_machine("small", i % 2 ? "a" : "b");
+    simulator.start_nodes(3);
+    simulator.state().limits.write_rps = kWriteRps;
+    simulator.run(10 * kSecond);
+    struct JobClass {
         const char* name;
         PriorityClass rank;
         int tasks;
         double cores;
-        Micros run, every;
+        Micros run_time, interval;
     };
-    const Micros start = w.now(), span = 200 * kSecond;
+    const Micros start = simulator.now(), duration = 200 * kSecond;
     int number = 0;
-    for (const Kind& k : {Kind{"urgent", PriorityClass::High, 2, 2, 8 * kSecond, kSecond},
-                          Kind{"batch", PriorityClass::Normal, 4, 2, 10 * kSecond, 2 * kSecond},
-                          Kind{"large", PriorityClass::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
-                          Kind{"idle", PriorityClass::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
-        for (Micros t = 0; t < span; t += k.every)
-            w.at(start + t, [&w, k, n = ++number] {
-                JobSpec job = w.job(n, JobKind::Array, k.tasks, k.cores);
-                job.job_class = k.name;
-                job.team = n % 2 ? "red" : "blue";
-                job.rank = k.rank;
-                job.estimate = k.run;
-                w.submit(job, k.run);
+    for (const JobClass& job_class :
+         {JobClass{"urgent", PriorityClass::High, 2, 2, 8 * kSecond, kSecond},
+          JobClass{"batch", PriorityClass::Normal, 4, 2, 10 * kSecond, 2 * kSecond},
+          JobClass{"large", PriorityClass::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
+          JobClass{"idle", PriorityClass::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
+        for (Micros offset = 0; offset < duration; offset += job_class.interval)
+            simulator.at(start + offset, [&simulator, job_class, job_number = ++number] {
+                JobSpec job = simulator.job(job_number, JobKind::Array, job_class.tasks, job_class.cores);
+                job.job_class = job_class.name;
+                job.team = job_number % 2 ? "red" : "blue";
+                job.rank = job_class.rank;
+                job.estimate = job_class.run_time;
+                simulator.submit(job, job_class.run_time);
             });
-    w.at(start + 100 * kSecond, [&w] { w.crash(w.leader(), 2 * kSecond); });
-    w.run(span);
-    w.quiesce();
-    w.run(270 * kSecond);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
-    const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
-    for (const auto& line : a.broken) ADD_FAILURE() << line;
+    simulator.at(start + 100 * kSecond, [&simulator] { simulator.crash(simulator.leader(), 2 * kSecond); });
+    simulator.run(duration);
+    simulator.quiesce();
+    simulator.run(270 * kSecond);
+    EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << simulator.story();
+    const Acceptance acceptance = judge(simulator.fates(), simulator.settings.teams, simulator.now());
+    for (const auto& line : acceptance.broken) ADD_FAILURE() << line;
     for (const char* name : {"urgent", "batch", "large", "idle"})
-        std::printf("%s: %d of %d served, a largest waited %.1f s\n", name, a.classes.at(name).served,
-                    a.classes.at(name).due, static_cast<double>(a.largest_wait.at(name)) / 1e6);
+        std::printf("%s: %d of %d served, the largest jobs waited up to %.1f s\n", name,
+                    acceptance.classes.at(name).served, acceptance.classes.at(name).due,
+                    static_cast<double>(acceptance.largest_wait.at(name)) / 1e6);
 }
 
 }  // namespace
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -1,4 +1,4 @@
-// Zones that are cut off with machines and controllers, and jobs that are bound to one zone.
+// Zones that are cut off with their machines and controllers, and jobs with zone constraints.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -11,211 +11,228 @@
 using namespace simulation;
 namespace {
 
-enum class Binds { Zone, OneZone, Spread };
+enum class ZoneConstraint { Zone, OneZone, Spread };
 
-/// Four tasks of 2 cores, so that a zone of the calm world, of two machines with 8 cores each, holds them
-/// all.
-JobSpec bound_job(Simulator& w, int number, JobKind kind, Binds binds) {
-    JobSpec job = w.job(number, kind, 4, 2);
-    if (binds == Binds::Zone) job.zone = "a";
-    job.one_zone = binds == Binds::OneZone;
-    job.spread = binds == Binds::Spread;
+/// Returns a job of four tasks of 2 cores, which fit into one zone of the settled simulator, with its two
+/// machines of 8 cores.
+JobSpec constrained_job(Simulator& simulator, int number, JobKind kind, ZoneConstraint constraint) {
+    JobSpec job = simulator.job(number, kind, 4, 2);
+    if (constraint == ZoneConstraint::Zone) job.zone = "a";
+    job.one_zone = constraint == ZoneConstraint::OneZone;
+    job.spread = constraint == ZoneConstraint::Spread;
     return job;
 }
 
-std::vector<std::string> machines_in(Simulator& w, const std::string& zone) {
+std::vector<std::string> machines_in(Simulator& simulator, const std::string& zone) {
     std::vector<std::string> names;
-    for (const auto& m : w.machine_names())
-        if (w.worker(m)->zone() == zone) names.push_back(m);
+    for (const auto& machine : simulator.machine_names())
+        if (simulator.worker(machine)->zone() == zone) names.push_back(machine);
     return names;
 }
 
-int running_in(Simulator& w, const std::string& ref, const std::string& zone) {
-    int n = 0;
-    for (const auto& m : w.machines_of(ref)) n += w.worker(m) && w.worker(m)->zone() == zone;
-    return n;
+int running_in(Simulator& simulator, const std::string& ref, const std::string& zone) {
+    int count = 0;
+    for (const auto& machine : simulator.machines_of(ref))
+        count += simulator.worker(machine) && simulator.worker(machine)->zone() == zone;
+    return count;
 }
 
-/// The leader holds all machines, or part of them where there are several shards. Where it is in the wrong
-/// zone for the test, another one takes its place.
-std::unique_ptr<Simulator> with(const std::string& zone, bool leads, double cpu_share) {
-    auto w = settled_simulator(61, 6, patient(cpu_share));
-    auto in_zone = [&] { return w->settings.zones[static_cast<std::size_t>(w->leader()) % 2] == zone; };
-    if (in_zone() != leads) {
-        w->crash(w->leader(), 5 * kSecond);
-        w->run(40 * kSecond);
+/// Returns a settled simulator whose leader is in the zone, or is not. The leader owns all machines, or a
+/// part of them where there are several shards. A leader in the wrong zone is crashed, so that another
+/// controller takes over.
+std::unique_ptr<Simulator> simulator_with_leader(const std::string& zone, bool is_leader_in_zone,
+                                                 double cpu_share) {
+    auto simulator = settled_simulator(61, 6, patient(cpu_share));
+    auto leads_in_zone = [&] {
+        return simulator->settings.zones[static_cast<std::size_t>(simulator->leader()) % 2] == zone;
+    };
+    if (leads_in_zone() != is_leader_in_zone) {
+        simulator->crash(simulator->leader(), 5 * kSecond);
+        simulator->run(40 * kSecond);
     }
-    EXPECT_EQ(in_zone(), leads);
-    return w;
+    EXPECT_EQ(leads_in_zone(), is_leader_in_zone);
+    return simulator;
 }
 
-/// For 55 s, which is more than a lease and an authority, with cancellations before the cut is noticed and
-/// after.
-TEST(ZonesLost, AZoneWithItsControllersIsCutOffAndComesBack) {
+/// The zone is cut off for 55 s, which is longer than a lease and a controller's authority. Jobs are
+/// cancelled before the cut is noticed and after.
+TEST(ZoneLoss, JobsSurviveAZoneThatIsCutOffWithItsControllers) {
     for (const std::string zone : {"a", "b"})
-        for (const bool leads : {false, true})
-            for (const double share : {1.0, 0.001}) {
-                auto w = with(zone, leads, share);
+        for (const bool is_leader_in_zone : {false, true})
+            for (const double cpu_share : {1.0, 0.001}) {
+                auto simulator = simulator_with_leader(zone, is_leader_in_zone, cpu_share);
                 const auto story = [&] {
-                    return fmt::format("{} leads {} share {}\n", zone, leads, share) + w->story(150);
+                    return fmt::format("zone {}, leader in it: {}, cpu_share {}\n", zone, is_leader_in_zone,
+                                       cpu_share) +
+                           simulator->story(150);
                 };
-                JobSpec inside = w->job(1, JobKind::Array, 2, 2), free = w->job(2, JobKind::Array, 4);
-                JobSpec spread = w->job(5, JobKind::Service, 2);
-                inside.zone = zone;
-                spread.spread = true;
-                w->submit(inside, 30 * kSecond);
-                w->submit(free, 12 * kSecond);
-                w->submit(spread, 0);
-                for (int i : {3, 4}) w->submit(w->job(i, JobKind::Service, 2), 0);
-                w->run(5 * kSecond);
-                ASSERT_EQ(w->running("req-000001"), 2) << story();
-                w->lose_zone(zone, false);
-                w->run(kSecond);
-                w->cancel("req-000003");
-                w->run(9 * kSecond);
-                w->cancel("req-000004");
-                w->run(45 * kSecond);
-                EXPECT_EQ(w->told("req-000002"), "done") << "elsewhere\n" << story();
-                EXPECT_EQ(running_in(*w, "req-000005", zone), 0) << story();
-                EXPECT_EQ(w->running("req-000005"), 1) << "half, as it asks\n" << story();
+                JobSpec bound_job = simulator->job(1, JobKind::Array, 2, 2),
+                        unconstrained_job = simulator->job(2, JobKind::Array, 4);
+                JobSpec spread_service = simulator->job(5, JobKind::Service, 2);
+                bound_job.zone = zone;
+                spread_service.spread = true;
+                simulator->submit(bound_job, 30 * kSecond);
+                simulator->submit(unconstrained_job, 12 * kSecond);
+                simulator->submit(spread_service, 0);
+                for (int i : {3, 4}) simulator->submit(simulator->job(i, JobKind::Service, 2), 0);
+                simulator->run(5 * kSecond);
+                ASSERT_EQ(simulator->running("req-000001"), 2) << story();
+                simulator->lose_zone(zone, false);
+                simulator->run(kSecond);
+                simulator->cancel("req-000003");
+                simulator->run(9 * kSecond);
+                simulator->cancel("req-000004");
+                simulator->run(45 * kSecond);
+                EXPECT_EQ(simulator->told("req-000002"), "done") << "it can run in the other zone\n"
+                                                                 << story();
+                EXPECT_EQ(running_in(*simulator, "req-000005", zone), 0) << story();
+                EXPECT_EQ(simulator->running("req-000005"), 1)
+                    << "half of its replicas are in the other zone\n"
+                    << story();
                 for (int i : {3, 4}) {
-                    EXPECT_EQ(w->told(w->job(i, JobKind::Service, 2).ref), "cancelled") << story();
-                    EXPECT_EQ(w->running(w->job(i, JobKind::Service, 2).ref), 0) << story();
+                    EXPECT_EQ(simulator->told(simulator->job(i, JobKind::Service, 2).ref), "cancelled")
+                        << story();
+                    EXPECT_EQ(simulator->running(simulator->job(i, JobKind::Service, 2).ref), 0) << story();
                 }
-                w->zone_back(zone);
-                w->run(6 * kSecond);
-                EXPECT_EQ(w->running("req-000005"), 2) << story();
-                w->run(40 * kSecond);
-                EXPECT_EQ(w->told("req-000001"), "done") << story();
-                EXPECT_RULES(*w);
+                simulator->zone_back(zone);
+                simulator->run(6 * kSecond);
+                EXPECT_EQ(simulator->running("req-000005"), 2) << story();
+                simulator->run(40 * kSecond);
+                EXPECT_EQ(simulator->told("req-000001"), "done") << story();
+                EXPECT_RULES(*simulator);
             }
 }
 
-/// What is to be seen of a job while one of its zones is gone, and afterwards.
-struct Row {
+/// How many tasks of a job run while one of its zones is gone.
+struct ZoneLossCase {
     JobKind kind;
-    Binds binds;
-    int meanwhile;  // tasks that run while zone a is gone, once its leases are over
+    ZoneConstraint constraint;
+    int running_meanwhile;  // tasks that run while zone a is gone, once its leases have expired
 };
-constexpr Row kRows[] = {
-    {JobKind::Array, Binds::Zone, 0},      {JobKind::Array, Binds::OneZone, 4},
-    {JobKind::Array, Binds::Spread, 2},    {JobKind::Service, Binds::Zone, 0},
-    {JobKind::Service, Binds::OneZone, 4}, {JobKind::Service, Binds::Spread, 2},
-    {JobKind::Gang, Binds::Zone, 0},       {JobKind::Gang, Binds::OneZone, 4},
-    {JobKind::Gang, Binds::Spread, 0},
+constexpr ZoneLossCase kCases[] = {
+    {JobKind::Array, ZoneConstraint::Zone, 0},      {JobKind::Array, ZoneConstraint::OneZone, 4},
+    {JobKind::Array, ZoneConstraint::Spread, 2},    {JobKind::Service, ZoneConstraint::Zone, 0},
+    {JobKind::Service, ZoneConstraint::OneZone, 4}, {JobKind::Service, ZoneConstraint::Spread, 2},
+    {JobKind::Gang, ZoneConstraint::Zone, 0},       {JobKind::Gang, ZoneConstraint::OneZone, 4},
+    {JobKind::Gang, ZoneConstraint::Spread, 0},
 };
 
-/// Its machines end, or are cut off; there is room in the other zone, and later in this one again. The holder
-/// ends meanwhile.
-TEST(ZonesLost, BoundJobsWaitOrMoveAsTheySayAndAllRun) {
-    for (const Row& row : kRows)
-        for (const bool cut : {false, true}) {
-            auto w = settled_simulator(62, 4, patient());
+/// The machines of a zone die or are cut off. The other zone has room for the jobs, and the lost zone has
+/// some again later. The owner of the shard crashes meanwhile.
+TEST(ZoneLoss, JobsWithZoneConstraintsWaitOrMoveAndAllRun) {
+    for (const ZoneLossCase& loss_case : kCases)
+        for (const bool is_cut : {false, true}) {
+            auto simulator = settled_simulator(62, 4, patient());
             const auto story = [&] {
-                return fmt::format("kind {} binds {} cut {}\n", static_cast<int>(row.kind),
-                                   static_cast<int>(row.binds), cut) +
-                       w->story();
+                return fmt::format("job kind {}, zone constraint {}, machines cut off: {}\n",
+                                   static_cast<int>(loss_case.kind), static_cast<int>(loss_case.constraint),
+                                   is_cut) +
+                       simulator->story();
             };
-            // Something in zone b, so that what may choose begins in a.
-            w->submit(
+            // A job in zone b makes jobs that may choose their zone start in zone a.
+            simulator->submit(
                 [&] {
-                    JobSpec other = w->job(2, JobKind::Array, 2, 8);
+                    JobSpec other = simulator->job(2, JobKind::Array, 2, 8);
                     other.zone = "b";
                     return other;
                 }(),
                 8 * kSecond);
-            w->run(2 * kSecond);
-            const JobSpec job = bound_job(*w, 1, row.kind, row.binds);
-            const Micros run = row.kind == JobKind::Service ? 0 : 60 * kSecond;
-            w->submit(job, run);
-            w->run(10 * kSecond);
-            ASSERT_EQ(w->running(job.ref), 4) << story();
-            const auto lost = machines_in(*w, "a");
-            for (const auto& m : lost) {
-                if (cut)
-                    cut_from_all(*w, m);
+            simulator->run(2 * kSecond);
+            const JobSpec job = constrained_job(*simulator, 1, loss_case.kind, loss_case.constraint);
+            const Micros run_time = loss_case.kind == JobKind::Service ? 0 : 60 * kSecond;
+            simulator->submit(job, run_time);
+            simulator->run(10 * kSecond);
+            ASSERT_EQ(simulator->running(job.ref), 4) << story();
+            const auto lost_machines = machines_in(*simulator, "a");
+            for (const auto& machine : lost_machines) {
+                if (is_cut)
+                    cut_from_all(*simulator, machine);
                 else
-                    w->kill_machine(m);
+                    simulator->kill_machine(machine);
             }
-            w->run(20 * kSecond);
-            w->crash(w->holder(), 5 * kSecond);
-            w->run(15 * kSecond);
-            EXPECT_EQ(w->running(job.ref), row.meanwhile) << story();
-            if (cut)
-                w->heal_all();
+            simulator->run(20 * kSecond);
+            simulator->crash(simulator->holder(), 5 * kSecond);
+            simulator->run(15 * kSecond);
+            EXPECT_EQ(simulator->running(job.ref), loss_case.running_meanwhile) << story();
+            if (is_cut)
+                simulator->heal_all();
             else
-                for (std::size_t i = 0; i < lost.size(); ++i) w->add_machine("small", "a");
-            w->run(10 * kSecond);
-            EXPECT_EQ(w->running(job.ref), 4) << story();
-            w->run(run + 5 * kSecond);
-            EXPECT_EQ(w->told(job.ref), row.kind == JobKind::Service ? "accepted" : "done") << story();
-            EXPECT_RULES(*w);
+                for (std::size_t i = 0; i < lost_machines.size(); ++i) simulator->add_machine("small", "a");
+            simulator->run(10 * kSecond);
+            EXPECT_EQ(simulator->running(job.ref), 4) << story();
+            simulator->run(run_time + 5 * kSecond);
+            EXPECT_EQ(simulator->told(job.ref), loss_case.kind == JobKind::Service ? "accepted" : "done")
+                << story();
+            EXPECT_RULES(*simulator);
         }
 }
 
-/// The zone is full of work of the same rank that ends one by one, and loses a machine on top; the other zone
-/// is empty. What is bound to the zone waits its turn, and none of it is forgotten.
-TEST(ZonesLost, WhatIsBoundToAFullZoneWaitsForRoomThere) {
+/// The zone is full of jobs of the same rank, which end one by one, and then loses a machine; the other zone
+/// is empty. Jobs that are bound to the zone wait for their turn, and all of them run.
+TEST(ZoneLoss, JobBoundToAFullZoneWaitsForItsTurn) {
     for (const JobKind kind : {JobKind::Array, JobKind::Gang}) {
-        auto w = settled_simulator(63, 4, patient());
+        auto simulator = settled_simulator(63, 4, patient());
         for (int i = 0; i < 8; ++i) {
-            JobSpec job = w->job(10 + i, JobKind::Array, 2, 2);
+            JobSpec job = simulator->job(10 + i, JobKind::Array, 2, 2);
             job.zone = "a";
-            w->submit(job, 10 * kSecond);
+            simulator->submit(job, 10 * kSecond);
         }
-        JobSpec job = bound_job(*w, 1, kind, Binds::Zone);
-        w->submit(job, 4 * kSecond);
-        w->run(5 * kSecond);
-        w->kill_machine(machines_in(*w, "a").back());
-        w->run(110 * kSecond);
-        EXPECT_EQ(w->told(job.ref), "done") << w->story();
+        JobSpec job = constrained_job(*simulator, 1, kind, ZoneConstraint::Zone);
+        simulator->submit(job, 4 * kSecond);
+        simulator->run(5 * kSecond);
+        simulator->kill_machine(machines_in(*simulator, "a").back());
+        simulator->run(110 * kSecond);
+        EXPECT_EQ(simulator->told(job.ref), "done") << simulator->story();
         for (int i = 0; i < 8; ++i)
-            EXPECT_EQ(w->told(w->job(10 + i, JobKind::Array, 2).ref), "done") << w->story();
-        EXPECT_RULES(*w);
+            EXPECT_EQ(simulator->told(simulator->job(10 + i, JobKind::Array, 2).ref), "done")
+                << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-/// A zone that offers no type which the job may use can never run it; one that offers it and has no such
-/// machine just now is waited for.
-TEST(ZonesLost, AZoneWithoutTheTypeIsRefusedAndOneWithoutTheMachineIsWaitedFor) {
+/// A job is refused if its zone offers no machine type that the job may use. If the zone offers one and has
+/// no such machine at the moment, the job waits.
+TEST(ZoneLoss, JobIsRefusedWithoutTheMachineTypeAndWaitsWithoutAMachine) {
     auto types = small_types();
     types[1].zones = {"b"};
-    Simulator w(64, small_site(), types);
-    for (const char* zone : {"a", "b"}) w.add_machine("small", zone);
-    w.start_nodes();
-    w.run(6 * kSecond);
-    JobSpec never = w.job(1, JobKind::Array, 2), later = w.job(2, JobKind::Array, 2);
-    never.types = later.types = {"large"};
-    never.zone = "a";
-    later.zone = "b";
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(w.ask(i, "POST", "/v1/jobs", wire::job_value(never)).status, 422);
-    w.submit(later, 2 * kSecond);
-    w.run(30 * kSecond);
-    EXPECT_EQ(w.told(later.ref), "accepted");
-    EXPECT_EQ(w.starts(later.ref), 0);
-    w.crash(w.holder(), 5 * kSecond);
-    w.run(10 * kSecond);
-    w.add_machine("large", "b");
-    w.run(15 * kSecond);
-    EXPECT_EQ(w.told(later.ref), "done") << w.story();
-    EXPECT_RULES(w);
+    Simulator simulator(64, small_site(), types);
+    for (const char* zone : {"a", "b"}) simulator.add_machine("small", zone);
+    simulator.start_nodes();
+    simulator.run(6 * kSecond);
+    JobSpec impossible_job = simulator.job(1, JobKind::Array, 2),
+            possible_job = simulator.job(2, JobKind::Array, 2);
+    impossible_job.types = possible_job.types = {"large"};
+    impossible_job.zone = "a";
+    possible_job.zone = "b";
+    for (int i = 0; i < 3; ++i)
+        EXPECT_EQ(simulator.ask(i, "POST", "/v1/jobs", wire::job_value(impossible_job)).status, 422);
+    simulator.submit(possible_job, 2 * kSecond);
+    simulator.run(30 * kSecond);
+    EXPECT_EQ(simulator.told(possible_job.ref), "accepted");
+    EXPECT_EQ(simulator.starts(possible_job.ref), 0);
+    simulator.crash(simulator.holder(), 5 * kSecond);
+    simulator.run(10 * kSecond);
+    simulator.add_machine("large", "b");
+    simulator.run(15 * kSecond);
+    EXPECT_EQ(simulator.told(possible_job.ref), "done") << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
-/// All machines of a zone are lost while the cloud has none to give there, and others take their place
-/// elsewhere. Once it has some again, what is bound to that zone runs.
-TEST(ZonesLost, AZoneIsRentedInAgainForWhatIsBoundToIt) {
-    Simulator w(65);
-    for (int i = 0; i < 6; ++i) w.add_machine("small", "b", true);
-    w.start_nodes();
-    w.run(10 * kSecond);
-    const JobSpec job = bound_job(w, 1, JobKind::Array, Binds::Zone);
-    w.submit(job, 2 * kSecond);
-    w.run(20 * kSecond);
-    EXPECT_EQ(w.starts(job.ref), 0);
-    w.cloud().capacity = 50;
-    w.run(90 * kSecond);
-    EXPECT_EQ(w.told(job.ref), "done") << w.story();
-    EXPECT_RULES(w);
+/// A zone has lost all of its machines, the cloud has none to rent there, and machines in the other zone have
+/// replaced them. Once the cloud has capacity again, a job that is bound to the zone runs.
+TEST(ZoneLoss, MachinesAreRentedAgainInTheZoneThatAJobIsBoundTo) {
+    Simulator simulator(65);
+    for (int i = 0; i < 6; ++i) simulator.add_machine("small", "b", true);
+    simulator.start_nodes();
+    simulator.run(10 * kSecond);
+    const JobSpec job = constrained_job(simulator, 1, JobKind::Array, ZoneConstraint::Zone);
+    simulator.submit(job, 2 * kSecond);
+    simulator.run(20 * kSecond);
+    EXPECT_EQ(simulator.starts(job.ref), 0);
+    simulator.cloud().capacity = 50;
+    simulator.run(90 * kSecond);
+    EXPECT_EQ(simulator.told(job.ref), "done") << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
 }  // namespace
