--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -1,6 +1,6 @@
-// Moves and gathered room with controllers that end at every step, in the simulated world: nothing runs
-// twice, what moves is moved once, a service never lacks more than the one that moves, and nothing is kept
-// for ever.
+// Moves and reservations in the simulator, with controllers that crash at every step of a plan: no task runs
+// twice, a task is moved once, a service never lacks more than the replica that moves, and no reservation is
+// left behind.
 
 #include <gtest/gtest.h>
 
@@ -11,358 +11,390 @@
 using namespace simulation;
 namespace {
 
-constexpr Micros kFine = 5 * kMillisecond;
-constexpr auto kWeb = "req-000001";
+constexpr Micros kFineStep = 5 * kMillisecond;
+constexpr auto kServiceJob = "req-000001";
 
-Json stored_plan(Simulator& w) {
-    const auto r = w.state().handle("GET", "/store?starts=c/plan/&page=10", Json(), w.now());
-    return r.body["pairs"];
+Json stored_plans(Simulator& simulator) {
+    const auto reply =
+        simulator.state().handle("GET", "/store?starts=c/plan/&page=10", Json(), simulator.now());
+    return reply.body["pairs"];
 }
 
-bool record_stands(Simulator& w) {
-    return !stored_plan(w).empty();
+bool is_plan_stored(Simulator& simulator) {
+    return !stored_plans(simulator).empty();
 }
 
-const scheduling::Plan* plan_at(Simulator& w, int node) {
-    ShardOwner* owner = node >= 0 ? w.owner_at(node) : nullptr;
+const scheduling::Plan* plan_of(Simulator& simulator, int node) {
+    ShardOwner* owner = node >= 0 ? simulator.owner_at(node) : nullptr;
     return owner ? &owner->rebalancer().plan() : nullptr;
 }
 
-policy::Policy asked() {
-    policy::Policy p;
-    p.revision = 1;
-    p.budgets.settle_time = 3 * kSecond;
-    p.budgets.service_pause = 5 * kSecond;
-    return p;
+policy::Policy policy_with_short_waits() {
+    policy::Policy policy;
+    policy.revision = 1;
+    policy.budgets.settle_time = 3 * kSecond;
+    policy.budgets.service_pause = 5 * kSecond;
+    return policy;
 }
 
 // ---------------------------------------------------------------- balance
 
-Settings balanced_site() {
-    Settings s = small_site();
-    policy::Policy p = asked();
+Settings rebalancing_settings() {
+    Settings settings = small_site();
+    policy::Policy policy = policy_with_short_waits();
     policy::ZoneRule rule;
     rule.scope.team = "red";
     rule.max_zone_share = 0.5;
     rule.rebalance = true;
-    p.zones = {rule};
-    s.ops.policy = p;
-    return s;
+    policy.zones = {rule};
+    settings.ops.policy = policy;
+    return settings;
 }
 
-/// A service of four, all in zone a as b has no machines; then b gets some, so that two have to move.
-struct Balance {
-    Simulator w;
-    int least = 4;  // replicas that ran at a time
-
-    explicit Balance(std::uint64_t seed) : w(seed, balanced_site()) {
-        for (int i = 0; i < 2; ++i) w.add_machine("small", "a");
-        w.start_nodes();
-        w.run(6 * kSecond);
-        JobSpec web = w.job(1, JobKind::Service, 4);
-        web.rank = PriorityClass::Production;
-        w.submit(web, 0);
-        w.run(4 * kSecond);
-        for (int i = 0; i < 2; ++i) w.add_machine("small", "b");
+/// A service with four replicas, all in zone a because zone b has no machines. Then zone b gets some, so that
+/// two replicas have to move.
+struct RebalancedService {
+    Simulator simulator;
+    int min_running = 4;  // the fewest replicas that ran at a time
+
+    explicit RebalancedService(std::uint64_t seed) : simulator(seed, rebalancing_settings()) {
+        for (int i = 0; i < 2; ++i) simulator.add_machine("small", "a");
+        simulator.start_nodes();
+        simulator.run(6 * kSecond);
+        JobSpec service = simulator.job(1, JobKind::Service, 4);
+        service.rank = PriorityClass::Production;
+        simulator.submit(service, 0);
+        simulator.run(4 * kSecond);
+        for (int i = 0; i < 2; ++i) simulator.add_machine("small", "b");
     }
-    void run(Micros span, Micros step = 50 * kMillisecond) {
-        for (const Micros end = w.now() + span; w.now() < end;) {
-            w.run(step);
-            least = std::min(least, w.running(kWeb));
+    void run(Micros duration, Micros step = 50 * kMillisecond) {
+        for (const Micros end = simulator.now() + duration; simulator.now() < end;) {
+            simulator.run(step);
+            min_running = std::min(min_running, simulator.running(kServiceJob));
         }
     }
-    /// Runs until `there`, at most for that long.
-    bool until(const std::function<bool()>& there, Micros most = 40 * kSecond) {
-        for (const Micros end = w.now() + most; w.now() < end && !there();) run(kFine, kFine);
-        return there();
+    /// Runs until the condition holds, for `max_duration` at most. Returns whether it holds.
+    bool run_until(const std::function<bool()>& condition, Micros max_duration = 40 * kSecond) {
+        for (const Micros end = simulator.now() + max_duration; simulator.now() < end && !condition();)
+            run(kFineStep, kFineStep);
+        return condition();
     }
-    int in_zone_b() {
-        int n = 0;
-        const auto& machines = w.owner_at(w.holder())->machines();
-        for (const auto& m : w.machines_of(kWeb)) n += machines.at(m)->zone == "b";
-        return n;
+    int replicas_in_zone_b() {
+        int replicas = 0;
+        const auto& machines = simulator.owner_at(simulator.holder())->machines();
+        for (const auto& machine : simulator.machines_of(kServiceJob))
+            replicas += machines.at(machine)->zone == "b";
+        return replicas;
     }
-    void expect_balanced(const std::string& what) {
-        const std::string story = what + "\n" + w.story();
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front() << "\n" << story;
-        EXPECT_EQ(w.running(kWeb), 4) << story;
-        EXPECT_GE(least, 3) << story;
-        EXPECT_EQ(w.starts(kWeb), 6) << "each of two moves once\n" << story;
-        EXPECT_FALSE(record_stands(w)) << stored_plan(w).dump() << story;
-        const auto* plan = plan_at(w, w.holder());
+    void expect_balanced(const std::string& description) {
+        const std::string story = description + "\n" + simulator.story();
+        EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << "\n" << story;
+        EXPECT_EQ(simulator.running(kServiceJob), 4) << story;
+        EXPECT_GE(min_running, 3) << story;
+        EXPECT_EQ(simulator.starts(kServiceJob), 6) << "two replicas have to move once each\n" << story;
+        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
+        const auto* plan = plan_of(simulator, simulator.holder());
         ASSERT_TRUE(plan) << story;
         EXPECT_TRUE(plan->empty()) << story;
-        EXPECT_GE(in_zone_b(), 1) << story;
+        EXPECT_GE(replicas_in_zone_b(), 1) << story;
     }
 };
 
-struct Step {
+/// A step of a move, at which a test makes something fail.
+struct MoveStep {
     const char* name;
-    std::function<bool(Balance&)> there;
+    std::function<bool(RebalancedService&)> is_reached;
 };
 
-const std::vector<Step>& steps() {
-    static const std::vector<Step> all{
-        {"before the record",
-         [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
-             return p && !p->moves().empty() && !record_stands(b.w);
+const std::vector<MoveStep>& move_steps() {
+    static const std::vector<MoveStep> steps{
+        {"before the plan is stored",
+         [](RebalancedService& service) {
+             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             return plan && !plan->moves().empty() && !is_plan_stored(service.simulator);
          }},
-        {"after the record, before its answer", [](Balance& b) { return record_stands(b.w); }},
-        {"after the stop",
-         [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
-             if (!p || p->moves().empty()) return false;
-             const auto& m = p->moves().front().move;
-             return b.w.owner_at(b.w.holder())
+        {"after the plan is stored, before the answer",
+         [](RebalancedService& service) { return is_plan_stored(service.simulator); }},
+        {"after the task is told to stop",
+         [](RebalancedService& service) {
+             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             if (!plan || plan->moves().empty()) return false;
+             const auto& move = plan->moves().front().move;
+             return service.simulator.owner_at(service.simulator.holder())
                  ->jobs()
-                 .at(m.job)
-                 ->slots[static_cast<std::size_t>(m.task)]
+                 .at(move.job)
+                 ->slots[static_cast<std::size_t>(move.task)]
                  .stop;
          }},
-        {"after it is gone, before it starts",
-         [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
-             return p && !p->moves().empty() && b.w.running(kWeb) == 3;
+        {"after the task is gone, before it starts",
+         [](RebalancedService& service) {
+             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             return plan && !plan->moves().empty() && service.simulator.running(kServiceJob) == 3;
          }},
-        {"after it is bound again",
-         [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
-             if (!p || p->moves().empty()) return false;
-             const auto& m = p->moves().front().move;
-             const auto& slot =
-                 b.w.owner_at(b.w.holder())->jobs().at(m.job)->slots[static_cast<std::size_t>(m.task)];
-             return slot.machine && slot.machine->name != m.from;
+        {"after the task is bound again",
+         [](RebalancedService& service) {
+             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             if (!plan || plan->moves().empty()) return false;
+             const auto& move = plan->moves().front().move;
+             const auto& slot = service.simulator.owner_at(service.simulator.holder())
+                                    ->jobs()
+                                    .at(move.job)
+                                    ->slots[static_cast<std::size_t>(move.task)];
+             return slot.machine && slot.machine->name != move.from;
          }},
-        {"after it started", [](Balance& b) { return b.w.starts(kWeb) == 5; }},
+        {"after the task started",
+         [](RebalancedService& service) { return service.simulator.starts(kServiceJob) == 5; }},
     };
-    return all;
+    return steps;
 }
 
-TEST(MovesInTheWorld, AServiceComesIntoBalanceByItself) {
-    Balance b(1);
-    b.run(40 * kSecond);
-    b.expect_balanced("undisturbed");
+TEST(SimulatedMoves, ServiceIsRebalancedAfterMachinesAppear) {
+    RebalancedService service(1);
+    service.run(40 * kSecond);
+    service.expect_balanced("undisturbed");
 }
 
-TEST(MovesInTheWorld, APlanWhoseAnswersAreLostIsCarriedOutOnce) {
-    Balance b(2);
-    for (int i = 0; i < 3; ++i) b.w.late_next("c/plan/", 0);
-    b.run(60 * kSecond);
-    EXPECT_EQ(b.w.late_to_come(), 0U) << b.w.story();
-    b.expect_balanced("answers lost");
+TEST(SimulatedMoves, PlanIsCarriedOutOnceWhenItsAnswersAreLost) {
+    RebalancedService service(2);
+    for (int i = 0; i < 3; ++i) service.simulator.late_next("c/plan/", 0);
+    service.run(60 * kSecond);
+    EXPECT_EQ(service.simulator.late_to_come(), 0U) << service.simulator.story();
+    service.expect_balanced("answers are lost");
 }
 
-TEST(MovesInTheWorld, AnEndOfTheHolderAtEveryStepMovesNothingTwice) {
-    for (const Step& step : steps())
+TEST(SimulatedMoves, OwnerCrashAtEveryStepMovesNothingTwice) {
+    for (const MoveStep& step : move_steps())
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            Balance b(seed);
-            const std::string what = std::string(step.name) + ", seed " + std::to_string(seed);
-            ASSERT_TRUE(b.until([&] { return step.there(b); })) << what << "\n" << b.w.story();
-            b.w.crash(b.w.holder(), 20 * kSecond);
-            b.run(70 * kSecond);
-            b.expect_balanced(what);
+            RebalancedService service(seed);
+            const std::string description = std::string(step.name) + ", seed " + std::to_string(seed);
+            ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); }))
+                << description << "\n"
+                << service.simulator.story();
+            service.simulator.crash(service.simulator.holder(), 20 * kSecond);
+            service.run(70 * kSecond);
+            service.expect_balanced(description);
         }
 }
 
-TEST(MovesInTheWorld, AllControllersEndAtEveryStep) {
-    for (const Step& step : steps()) {
-        Balance b(4);
-        ASSERT_TRUE(b.until([&] { return step.there(b); })) << step.name;
-        for (int i = 0; i < 3; ++i) b.w.crash(i, 2 * kSecond + i * 300 * kMillisecond);
-        b.run(70 * kSecond);
-        b.expect_balanced(std::string("all end ") + step.name);
+TEST(SimulatedMoves, CrashOfAllControllersAtEveryStepMovesNothingTwice) {
+    for (const MoveStep& step : move_steps()) {
+        RebalancedService service(4);
+        ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); })) << step.name;
+        for (int i = 0; i < 3; ++i) service.simulator.crash(i, 2 * kSecond + i * 300 * kMillisecond);
+        service.run(70 * kSecond);
+        service.expect_balanced(std::string("all controllers crash ") + step.name);
     }
 }
 
-TEST(MovesInTheWorld, TheStoreIsDownAtEveryStep) {
-    for (const Step& step : steps()) {
-        Balance b(5);
-        ASSERT_TRUE(b.until([&] { return step.there(b); })) << step.name;
-        b.w.state().set_down(true, b.w.now());
-        b.run(6 * kSecond);
-        b.w.state().set_down(false, b.w.now());
-        b.run(60 * kSecond);
-        b.expect_balanced(std::string("the store is down ") + step.name);
+TEST(SimulatedMoves, StoreOutageAtEveryStepMovesNothingTwice) {
+    for (const MoveStep& step : move_steps()) {
+        RebalancedService service(5);
+        ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); })) << step.name;
+        service.simulator.state().set_down(true, service.simulator.now());
+        service.run(6 * kSecond);
+        service.simulator.state().set_down(false, service.simulator.now());
+        service.run(60 * kSecond);
+        service.expect_balanced(std::string("the store is down ") + step.name);
     }
 }
 
-TEST(MovesInTheWorld, TheRecordsWriteIsAnsweredLateOrNever) {
-    for (const bool request : {true, false})
+TEST(SimulatedMoves, LateOrLostPlanWriteMovesNothingTwice) {
+    for (const bool delays_request : {true, false})
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            Balance b(seed);
-            ASSERT_TRUE(b.until([&] { return steps()[0].there(b); }));
-            const std::string node = "loom-" + std::to_string(b.w.holder());
-            b.w.hold_next(request ? node : "state", request ? "state" : node);
-            b.w.answers_lost = 0.3;
-            b.run(8 * kSecond);
-            b.w.answers_lost = 0;
-            b.w.release();
-            b.run(60 * kSecond);
-            b.expect_balanced(request ? "a request comes late" : "an answer comes late");
+            RebalancedService service(seed);
+            ASSERT_TRUE(service.run_until([&] { return move_steps()[0].is_reached(service); }));
+            const std::string node = "loom-" + std::to_string(service.simulator.holder());
+            service.simulator.hold_next(delays_request ? node : "state", delays_request ? "state" : node);
+            service.simulator.answers_lost = 0.3;
+            service.run(8 * kSecond);
+            service.simulator.answers_lost = 0;
+            service.simulator.release();
+            service.run(60 * kSecond);
+            service.expect_balanced(delays_request ? "the request arrives late" : "the answer arrives late");
         }
 }
 
-TEST(MovesInTheWorld, ADestinationDiesAndTheTaskStartsElsewhere) {
-    Balance b(6);
-    ASSERT_TRUE(b.until([&] { return steps()[2].there(b); }));
-    b.w.kill_machine(plan_at(b.w, b.w.holder())->moves().front().move.to);
-    b.run(70 * kSecond);
-    EXPECT_TRUE(b.w.broken.empty()) << b.w.broken.front() << b.w.story();
-    EXPECT_EQ(b.w.running(kWeb), 4) << b.w.story();
-    EXPECT_GE(b.least, 3);
-    EXPECT_FALSE(record_stands(b.w));
+TEST(SimulatedMoves, TaskStartsElsewhereWhenItsDestinationDies) {
+    RebalancedService service(6);
+    ASSERT_TRUE(service.run_until([&] { return move_steps()[2].is_reached(service); }));
+    service.simulator.kill_machine(
+        plan_of(service.simulator, service.simulator.holder())->moves().front().move.to);
+    service.run(70 * kSecond);
+    EXPECT_TRUE(service.simulator.broken.empty())
+        << service.simulator.broken.front() << service.simulator.story();
+    EXPECT_EQ(service.simulator.running(kServiceJob), 4) << service.simulator.story();
+    EXPECT_GE(service.min_running, 3);
+    EXPECT_FALSE(is_plan_stored(service.simulator));
 }
 
-TEST(MovesInTheWorld, AJobThatIsCancelledMeanwhileEnds) {
-    for (const Step& step : steps()) {
-        Balance b(7);
-        ASSERT_TRUE(b.until([&] { return step.there(b); })) << step.name;
-        b.w.cancel(kWeb);
-        b.w.run(20 * kSecond);
-        EXPECT_TRUE(b.w.broken.empty()) << b.w.broken.front() << b.w.story();
-        EXPECT_EQ(b.w.running(kWeb), 0) << step.name;
-        EXPECT_FALSE(record_stands(b.w)) << step.name;
+TEST(SimulatedMoves, JobCancelledAtEveryStepEnds) {
+    for (const MoveStep& step : move_steps()) {
+        RebalancedService service(7);
+        ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); })) << step.name;
+        service.simulator.cancel(kServiceJob);
+        service.simulator.run(20 * kSecond);
+        EXPECT_TRUE(service.simulator.broken.empty())
+            << service.simulator.broken.front() << service.simulator.story();
+        EXPECT_EQ(service.simulator.running(kServiceJob), 0) << step.name;
+        EXPECT_FALSE(is_plan_stored(service.simulator)) << step.name;
     }
 }
 
-// ---------------------------------------------------------------- room for a large task
+// ---------------------------------------------------------------- reservations for a large task
 
-constexpr auto kLarge = "req-000009";
+constexpr auto kLargeJob = "req-000009";
 
-/// Two machines of eight GPUs, half of each in use by batch that saves its progress; a task that needs a
-/// whole one comes.
-struct Room {
-    Simulator w;
+/// Two machines of eight GPUs, half of each used by batch work that saves checkpoints. Then a task arrives
+/// that needs all GPUs of a machine.
+struct LargeTaskCluster {
+    Simulator simulator;
 
-    static Settings site() {
-        Settings s = small_site();
-        s.teams[0].limit = {128'000, 64'000, 0};
-        policy::Policy p = asked();
-        p.gpus.make_room = true;
-        p.gpus.min_wait = 2 * kSecond;
-        s.ops.policy = p;
-        return s;
+    static Settings settings() {
+        Settings result = small_site();
+        result.teams[0].limit = {128'000, 64'000, 0};
+        policy::Policy policy = policy_with_short_waits();
+        policy.gpus.make_room = true;
+        policy.gpus.min_wait = 2 * kSecond;
+        result.ops.policy = policy;
+        return result;
     }
     static std::vector<MachineType> types() {
         return {{"g8", {32'000, 8'000, 128'000}, 200'000, 1.0, 4.0, 1.5, 10 * kSecond, {"a", "b"}}};
     }
-    JobSpec with_gpus(int number, Milli gpus) {
-        JobSpec s = w.job(number, JobKind::Array, 1);
-        s.request = {gpus * 2, gpus, gpus * 8};
-        s.estimate = 300 * kSecond;
-        s.checkpoint = 10 * kSecond;
-        s.save = kSecond;
-        s.spot = false;  // what may use spot machines would be drained to return one
-        return s;
+    JobSpec gpu_job(int number, Milli gpus) {
+        JobSpec spec = simulator.job(number, JobKind::Array, 1);
+        spec.request = {gpus * 2, gpus, gpus * 8};
+        spec.estimate = 300 * kSecond;
+        spec.checkpoint = 10 * kSecond;
+        spec.save = kSecond;
+        spec.spot = false;  // else its machine could be drained and returned
+        return spec;
     }
-    explicit Room(std::uint64_t seed) : w(seed, site(), types()) {
-        w.add_machine("g8", "a");
-        w.start_nodes();
-        w.run(6 * kSecond);
-        w.cloud().capacity = 0;
-        w.submit(with_gpus(1, 4'000), 300 * kSecond);
-        w.submit(with_gpus(2, 4'000), 12 * kSecond);  // only to fill the first machine
-        w.run(4 * kSecond);
-        w.add_machine("g8", "a");
-        w.run(3 * kSecond);
-        w.submit(with_gpus(3, 4'000), 300 * kSecond);
-        w.run(10 * kSecond);  // now each has four GPUs free
-        w.submit(with_gpus(9, 8'000), 20 * kSecond);
+    explicit LargeTaskCluster(std::uint64_t seed) : simulator(seed, settings(), types()) {
+        simulator.add_machine("g8", "a");
+        simulator.start_nodes();
+        simulator.run(6 * kSecond);
+        simulator.cloud().capacity = 0;
+        simulator.submit(gpu_job(1, 4'000), 300 * kSecond);
+        simulator.submit(gpu_job(2, 4'000),
+                         12 * kSecond);  // fills the first machine for now
+        simulator.run(4 * kSecond);
+        simulator.add_machine("g8", "a");
+        simulator.run(3 * kSecond);
+        simulator.submit(gpu_job(3, 4'000), 300 * kSecond);
+        simulator.run(10 * kSecond);  // now each machine has four free GPUs
+        simulator.submit(gpu_job(9, 8'000), 20 * kSecond);
     }
-    bool until(const std::function<bool()>& there) {
-        for (const Micros end = w.now() + 30 * kSecond; w.now() < end && !there();) w.run(kFine);
-        return there();
+    bool run_until(const std::function<bool()>& condition) {
+        for (const Micros end = simulator.now() + 30 * kSecond; simulator.now() < end && !condition();)
+            simulator.run(kFineStep);
+        return condition();
     }
-    /// Exactly one of both was moved; a start more where the machine's end took it.
-    void expect_at_rest(const std::string& what, int large_starts) {
-        const std::string story = what + "\n" + w.story();
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front() << "\n" << story;
-        EXPECT_EQ(w.starts(kLarge), large_starts) << story;
-        EXPECT_EQ(w.running("req-000001") + w.running("req-000003"), 2) << story;
-        EXPECT_LE(w.starts("req-000001") + w.starts("req-000003"), 3) << story;
-        EXPECT_FALSE(record_stands(w)) << stored_plan(w).dump() << story;
+    /// Checks that both batch jobs run, that they had three starts at most (one of them was moved once), and
+    /// that no plan is left.
+    void expect_at_rest(const std::string& description, int large_starts) {
+        const std::string story = description + "\n" + simulator.story();
+        EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << "\n" << story;
+        EXPECT_EQ(simulator.starts(kLargeJob), large_starts) << story;
+        EXPECT_EQ(simulator.running("req-000001") + simulator.running("req-000003"), 2) << story;
+        EXPECT_LE(simulator.starts("req-000001") + simulator.starts("req-000003"), 3) << story;
+        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
     }
 };
 
-const std::vector<std::pair<const char*, std::function<bool(Room&)>>>& room_steps() {
-    static const auto running = [](Room& r) { return r.w.running("req-000001") + r.w.running("req-000003"); };
-    static const std::vector<std::pair<const char*, std::function<bool(Room&)>>> all{
-        {"before the record",
-         [](Room& r) {
-             const auto* p = plan_at(r.w, r.w.holder());
-             return p && !p->gathers().empty() && !record_stands(r.w);
+/// The steps of a reservation, at which a test makes something fail, by name.
+const std::vector<std::pair<const char*, std::function<bool(LargeTaskCluster&)>>>& reservation_steps() {
+    static const auto running = [](LargeTaskCluster& cluster) {
+        return cluster.simulator.running("req-000001") + cluster.simulator.running("req-000003");
+    };
+    static const std::vector<std::pair<const char*, std::function<bool(LargeTaskCluster&)>>> steps{
+        {"before the plan is stored",
+         [](LargeTaskCluster& cluster) {
+             const auto* plan = plan_of(cluster.simulator, cluster.simulator.holder());
+             return plan && !plan->gathers().empty() && !is_plan_stored(cluster.simulator);
+         }},
+        {"after the plan is stored",
+         [](LargeTaskCluster& cluster) { return is_plan_stored(cluster.simulator); }},
+        {"after a task is stopped", [](LargeTaskCluster& cluster) { return running(cluster) < 2; }},
+        {"after the moved task started",
+         [](LargeTaskCluster& cluster) {
+             return cluster.simulator.starts("req-000001") + cluster.simulator.starts("req-000003") == 3;
          }},
-        {"after the record", [](Room& r) { return record_stands(r.w); }},
-        {"after the stop", [](Room& r) { return running(r) < 2; }},
-        {"after the moved one started",
-         [](Room& r) { return r.w.starts("req-000001") + r.w.starts("req-000003") == 3; }},
-        {"after the large one started", [](Room& r) { return r.w.starts(kLarge) == 1; }},
+        {"after the large task started",
+         [](LargeTaskCluster& cluster) { return cluster.simulator.starts(kLargeJob) == 1; }},
     };
-    return all;
+    return steps;
 }
 
-TEST(RoomInTheWorld, AnEndOfTheHolderAtEveryStepOfAGathering) {
-    for (const auto& [name, there] : room_steps())
+TEST(SimulatedReservations, OwnerCrashAtEveryStepStartsTheLargeTaskOnce) {
+    for (const auto& [name, is_reached] : reservation_steps())
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            Room r(seed);
-            const std::string what = std::string(name) + ", seed " + std::to_string(seed);
-            ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << what << "\n" << r.w.story();
-            r.w.crash(r.w.holder(), 20 * kSecond);
-            r.w.run(60 * kSecond);
-            r.expect_at_rest(what, 1);
+            LargeTaskCluster cluster(seed);
+            const std::string description = std::string(name) + ", seed " + std::to_string(seed);
+            ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
+                << description << "\n"
+                << cluster.simulator.story();
+            cluster.simulator.crash(cluster.simulator.holder(), 20 * kSecond);
+            cluster.simulator.run(60 * kSecond);
+            cluster.expect_at_rest(description, 1);
         }
 }
 
-TEST(RoomInTheWorld, AllControllersEndAtEveryStepOfAGathering) {
-    for (const auto& [name, there] : room_steps()) {
-        Room r(4);
-        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.story();
-        for (int i = 0; i < 3; ++i) r.w.crash(i, 2 * kSecond + i * 300 * kMillisecond);
-        r.w.run(60 * kSecond);
-        r.expect_at_rest(std::string("all end ") + name, 1);
+TEST(SimulatedReservations, CrashOfAllControllersAtEveryStepStartsTheLargeTaskOnce) {
+    for (const auto& [name, is_reached] : reservation_steps()) {
+        LargeTaskCluster cluster(4);
+        ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
+            << name << "\n"
+            << cluster.simulator.story();
+        for (int i = 0; i < 3; ++i) cluster.simulator.crash(i, 2 * kSecond + i * 300 * kMillisecond);
+        cluster.simulator.run(60 * kSecond);
+        cluster.expect_at_rest(std::string("all controllers crash ") + name, 1);
     }
 }
 
-TEST(RoomInTheWorld, RoomThatIsKeptIsNotTakenByWhatComesMeanwhile) {
-    Room r(6);
-    ASSERT_TRUE(r.until([&] {
-        const auto* p = plan_at(r.w, r.w.holder());
-        return p && !p->kept().empty();
+TEST(SimulatedReservations, ReservedGpusAreNotTakenByALaterJob) {
+    LargeTaskCluster cluster(6);
+    ASSERT_TRUE(cluster.run_until([&] {
+        const auto* plan = plan_of(cluster.simulator, cluster.simulator.holder());
+        return plan && !plan->kept().empty();
     }));
-    r.w.submit(r.with_gpus(4, 4'000), 300 * kSecond);
-    r.w.run(10 * kSecond);
-    EXPECT_EQ(r.w.starts(kLarge), 1) << r.w.story();
-    EXPECT_EQ(r.w.starts("req-000004"), 0) << "it waits its turn\n" << r.w.story();
-    r.w.run(30 * kSecond);
-    EXPECT_EQ(r.w.starts("req-000004"), 1) << r.w.story();
-    r.expect_at_rest("with another one", 1);
+    cluster.simulator.submit(cluster.gpu_job(4, 4'000), 300 * kSecond);
+    cluster.simulator.run(10 * kSecond);
+    EXPECT_EQ(cluster.simulator.starts(kLargeJob), 1) << cluster.simulator.story();
+    EXPECT_EQ(cluster.simulator.starts("req-000004"), 0) << "the later job has to wait\n"
+                                                         << cluster.simulator.story();
+    cluster.simulator.run(30 * kSecond);
+    EXPECT_EQ(cluster.simulator.starts("req-000004"), 1) << cluster.simulator.story();
+    cluster.expect_at_rest("with a later job", 1);
 }
 
-TEST(RoomInTheWorld, TheLargeJobIsCancelledAtEveryStepAndNothingIsKept) {
-    for (const auto& [name, there] : room_steps()) {
-        Room r(5);
-        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.story();
-        r.w.cancel(kLarge);
-        r.w.run(30 * kSecond);
-        r.expect_at_rest(std::string("cancelled ") + name, r.w.starts(kLarge));
-        EXPECT_LE(r.w.starts(kLarge), 1) << name;
+TEST(SimulatedReservations, CancellationAtEveryStepLeavesNoReservation) {
+    for (const auto& [name, is_reached] : reservation_steps()) {
+        LargeTaskCluster cluster(5);
+        ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
+            << name << "\n"
+            << cluster.simulator.story();
+        cluster.simulator.cancel(kLargeJob);
+        cluster.simulator.run(30 * kSecond);
+        cluster.expect_at_rest(std::string("cancelled ") + name, cluster.simulator.starts(kLargeJob));
+        EXPECT_LE(cluster.simulator.starts(kLargeJob), 1) << name;
     }
 }
 
-TEST(MovesInTheWorld, WithoutAPolicyOrWithNothingToMoveNothingIsWritten) {
-    for (const bool with : {true, false}) {
-        Settings s = balanced_site();
-        if (!with) s.ops.policy.reset();
-        Simulator w(8, s);
-        for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-        w.start_nodes();
-        w.run(6 * kSecond);
-        w.submit(w.job(1, JobKind::Service, 4), 0);
-        w.submit(w.job(2, JobKind::Array, 3), 4 * kSecond);
-        w.run(30 * kSecond);
-        EXPECT_EQ(w.running(kWeb), 4);
-        for (int i = 0; i < 3; ++i) EXPECT_FALSE(w.node(i)->status()["changes_sent"].contains("plan"));
+TEST(SimulatedMoves, NothingIsWrittenWithoutAPolicyOrAnythingToMove) {
+    for (const bool has_policy : {true, false}) {
+        Settings settings = rebalancing_settings();
+        if (!has_policy) settings.ops.policy.reset();
+        Simulator simulator(8, settings);
+        for (int i = 0; i < 4; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+        simulator.start_nodes();
+        simulator.run(6 * kSecond);
+        simulator.submit(simulator.job(1, JobKind::Service, 4), 0);
+        simulator.submit(simulator.job(2, JobKind::Array, 3), 4 * kSecond);
+        simulator.run(30 * kSecond);
+        EXPECT_EQ(simulator.running(kServiceJob), 4);
+        for (int i = 0; i < 3; ++i)
+            EXPECT_FALSE(simulator.node(i)->status()["changes_sent"].contains("plan"));
     }
 }
 
