--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -19,16 +19,16 @@
 constexpr Micros kMinIdleBeforeOffer = 500 * kMillisecond;
 // How long a job that finds no machine keeps its part of its team's limit from other jobs. A gang keeps it
 // longer, as the resources for all of its tasks may have to be reserved one machine after another.
-constexpr Micros kKeepsQuota = 20 * kSecond;
-constexpr Micros kGangKeepsQuota = 60 * kSecond;
+constexpr Micros kQuotaRetention = 20 * kSecond;
+constexpr Micros kGangQuotaRetention = 60 * kSecond;
 constexpr Micros kNoRoomValidity = 10 * kSecond;  // a failure to find a machine counts for this long
 
 /// Returns whether the job has found no machine for long. Then it keeps no part of its team's limit, so that
 /// jobs that do find a machine can use that part meanwhile. The job stays in the queue and asks for its part
 /// again once there is a machine for it.
 bool is_long_unschedulable(const Job& job, Micros now) {
-    const Micros keeps_quota = job.spec.kind == JobKind::Gang ? kGangKeepsQuota : kKeepsQuota;
-    return job.no_room_at > 0 && now - job.waiting_since >= keeps_quota &&
+    const Micros quota_retention = job.spec.kind == JobKind::Gang ? kGangQuotaRetention : kQuotaRetention;
+    return job.no_room_at > 0 && now - job.waiting_since >= quota_retention &&
            now - job.no_room_at <= kNoRoomValidity;
 }
 
@@ -100,25 +100,25 @@
     // The request is for the job that has waited longest, and stands for the jobs that need the same. Live
     // work goes first: else it would wait behind a queue that may be long.
     auto order = [this](const Job& job) { return std::pair(tier(job) != policy::Tier::Live, job.serial); };
-    const Job* first = nullptr;
+    const Job* first_job = nullptr;
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->waiting() > 0 && now - job->waiting_since > kCapacityRequestDelay &&
             (scheduler_.is_within_quota(*job, 1) || is_long_unschedulable(*job, now)) &&
-            (!first || order(*job) < order(*first)))
-            first = job.get();
-    if (!first) return std::nullopt;
+            (!first_job || order(*job) < order(*first_job)))
+            first_job = job.get();
+    if (!first_job) return std::nullopt;
     peer::CapacityRequest request;
     request.shard = shard_;
     request.mod_revision = mod_revision_;
-    request.task = first->spec.request;
-    request.spot = first->spec.spot;
-    if (first->spec.zone) request.zone = *first->spec.zone;
+    request.task = first_job->spec.request;
+    request.spot = first_job->spec.spot;
+    if (first_job->spec.zone) request.zone = *first_job->spec.zone;
     // Where the zones that have tasks of the job may take no more, the job needs machines in another zone.
-    if (first->spec.spread && request.zone.empty()) {
-        auto tasks_by_zone = first->zones();
+    if (first_job->spec.spread && request.zone.empty()) {
+        auto tasks_by_zone = first_job->zones();
         const bool is_zone_full =
             std::any_of(tasks_by_zone.begin(), tasks_by_zone.end(),
-                        [&](const auto& zone) { return zone.second >= first->zone_cap(); });
+                        [&](const auto& zone) { return zone.second >= first_job->zone_cap(); });
         if (is_zone_full)
             request.zone =
                 *std::min_element(context_.settings().zones.begin(), context_.settings().zones.end(),
@@ -126,10 +126,11 @@
                                       return tasks_by_zone[a] < tasks_by_zone[b];
                                   });
     }
-    if (first->spec.types && first->spec.types->size() == 1) request.type = first->spec.types->front();
+    if (first_job->spec.types && first_job->spec.types->size() == 1)
+        request.type = first_job->spec.types->front();
     const Capacity capacity(shard_state_.machines);
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.spot == first->spec.spot && now - job->waiting_since > kCapacityRequestDelay)
+        if (job->spec.spot == first_job->spec.spot && now - job->waiting_since > kCapacityRequestDelay)
             request.cores += capacity.occupied_by(job->spec) * job->waiting();
     return request;
 }
@@ -138,7 +139,7 @@
     std::vector<std::string> names;
     if (!active_) return names;
     const Micros now = context_.runtime().listened();
-    std::vector<Machine*> idle;
+    std::vector<Machine*> idle_machines;
     for (auto& [name, machine] : shard_state_.machines) {
         if (!is_usable(*machine) || !machine->tasks.empty() || !machine->exited.empty() ||
             !machine->unacknowledged_launches.empty())
@@ -149,12 +150,12 @@
         if ((machine->spot && !want.spot) || !want.task.fits(machine->type->size)) continue;
         if (!want.type.empty() && want.type != machine->type_name) continue;
         if (!want.zone.empty() && want.zone != machine->zone) continue;
-        idle.push_back(machine.get());
+        idle_machines.push_back(machine.get());
     }
     // Half of the idle machines stay here for jobs that arrive next.
-    const std::size_t max_offered = (idle.size() + 1) / 2;
+    const std::size_t max_offered = (idle_machines.size() + 1) / 2;
     Milli offered_cores = 0;
-    for (Machine* machine : idle) {
+    for (Machine* machine : idle_machines) {
         if (names.size() >= max_offered || offered_cores >= want.cores) break;
         machine->leaving = true;
         offered_cores += machine->type->size.cores;
@@ -242,7 +243,7 @@
 
 std::optional<Resources> ShardOwner::short_by(const std::string& team) const {
     const Resources unused = unused_quota(team);
-    std::optional<Resources> least;
+    std::optional<Resources> least_shortfall;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->spec.team != team || job->stage != Stage::Queued || !job->open || job->backing_off) continue;
         if (job->idle == 0 || is_long_unschedulable(*job, context_.runtime().now())) continue;
@@ -250,10 +251,11 @@
         const Resources shortfall{std::max<Milli>(job->spec.request.cores * tasks_at_once - unused.cores, 0),
                                   std::max<Milli>(job->spec.request.gpus * tasks_at_once - unused.gpus, 0),
                                   0};
-        if (!least || std::tie(shortfall.gpus, shortfall.cores) < std::tie(least->gpus, least->cores))
-            least = shortfall;
+        if (!least_shortfall || std::tie(shortfall.gpus, shortfall.cores) <
+                                    std::tie(least_shortfall->gpus, least_shortfall->cores))
+            least_shortfall = shortfall;
     }
-    return least;
+    return least_shortfall;
 }
 
 Json ShardOwner::status() const {
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -102,8 +102,8 @@
                        [](const policy::ZoneRule& rule) { return rule.rebalance; });
 }
 
-/// Returns whether all machines that matter to the plan have reported to this owner, or have had the time of
-/// a lease to do so.
+/// Returns whether all machines that matter to the plan have reported to this owner, or have had the
+/// duration of a lease to do so.
 bool Rebalancer::has_heard_all_machines() const {
     if (context_.runtime().now() - owned_since_ > context_.settings().lease) return true;
     auto has_reported = [this](const Machine& machine) {
@@ -125,17 +125,18 @@
         plan_.writing();
         plan_.written(false);
     }
-    const bool evaluates = now - evaluated_at_ >= kEvaluationInterval && is_enabled_by_policy();
-    if (evaluates) {
+    const bool is_evaluation_due = now - evaluated_at_ >= kEvaluationInterval && is_enabled_by_policy();
+    if (is_evaluation_due) {
         evaluated_at_ = now;
         update_zone_stability();
     }
-    if ((!evaluates && plan_.empty() && record_revision_ == 0) || !has_heard_all_machines()) return;
-    if (evaluates) propose_moves();
+    if ((!is_evaluation_due && plan_.empty() && record_revision_ == 0) || !has_heard_all_machines()) return;
+    if (is_evaluation_due) propose_moves();
     execute_plan();
 }
 
-/// A zone is available while some of its machines report and all of those that have tasks do.
+/// Updates which zones are available, and drops old entries of the move history. A zone is available while
+/// some of its machines report and all of those that have tasks do.
 void Rebalancer::update_zone_stability() {
     const Micros now = context_.runtime().now();
     const Micros max_silence = context_.settings().report_every * 5 / 2 + kSecond;
@@ -158,7 +159,7 @@
 std::vector<std::string> Rebalancer::unstable_zones() const {
     std::vector<std::string> zones =
         zone_watch_.troubled(context_.runtime().now(), context_.policy().budgets.settle_time);
-    // A zone where the shard has no machines any more is of no concern to it.
+    // Zones without a machine of this shard are ignored.
     std::erase_if(zones, [this](const std::string& zone) {
         return std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
                             [&](const auto& entry) { return entry.second->zone == zone; });
@@ -365,25 +366,26 @@
 /// stored plan's own revision.
 void Rebalancer::write_plan() {
     const std::string key = keys::plan + shard_;
-    const bool drops = plan_.empty();
+    const bool deletes_record = plan_.empty();
     Change change;
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
     change.when = {{keys::shard + shard_, shard_revision_}, {key, record_revision_}};
-    change.then.push_back({key, drops ? Json() : plan_.value()});
+    change.then.push_back({key, deletes_record ? Json() : plan_.value()});
     write_in_flight_ = true;
     plan_.writing();
-    context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& result) {
-        if (*alive) on_plan_written(result, drops);
-    });
+    context_.store().commit(std::move(change),
+                            [this, alive = alive_, deletes_record](const CommitResult& result) {
+                                if (*alive) on_plan_written(result, deletes_record);
+                            });
 }
 
-void Rebalancer::on_plan_written(const CommitResult& result, bool dropped) {
+void Rebalancer::on_plan_written(const CommitResult& result, bool deleted_record) {
     write_in_flight_ = false;
     plan_.written(result.status == CommitStatus::Ok);
     switch (result.status) {
         case CommitStatus::Ok:
-            record_revision_ = dropped ? 0 : result.revision;
+            record_revision_ = deleted_record ? 0 : result.revision;
             known_revision_ = std::max(known_revision_, result.revision);
             return context_.wake();
         case CommitStatus::Unavailable:
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -55,7 +55,7 @@
     std::vector<std::string> unstable_zones() const;
 
     void write_plan();
-    void on_plan_written(const CommitResult& result, bool dropped);
+    void on_plan_written(const CommitResult& result, bool deleted_record);
     void reread_plan();
 
     ShardContext& context_;
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -25,12 +25,13 @@
 constexpr Micros kBestEffortInterval = 500 * kMillisecond;
 // How long nothing of a team's limit is kept for a job after it found no machine.
 constexpr Micros kLacksRoomPeriod = 10 * kSecond;
-// Until a live task has waited this long, other shards may give it some of their share of the limit.
+// How long other shards have to give a waiting live task some of their share of its team's limit. After that,
+// batch tasks of the same team are preempted for it.
 constexpr Micros kLimitPreemptionDelay = 2 * kSecond;
 // Best-effort starts a second for each core that the process may use: with everything that follows from a
 // start (a bind, a launch, reports, a result) that is a fifth of the process's time.
 constexpr double kBestEffortStartsPerSecond = 600;
-constexpr Micros kDrainingMachinesDelay = 5 * kSecond;  // draining machines get no task before that
+constexpr Micros kDrainingMachinesDelay = 5 * kSecond;  // until then only urgent work takes draining machines
 constexpr Micros kPreemptionDelay = 100 * kMillisecond;
 constexpr int kMaxPreemptionsPerPass = 20;
 }  // namespace
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -18,8 +18,7 @@
 using policy::Tier;
 namespace {
 
-#define EXPECT_RULES(simulator) \
-    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
+#define EXPECT_RULES(sim) EXPECT_TRUE((sim).broken.empty()) << (sim).broken.front() << "\n" << (sim).story()
 
 JobSpec job_of(const std::string& team, const std::string& job_class, PriorityClass rank, JobKind kind) {
     JobSpec job;
