--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -17,7 +17,7 @@
 
 namespace cottonway::policy {
 
-/// How important a job is to the operators. A lower tier never delays a higher one; each batch tier has a
+/// The importance of a job to the operators. A lower tier never delays a higher one; each batch tier has a
 /// minimum part of its team's limit (PrioritySettings::floor).
 enum class Tier : std::uint8_t {
     Live,        // services that users are connected to now (bridges, intake)
@@ -44,7 +44,7 @@
     bool operator==(const TierRule&) const = default;
 };
 
-/// How batch work queues behind live work.
+/// Settings of the queue of batch work behind live work.
 struct PrioritySettings {
     /// The part of a team's limit, less what its live work uses, that waiting work of each lower batch tier
     /// gets while higher batch tiers wait as well, 0 to 0.5.
@@ -78,7 +78,7 @@
     bool operator==(const ZoneRule&) const = default;
 };
 
-/// Which running work may be moved to free resources, besides batch work that saves checkpoints.
+/// Tells whether running work may be moved to free resources; batch work that saves checkpoints always may.
 struct MoveRule {
     Scope scope;
     bool movable = false;
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -1,5 +1,5 @@
-// What a shard owner reports and gives to other controllers: its load, idle machines, waiting jobs and parts
-// of team limits.
+// Exchange of a shard owner with other controllers: reports of its load, and transfers of idle machines,
+// waiting jobs and parts of team limits.
 
 #include <algorithm>
 #include <tuple>
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -852,8 +852,7 @@
     if (job.rank > PriorityClass::High && !reclaims_guarantee &&
         (job.rank == PriorityClass::Low || !has_bound_low_priority_))
         return;
-    // Where the operators have set a wait objective, resources are freed for all of the waiting tasks at
-    // once.
+    // With a wait objective of the operators, resources are freed for all waiting tasks at once.
     const auto& wait_objectives = objectives(job).wait;
     // Stopping work of low rank costs next to nothing.
     const bool low_rank_only = job.rank > PriorityClass::High && !reclaims_guarantee;
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -24,7 +24,7 @@
 
 class Scheduler {
   public:
-    /// What the scheduler requires of the shard's owner.
+    /// The interface through which the scheduler uses the shard's owner.
     class Owner {
       public:
         virtual ~Owner() = default;
@@ -103,7 +103,7 @@
     std::vector<Candidate> candidates_for(const Job& job, MachineGroup group,
                                           std::vector<Machine*>& machines);
     bool may_use_draining_machines(const Job& job) const;
-    /// Whether a machine must have a job's image, must at least be fetching it, or need do neither.
+    /// The state that a job's image must have on a machine: any, at least being fetched, or ready.
     enum class ImageRequirement { Any, Fetching, Ready };
     struct CandidateGroup {
         ImageRequirement image;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -126,10 +126,11 @@
 
 TEST(PolicyFile, ExampleFileLoadsForTheTeamsAndZonesOfASite) {
     const Settings site = small_site();
-    const Policy p = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
-    EXPECT_EQ(p.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
-    EXPECT_EQ(p.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
-    EXPECT_TRUE(p.zone_rule(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service))->rebalance);
+    const Policy policy = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
+    EXPECT_EQ(policy.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
+    EXPECT_EQ(policy.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
+    EXPECT_TRUE(
+        policy.zone_rule(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service))->rebalance);
 }
 
 // ---------------------------------------------------------------- the stored record
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -103,7 +103,7 @@
             }
 }
 
-/// How many tasks of a job run while one of its zones is gone.
+/// A job with a zone constraint, and the number of its tasks that run while one of its zones is gone.
 struct ZoneLossCase {
     JobKind kind;
     ZoneConstraint constraint;
