--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -272,8 +272,8 @@
     const scheduling::Plan::Doing actions =
         plan_.step(ShardStateQuery(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
     if (!is_outcome_unknown_ && context_.steady_for() > 0) stop_moving_tasks(actions.stop);
-    const bool is_obsolete_record = plan_.empty() && record_revision_ != 0;
-    if ((!actions.store && !is_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
+    const bool has_obsolete_record = plan_.empty() && record_revision_ != 0;
+    if ((!actions.store && !has_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
     if (context_.runtime().now() < write_not_before_ || !context_.store().room(Priority::Deferrable)) return;
     if (plan_.empty() && record_revision_ == 0) return;  // the plan was taken back before it was ever written
     write_plan();
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -102,7 +102,7 @@
     return scheduling::may_use(job.spec, machine.type_name, machine.zone, machine.spot);
 }
 
-/// Returns what the team would use with so many more tasks of the job.
+/// Returns what the team would use with `tasks` more tasks of the job.
 Resources Scheduler::usage_with(const Job& job, int tasks) const {
     Resources usage = shard_state_.used(job.spec.team);
     usage.cores += job.spec.request.cores * tasks;
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -35,7 +35,7 @@
         virtual bool is_usable_but_draining(const Machine& machine) const = 0;
         /// Called when a task has been bound in the shard's state: its record has to be written.
         virtual void on_task_bound(Job& job, int task) = 0;
-        /// Stops a task, with `grace` as its time to save.
+        /// Stops a task and gives it the time `grace` to save.
         virtual void stop(Slot& slot, Micros grace) = 0;
         /// Returns the machine's resources that are reserved for jobs other than this one.
         virtual Resources resources_reserved_for_others(const Job& job, const Machine& machine) const = 0;
@@ -51,9 +51,10 @@
 
     /// Returns whether the job's own constraints allow the machine.
     static bool is_allowed(const Job& job, const Machine& machine);
-    /// Returns whether so many more tasks of the job fit into the shard's share of the team's limit.
+    /// Returns whether `tasks` more tasks of the job fit into the shard's share of the team's limit.
     bool is_within_limit(const Job& job, int tasks) const;
-    /// Returns the same, less what the last pass found to be due to other jobs of the team.
+    /// Returns whether `tasks` more tasks of the job fit into that share, less the part that the last pass
+    /// found to be due to other jobs of the team.
     bool is_within_quota(const Job& job, int tasks) const;
     /// Returns whether the job waits for a machine that has its image instead of fetching it on another one.
     bool waits_for_image(const Job& job) const;
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -24,8 +24,8 @@
     return writes;
 }
 
-/// Submits one-task jobs of 8 s for a minute, at a rate of so many a second. A quarter of them is cancelled.
-/// With the second parameter, the busiest controller crashes meanwhile.
+/// Submits one-task jobs of 8 s for a minute and cancels a quarter of them. Parameters: jobs submitted a
+/// second, and whether the busiest controller crashes meanwhile.
 class OneTaskJobs : public testing::TestWithParam<std::tuple<double, bool>> {};
 
 TEST_P(OneTaskJobs, AreAnsweredRunAndLeaveNoBacklog) {
