--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -148,7 +148,7 @@
     /// Returns true if the job has tasks that have waited for GPUs long enough and have no reservation.
     bool needs_room(std::size_t job_index) const {
         const JobView& job = view_.jobs[job_index];
-        if (job.cancelled || job.spec.request.gpus <= 0 || job.waiting_time < policy_.gpus.after)
+        if (job.cancelled || job.spec.request.gpus <= 0 || job.waiting_time < policy_.gpus.min_wait)
             return false;
         return job.spec.kind == JobKind::Gang ? job.waiting_tasks > 0 && job.reserved_tasks == 0
                                               : job.waiting_tasks > job.reserved_tasks;
@@ -196,7 +196,7 @@
   private:
     bool is_movable(const JobView& job) const {
         if (job.cancelled || job.spec.kind == JobKind::Gang || job.tier == policy::Tier::Live) return false;
-        if (!policy_.movable(job.spec)) return false;
+        if (!policy_.is_movable(job.spec)) return false;
         return job.spec.kind != JobKind::Service || job.time_since_move >= policy_.budgets.service_pause;
     }
 
@@ -219,7 +219,7 @@
         const JobView& job = view_.jobs[job_index];
         const std::string& zone = view_.machines[machine].zone;
         const policy::ZoneRule* rule = policy_.zone_rule(job.spec);
-        const double max_share = rule ? rule->most_share : 1.0;
+        const double max_share = rule ? rule->max_zone_share : 1.0;
         if (!job.spec.spread && !job.spec.one_zone && max_share >= 1) return true;
         std::map<std::string, int> tasks_by_zone = job.tasks_by_zone;
         for (const auto& [name, count] : planned_starts_[job_index]) tasks_by_zone[name] += count;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -47,8 +47,8 @@
     return std::tuple(fits_within(job.next_start_request, reserves.half), -job.age, job.index);
 }
 
-bool is_overdue(const QueuedJob& job, const policy::Priority& priority) {
-    return job.tier != Tier::Live && !job.has_started && job.age >= priority.begin_within;
+bool is_overdue(const QueuedJob& job, const policy::PrioritySettings& priority) {
+    return job.tier != Tier::Live && !job.has_started && job.age >= priority.overdue_after;
 }
 
 /// Returns what tier Batch may claim and does not use yet, while a higher tier could take it: its floor of
@@ -75,7 +75,7 @@
 
 std::map<std::string, TeamReserves> reserves_by_team(const std::vector<QueuedJob>& queue,
                                                      const std::map<std::string, TeamUsage>& teams,
-                                                     const policy::Priority& priority) {
+                                                     const policy::PrioritySettings& priority) {
     std::map<std::string, TeamReserves> reserves_of;
     auto floor_of = [&](Milli amount) {
         return static_cast<Milli>(static_cast<double>(amount) * priority.floor);
@@ -159,7 +159,7 @@
 
 std::vector<QueueEntry> queue_order(const std::vector<QueuedJob>& queue,
                                     const std::map<std::string, TeamUsage>& teams,
-                                    const policy::Priority& priority) {
+                                    const policy::PrioritySettings& priority) {
     const auto reserves_of = reserves_by_team(queue, teams, priority);
     std::vector<const QueuedJob*> live_jobs, overdue_jobs, other_jobs;
     for (const QueuedJob& job : queue) {
@@ -195,7 +195,7 @@
     for (const JobView& job : view.jobs) {
         if (job.tier == Tier::Live || job.cancelled || job.waiting_tasks == 0 || job.bound_tasks > 0)
             continue;
-        if (job.waiting_time < policy.priority.begin_within) continue;
+        if (job.waiting_time < policy.priority.overdue_after) continue;
         auto largest_first = [](const JobView& candidate) {
             const Milli tasks = candidate.spec.kind == JobKind::Gang ? candidate.waiting_tasks : 1;
             return std::tuple(-candidate.spec.request.gpus * tasks, -candidate.spec.request.cores * tasks,
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -55,9 +55,9 @@
 /// jobs have no floor, because they start only on capacity that no other job wants, until they are overdue.
 std::vector<QueueEntry> queue_order(const std::vector<QueuedJob>& queue,
                                     const std::map<std::string, TeamUsage>& teams,
-                                    const policy::Priority& priority);
+                                    const policy::PrioritySettings& priority);
 
-/// Returns reservations for the largest waiting batch job that has not started within `begin_within`, on the
+/// Returns reservations for the largest waiting batch job that has not started within `overdue_after`, on the
 /// machines that have capacity for it soonest if the running tasks there end by themselves. A gang gets all
 /// of its reservations or none. Returns none if the job has capacity now, or would never have it.
 std::vector<Reservation> reservations_for_overdue_job(const ShardView& view, const policy::Policy& policy);
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -65,7 +65,7 @@
     std::vector<MachineView> machines;  // sorted by name
     std::vector<JobView> jobs;          // in order of admission
     std::vector<TaskView> tasks;
-    /// Zones that are down, or that have been up again for less than the policy's `settle` time.
+    /// Zones that are down, or that have been up again for less than the policy's `settle_time` time.
     std::vector<std::string> unstable_zones;
 };
 
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -458,7 +458,7 @@
         for (const auto& move : plan.moves) {
             RC_ASSERT(moved.emplace(move.job, move.task).second);
             const JobView& job = site.view.jobs[job_index(site.view, move.job)];
-            RC_ASSERT(site.policy.movable(job.spec) && job.spec.kind != JobKind::Gang);
+            RC_ASSERT(site.policy.is_movable(job.spec) && job.spec.kind != JobKind::Gang);
             RC_ASSERT(job.tier >= site.view.jobs[job_index(site.view, plan.reservation.job)].tier);
             RC_ASSERT(job.tier != policy::Tier::Live);
             for (const auto& task : site.view.tasks)
@@ -504,7 +504,7 @@
             const JobView& job = view.jobs[view.tasks[task].job];
             if (moved_tasks.count(task) || view.tasks[task].has_planned_move || view.tasks[task].stopping ||
                 job.tier < view.jobs[waiting_job].tier || job.tier == policy::Tier::Live ||
-                !site.policy.movable(job.spec))
+                !site.policy.is_movable(job.spec))
                 continue;
             for (std::size_t to = 0; to < available.size(); ++to) {
                 if (to == target || !job.spec.request.fits(available[to])) continue;
@@ -580,7 +580,7 @@
     for (const auto& task : view.tasks) {
         const JobView& job = view.jobs[task.job];
         if (task.has_planned_move || task.stopping || job.tier < view.jobs[waiting_job].tier ||
-            job.tier == policy::Tier::Live || !site.policy.movable(job.spec) ||
+            job.tier == policy::Tier::Live || !site.policy.is_movable(job.spec) ||
             !view.machines[task.machine].usable)
             continue;
         const int at_most_one_move = glp_add_rows(problem, 1);
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace simulation;
-using policy::Survive;
+using policy::FailureDomain;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
@@ -71,8 +71,8 @@
 TEST(ZonePlacement, AServiceIsSpreadAsItsRuleAsks) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
-        rule.most_share = 1.0 / 3;
-        rule.survive = Survive::Machine;
+        rule.max_zone_share = 1.0 / 3;
+        rule.survive = FailureDomain::Machine;
         Site site(seed, rule);
         site.simulator.submit(site.service(9), 0);
         site.simulator.run(5 * kSecond);
@@ -86,7 +86,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.allowed = {"b", "c"};
-        rule.least_zones = 2;
+        rule.min_zones = 2;
         Site site(seed, rule);
         site.simulator.submit(site.service(2), 0);
         site.simulator.run(5 * kSecond);
@@ -104,7 +104,7 @@
 TEST(ZonePlacement, ReplicasOfALostZoneAreSpreadOverTheOthersAfterTheLease) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
-        rule.most_share = 1.0 / 3;
+        rule.max_zone_share = 1.0 / 3;
         Site site(seed, rule);
         site.simulator.submit(site.service(6), 0);
         site.simulator.run(5 * kSecond);
@@ -122,7 +122,7 @@
 
 TEST(ZonePlacement, AStrictRuleWaitsForTheLostZone) {
     ZoneRule rule;
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     rule.strict = true;
     Site site(3, rule);
     site.simulator.submit(site.service(6), 0);
@@ -140,7 +140,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.preferred = {"a"};
-        rule.most_share = 0.4;
+        rule.max_zone_share = 0.4;
         Site site(seed, rule);
         JobSpec job = site.service(5);
         job.spread = true;
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace scheduling;
-using policy::Survive;
+using policy::FailureDomain;
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 using Zones = std::vector<std::string>;
@@ -151,30 +151,30 @@
 
 TEST(ChooseZones, TheShareIsRoundedUpAndTheMinimumOfZonesIsReached) {
     ZoneRule rule;
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     Counts counts;
     EXPECT_TRUE(place_missing(service(9), rule, counts, kAllZones));
     EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}, {"c", 3}}));
-    rule.most_share = 0.07;
+    rule.max_zone_share = 0.07;
     EXPECT_EQ(choose_zones(service(100), &rule, {}, kAllZones, kAllZones).max_tasks_in("a"), 7)
         << "the rounding error of 0.07 in binary must not add a replica";
-    rule.most_share = 1;
-    rule.least_zones = 3;
+    rule.max_zone_share = 1;
+    rule.min_zones = 3;
     counts.clear();
     EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
     EXPECT_EQ(counts.size(), 3u);
-    rule.least_zones = 1;
-    rule.survive = Survive::Zone;
+    rule.min_zones = 1;
+    rule.survive = FailureDomain::Zone;
     EXPECT_EQ(choose_zones(service(5), &rule, {}, kAllZones, kAllZones).max_tasks_in("a"), 3);
 }
 
 TEST(ChooseZones, ReplicasOfALostZoneAreSpreadEvenlyOverTheOthers) {
     ZoneRule rule;
-    rule.most_share = 0.34;
+    rule.max_zone_share = 0.34;
     Counts counts{{"a", 2}, {"b", 2}};  // the two replicas in "c" are proven gone
     EXPECT_TRUE(place_missing(service(6), rule, counts, {"a", "b"})) << "0.34 of 6 is rounded up to 3";
     EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}}));
-    rule.most_share = 1.0 / 3;
+    rule.max_zone_share = 1.0 / 3;
     counts = {{"a", 2}, {"b", 2}};
     EXPECT_FALSE(place_missing(service(6), rule, counts, {"a", "b"}))
         << "both zones exceed the share, which has to be reported";
@@ -183,7 +183,7 @@
 
 TEST(ChooseZones, AStrictRuleIsNotRelaxed) {
     ZoneRule rule;
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     rule.strict = true;
     const Counts counts{{"a", 2}};
     const auto choice = choose_zones(service(4), &rule, counts, {"a"}, kAllZones);
@@ -194,7 +194,7 @@
     EXPECT_EQ(relaxed.max_tasks_in("a"), 3) << "relaxed by one replica only";
     EXPECT_FALSE(relaxed.meets_rule);
     rule = {};
-    rule.least_zones = 2;
+    rule.min_zones = 2;
     rule.strict = true;
     const Counts one{{"a", 1}};
     EXPECT_EQ(open_zones(choose_zones(service(3), &rule, one, {"a"}, kAllZones), one), Zones{"a"})
@@ -217,14 +217,14 @@
     job.zone.reset();
     job.one_zone = true;
     rule = {};
-    rule.least_zones = 2;
+    rule.min_zones = 2;
     EXPECT_EQ(open_zones(choose_zones(job, &rule, counts, kAllZones, kAllZones), counts), Zones{"a"});
 }
 
 TEST(ChooseZones, PreferredZonesFillFirstWithinTheRestOfTheRule) {
     ZoneRule rule;
     rule.preferred = {"b"};
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     Counts counts;
     EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
     EXPECT_EQ(counts, (Counts{{"a", 2}, {"b", 2}}));
@@ -250,9 +250,9 @@
 TEST(ChooseZones, BatchIsKeptToAllowedZonesButNotSpread) {
     ZoneRule rule;
     rule.allowed = {"a", "b"};
-    rule.most_share = 0.5;
-    rule.least_zones = 2;
-    rule.survive = Survive::Machine;
+    rule.max_zone_share = 0.5;
+    rule.min_zones = 2;
+    rule.survive = FailureDomain::Machine;
     JobSpec job = service(6);
     job.kind = JobKind::Gang;
     const auto choice = choose_zones(job, &rule, {{"a", 5}}, kAllZones, kAllZones);
@@ -270,7 +270,7 @@
     Shard shard;
     for (const auto& zone : kAllZones)
         for (int i = 0; i < 2; ++i) shard.add_machine(zone + std::to_string(i), zone);
-    shard.rule().most_share = 1.0 / 3;
+    shard.rule().max_zone_share = 1.0 / 3;
     shard.add_service(service(6), {"a0", "a1", "b0", "b1", "a0", "b0"});
     return shard;
 }
@@ -377,7 +377,7 @@
     for (int i = 0; i < 3; ++i) shard.add_machine("a" + std::to_string(i), "a");
     shard.add_service(service(3), {"a0", "a0", "a0"});
     EXPECT_TRUE(shard.moves().empty());
-    shard.rule().survive = Survive::Machine;
+    shard.rule().survive = FailureDomain::Machine;
     std::set<std::string> destinations;
     for (int round = 0; round < 2; ++round) {
         const auto moves = shard.moves();
@@ -391,15 +391,15 @@
 TEST(Rebalance, AReplicaThatSharesItsMachineLeavesTheZoneFirst) {
     Shard shard;
     for (const char* name : {"a0", "a1", "b0"}) shard.add_machine(name, std::string(1, name[0]));
-    shard.rule().least_zones = 2;
-    shard.rule().survive = Survive::Machine;
+    shard.rule().min_zones = 2;
+    shard.rule().survive = FailureDomain::Machine;
     shard.add_service(service(3), {"a1", "a0", "a0"});
     EXPECT_EQ(shard.moves().at(0).from, "a0");
 }
 
 TEST(Rebalance, ReplicasInALostZoneDoNotCountAsImbalance) {
     ZoneRule rule;
-    rule.most_share = 0.5;
+    rule.max_zone_share = 0.5;
     EXPECT_EQ(imbalance(service(6), &rule, {{"c", 6}}, {"a", "b"}, kAllZones), 0);
     EXPECT_GT(imbalance(service(6), &rule, {{"c", 6}}, kAllZones, kAllZones), 0);
 }
@@ -449,9 +449,9 @@
             if (*rc::gen::inRange(0, 3)) rule.allowed.push_back(zone);
             if (!*rc::gen::inRange(0, 3)) rule.preferred.push_back(zone);
         }
-        rule.least_zones = *rc::gen::inRange(1, 4);
-        rule.most_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
-        rule.survive = *rc::gen::element(Survive::Nothing, Survive::Machine, Survive::Zone);
+        rule.min_zones = *rc::gen::inRange(1, 4);
+        rule.max_zone_share = *rc::gen::element(0.2, 1.0 / 3, 0.5, 0.75, 1.0);
+        rule.survive = *rc::gen::element(FailureDomain::None, FailureDomain::Machine, FailureDomain::Zone);
         rule.strict = *rc::gen::arbitrary<bool>();
         rule.rebalance = true;
         return rule;
@@ -577,7 +577,7 @@
                       (imbalance_after == imbalance_before && count_sharing() < sharing_before));
         }
     }
-    if (!small_machines && shard.rule().survive != Survive::Machine)
+    if (!small_machines && shard.rule().survive != FailureDomain::Machine)
         for (std::size_t j = 0; j < shard.view.jobs.size(); ++j) RC_ASSERT(shard.imbalance_of(j) == 0);
 }
 
