--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -304,7 +304,7 @@
                     ours(balance.total - balance.wanted_total)};
     // What is of no use now is no reason to return what is, to which its work will have to go.
     for (const auto& [name, m] : owner.machines()) {
-        if (m->retired || !m->type || owner.unreachable_for(*m) <= owner.patience()) continue;
+        if (m->retired || !m->type || owner.unreachable_for(*m) <= owner.unreachable_limit()) continue;
         surplus.total -= m->type->size.cores;
         if (!m->spot) surplus.ordinary -= m->type->size.cores;
     }
@@ -316,7 +316,7 @@
     Milli surplus = surplus_of(owner).ordinary;
     std::vector<const Machine*> busy;
     for (const auto& [name, m] : owner.machines())
-        if (!m->spot && !m->retired && m->type && owner.passing(*m)) busy.push_back(m.get());
+        if (!m->spot && !m->retired && m->type && owner.runs_only_spot_arrays(*m)) busy.push_back(m.get());
     std::stable_sort(busy.begin(), busy.end(), [](const Machine* a, const Machine* b) {
         return std::tuple(!a->draining, a->reserved.cores) < std::tuple(!b->draining, b->reserved.cores);
     });
@@ -333,15 +333,15 @@
     const Settings& s = settings_;
     Surplus surplus = idle_too ? surplus_of(owner) : Surplus{};
     for (const auto& [name, m] : owner.machines()) {
-        if (m->retired || m->retiring || m->leaving) continue;
+        if (m->retired || m->retiring || m->transferring) continue;
         const Micros silent = owner.silent_for(*m);
         if (m->tasks.empty() && now - holding_since_ > s.lease &&
             owner.unreachable_for(*m) > s.lease + kSilent) {
             owner.retire(name, m->suspect ? "it does not hear us" : "it does not report");
-        } else if (m->notice && now > m->notice_end + 2 * kSecond &&
+        } else if (m->interruption_notice && now > m->interruption_at + 2 * kSecond &&
                    silent > s.report_every * 5 / 4 + kSecond) {
             owner.retire(name, "it was taken");
-        } else if (m->error_jobs.size() >= 3 && m->tasks.empty()) {
+        } else if (m->failing_jobs.size() >= 3 && m->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
         } else if (idle_too && m->tasks.empty() && m->type && now - holding_since_ > s.ops.idle_return &&
                    runtime_.listened() - m->idle_since > s.ops.idle_return) {
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -44,7 +44,7 @@
             transfer_all_jobs(*o);
             continue;
         }
-        if (auto want = o->want()) request_machines(*o, *want);
+        if (auto want = o->capacity_request()) request_machines(*o, *want);
         for (const auto& [team, missing] : o->short_of_quota()) request_quota(*o, team, missing);
     }
 }
@@ -94,7 +94,7 @@
     }
     // Another shard that is held here.
     for (const auto& [other, from] : assignment_.all())
-        if (from && other != o.shard() && from->active() && !from->want())
+        if (from && other != o.shard() && from->active() && !from->capacity_request())
             return machine_allocator_.give(*from, want, [](const peer::Grant&) {});
 }
 
@@ -117,7 +117,7 @@
 bool CapacityBroker::yields(const ShardOwner& from, const peer::QuotaRequest& want) const {
     // Where all the pieces would be too little as well, they would only come back.
     if (!want.amount.fits(unused_elsewhere(want.shard, want.team))) return false;
-    const auto lacks = from.short_by(want.team);
+    const auto lacks = from.smallest_quota_shortfall(want.team);
     if (!lacks || (lacks->cores <= 0 && lacks->gpus <= 0)) return false;  // what waits here will use it
     if (!lacks->fits(unused_elsewhere(from.shard(), want.team))) return true;
     return std::tie(want.amount.gpus, want.amount.cores, want.shard) <
@@ -125,7 +125,7 @@
 }
 
 void CapacityBroker::request_quota(const ShardOwner& o, const std::string& team, const Resources& missing) {
-    const auto lacks = o.short_by(team);
+    const auto lacks = o.smallest_quota_shortfall(team);
     if (!lacks || request_quota(o, team, missing, spare, &ShardOwner::spare_quota)) return;
     if (lacks->cores <= 0 && lacks->gpus <= 0) return;
     if (lacks->fits(unused_elsewhere(o.shard(), team)))
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -57,7 +57,7 @@
         return cache_.jobs.recorded_as_cancelled(job) || cache_.jobs.finality(job) == JobFinality::Finished;
     });
     if (!missing.empty()) {
-        decisions_.violation();
+        decisions_.count_violation();
         const Order& first = missing.front();
         spdlog::error("event=renewal_without_stop machine={} token={} task={}/{} attempt={} stops_added={}",
                       r.machine, token, first.job, first.task, first.attempt, missing.size());
@@ -133,7 +133,7 @@
     ProxiedWorker& proxied = proxied_workers_[r.machine];
     // A worker has one report in flight, so one that is older than another, or its copy, was given up:
     // nothing that it is answered arrives, and taken for a renewal it would only keep tasks in doubt.
-    if (!recovery::is_news({r.session, r.seq}, {proxied.session, proxied.seq}, 0))
+    if (!recovery::is_newer_message({r.session, r.seq}, {proxied.session, proxied.seq}, 0))
         return respond(unavailable());
     proxied.session = r.session;
     proxied.seq = r.seq;
@@ -182,7 +182,7 @@
     ShardOwner* o = block ? assignment_.find(block->shard) : nullptr;
     auto answer = o ? o->on_report(*r, true) : std::nullopt;
     if (!answer) return peer::Relayed{503, false, ""};
-    return peer::Relayed{200, answer->direct,
+    return peer::Relayed{200, answer->directly_reachable,
                          wire::encode(renewal(*r, answer->token, std::move(answer->orders)))};
 }
 
@@ -196,7 +196,7 @@
     const Block::Machine* machine = block.find(r.machine);
     const Revision token = std::max(shard ? shard->mod_revision : 0, machine ? machine->token : 0);
     const permission::Decision decision = may_renew_on_behalf(r, block, token);
-    decisions_.renewal(decision);
+    decisions_.count_renewal(decision);
     if (decision) return respond(unavailable());
     ProxiedWorker& proxied = proxied_workers_[r.machine];
     if (proxied.renewed == 0 || now - proxied.renewed > 30 * kSecond)
@@ -211,17 +211,17 @@
     const Block::Machine* machine = block.find(r.machine);
     const auto proxied = proxied_workers_.find(r.machine);
     permission::ProxyEvidence evidence;
-    evidence.member = membership_lease_.announced() && cache_.membership.alive(settings_.node);
+    evidence.is_member = membership_lease_.announced() && cache_.membership.alive(settings_.node);
     evidence.store_read_valid = lease_is_valid();
     evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
     // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
-    evidence.former_promises_over = now - started_ > kForgotten * with_drift(settings_.lease);
-    evidence.relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
+    evidence.former_promises_expired = now - started_ > kForgotten * with_drift(settings_.lease);
+    evidence.lease_relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
     evidence.machine_listed = machine && !machine->retired;
     evidence.jobs_known = history_.knows_jobs_of(r);
     evidence.token = token;
     evidence.token_seen = r.token;
-    return permission::renewal_on_behalf(evidence);
+    return permission::decide_renewal_on_behalf(evidence);
 }
 
 peer::Relinquished HeartbeatRouter::promise(const peer::Relinquish& ask) {
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -147,7 +147,7 @@
                    respond = std::move(respond)](const Admission& a) mutable {
         switch (a.status) {
             case CommitStatus::Ok:
-                cache_.take(record_key(a.place, ref), &a.record, a.revision);
+                cache_.take(record_key(a.record_location, ref), &a.record, a.revision);
                 spdlog::info("job {}: accepted in {} ms: {}", ref, (runtime_.now() - asked) / kMillisecond,
                              what);
                 if (const JobView* view = known(ref); view && view->final())
@@ -174,7 +174,7 @@
                 {"k", spec.tasks},
                 {"d", wire::job_value(spec)},
                 {"at", runtime_.wall_ms()},
-                {"ps", part_tasks_for(settings_.value_bytes, size + kRecordBytes)}};
+                {"ps", compute_tasks_per_part(settings_.value_bytes, size + kRecordBytes)}};
     // Cancelled with one before it already: accepted, and over.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -29,7 +29,7 @@
 void ShardAssignment::work() {
     retired_.clear();
     for (auto& [name, owner] : owners_)
-        if (owner) owner->work();
+        if (owner) owner->run_pending_work();
 }
 
 void ShardAssignment::end() {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -104,7 +104,7 @@
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
                  feed_.confirmed_ago() / kMillisecond, feed_.store_revision(), election_.leader(),
-                 election_.term(), decisions_.line());
+                 election_.term(), decisions_.log_line());
 }
 
 void Controller::wake() {
@@ -130,7 +130,7 @@
 
 /// A node whose key is gone had its last confirmation before that, so it renews no lease beyond its
 /// authority. It may be back since our last look, so what follows from that is true as of then.
-std::optional<Micros> Controller::peer_ended(std::size_t peer) const {
+std::optional<Micros> Controller::peer_authority_end(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
     return *silent + authority(settings_) + authority(settings_) / 1000 + feed_.confirmed_ago();
@@ -155,7 +155,7 @@
 
 void Controller::on_dependency_status(const std::string& ref) {
     for (const auto& [name, owner] : assignment_.all())
-        if (owner && owner->active()) owner->reconsider(ref);
+        if (owner && owner->active()) owner->on_dependencies_changed(ref);
 }
 
 void Controller::on_machine(const Block& block, const Block::Machine& machine) {
@@ -185,11 +185,11 @@
 void Controller::on_policy() {
     policies_.changed();
     for (const auto& [name, owner] : assignment_.all())
-        if (owner) owner->on_policy();
+        if (owner) owner->on_policy_changed();
     wake();
 }
 
-Micros Controller::steady_for() const {
+Micros Controller::stable_for() const {
     const Membership& membership = cache_.membership;
     if (feed_.confirmed_ago() > 2 * kSecond) return 0;
     for (const auto& [name, shard] : membership.shards())
@@ -400,7 +400,7 @@
     v["policy"] = policies_.status();
     v["fleet"] = autoscaler_.status();
     v["changes_sent"] = store_.sent();
-    v["decisions"] = decisions_.value();
+    v["decisions"] = decisions_.to_json();
     return v;
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -47,7 +47,7 @@
     const MachineType* machine_type(const std::string& name) override { return cache_.types.find(name); }
     void on_ownership_lost(const std::string& shard) override { assignment_.release_shard(shard); }
     void wake() override;
-    Resources share(const std::string& shard, const std::string& team) const override {
+    Resources quota_share(const std::string& shard, const std::string& team) const override {
         return cache_.shares.part(shard, team);
     }
     bool within_guarantee(const std::string& ref) override {
@@ -56,19 +56,19 @@
     DependencyStatus dependency_status(const std::string& ref) const override {
         return cache_.jobs.dependency_graph().dependency_status(ref);
     }
-    bool all_read(std::uint64_t format) const override { return cache_.formats.common(format); }
-    void settled(const std::string& ref, const Json& value, Revision mod_revision) override {
+    bool all_can_read(std::uint64_t format) const override { return cache_.formats.common(format); }
+    void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) override {
         cache_.take(keys::job + ref, &value, mod_revision);
     }
-    std::optional<Micros> peer_ended(std::size_t peer) const override;
+    std::optional<Micros> peer_authority_end(std::size_t peer) const override;
     const LiveJob* stored_job(const std::string& ref) const override { return cache_.jobs.find(ref); }
     const PlanCache::Stored* stored_plan(const std::string& shard) const override {
         return cache_.plans.find(shard);
     }
-    Micros steady_for() const override;
+    Micros stable_for() const override;
     bool has_valid_lease() const override;
-    permission::Counters& decisions() override { return decisions_; }
-    const permission::Counters& decisions() const { return decisions_; }
+    permission::Counters& permission_counters() override { return decisions_; }
+    const permission::Counters& permission_counters() const { return decisions_; }
     std::vector<Order> stops_for_finished_jobs(const Report& report) const override {
         return cache_.jobs.stops_for_finished_jobs(report);
     }
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void ShardOwner::set_idle(Job& job, Slot& slot) {
+void ShardOwner::set_unbound(Job& job, Slot& slot) {
     shard_state_.release(job, slot, context_.runtime().listened());
     plan_due_ = true;
 }
@@ -28,37 +28,38 @@
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
     // What is proven gone from a machine that can't be heard is written down, bound elsewhere or not: a next
     // holder would have to wait for the former one's authority and a lease to prove it once more.
-    const bool durable = slot.state == SlotState::Bound && unreachable_for(*slot.machine) > patience();
-    set_idle(job, slot);
-    if (durable) touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    const bool durable =
+        slot.state == SlotState::Bound && unreachable_for(*slot.machine) > unreachable_limit();
+    set_unbound(job, slot);
+    if (durable) mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
     const Micros now = context_.runtime().now();
-    if (job.stage == Stage::Cancelled && job.bound == 0) cancellations_.gone(job.spec.ref, now);
+    if (job.stage == Stage::Cancelled && job.bound == 0) cancellations_.finish(job.spec.ref, now);
     slot.retry_at = now + retry_in;
-    if (job.idle == 1) job.waiting_since = now;
-    dirty_.insert(job.spec.ref);
+    if (job.unbound == 1) job.waiting_since = now;
+    dirty_jobs_.insert(job.spec.ref);
     flush_due_ = true;
     if (job.gang_done)
         mark_done(job, task);
     else if (job.spec.kind == JobKind::Gang)
-        settle_gang(job);
+        stop_incomplete_gang(job);
     context_.wake();
 }
 
 void ShardOwner::mark_done(Job& job, int task) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state == SlotState::Done || slot.state == SlotState::DonePending) return;
-    if (slot.state != SlotState::Idle) set_idle(job, slot);
-    --job.idle;
+    if (slot.state != SlotState::Unbound) set_unbound(job, slot);
+    --job.unbound;
     ++job.done;
     slot.state = SlotState::DonePending;
-    touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
 }
 
 void ShardOwner::stop(Slot& slot, Micros grace) {
-    if (slot.stop && grace >= slot.grace) return;
-    slot.stop = true;
+    if (slot.stop_requested && grace >= slot.grace) return;
+    slot.stop_requested = true;
     slot.grace = grace;
-    slot.stop_sent = 0;
+    slot.stop_sent_at = 0;
     if (slot.machine) request_dispatch(*slot.machine);
 }
 
@@ -66,7 +67,7 @@
     if (job.stage != Stage::Cancelled)
         spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound);
     job.stage = Stage::Cancelled;
-    if (job.bound > 0) cancellations_.began(job.spec.ref, context_.runtime().now());
+    if (job.bound > 0) cancellations_.start(job.spec.ref, context_.runtime().now());
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state == SlotState::Binding)
@@ -74,12 +75,12 @@
         else if (slot.state == SlotState::Bound)
             stop(slot, 0);
     }
-    dirty_.insert(job.spec.ref);
+    dirty_jobs_.insert(job.spec.ref);
     context_.wake();
 }
 
 /// A gang that lost a task, or is being stopped, ends as a whole before it starts again.
-void ShardOwner::settle_gang(Job& job) {
+void ShardOwner::stop_incomplete_gang(Job& job) {
     if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound == 0) return;
     job.gang_stopping = true;
     for (auto& slot : job.slots)
@@ -90,28 +91,28 @@
 }
 
 /// A worker tells of a task's result, whether the task is still bound there or not.
-void ShardOwner::completed(Job& job, int task) {
+void ShardOwner::handle_task_result(Job& job, int task) {
     mark_done(job, task);
     if (job.spec.kind != JobKind::Gang) return;
     // A gang completes together: if one task is done, all of them are. On a machine that is silent they still
     // count until they are proven gone.
     job.gang_done = true;
     for (std::size_t i = 0; i < job.slots.size(); ++i)
-        if (job.slots[i].state == SlotState::Idle) mark_done(job, static_cast<int>(i));
+        if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
 }
 
-void ShardOwner::exited(Machine& m, Job& job, int task, ExitCause cause) {
+void ShardOwner::handle_exited_task(Machine& m, Job& job, int task, ExitCause cause) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const Micros now = context_.runtime().now();
     if (cause == ExitCause::Done && job.spec.kind != JobKind::Service) {
         on_first_success(job);
         spdlog::debug("task {}/{}: done on {}", job.spec.ref, task, m.name);
-        completed(job, task);
+        handle_task_result(job, task);
         return;
     }
     Micros retry = 0;
     if (cause == ExitCause::Error) {
-        retry = failed(m, job, slot);
+        retry = handle_task_failure(m, job, slot);
     } else if (cause == ExitCause::NoRoom || cause == ExitCause::Busy || cause == ExitCause::Unknown) {
         retry = kSecond;
         if (cause == ExitCause::NoRoom) m.avoid_until = now + 2 * kSecond;
@@ -132,25 +133,25 @@
     m.token_seen = std::max(m.token_seen, r.token);
     m.last_heartbeat = m.heartbeat_before_load = context_.runtime().now();
     m.last_heartbeat_listening = context_.runtime().listened();
-    if (is_report) m.report_listened = m.last_heartbeat_listening;
+    if (is_report) m.last_report_listening = m.last_heartbeat_listening;
 }
 
 /// Whether a report, which is news, tells that the worker has lately had an answer from a controller. Without
 /// one it would have waited for longer before it reports again, and its session ends with its lease.
-bool ShardOwner::hears(const Machine& m, const Report& r) const {
+bool ShardOwner::has_received_answer(const Machine& m, const Report& r) const {
     const Micros now = context_.runtime().now();
-    if (m.reported == 0 || r.session != m.session) return false;
-    return now - m.reported < kWorkerPatience ||
+    if (m.last_report_at == 0 || r.session != m.session) return false;
+    return now - m.last_report_at < kWorkerPatience ||
            now - m.session_since > with_drift(context_.settings().lease);
 }
 
 /// Applies a worker's message; `is_report` tells a report from the answer to a /do.
 void ShardOwner::apply_heartbeat(Machine& m, const Report& r, bool is_report) {
     const Micros now = context_.runtime().now();
-    if (!recovery::is_news({r.session, r.seq}, {m.session, m.seq}, m.min_session)) return;
+    if (!recovery::is_newer_message({r.session, r.seq}, {m.session, m.seq}, m.min_session)) return;
     const bool was_usable = usable(m);
     // That it reports does not tell that it hears us.
-    if (is_report && hears(m, r)) m.suspect = false;
+    if (is_report && has_received_answer(m, r)) m.suspect = false;
     if (r.session > m.session) {
         m.session_since = now;
         m.unacknowledged_launches
@@ -163,20 +164,20 @@
     m.token_seen = std::max(m.token_seen, r.token);
     m.last_heartbeat = now;
     m.last_heartbeat_listening = context_.runtime().listened();
-    if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
-    if (r.notice && !m.notice) {
-        m.notice = true;
-        m.notice_end = now + *r.notice;
+    if (is_report) m.last_report_at = now, m.last_report_listening = m.last_heartbeat_listening;
+    if (r.notice && !m.interruption_notice) {
+        m.interruption_notice = true;
+        m.interruption_at = now + *r.notice;
         spdlog::info("machine {}: will be taken in {} s", m.name, *r.notice / kSecond);
-        drain_noticed(m);
+        drain_interrupted(m);
     }
     std::erase_if(m.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
     if (is_report) std::erase_if(m.launches_in_responses, [&](const auto& l) { return r.seq > l.second; });
 
-    ++m.messages;
-    startup_.heard(m.name, now);
+    ++m.messages_applied;
+    startup_.record_heartbeat(m.name, now);
     shard_state_.forget_orphaned_tasks(m);
-    m.exited.clear();
+    m.exited_tasks.clear();
     for (const auto& t : r.tasks) {
         Job* job = shard_state_.job(t.job);
         Slot* slot = job && static_cast<std::size_t>(t.task) < job->slots.size()
@@ -184,21 +185,21 @@
                          : nullptr;
         const bool exited_now = t.phase == Phase::Exited;
         const auto verdict =
-            recovery::reconcile(stored(job, slot, m, t.attempt), {true, exited_now, t.cause}, {});
-        startup_.reconciled(verdict, slot && slot->foreign && !slot->seen);
-        if (exited_now) m.exited.push_back(t);
+            recovery::reconcile(stored_task(job, slot, m, t.attempt), {true, exited_now, t.cause}, {});
+        startup_.record_reconciled(verdict, slot && slot->inherited && !slot->seen);
+        if (exited_now) m.exited_tasks.push_back(t);
         switch (verdict) {
             case ReconcileAction::Runs:
-                show(m, *job, *slot, t.phase);
+                handle_listed_task(m, *job, *slot, t.phase);
                 break;
             case ReconcileAction::Ended:
-                show(m, *job, *slot, t.phase);
-                exited(m, *job, t.task, t.cause);
+                handle_listed_task(m, *job, *slot, t.phase);
+                handle_exited_task(m, *job, t.task, t.cause);
                 break;
-            case ReconcileAction::Result:
-                completed(*job, t.task);
+            case ReconcileAction::UnboundResult:
+                handle_task_result(*job, t.task);
                 break;
-            case ReconcileAction::Stray:
+            case ReconcileAction::Orphaned:
                 shard_state_.add_orphaned_task(m, t);
                 break;
             default:
@@ -207,21 +208,22 @@
     }
     std::vector<TaskRef> missing;
     for (const auto& t : m.tasks)
-        if (t.job->slots[static_cast<std::size_t>(t.task)].shown != m.messages) missing.push_back(t);
-    for (const auto& t : missing) absent(m, *t.job, t.task, r, is_report);
+        if (t.job->slots[static_cast<std::size_t>(t.task)].last_message_listing != m.messages_applied)
+            missing.push_back(t);
+    for (const auto& t : missing) handle_absent_task(m, *t.job, t.task, r, is_report);
     if (!m.tasks.empty()) m.idle_since = m.last_heartbeat_listening;
     if (!m.orphaned_tasks.empty()) request_dispatch(m);
     if (!was_usable && usable(m)) plan_due_ = true;
 }
 
-recovery::Stored ShardOwner::stored(const Job* job, const Slot* slot, const Machine& m,
-                                    std::int64_t attempt) const {
-    using State = recovery::Stored::State;
-    recovery::Stored out;
+recovery::StoredTask ShardOwner::stored_task(const Job* job, const Slot* slot, const Machine& m,
+                                             std::int64_t attempt) const {
+    using State = recovery::StoredTask::State;
+    recovery::StoredTask out;
     if (!job || !slot) return out;
     const bool here = slot->machine == &m && slot->attempt == attempt;
     switch (slot->state) {
-        case SlotState::Idle:
+        case SlotState::Unbound:
             out.state = State::Waiting;
             break;
         case SlotState::Binding:
@@ -235,69 +237,70 @@
             out.state = State::Done;
             break;
     }
-    out.wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
+    out.result_wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
     out.seen = slot->seen;
     out.launched = slot->launch_sent;
-    out.foreign = slot->foreign;
-    out.stopping = slot->stop;
+    out.inherited = slot->inherited;
+    out.stopping = slot->stop_requested;
     return out;
 }
 
 /// A message shows a bound task.
-void ShardOwner::show(Machine& m, Job& job, Slot& slot, Phase phase) {
+void ShardOwner::handle_listed_task(Machine& m, Job& job, Slot& slot, Phase phase) {
     const Micros now = context_.runtime().now();
-    slot.shown = m.messages;
+    slot.last_message_listing = m.messages_applied;
     slot.seen = true;
     slot.launch_sent = true;
     if (slot.phase != Phase::Running && phase == Phase::Running) {
         // What an earlier holder has begun has run for some time, nobody knows for how long.
-        slot.run_since = slot.foreign ? now - job.spec.estimate / 2 : now;
+        slot.running_since = slot.inherited ? now - job.spec.estimate / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), m.name);
         ShardState::remember_image(m, job, true);
     }
     slot.phase = phase;
-    if (phase == Phase::Running && now - slot.run_since > kProven) on_first_success(job);
+    if (phase == Phase::Running && now - slot.running_since > kProven) on_first_success(job);
 }
 
 /// A bound task that a message does not show: gone, not launched yet, or in doubt.
-void ShardOwner::absent(Machine& m, Job& job, int task, const Report& r, bool is_report) {
+void ShardOwner::handle_absent_task(Machine& m, Job& job, int task, const Report& r, bool is_report) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const AttemptKey key{job.spec.ref, task, slot.attempt};
-    recovery::Proof proof;
-    proof.later_session = slot.launch_session != UINT64_MAX && r.session > slot.launch_session;
-    proof.higher_token = r.token > slot.launch_token;
-    proof.answer_over = slot.launch_by_answer && is_report && r.seq > slot.launch_seq &&
-                        !m.unacknowledged_launches.count(key) && !m.direct_launches.count(key);
+    recovery::LaunchProof proof;
+    proof.session_ended = slot.launch_session != UINT64_MAX && r.session > slot.launch_session;
+    proof.higher_token_seen = r.token > slot.launch_token;
+    proof.response_superseded = slot.launched_by_response && is_report && r.seq > slot.launch_seq &&
+                                !m.unacknowledged_launches.count(key) && !m.direct_launches.count(key);
     // A worker takes an answer before its next report. One that does not show our token has taken none of
     // ours, so whatever the former holder started has ended with the last lease that one can have granted,
     // or that was granted while reports could not be reconciled yet.
-    if (slot.foreign && is_report && m.token_seen < mod_revision_ &&
-        over_since(m, std::max(former_end_, m.heartbeat_before_load)))
-        proof.later_session = true;
-    proof.may_still_come = may_come(m, key);
-    const auto verdict = recovery::reconcile(stored(&job, &slot, m, slot.attempt), {}, proof);
-    startup_.reconciled(verdict, slot.foreign);
+    if (slot.inherited && is_report && m.token_seen < mod_revision_ &&
+        are_leases_expired_since(m, std::max(former_authority_end_, m.heartbeat_before_load)))
+        proof.session_ended = true;
+    proof.may_still_arrive = has_unsettled_launch(m, key);
+    const auto verdict = recovery::reconcile(stored_task(&job, &slot, m, slot.attempt), {}, proof);
+    startup_.record_reconciled(verdict, slot.inherited);
     if (verdict == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
-    const bool unsent = verdict == ReconcileAction::Unsent && slot.state == SlotState::Bound && !slot.foreign;
+    const bool unsent =
+        verdict == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
     // Proven not to be there: on a machine that does not hear us it would be launched in vain for ever.
-    if ((verdict == ReconcileAction::LaunchAgain || unsent) && m.suspect && !may_come(m, key)) {
+    if ((verdict == ReconcileAction::Relaunch || unsent) && m.suspect && !has_unsettled_launch(m, key)) {
         spdlog::info("task {}/{}: {} does not hear us, to be placed elsewhere", key.job, task, m.name);
         return on_attempt_terminated(job, task, 0);
     }
-    if (verdict != ReconcileAction::LaunchAgain) return;
+    if (verdict != ReconcileAction::Relaunch) return;
     slot.launch_sent = false;
     request_dispatch(m);
 }
 
 /// Whether a launch of this attempt that was sent in one way or another is not settled.
-bool ShardOwner::may_come(const Machine& m, const AttemptKey& key) {
+bool ShardOwner::has_unsettled_launch(const Machine& m, const AttemptKey& key) {
     return m.unacknowledged_launches.count(key) || m.direct_launches.count(key) ||
            m.launches_in_responses.count(key);
 }
 
 /// Whether a launch of this attempt may still be executed.
-bool ShardOwner::still_live(const Machine& m, const Slot& slot, const AttemptKey& key) {
-    return slot.launch_sent || may_come(m, key);
+bool ShardOwner::can_still_start(const Machine& m, const Slot& slot, const AttemptKey& key) {
+    return slot.launch_sent || has_unsettled_launch(m, key);
 }
 
 }  // namespace cottonway
--- a/src/shard/cancellation_tracker.cpp
+++ b/src/shard/cancellation_tracker.cpp
@@ -4,14 +4,14 @@
 
 namespace cottonway {
 
-void CancellationTracker::stop_sent(const std::string& job, Micros now) {
+void CancellationTracker::record_stop_sent(const std::string& job, Micros now) {
     auto it = open_.find(job);
     if (it == open_.end() || it->second.first_stop >= 0) return;
     it->second.first_stop = now;
     longest_to_stop_ = std::max(longest_to_stop_, now - it->second.since);
 }
 
-void CancellationTracker::gone(const std::string& job, Micros now) {
+void CancellationTracker::finish(const std::string& job, Micros now) {
     auto it = open_.find(job);
     if (it == open_.end()) return;
     const Micros took = now - it->second.since;
@@ -22,7 +22,7 @@
     ++gone_within_[static_cast<std::size_t>(bound - kBounds.begin())];
 }
 
-std::vector<std::string> CancellationTracker::overdue(Micros now, Micros limit) {
+std::vector<std::string> CancellationTracker::take_overdue(Micros now, Micros limit) {
     std::vector<std::string> jobs;
     for (auto& [job, open] : open_) {
         if (open.told || now - open.since <= limit) continue;
@@ -32,7 +32,7 @@
     return jobs;
 }
 
-Json CancellationTracker::value(Micros now) const {
+Json CancellationTracker::to_json(Micros now) const {
     Micros oldest = 0;
     for (const auto& [job, open] : open_) oldest = std::max(oldest, now - open.since);
     Json within = Json::object();
--- a/src/shard/cancellation_tracker.hpp
+++ b/src/shard/cancellation_tracker.hpp
@@ -15,13 +15,13 @@
 class CancellationTracker {
   public:
     /// A cancelled job has tasks on machines, or that may still start.
-    void began(const std::string& job, Micros now) { open_.try_emplace(job, Open{now, -1, false}); }
-    void stop_sent(const std::string& job, Micros now);
+    void start(const std::string& job, Micros now) { open_.try_emplace(job, Open{now, -1, false}); }
+    void record_stop_sent(const std::string& job, Micros now);
     /// The last of its tasks is proven gone.
-    void gone(const std::string& job, Micros now);
+    void finish(const std::string& job, Micros now);
     /// Jobs that have been unfinished for longer than `limit`, each told once.
-    std::vector<std::string> overdue(Micros now, Micros limit);
-    Json value(Micros now) const;
+    std::vector<std::string> take_overdue(Micros now, Micros limit);
+    Json to_json(Micros now) const;
 
   private:
     struct Open {
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::optional<ShardOwner::Answer> ShardOwner::on_report(const Report& report, bool relayed) {
+std::optional<ShardOwner::ReportResponse> ShardOwner::on_report(const Report& report, bool relayed) {
     auto it = shard_state_.machines.find(report.machine);
     if (it == shard_state_.machines.end()) return std::nullopt;
     Machine& m = *it->second;
@@ -26,12 +26,12 @@
     permission::HolderEvidence evidence;
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.session_over = report.session < m.min_session;
-    evidence.machine_leaving = m.leaving;
+    evidence.machine_transferring = m.transferring;
     evidence.jobs_known = active_ || context_.knows_jobs_of(report);
     evidence.token = token(m);
     evidence.token_seen = report.token;
-    const permission::Decision decision = permission::renewal_by_holder(evidence);
-    context_.decisions().renewal(decision);
+    const permission::Decision decision = permission::decide_renewal_by_holder(evidence);
+    context_.permission_counters().count_renewal(decision);
     if (decision == permission::Refusal::HigherTokenSeen) {
         spdlog::info("machine {} has seen a higher token than ours", report.machine);
         context_.on_ownership_lost(shard_);
@@ -44,20 +44,20 @@
     // overtaken it.
     // The lease that this renews counts from when it was sent, so from before what has overtaken it was
     // heard.
-    if (!recovery::is_news({report.session, report.seq}, {m.session, m.seq}, m.min_session))
-        return Answer{token(m), context_.stops_for_finished_jobs(report), !m.out_of_reach()};
+    if (!recovery::is_newer_message({report.session, report.seq}, {m.session, m.seq}, m.min_session))
+        return ReportResponse{token(m), context_.stops_for_finished_jobs(report), !m.is_relay_only()};
     if (relayed && !m.relayed) m.relayed_since = now;
     m.relayed = relayed;
     if (active_)
         apply_heartbeat(m, report, true);
     else
         register_incarnation(m, report, true);
-    Answer answer{token(m), {}, !m.out_of_reach()};
+    ReportResponse answer{token(m), {}, !m.is_relay_only()};
     // Until everything is read, which an outage may put off for long, a lease is not renewed for what is
     // known to be over.
     answer.orders = active_ ? orders_for(m, false) : context_.stops_for_finished_jobs(report);
     // Whether the worker can be reached without help is found out by calling it now and then.
-    if (probe_due(m)) request_dispatch(m);
+    if (is_probe_due(m)) request_dispatch(m);
     if (plan_due_ || flush_due_ || !dispatch_due_.empty()) context_.wake();
     return answer;
 }
@@ -67,13 +67,13 @@
     add_clears(m, orders);
     for (const auto& t : m.orphaned_tasks) {
         orders.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
-        startup_.ordered(OrderKind::Stop, false);
+        startup_.record_order(OrderKind::Stop, false);
     }
     for (const auto& [job, task] : m.tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
-        if (slot.state != SlotState::Bound || (slot.seen && !slot.stop)) continue;
+        if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         const AttemptKey key{job->spec.ref, task, slot.attempt};
-        if (slot.stop)
+        if (slot.stop_requested)
             add_stop(slot, key, direct, orders);
         else
             add_launch(m, *job, slot, key, direct, orders);
@@ -83,20 +83,20 @@
 
 void ShardOwner::add_clears(Machine& m, std::vector<Order>& orders) {
     std::size_t uncleared = 0;
-    for (const auto& t : m.exited) {
-        if (!may_clear(m, t, uncleared)) continue;
+    for (const auto& t : m.exited_tasks) {
+        if (!can_clear(m, t, uncleared)) continue;
         m.acknowledged_launches.erase({t.job, t.task, t.attempt});
         orders.push_back({OrderKind::Clear, t.job, t.task, t.attempt, 0});
-        startup_.ordered(OrderKind::Clear, false);
+        startup_.record_order(OrderKind::Clear, false);
     }
-    if (uncleared > kMaxUncleared) raise(m);
+    if (uncleared > kMaxUncleared) raise_token(m);
 }
 
 /// After a clear the attempt is unknown to the worker, and a launch that is still on its way would start it
 /// once more: not before none can be. `uncleared` counts those that wait for a higher token.
-bool ShardOwner::may_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const {
+bool ShardOwner::can_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const {
     const AttemptKey key{t.job, t.task, t.attempt};
-    if (may_come(m, key)) return false;
+    if (has_unsettled_launch(m, key)) return false;
     // So would a copy of one that was carried out, for as long as token and session match. A result is
     // kept, so that such a start ends at once; anything else would run, perhaps beside its successor.
     if (const auto sent = m.acknowledged_launches.find(key);
@@ -115,11 +115,12 @@
     evidence.may_run = slot.launch_sent || slot.seen;  // else given up in tick()
     evidence.saving_with_grace = slot.phase == Phase::Saving && slot.grace > 0;
     evidence.renews_lease = !direct;
-    evidence.sent_lately = slot.stop_sent != 0 && now - slot.stop_sent < context_.settings().report_every;
-    if (!permission::stop_is_due(evidence)) return;
-    startup_.ordered(OrderKind::Stop, slot.stop_sent != 0);
-    slot.stop_sent = now;
-    cancellations_.stop_sent(key.job, now);
+    evidence.sent_recently =
+        slot.stop_sent_at != 0 && now - slot.stop_sent_at < context_.settings().report_every;
+    if (!permission::is_stop_due(evidence)) return;
+    startup_.record_order(OrderKind::Stop, slot.stop_sent_at != 0);
+    slot.stop_sent_at = now;
+    cancellations_.record_stop_sent(key.job, now);
     orders.push_back({OrderKind::Stop, key.job, key.task, key.attempt, slot.grace});
 }
 
@@ -132,19 +133,19 @@
     evidence.job_queued = job.stage == Stage::Queued;
     evidence.token = token(m);
     evidence.token_seen = m.token_seen;
-    evidence.bound_by_other_holder = slot.foreign;
+    evidence.bound_by_other_holder = slot.inherited;
     evidence.call_in_flight = m.direct_launches.count(key) > 0;
     evidence.gang_complete = job.spec.kind != JobKind::Gang ||
                              std::all_of(job.slots.begin(), job.slots.end(),
                                          [](const Slot& s) { return s.state == SlotState::Bound; });
     // The answer to a report is the second way; it is taken when the direct one does not work.
-    const bool direct_works = m.direct_backoff == 0 && !m.out_of_reach();
+    const bool direct_works = m.direct_call_backoff == 0 && !m.is_relay_only();
     evidence.direct_call_preferred = !direct && (direct_works || m.launches_in_responses.count(key));
-    const permission::Decision decision = permission::launch(evidence);
-    context_.decisions().launch(decision);
+    const permission::Decision decision = permission::decide_launch(evidence);
+    context_.permission_counters().count_launch(decision);
     if (decision) return;
-    startup_.ordered(OrderKind::Launch, slot.launch_sent);
-    slot.launch_by_answer = !direct && !m.unacknowledged_launches.count(key);
+    startup_.record_order(OrderKind::Launch, slot.launch_sent);
+    slot.launched_by_response = !direct && !m.unacknowledged_launches.count(key);
     slot.launch_sent = true;
     slot.launch_token = token(m);
     slot.launch_session = m.session;
@@ -158,14 +159,14 @@
 
 /// Whether a worker whose reports are relayed, or that left a call unanswered, is to be called, to find out
 /// whether it can be reached again.
-bool ShardOwner::probe_due(const Machine& m) const {
-    return (m.out_of_reach() || m.suspect) && context_.runtime().now() - m.probed_at > kProbeEvery;
+bool ShardOwner::is_probe_due(const Machine& m) const {
+    return (m.is_relay_only() || m.suspect) && context_.runtime().now() - m.probed_at > kProbeEvery;
 }
 
 /// Puts a machine on the list of those to send to.
 void ShardOwner::request_dispatch(Machine& m) {
-    if (m.due) return;
-    m.due = true;
+    if (m.dispatch_queued) return;
+    m.dispatch_queued = true;
     dispatch_due_.push_back(m.name);
     context_.wake();
 }
@@ -173,11 +174,11 @@
 /// What goes first when more machines are to be called than may be at a time: tasks of cancelled jobs, whose
 /// time runs out; services; what has a deadline; what else is to be launched; the rest, such as showing a
 /// token.
-int ShardOwner::urgency(const Machine& m) const {
+int ShardOwner::dispatch_urgency(const Machine& m) const {
     int best = 4;
     for (const auto& [job, task] : m.tasks) {
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
-        if (slot.state != SlotState::Bound || (slot.seen && !slot.stop)) continue;
+        if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         if (job->stage == Stage::Cancelled) return 0;
         best = std::min(best, job->rank == PriorityClass::Production ? 1 : job->due_ms != INT64_MAX ? 2 : 3);
     }
@@ -187,11 +188,11 @@
 void ShardOwner::send_orders() {
     if (dispatch_due_.empty()) return;
     const int most = static_cast<int>(context_.settings().sockets / 16);
-    if (static_cast<int>(dispatch_due_.size()) > most - direct_calls_) {
+    if (static_cast<int>(dispatch_due_.size()) > most - direct_calls_in_flight_) {
         std::vector<std::pair<int, std::string>> order;
         for (auto& name : dispatch_due_)
             if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
-                order.emplace_back(urgency(*m->second), std::move(name));
+                order.emplace_back(dispatch_urgency(*m->second), std::move(name));
         std::stable_sort(order.begin(), order.end(),
                          [](const auto& a, const auto& b) { return a.first < b.first; });
         dispatch_due_.clear();
@@ -201,22 +202,22 @@
     for (const auto& name : std::exchange(dispatch_due_, {})) {
         auto it = shard_state_.machines.find(name);
         if (it == shard_state_.machines.end()) continue;
-        if (direct_calls_ >= most) {
+        if (direct_calls_in_flight_ >= most) {
             later.push_back(name);
             continue;
         }
-        it->second->due = false;
-        send_to(*it->second);
+        it->second->dispatch_queued = false;
+        send_orders_to(*it->second);
     }
     dispatch_due_.insert(dispatch_due_.end(), later.begin(), later.end());
 }
 
-void ShardOwner::send_to(Machine& m) {
+void ShardOwner::send_orders_to(Machine& m) {
     const Micros now = context_.runtime().now();
-    if (m.direct_in_flight || now < m.direct_after || m.addr.empty()) return;
+    if (m.direct_call_in_flight || now < m.next_direct_call_at || m.addr.empty()) return;
     // A worker that only others reach gets its orders in the answers to its reports.
-    const bool probe = active_ && probe_due(m);
-    if (m.out_of_reach() && !probe) return;
+    const bool probe = active_ && is_probe_due(m);
+    if (m.is_relay_only() && !probe) return;
     if (probe) m.probed_at = now;
     const bool show_token = m.token_seen < token(m) || (active_ && m.seq == 0);
     std::vector<Order> orders;
@@ -227,8 +228,8 @@
     // Where the session is not known yet, the first one is as good a guess as any: if it is another, the
     // answer tells.
     const std::uint64_t session = std::max<std::uint64_t>(m.session, 1);
-    m.direct_in_flight = true;
-    ++direct_calls_;
+    m.direct_call_in_flight = true;
+    ++direct_calls_in_flight_;
     Call call;
     call.target = Target::Worker;
     call.addr = m.addr;
@@ -239,28 +240,29 @@
     context_.runtime().call(std::move(call), [this, alive = alive_, machine = m.name, sent_token = token(m),
                                               session](const Reply& r) {
         if (!*alive) return;
-        --direct_calls_;
+        --direct_calls_in_flight_;
         auto it = shard_state_.machines.find(machine);
         if (it == shard_state_.machines.end()) return;
         Machine& x = *it->second;
-        x.direct_in_flight = false;
+        x.direct_call_in_flight = false;
         auto launched = std::exchange(x.direct_launches, {});
         auto report = r.status == 200 || r.status == 409 ? wire::parse_report(r.body) : std::nullopt;
         context_.wake();
-        if (r.status == kNotSent) return not_sent(x, launched);
-        if (!report || report->machine != machine) return unanswered(x, launched, sent_token, session);
-        x.direct_backoff = 0;
-        x.direct_after = 0;
-        x.direct_ok = context_.runtime().now();
+        if (r.status == kNotSent) return on_orders_not_sent(x, launched);
+        if (!report || report->machine != machine)
+            return on_orders_unanswered(x, launched, sent_token, session);
+        x.direct_call_backoff = 0;
+        x.next_direct_call_at = 0;
+        x.last_direct_answer_at = context_.runtime().now();
         x.suspect = false;
-        if (report->token > token(x)) return x.leaving ? void() : context_.on_ownership_lost(shard_);
+        if (report->token > token(x)) return x.transferring ? void() : context_.on_ownership_lost(shard_);
         if (active_)
             apply_heartbeat(x, *report, false);
         else
             register_incarnation(x, *report, false);
         // Asked again, if it must be, but not at once: what it tells may be no use for a while.
         if (r.status == 409 || x.seq == 0 || x.token_seen < token(x))
-            x.direct_after = context_.runtime().now() + 100 * kMillisecond;
+            x.next_direct_call_at = context_.runtime().now() + 100 * kMillisecond;
         // Answered: what the worker does not show was not started and will not be.
         for (const auto& key : launched) {
             if (r.status == 200) x.acknowledged_launches[key] = {sent_token, context_.runtime().now()};
@@ -277,17 +279,17 @@
 }
 
 /// It left a call unanswered.
-void ShardOwner::suspect(Machine& m) {
+void ShardOwner::mark_suspect(Machine& m) {
     if (!std::exchange(m.suspect, true)) m.suspect_since = context_.runtime().listened();
 }
 
 /// No connection came about, so nothing was or will be executed: what was to be launched can run elsewhere,
 /// and nothing more is bound there until the machine is heard of again.
-void ShardOwner::not_sent(Machine& m, const std::set<AttemptKey>& launched) {
+void ShardOwner::on_orders_not_sent(Machine& m, const std::set<AttemptKey>& launched) {
     const Micros now = context_.runtime().now();
-    m.direct_backoff = std::clamp(m.direct_backoff * 2, kSecond, 8 * kSecond);
-    m.direct_after = now + m.direct_backoff;
-    suspect(m);
+    m.direct_call_backoff = std::clamp(m.direct_call_backoff * 2, kSecond, 8 * kSecond);
+    m.next_direct_call_at = now + m.direct_call_backoff;
+    mark_suspect(m);
     for (const auto& key : launched) {
         Job* job = shard_state_.job(key.job);
         if (!job) continue;
@@ -303,29 +305,30 @@
 
 /// No answer: each launch in it may still be executed, as long as token and session match. It stays in doubt,
 /// and is sent again: a repeated launch has no effect.
-void ShardOwner::unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t sent_token,
-                            std::uint64_t session) {
+void ShardOwner::on_orders_unanswered(Machine& m, const std::set<AttemptKey>& launched,
+                                      std::uint64_t sent_token, std::uint64_t session) {
     const Micros now = context_.runtime().now();
     for (const auto& key : launched) m.unacknowledged_launches.insert({key, {sent_token, session, now}});
-    m.direct_backoff = std::clamp(m.direct_backoff * 2, kSecond, 4 * kSecond);
-    m.direct_after = now + m.direct_backoff;
-    suspect(m);
+    m.direct_call_backoff = std::clamp(m.direct_call_backoff * 2, kSecond, 4 * kSecond);
+    m.next_direct_call_at = now + m.direct_call_backoff;
+    mark_suspect(m);
     for (const auto& [job, task] : m.tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
-        if (slot.state == SlotState::Bound && slot.launch_sent && !slot.seen) slot.launch_by_answer = false;
+        if (slot.state == SlotState::Bound && slot.launch_sent && !slot.seen)
+            slot.launched_by_response = false;
     }
 }
 
 /// Raises one machine's token in its block record, which ends all doubt about unanswered launches. The other
 /// machines of the block keep theirs.
-void ShardOwner::raise(Machine& m) {
-    if (m.raising) return;
-    m.raising = true;
-    context_.edit_machine(shard_, m.name, ShardContext::MachineEdit::Raise,
+void ShardOwner::raise_token(Machine& m) {
+    if (m.raising_token) return;
+    m.raising_token = true;
+    context_.edit_machine(shard_, m.name, ShardContext::MachineEdit::RaiseToken,
                           [this, alive = alive_, name = m.name](bool) {
                               if (!*alive) return;
                               auto it = shard_state_.machines.find(name);
-                              if (it != shard_state_.machines.end()) it->second->raising = false;
+                              if (it != shard_state_.machines.end()) it->second->raising_token = false;
                               context_.wake();
                           });
 }
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -23,13 +23,13 @@
 
 /// By what the order of placement rests on first: rank, guarantee, deadline. Among equals the plan weighs the
 /// work left by the time waited, here the older goes first.
-Json ShardOwner::place_in_queue(const Job& job) const {
+Json ShardOwner::queue_position(const Job& job) const {
     auto key = [&](const Job& j) {
-        return std::tuple(j.rank, !j.within_guarantee, j.due_ms, j.since_ms, j.serial);
+        return std::tuple(j.rank, !j.within_guarantee, j.due_ms, j.eligible_since_ms, j.serial);
     };
     std::size_t all = 0, before = 0, before_of_team = 0;
     for (const auto& [ref, other] : shard_state_.jobs) {
-        if (other->stage != Stage::Queued || !other->open || other->idle == 0) continue;
+        if (other->stage != Stage::Queued || !other->dependencies_met || other->unbound == 0) continue;
         ++all;
         if (!(key(*other) < key(job))) continue;
         ++before;
@@ -39,8 +39,8 @@
 }
 
 /// Machines of the shard by zone: those that it may use, and those that have room for a task of it now.
-Json ShardOwner::room_by_zone(const Job& job) const {
-    const auto there = job.zones();
+Json ShardOwner::capacity_by_zone(const Job& job) const {
+    const auto there = job.tasks_by_zone();
     Json zones = Json::object();
     auto zone = [&](const std::string& name) -> Json& {
         if (!zones.contains(name)) {
@@ -66,7 +66,7 @@
 }
 
 /// GpuSettings that are free on machines that it may use, in all and most on one.
-Json ShardOwner::gpus_for(const Job& job) const {
+Json ShardOwner::gpu_capacity_for(const Job& job) const {
     Milli free = 0, most = 0;
     for (const auto& [name, m] : shard_state_.machines) {
         if (!usable(*m) || !Scheduler::allowed(job, *m)) continue;
@@ -79,17 +79,17 @@
             {"most_on_one_machine", static_cast<double>(most) / 1000}};
 }
 
-std::vector<std::string> ShardOwner::reasons(const Job& job, const Json& zones) const {
+std::vector<std::string> ShardOwner::waiting_reasons(const Job& job, const Json& zones) const {
     std::vector<std::string> why;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
-    if (job.idle == 0) return {"nothing of it waits"};
-    if (!job.open) return {"jobs that it needs are not done"};
-    if (job.leaving) why.push_back("it is being given to another domain");
-    if (job.admitting) why.push_back("its record is not stored yet");
+    if (job.unbound == 0) return {"nothing of it waits"};
+    if (!job.dependencies_met) return {"jobs that it needs are not done"};
+    if (job.transferring) why.push_back("it is being given to another domain");
+    if (job.on_admitted) why.push_back("its record is not stored yet");
     if (job.backing_off)
         why.push_back("it fails everywhere: one task is tried at a time, the next in " +
-                      std::to_string(std::max<Micros>(job.try_after - now, 0) / kMillisecond) + " ms");
+                      std::to_string(std::max<Micros>(job.next_try_at - now, 0) / kMillisecond) + " ms");
     const int at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
     if (!scheduler_.quota_allows(job, at_once)) why.push_back("its team has used up its limit here");
     int machines = 0, usable_ones = 0, with_room = 0, zones_open = 0;
@@ -97,7 +97,7 @@
         machines += z["machines"].get<int>();
         usable_ones += z["usable"].get<int>();
         with_room += z["with_room"].get<int>();
-        zones_open += z["with_room"].get<int>() > 0 && z["tasks"].get<int>() < job.zone_cap();
+        zones_open += z["with_room"].get<int>() > 0 && z["tasks"].get<int>() < job.max_tasks_per_zone();
     }
     if (machines == 0)
         why.push_back("no machine of this domain is of a type, zone and kind that it may use");
@@ -110,9 +110,9 @@
     else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
         why.push_back("a gang starts as a whole, and there may not be room for all of it");
     if (job.is_best_effort()) why.push_back("it takes what other work leaves over, in turns");
-    if (job.holding_out) why.push_back("it waits for a machine that has its image");
+    if (job.waiting_for_image) why.push_back("it waits for a machine that has its image");
     const auto failing = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& s) {
-        return s.state == SlotState::Idle && s.retry_at > now;
+        return s.state == SlotState::Unbound && s.retry_at > now;
     });
     if (failing > 0) why.push_back(std::to_string(failing) + " of its tasks have failed and are tried later");
     if (why.empty()) why.push_back("its turn comes with the next pass of planning");
@@ -130,17 +130,18 @@
            {"tier", policy::name_of(tier(job))},
            {"rank", name_of(job.rank)},
            {"within_guarantee", job.within_guarantee},
-           {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
+           {"tasks", {{"waiting", job.unbound}, {"bound", job.bound}, {"done", job.done}}},
            {"a_task_needs", resources_value(job.spec.request)},
-           {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
-    if (job.idle > 0 && job.waiting_since > 0)
+           {"counts_since_ms_ago",
+            std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0)}};
+    if (job.unbound > 0 && job.waiting_since > 0)
         v["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
-    v["queue"] = place_in_queue(job);
-    v["limit"] = {{"here", resources_value(context_.share(shard_, job.spec.team))},
-                  {"used", resources_value(shard_state_.used(job.spec.team))}};
-    v["zones"] = room_by_zone(job);
-    if (job.spec.request.gpus > 0) v["cards"] = gpus_for(job);
-    v["why"] = reasons(job, v["zones"]);
+    v["queue"] = queue_position(job);
+    v["limit"] = {{"here", resources_value(context_.quota_share(shard_, job.spec.team))},
+                  {"used", resources_value(shard_state_.team_usage(job.spec.team))}};
+    v["zones"] = capacity_by_zone(job);
+    if (job.spec.request.gpus > 0) v["cards"] = gpu_capacity_for(job);
+    v["why"] = waiting_reasons(job, v["zones"]);
     return v;
 }
 
@@ -148,10 +149,10 @@
 Json ShardOwner::waiting_by_tier() const {
     std::map<policy::Tier, std::pair<int, int>> sums;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || !job->open || job->idle == 0) continue;
+        if (job->stage != Stage::Queued || !job->dependencies_met || job->unbound == 0) continue;
         auto& sum = sums[tier(*job)];
         ++sum.first;
-        sum.second += job->idle;
+        sum.second += job->unbound;
     }
     Json v = Json::object();
     for (const auto& [tier, sum] : sums)
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -21,29 +21,29 @@
 /// a job has ever run, neither is known to be at fault, and the job itself keeps off the machine. One that
 /// fails on several machines and runs on none is taken to be broken: it is tried with one task at a time and
 /// ever more seldom, so that it takes hardly any room, starts and changes. Only its user ends it.
-Micros ShardOwner::failed(Machine& m, Job& job, Slot& slot) {
+Micros ShardOwner::handle_task_failure(Machine& m, Job& job, Slot& slot) {
     const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
-    if (job.done > 0) job.proven = true;
-    if (job.proven) {
+    if (job.done > 0) job.proven_runnable = true;
+    if (job.proven_runnable) {
         record_failure(m, job, now);
         spdlog::info("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), m.name);
         return kSecond << std::min(slot.errors - 1, 5);
     }
     ++job.failures;
-    if (job.failed_on.size() < kMaxFailedOn) job.failed_on.insert(m.name);
+    if (job.failed_machines.size() < kMaxFailedOn) job.failed_machines.insert(m.name);
     if (job.backing_off) {
-        if (slot.attempt < job.held_from) return kSecond;  // began with the others
-        job.try_after = now + std::min(kFirstTry << std::min(job.tries, 10), kLongestTry);
-        ++job.tries;
-    } else if (job.failed_on.size() >= 3 || (job.failed_on.size() == 2 && job.failures >= kFailures) ||
-               slot.errors >= kRounds) {
+        if (slot.attempt < job.backoff_first_attempt) return kSecond;  // began with the others
+        job.next_try_at = now + std::min(kFirstTry << std::min(job.backoff_tries, 10), kLongestTry);
+        ++job.backoff_tries;
+    } else if (job.failed_machines.size() >= 3 ||
+               (job.failed_machines.size() == 2 && job.failures >= kFailures) || slot.errors >= kRounds) {
         job.backing_off = true;
-        job.held_from = job.next_attempt;
-        job.try_after = now + kFirstTry;
+        job.backoff_first_attempt = job.next_attempt;
+        job.next_try_at = now + kFirstTry;
         spdlog::info("job {}: taken to be broken, {} tasks failed on {} machines and none has run",
-                     job.spec.ref, job.failures, job.failed_on.size());
-        touch(job, 0);  // so that another holder does not begin with all of it again
+                     job.spec.ref, job.failures, job.failed_machines.size());
+        mark_part_dirty(job, 0);  // so that another holder does not begin with all of it again
     }
     spdlog::debug("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), m.name);
     return kSecond;
@@ -51,25 +51,25 @@
 
 /// A task of it has run, so it is not the job that is broken but the machines it failed on.
 void ShardOwner::on_first_success(Job& job) {
-    if (job.proven) return;
-    job.proven = true;
+    if (job.proven_runnable) return;
+    job.proven_runnable = true;
     const Micros now = context_.runtime().now();
-    for (const auto& name : job.failed_on)
+    for (const auto& name : job.failed_machines)
         if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
             record_failure(*m->second, job, now);
-    job.failed_on.clear();
+    job.failed_machines.clear();
     if (!job.backing_off) return;
     job.backing_off = false;
     job.waiting_since = now;
     spdlog::info("job {}: runs after all", job.spec.ref);
-    touch(job, 0);
+    mark_part_dirty(job, 0);
     plan_due_ = true;
 }
 
 void ShardOwner::record_failure(Machine& m, const Job& job, Micros now) {
-    m.error_jobs.insert(job.spec.ref);
-    m.avoid_until = now + (m.error_jobs.size() >= 2 ? kAvoidLong : kAvoid);
-    spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", m.name, m.error_jobs.size());
+    m.failing_jobs.insert(job.spec.ref);
+    m.avoid_until = now + (m.failing_jobs.size() >= 2 ? kAvoidLong : kAvoid);
+    spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", m.name, m.failing_jobs.size());
 }
 
 }  // namespace cottonway
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -25,20 +25,21 @@
 
 }  // namespace
 
-std::size_t part_tasks_for(std::size_t value_bytes, std::size_t spec_bytes) {
+std::size_t compute_tasks_per_part(std::size_t value_bytes, std::size_t spec_bytes) {
     const std::size_t room = value_bytes * 23 / 25;
     const std::size_t left = room > spec_bytes + 100 ? room - spec_bytes - 100 : 0;
-    return std::clamp<std::size_t>(left / (kUsualBindingBytes + 1), 16, 4096);
+    return std::clamp<std::size_t>(left / (kTypicalBindingBytes + 1), 16, 4096);
 }
 
-std::string ShardOwner::key_of(const Job& job, std::size_t part) const {
+std::string ShardOwner::part_key(const Job& job, std::size_t part) const {
     const std::string& ref = job.spec.ref;
-    return part == 0 ? record_key(job.place, ref) : keys::part + ref + "/" + std::to_string(part);
+    return part == 0 ? record_key(job.record_location, ref) : keys::part + ref + "/" + std::to_string(part);
 }
 
 /// The job's record is as we know it, and it is not over.
-std::vector<Condition> ShardOwner::as_known(const Job& job) const {
-    return JobCache::as_known(job.spec.ref, job.place, job.parts[0].mod_revision, job.legacy_revision);
+std::vector<Condition> ShardOwner::record_conditions(const Job& job) const {
+    return JobCache::as_known(job.spec.ref, job.record_location, job.parts[0].mod_revision,
+                              job.legacy_revision);
 }
 
 void ShardOwner::on_legacy_revision(const std::string& ref, Revision legacy_revision) {
@@ -66,12 +67,12 @@
         auto job =
             new_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"), context_.dependency_status(ref));
         // The previous version's records don't tell and have 64 tasks a part.
-        divide(*job, std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1));
+        divide_into_parts(*job, std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1));
         known = job.get();
         shard_state_.jobs.emplace(ref, std::move(job));
         if (known->cancelled_by_dependency) cancel(*known);
         known->backing_off = wire::flag(value, "er").value_or(false);
-        known->place = place;
+        known->record_location = place;
         adopt_part(*known, 0, value, mod_revision);
         plan_due_ = true;
         context_.wake();
@@ -80,9 +81,9 @@
     Job& job = *known;
     // The job is there: admitted by another controller, or by an earlier try that came late. What waits here
     // to be written would take its place.
-    if (job.admitting && !job.parts[0].in_flight) return not_admitted(job, CommitStatus::Conflict);
-    const bool late =
-        place == RecordLocation::Job && job.place == RecordLocation::Active && wire::find(value, "d");
+    if (job.on_admitted && !job.parts[0].in_flight) return on_admission_failed(job, CommitStatus::Conflict);
+    const bool late = place == RecordLocation::Job && job.record_location == RecordLocation::Active &&
+                      wire::find(value, "d");
     // Cancelled is final, so it holds at once, whatever of the record is being written or read: with the
     // store out of reach that may take for long, and leases go on being renewed by the look that told of it.
     if (!late && mod_revision > job.parts[0].mod_revision && wire::text(value, "s") == "cancelled")
@@ -90,13 +91,13 @@
     // While a write of ours is under way its result will tell; a later record makes it fail.
     if (mod_revision <= job.parts[0].mod_revision || job.parts[0].in_flight || job.parts[0].reloading) return;
     // Given away after all (see rehome): nothing of it was ever bound here.
-    if (wire::text(value, "dom") != shard_) return given_away(job);
+    if (wire::text(value, "dom") != shard_) return drop_transferred_job(job);
     // A final record holds no tasks: taken as an ordinary one, the job would start all over again.
     if (!wire::find(value, "d")) return drop_job(ref);
-    if (place == RecordLocation::Job && job.place == RecordLocation::Active)
+    if (place == RecordLocation::Job && job.record_location == RecordLocation::Active)
         return;  // it came late and counts for nothing
-    if (place != job.place) job.legacy_revision = 0;
-    job.place = place;
+    if (place != job.record_location) job.legacy_revision = 0;
+    job.record_location = place;
     adopt_part(job, 0, value, mod_revision);
     context_.wake();
 }
@@ -109,19 +110,19 @@
     job->serial = next_serial_++;
     job->submitted_ms = submitted_ms;
     job->waiting_since = context_.runtime().now();
-    job->idle = job->spec.tasks;
-    job->since_ms = gate_ms.value_or(submitted_ms);
+    job->unbound = job->spec.tasks;
+    job->eligible_since_ms = gate_ms.value_or(submitted_ms);
     job->has_dependencies = gate_ms || !job->spec.needs.empty();
     job->rank = job->spec.rank;
-    job->open = job->spec.needs.empty();
+    job->dependencies_met = job->spec.needs.empty();
     apply_dependency_status(*job, dependency_status);
-    if (job->open) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
+    if (job->dependencies_met) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
     return job;
 }
 
-void ShardOwner::divide(Job& job, std::size_t part_tasks) {
-    job.part_tasks = part_tasks;
-    job.parts.resize((static_cast<std::size_t>(job.spec.tasks) + part_tasks - 1) / part_tasks);
+void ShardOwner::divide_into_parts(Job& job, std::size_t tasks_per_part) {
+    job.tasks_per_part = tasks_per_part;
+    job.parts.resize((static_cast<std::size_t>(job.spec.tasks) + tasks_per_part - 1) / tasks_per_part);
 }
 
 void ShardOwner::admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
@@ -130,19 +131,19 @@
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
     auto job = new_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
     auto needs = std::exchange(job->spec.needs, {});  // gone by the time when its parts fill
-    divide(*job,
-           part_tasks_for(context_.settings().value_bytes, chunks::stored_size(part_value(*job, 0, false))));
+    divide_into_parts(*job, compute_tasks_per_part(context_.settings().value_bytes,
+                                                   chunks::stored_size(part_value(*job, 0, false))));
     job->spec.needs = std::move(needs);
-    if (context_.all_read(format::kHistory)) job->place = RecordLocation::Active;
-    job->admitting = std::move(done);
-    touch(*job, 0);
+    if (context_.all_can_read(format::kHistory)) job->record_location = RecordLocation::Active;
+    job->on_admitted = std::move(done);
+    mark_part_dirty(*job, 0);
     shard_state_.jobs.emplace(ref, std::move(job));
     plan_due_ = true;
-    planned_at_ = 0;  // what finds room now is bound by the change that admits it
+    last_planned_at_ = 0;  // what finds room now is bound by the change that admits it
     context_.wake();
 }
 
-void ShardOwner::reconsider(const std::string& ref) {
+void ShardOwner::on_dependencies_changed(const std::string& ref) {
     Job* job = shard_state_.job(ref);
     if (!job) return;
     const DependencyStatus dependency_status = context_.dependency_status(ref);
@@ -153,25 +154,27 @@
 }
 
 void ShardOwner::apply_dependency_status(Job& job, const DependencyStatus& dependency_status) {
-    job.needed = dependency_status.needed;
+    job.has_dependents = dependency_status.needed;
     job.cancelled_by_dependency = dependency_status.cancelled_by_dependency;
     job.due_ms = dependency_status.due_ms;
     if (job.spec.deadline)
         job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
     set_rank(job, std::min(job.spec.rank, dependency_status.rank));
-    if (dependency_status.since_ms > 0) job.since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
-    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.open) open_gate(job);
+    if (dependency_status.since_ms > 0)
+        job.eligible_since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
+    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.dependencies_met)
+        on_dependencies_met(job);
 }
 
 /// All that it needs are done, which is final: from here on it is a job like any other, and its record tells
 /// only since when.
-void ShardOwner::open_gate(Job& job) {
-    job.open = true;
+void ShardOwner::on_dependencies_met(Job& job) {
+    job.dependencies_met = true;
     job.spec.needs.clear();
     job.slots.resize(static_cast<std::size_t>(job.spec.tasks));
     job.waiting_since = context_.runtime().now();
     plan_due_ = true;
-    planned_at_ = 0;
+    last_planned_at_ = 0;
 }
 
 void ShardOwner::set_rank(Job& job, PriorityClass rank) {
@@ -183,22 +186,22 @@
     if (was_idle == is_idle) return;
     for (auto& slot : job.slots)
         if (slot.machine)
-            slot.machine->idle_work += is_idle ? job.spec.request.cores : -job.spec.request.cores;
+            slot.machine->low_priority_cores += is_idle ? job.spec.request.cores : -job.spec.request.cores;
 }
 
 /// Nothing of it is durable, or nobody knows (then its record is read): nothing of it was launched.
-void ShardOwner::not_admitted(Job& job, CommitStatus status) {
-    auto done = std::exchange(job.admitting, nullptr);
+void ShardOwner::on_admission_failed(Job& job, CommitStatus status) {
+    auto done = std::exchange(job.on_admitted, nullptr);
     const std::string ref = job.spec.ref;
-    given_away(job);
-    take_heard(ref);
+    drop_transferred_job(job);
+    apply_cached_record(ref);
     if (done) done({status, 0, {}});
 }
 
 /// News of a job is left to the result of a change of ours that is under way. Where that changes nothing, it
 /// is taken up here: nobody tells again that the job was admitted into this shard all the same, by an
 /// earlier try that came late or by another controller, or that it was cancelled.
-void ShardOwner::take_heard(const std::string& ref) {
+void ShardOwner::apply_cached_record(const std::string& ref) {
     const LiveJob* heard = context_.stored_job(ref);
     if (!heard || heard->shard != shard_) return;
     on_job(ref, heard->place, heard->record, heard->mod_revision);
@@ -217,11 +220,11 @@
 /// Takes a stored part as the truth about what is durable.
 void ShardOwner::adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision) {
     if (part == 0 && mod_revision > job.parts[0].mod_revision)
-        job.leaving = false;  // giving it away fails on the mark
+        job.transferring = false;  // giving it away fails on the mark
     job.parts[part].mod_revision = mod_revision;
     const bool was_dirty = job.parts[part].dirty;
-    const std::size_t first = part * job.part_tasks;
-    const std::size_t last = std::min(job.slots.size(), first + job.part_tasks);
+    const std::size_t first = part * job.tasks_per_part;
+    const std::size_t last = std::min(job.slots.size(), first + job.tasks_per_part);
     job.next_attempt = std::max<std::int64_t>(job.next_attempt,
                                               static_cast<std::int64_t>(wire::count(value, "n").value_or(1)));
     if (auto bits = wire::text(value, "f")) {
@@ -246,14 +249,14 @@
             request_dispatch(*slot.machine);
             return;
         }
-        if (slot.state != SlotState::Idle || slot.attempt >= attempt) return;
+        if (slot.state != SlotState::Unbound || slot.attempt >= attempt) return;
         auto m = shard_state_.machines.find(machine);
         // No machine of ours: it was proven gone, or given away empty.
         if (m == shard_state_.machines.end()) return;
         shard_state_.bind(job, static_cast<int>(task), *m->second, attempt);
         --job.parts[part].binding;
         slot.state = SlotState::Bound;
-        slot.foreign = true;
+        slot.inherited = true;
         slot.launch_sent = true;
         slot.launch_token = mod_revision_ - 1;
         slot.launch_session = UINT64_MAX;
@@ -276,19 +279,19 @@
     if (job.spec.kind == JobKind::Gang && job.done > 0) {
         job.gang_done = true;
         for (std::size_t i = first; i < last; ++i)
-            if (job.slots[i].state == SlotState::Idle) mark_done(job, static_cast<int>(i));
+            if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
     }
     for (std::size_t i = first; i < last; ++i)
-        if (job.slots[i].state == SlotState::Binding) touch(job, part);
+        if (job.slots[i].state == SlotState::Binding) mark_part_dirty(job, part);
     // Also what a later part binds: only the first one tells that the job is cancelled.
     if (job.stage == Stage::Cancelled || (part == 0 && wire::text(value, "s") == "cancelled")) cancel(job);
-    dirty_.insert(job.spec.ref);
+    dirty_jobs_.insert(job.spec.ref);
     flush_due_ = true;
 }
 
 Json ShardOwner::part_value(const Job& job, std::size_t part, bool final_record) const {
-    const std::size_t first = std::min(part * job.part_tasks, job.slots.size());
-    const std::size_t last = std::min(job.slots.size(), first + job.part_tasks);
+    const std::size_t first = std::min(part * job.tasks_per_part, job.slots.size());
+    const std::size_t last = std::min(job.slots.size(), first + job.tasks_per_part);
     Json v = Json::object();
     if (part == 0) {
         v["s"] = job.stage == Stage::Cancelled ? "cancelled" : final_record ? "done" : "queued";
@@ -297,14 +300,14 @@
         if (final_record) {
             v["fd"] = job.done;
             // Jobs that need it count from then.
-            if (job.stage != Stage::Cancelled && context_.all_read(format::kPipelines))
+            if (job.stage != Stage::Cancelled && context_.all_can_read(format::kPipelines))
                 v["end"] = context_.runtime().wall_ms();
             return v;
         }
         v["d"] = wire::job_value(job.spec);
         v["at"] = job.submitted_ms;
-        if (job.has_dependencies && job.open) v["go"] = job.since_ms;
-        v["ps"] = job.part_tasks;
+        if (job.has_dependencies && job.dependencies_met) v["go"] = job.eligible_since_ms;
+        v["ps"] = job.tasks_per_part;
         v["fd"] = job.done;
         v["fr"] = job.bound;
         if (job.backing_off) v["er"] = true;
@@ -339,11 +342,11 @@
     return v;
 }
 
-void ShardOwner::touch(Job& job, std::size_t part) {
+void ShardOwner::mark_part_dirty(Job& job, std::size_t part) {
     auto& p = job.parts[part];
     if (!p.dirty) p.dirty_since = context_.runtime().now();
     p.dirty = true;
-    dirty_.insert(job.spec.ref);
+    dirty_jobs_.insert(job.spec.ref);
     flush_due_ = true;
 }
 
@@ -358,18 +361,18 @@
         std::size_t part;
     };
     std::vector<Due> list;
-    for (auto it = dirty_.begin(); it != dirty_.end();) {
+    for (auto it = dirty_jobs_.begin(); it != dirty_jobs_.end();) {
         Job* job = shard_state_.job(*it);
         if (!job) {
-            it = dirty_.erase(it);
+            it = dirty_jobs_.erase(it);
             continue;
         }
-        if (job->admitting) {
+        if (job->on_admitted) {
             auto& part = job->parts[0];
             if (!part.in_flight && !part.reloading) {
                 if (now - part.dirty_since > kAdmitPatience) {
-                    it = dirty_.erase(it);
-                    not_admitted(*job, CommitStatus::Unavailable);
+                    it = dirty_jobs_.erase(it);
+                    on_admission_failed(*job, CommitStatus::Unavailable);
                     continue;
                 }
                 const Priority priority =
@@ -380,20 +383,20 @@
             continue;
         }
         // The final record speaks for all parts, so nothing else is written any more.
-        const bool over = job->over();
+        const bool over = job->is_over();
         bool left = false;
         bool busy = false;
         for (const auto& p : job->parts) busy = busy || p.in_flight || p.reloading;
         if (over) {
             left = true;
             if (!busy && now >= job->parts[0].not_before) {
-                if (!job->parts[0].dirty) touch(*job, 0);
+                if (!job->parts[0].dirty) mark_part_dirty(*job, 0);
                 // Others wait for the end of a job; that one is cancelled with another everybody knows.
                 const bool can_wait =
                     job->cancelled_by_dependency && now - job->parts[0].dirty_since < kOrphanPatience;
-                list.push_back({can_wait      ? Priority::Deferrable
-                                : job->needed ? Priority::Urgent
-                                              : Priority::Normal,
+                list.push_back({can_wait              ? Priority::Deferrable
+                                : job->has_dependents ? Priority::Urgent
+                                                      : Priority::Normal,
                                 job->parts[0].dirty_since, job, 0});
             }
         } else {
@@ -404,8 +407,8 @@
                 if (part.in_flight || part.reloading || now < part.not_before) continue;
                 // Each part is written on the condition that the job's record stays as it is.
                 if (p == 0 ? busy : job->parts[0].in_flight || job->parts[0].reloading) continue;
-                const bool stays = p == 0 && job->leaving;  // not given away after all
-                if (!stays && now - part.dirty_since < gathers(*job, part.binding > 0)) continue;
+                const bool stays = p == 0 && job->transferring;  // not given away after all
+                if (!stays && now - part.dirty_since < batching_delay(*job, part.binding > 0)) continue;
                 const bool can_wait = job->is_best_effort() && now - part.dirty_since < kIdlePatience;
                 const Priority priority = stays                              ? Priority::Normal
                                           : part.binding == 0 || can_wait    ? Priority::Deferrable
@@ -414,7 +417,7 @@
                 list.push_back({priority, part.dirty_since, job, p});
             }
         }
-        it = left ? std::next(it) : dirty_.erase(it);
+        it = left ? std::next(it) : dirty_jobs_.erase(it);
     }
     std::stable_sort(list.begin(), list.end(), [this](const Due& a, const Due& b) {
         auto key = [this](const Due& d) {
@@ -430,7 +433,7 @@
 
 /// How long changes of a part are gathered before they are written as one: the scarcer changes are, the
 /// longer, but not what the operators want started soon.
-Micros ShardOwner::gathers(const Job& job, bool binds) const {
+Micros ShardOwner::batching_delay(const Job& job, bool binds) const {
     const double level = context_.store().level();
     if (!binds) return level < 0.5 ? 2 * kDefer : kDefer;
     if (job.rank == PriorityClass::Production ||
@@ -442,62 +445,66 @@
 void ShardOwner::write_part(Job& job, std::size_t index, Priority priority) {
     const std::string ref = job.spec.ref;
     auto& part = job.parts[index];
-    const bool final_record = index == 0 && job.over();
+    const bool final_record = index == 0 && job.is_over();
     Change change;
     change.priority = priority;
     // Write ahead: on the records as we know them, so that no ousted holder binds and no cancelled job is
     // bound.
-    change.when = as_known(job);
+    change.when = record_conditions(job);
     change.when.push_back({keys::shard + shard_, mod_revision_});
-    if (index > 0) change.when.push_back({key_of(job, index), part.mod_revision});
+    if (index > 0) change.when.push_back({part_key(job, index), part.mod_revision});
     // Nothing of old form may be added once that is closed, nor beside a record of the new form.
-    if (job.admitting && job.place == RecordLocation::Job) {
+    if (job.on_admitted && job.record_location == RecordLocation::Job) {
         change.when.push_back({keys::active + ref, 0});
         change.when.push_back({keys::history, 0});
     }
     Json value = part_value(job, index, final_record);
     std::vector<AttemptKey> binding;
     std::vector<int> done;
-    const std::size_t first = index * job.part_tasks;
-    for (std::size_t i = first; i < std::min(job.slots.size(), first + job.part_tasks); ++i) {
+    const std::size_t first = index * job.tasks_per_part;
+    for (std::size_t i = first; i < std::min(job.slots.size(), first + job.tasks_per_part); ++i) {
         if (job.slots[i].state == SlotState::Binding)
             binding.push_back({ref, static_cast<int>(i), job.slots[i].attempt});
         if (job.slots[i].state == SlotState::DonePending) done.push_back(static_cast<int>(i));
     }
     // What is of old form moves where history is out of the way, when changes are plenty.
-    const bool moves = index == 0 && !final_record && !job.admitting && job.place == RecordLocation::Job &&
-                       context_.all_read(format::kHistory) && context_.store().quiet();
-    const RecordLocation place = moves ? RecordLocation::Active : job.place;
+    const bool moves = index == 0 && !final_record && !job.on_admitted &&
+                       job.record_location == RecordLocation::Job &&
+                       context_.all_can_read(format::kHistory) && context_.store().quiet();
+    const RecordLocation place = moves ? RecordLocation::Active : job.record_location;
     if (moves) {
         change.when.push_back({keys::active + ref, 0});
         change.then.push_back({keys::job + ref, Json()});
     }
     change.then.push_back({final_record ? keys::job + ref
                            : index == 0 ? record_key(place, ref)
-                                        : key_of(job, index),
+                                        : part_key(job, index),
                            value});
     // Where changes are plenty, what it was goes with it; else that waits for a quiet moment.
-    const bool drops = final_record && job.place == RecordLocation::Active && context_.store().quiet();
+    const bool drops =
+        final_record && job.record_location == RecordLocation::Active && context_.store().quiet();
     if (drops) change.then.push_back({keys::active + ref, Json()});
-    change.purpose = job.admitting ? "admit" : final_record ? "over" : binding.empty() ? "done" : "bind";
+    change.purpose = job.on_admitted ? "admit" : final_record ? "over" : binding.empty() ? "done" : "bind";
     part.dirty = false;
     part.in_flight = true;
-    if (!job.admitting && !final_record) value = nullptr;  // only those are asked for
-    const Condition left{keys::active + ref, final_record && !drops && job.place == RecordLocation::Active
-                                                 ? job.parts[0].mod_revision
-                                                 : 0};
+    if (!job.on_admitted && !final_record) value = nullptr;  // only those are asked for
+    const Condition left{keys::active + ref,
+                         final_record && !drops && job.record_location == RecordLocation::Active
+                             ? job.parts[0].mod_revision
+                             : 0};
     context_.store().commit(
         std::move(change), [this, alive = alive_, ref, index, value = std::move(value), final_record, binding,
                             done, place, left](const CommitResult& result) {
             if (!*alive) return;
             if (result.status == CommitStatus::Ok && left.mod_revision > 0) stale_records_.push_back(left);
-            written(ref, index, value, final_record, binding, done, place, result);
+            on_part_written(ref, index, value, final_record, binding, done, place, result);
         });
 }
 
-void ShardOwner::written(const std::string& ref, std::size_t index, const Json& value, bool final_record,
-                         const std::vector<AttemptKey>& binding, const std::vector<int>& done,
-                         RecordLocation place, const CommitResult& result) {
+void ShardOwner::on_part_written(const std::string& ref, std::size_t index, const Json& value,
+                                 bool final_record, const std::vector<AttemptKey>& binding,
+                                 const std::vector<int>& done, RecordLocation place,
+                                 const CommitResult& result) {
     Job* job = shard_state_.job(ref);
     if (!job) return;
     auto& p = job->parts[index];
@@ -506,9 +513,9 @@
     context_.wake();
     if (result.status == CommitStatus::Ok) {
         p.mod_revision = result.revision;
-        if (index == 0) job->leaving = false;
-        if (place != job->place) job->legacy_revision = 0;
-        job->place = place;
+        if (index == 0) job->transferring = false;
+        if (place != job->record_location) job->legacy_revision = 0;
+        job->record_location = place;
         for (const auto& key : binding) {
             Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
             if (slot.state != SlotState::Binding || slot.attempt != key.attempt) continue;
@@ -524,30 +531,31 @@
             spdlog::info("job {}: {}", ref, job->stage == Stage::Cancelled ? "cancelled, all gone" : "done");
             drop_job(ref);
             // News of what it was before must not bring it back.
-            return context_.settled(ref, value, result.revision);
+            return context_.on_job_finalized(ref, value, result.revision);
         }
-        dirty_.insert(ref);
-        if (auto admitted = std::exchange(job->admitting, nullptr))
+        dirty_jobs_.insert(ref);
+        if (auto admitted = std::exchange(job->on_admitted, nullptr))
             admitted({CommitStatus::Ok, result.revision, value, place});
         return;
     }
     if (result.status == CommitStatus::Conflict &&
         std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) != result.failed.end())
         return context_.on_ownership_lost(shard_);
-    if (job->admitting && result.status != CommitStatus::Unknown) return not_admitted(*job, result.status);
-    if (auto unclear = std::exchange(job->admitting, nullptr)) unclear({CommitStatus::Unknown, 0, {}});
+    if (job->on_admitted && result.status != CommitStatus::Unknown)
+        return on_admission_failed(*job, result.status);
+    if (auto unclear = std::exchange(job->on_admitted, nullptr)) unclear({CommitStatus::Unknown, 0, {}});
     if (result.status == CommitStatus::Unavailable) {
         p.not_before = context_.runtime().now() + 150 * kMillisecond;
-        return touch(*job, index);
+        return mark_part_dirty(*job, index);
     }
     // What the service does not take is not sent again and again.
     if (result.status == CommitStatus::Rejected) p.not_before = context_.runtime().now() + kRefused;
     // Executed or not: the record decides.
-    reload(ref, index);
-    if (index > 0) reload(ref, 0);
+    reload_part(ref, index);
+    if (index > 0) reload_part(ref, 0);
 }
 
-void ShardOwner::reload(const std::string& ref, std::size_t index) {
+void ShardOwner::reload_part(const std::string& ref, std::size_t index) {
     Job* known = shard_state_.job(ref);
     if (!known) return;
     auto& part = known->parts[index];
@@ -559,7 +567,7 @@
                     if (!*alive) return;
                     Job* job = shard_state_.job(ref);
                     if (!job) return;
-                    if (!r.ok) return reload_later(ref, index);
+                    if (!r.ok) return reload_part_later(ref, index);
                     // It is the truth about our own writes only as long as the shard is ours: a new holder
                     // numbers its attempts from the same record, and its binds must not be taken for those of
                     // ours that got no answer.
@@ -569,8 +577,8 @@
                                                               legacy_revision](const CommitResult& c) {
                         if (!*alive) return;
                         if (c.status == CommitStatus::Conflict) return context_.on_ownership_lost(shard_);
-                        if (c.status != CommitStatus::Ok) return reload_later(ref, index);
-                        reloaded(ref, index, r, place, legacy_revision);
+                        if (c.status != CommitStatus::Ok) return reload_part_later(ref, index);
+                        on_part_reloaded(ref, index, r, place, legacy_revision);
                     });
                 });
 }
@@ -587,7 +595,7 @@
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
             if (!*alive) return;
             const bool final = job.found && !wire::find(job.value, "d");
-            if (!job.ok || final || !context_.all_read(format::kHistory))
+            if (!job.ok || final || !context_.all_can_read(format::kHistory))
                 return done(job, RecordLocation::Job, 0);
             context_.store().read(keys::active + ref, [job, done](const ReadResult& active) {
                 if (!active.ok || active.found) return done(active, RecordLocation::Active, job.mod_revision);
@@ -596,58 +604,59 @@
         });
 }
 
-void ShardOwner::reload_later(const std::string& ref, std::size_t index) {
+void ShardOwner::reload_part_later(const std::string& ref, std::size_t index) {
     context_.runtime().after(300 * kMillisecond, [this, alive = alive_, ref, index] {
         if (!*alive) return;
         if (Job* job = shard_state_.job(ref)) job->parts[index].reloading = false;
-        reload(ref, index);
+        reload_part(ref, index);
     });
 }
 
-void ShardOwner::reloaded(const std::string& ref, std::size_t index, const ReadResult& r,
-                          RecordLocation place, Revision legacy_revision) {
+void ShardOwner::on_part_reloaded(const std::string& ref, std::size_t index, const ReadResult& r,
+                                  RecordLocation place, Revision legacy_revision) {
     Job* job = shard_state_.job(ref);
     if (!job) return;
     job->parts[index].reloading = false;
     const auto stage = wire::text(r.value, "s");
     if (index == 0 && (!r.found || stage == "done" || (stage == "cancelled" && !wire::find(r.value, "d")))) {
         // Our final write went through after all.
-        if (job->place == RecordLocation::Active)
+        if (job->record_location == RecordLocation::Active)
             stale_records_.push_back({keys::active + ref, job->parts[0].mod_revision});
         drop_job(ref);
-        if (!r.found) return take_heard(ref);
-        return context_.settled(ref, r.value, r.mod_revision);
+        if (!r.found) return apply_cached_record(ref);
+        return context_.on_job_finalized(ref, r.value, r.mod_revision);
     }
-    if (index == 0 && wire::text(r.value, "dom") != shard_) return given_away(*job);
+    if (index == 0 && wire::text(r.value, "dom") != shard_) return drop_transferred_job(*job);
     // Our admission got no answer, and the job is there as another describes it, whose admission this is.
     if (const Json* spec = wire::find(r.value, "d");
         index == 0 && job->parts[0].mod_revision == 0 && spec && *spec != wire::job_value(job->spec)) {
-        given_away(*job);
+        drop_transferred_job(*job);
         on_job(ref, place, r.value, r.mod_revision);
-        return take_heard(ref);
+        return apply_cached_record(ref);
     }
     if (index == 0) {
-        job->place = place;
+        job->record_location = place;
         job->legacy_revision = legacy_revision;
     }
     if (r.found) adopt_part(*job, index, r.value, r.mod_revision);
     // What is durable of done tasks was set by adopt_part; the rest is written again.
-    touch(*job, index);
+    mark_part_dirty(*job, index);
     context_.wake();
 }
 
 /// One after another, in quiet moments: each is written anew where it belongs now.
-void ShardOwner::move_out_of_history() {
+void ShardOwner::migrate_legacy_record() {
     const Micros now = context_.runtime().now();
-    if (!context_.all_read(format::kHistory) || now - moved_at_ < kMoveEvery || !context_.store().quiet())
+    if (!context_.all_can_read(format::kHistory) || now - last_record_migration_at_ < kMoveEvery ||
+        !context_.store().quiet())
         return;
-    moved_at_ = now;
+    last_record_migration_at_ = now;
     for (auto& [ref, job] : shard_state_.jobs) {
         const auto& part = job->parts[0];
-        if (job->place != RecordLocation::Job || job->admitting || part.dirty || part.in_flight ||
+        if (job->record_location != RecordLocation::Job || job->on_admitted || part.dirty || part.in_flight ||
             part.reloading)
             continue;
-        return touch(*job, 0);
+        return mark_part_dirty(*job, 0);
     }
 }
 
@@ -657,9 +666,9 @@
     // prove as many more; beyond a number they compete with what else can wait.
     const Micros now = context_.runtime().now();
     const bool many = stale_records_.size() > kManyLeftOver;
-    if (!stale_records_.empty() && now - dropped_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
+    if (!stale_records_.empty() && now - last_record_drop_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
         (many ? context_.store().room(Priority::Deferrable) : context_.store().quiet())) {
-        dropped_at_ = now;
+        last_record_drop_at_ = now;
         const Condition left = stale_records_.back();
         stale_records_.pop_back();
         context_.store().commit(JobCache::dropped(left), [this, alive = alive_, left](const CommitResult& r) {
@@ -672,11 +681,11 @@
 
 /// The record names another owner. Binds of ours that wait to be written fail on its mark, so they were never
 /// launched; there are no others, since only jobs that were never bound are given away.
-void ShardOwner::given_away(Job& job) {
+void ShardOwner::drop_transferred_job(Job& job) {
     // Admitted by another controller meanwhile.
-    if (auto asked = std::exchange(job.admitting, nullptr)) asked({CommitStatus::Conflict, 0, {}});
+    if (auto asked = std::exchange(job.on_admitted, nullptr)) asked({CommitStatus::Conflict, 0, {}});
     for (auto& slot : job.slots)
-        if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) set_idle(job, slot);
+        if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) set_unbound(job, slot);
     shard_state_.jobs.erase(std::string(job.spec.ref));
 }
 
@@ -684,7 +693,7 @@
     auto it = shard_state_.jobs.find(ref);
     if (it == shard_state_.jobs.end()) return;
     Job& job = *it->second;
-    if (auto asked = std::exchange(job.admitting, nullptr)) asked({CommitStatus::Conflict, 0, {}});
+    if (auto asked = std::exchange(job.on_admitted, nullptr)) asked({CommitStatus::Conflict, 0, {}});
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         auto state = job.slots[i].state;
         if (state == SlotState::Binding || state == SlotState::Bound)
@@ -695,7 +704,7 @@
         Change change;
         change.priority = Priority::Deferrable;
         change.when.push_back({keys::shard + shard_, mod_revision_});
-        change.then.push_back({key_of(job, p), Json()});
+        change.then.push_back({part_key(job, p), Json()});
         change.purpose = "cleanup";
         context_.store().commit(std::move(change), [](const CommitResult&) {});
     }
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -21,8 +21,9 @@
 /// Whether it has found no room for long. Then it keeps no part of its team's limit: where there is room
 /// others may use that meanwhile. It still looks for room, and asks for its part once there is some.
 bool lacks_room(const Job& job, Micros now) {
-    const Micros patience = job.spec.kind == JobKind::Gang ? kGangKeepsShare : kKeepsShare;
-    return job.no_room_at > 0 && now - job.waiting_since >= patience && now - job.no_room_at <= kTriesAgain;
+    const Micros unreachable_limit = job.spec.kind == JobKind::Gang ? kGangKeepsShare : kKeepsShare;
+    return job.no_room_at > 0 && now - job.waiting_since >= unreachable_limit &&
+           now - job.no_room_at <= kTriesAgain;
 }
 
 /// What the machines of a shard have in all, and their types.
@@ -63,28 +64,28 @@
         if (!usable(*m)) continue;
         // Idle work gives way to everything else.
         (m->spot ? d.free_spot : d.free_ordinary) +=
-            scheduling::available_cores(m->type->size - m->reserved, m->type->size) + m->idle_work;
+            scheduling::available_cores(m->type->size - m->reserved, m->type->size) + m->low_priority_cores;
         if (m->tasks.empty()) (m->spot ? d.idle_spot : d.idle_ordinary) += m->type->size.cores;
     }
     std::map<std::string, Resources> waiting;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->rank == PriorityClass::Production && job->open)
-            d.production += job->spec.request.cores * (job->idle + job->bound);
-        if (job->waiting() == 0) continue;
-        d.waiting += capacity.occupied_by(job->spec) * job->idle;
+        if (job->rank == PriorityClass::Production && job->dependencies_met)
+            d.production += job->spec.request.cores * (job->unbound + job->bound);
+        if (job->waiting_tasks() == 0) continue;
+        d.waiting += capacity.occupied_by(job->spec) * job->unbound;
         if (lacks_room(*job, context_.runtime().now())) continue;
         auto& w = waiting[job->spec.team];
-        w.cores += job->spec.request.cores * job->idle;
-        w.gpus += job->spec.request.gpus * job->idle;
+        w.cores += job->spec.request.cores * job->unbound;
+        w.gpus += job->spec.request.gpus * job->unbound;
     }
     for (const auto& team : context_.settings().teams) {
-        d.teams.push_back(
-            {team.name, context_.share(shard_, team.name), shard_state_.used(team.name), waiting[team.name]});
+        d.teams.push_back({team.name, context_.quota_share(shard_, team.name),
+                           shard_state_.team_usage(team.name), waiting[team.name]});
     }
     return d;
 }
 
-std::optional<peer::CapacityRequest> ShardOwner::want() const {
+std::optional<peer::CapacityRequest> ShardOwner::capacity_request() const {
     if (!active_) return std::nullopt;
     const Micros now = context_.runtime().now();
     // The job that has waited longest for room speaks for those that need the same; live work before any
@@ -92,7 +93,7 @@
     auto turn = [this](const Job& job) { return std::pair(tier(job) != policy::Tier::Live, job.serial); };
     const Job* first = nullptr;
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->waiting() > 0 && now - job->waiting_since > kWantAfter &&
+        if (job->waiting_tasks() > 0 && now - job->waiting_since > kWantAfter &&
             (scheduler_.quota_allows(*job, 1) || lacks_room(*job, now)) &&
             (!first || turn(*job) < turn(*first)))
             first = job.get();
@@ -105,9 +106,9 @@
     if (first->spec.zone) w.zone = *first->spec.zone;
     // Where the zones that it is in take no more, machines in another are what it needs.
     if (first->spec.spread && w.zone.empty()) {
-        auto used = first->zones();
+        auto used = first->tasks_by_zone();
         const bool full = std::any_of(used.begin(), used.end(),
-                                      [&](const auto& z) { return z.second >= first->zone_cap(); });
+                                      [&](const auto& z) { return z.second >= first->max_tasks_per_zone(); });
         if (full)
             w.zone = *std::min_element(
                 context_.settings().zones.begin(), context_.settings().zones.end(),
@@ -117,7 +118,7 @@
     const Capacity capacity(shard_state_.machines);
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.spot == first->spec.spot && now - job->waiting_since > kWantAfter)
-            w.cores += capacity.occupied_by(job->spec) * job->waiting();
+            w.cores += capacity.occupied_by(job->spec) * job->waiting_tasks();
     return w;
 }
 
@@ -127,9 +128,10 @@
     const Micros now = context_.runtime().listened();
     std::vector<Machine*> idle;
     for (auto& [name, m] : shard_state_.machines) {
-        if (!usable(*m) || !m->tasks.empty() || !m->exited.empty() || !m->unacknowledged_launches.empty())
+        if (!usable(*m) || !m->tasks.empty() || !m->exited_tasks.empty() ||
+            !m->unacknowledged_launches.empty())
             continue;
-        if (!m->launches_in_responses.empty() || m->direct_in_flight || m->raising) continue;
+        if (!m->launches_in_responses.empty() || m->direct_call_in_flight || m->raising_token) continue;
         if (now - m->idle_since < kIdleOffer) continue;
         if ((m->spot && !want.spot) || !want.task.fits(m->type->size)) continue;
         if (!want.type.empty() && want.type != m->type_name) continue;
@@ -141,7 +143,7 @@
     Milli given = 0;
     for (Machine* m : idle) {
         if (names.size() >= most || given >= want.cores) break;
-        m->leaving = true;
+        m->transferring = true;
         given += m->type->size.cores;
         names.push_back(m->name);
     }
@@ -151,21 +153,22 @@
 void ShardOwner::withdraw_offer(const std::vector<std::string>& machines) {
     for (const auto& name : machines)
         if (auto it = shard_state_.machines.find(name); it != shard_state_.machines.end())
-            it->second->leaving = false;
+            it->second->transferring = false;
     plan_due_ = true;
 }
 
 /// The record names the owner, so one change of it is all there is to it. Only jobs of which no attempt was
 /// ever bound: of the others something may still be on machines of ours.
-void ShardOwner::transfer_jobs(const std::string& to, RoomElsewhere room) {
+void ShardOwner::transfer_jobs(const std::string& to, RemoteCapacity room) {
     const Micros now = context_.runtime().now();
     const Capacity capacity(shard_state_.machines);
     for (auto& [ref, owned] : shard_state_.jobs) {
         Job& job = *owned;
         auto& part = job.parts[0];
-        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.idle != job.spec.tasks) continue;
+        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.unbound != job.spec.tasks) continue;
         if (part.in_flight || part.reloading || part.mod_revision == 0) continue;
-        if (!shard_state_.machines.empty() && (!job.open || now - job.waiting_since < kWantAfter)) continue;
+        if (!shard_state_.machines.empty() && (!job.dependencies_met || now - job.waiting_since < kWantAfter))
+            continue;
         const Milli need = capacity.occupied_by(job.spec) * job.spec.tasks;
         // What fills a machine finds no room on two that are half free.
         if (capacity.filled_by(job.spec) && need > room.idle_ordinary + (job.spec.spot ? room.idle_spot : 0))
@@ -178,14 +181,14 @@
         room.idle_ordinary -= need - from_spot;
         if (!context_.store().room(Priority::Normal)) return;
         Change change;
-        change.when = as_known(job);
+        change.when = record_conditions(job);
         change.when.push_back({keys::shard + shard_, mod_revision_});
         Json value = part_value(job, 0, false);
         value["dom"] = to;
-        change.then.push_back({key_of(job, 0), value});
+        change.then.push_back({part_key(job, 0), value});
         change.purpose = "rehome";
         part.in_flight = true;
-        job.leaving = true;
+        job.transferring = true;
         context_.store().commit(std::move(change),
                                 [this, alive = alive_, ref = ref, to](const CommitResult& r) {
                                     if (!*alive) return;
@@ -194,11 +197,12 @@
                                     found->parts[0].in_flight = false;
                                     // Without an answer it may be carried out until the record is another:
                                     // nothing is bound before.
-                                    found->leaving = r.status == CommitStatus::Unknown;
-                                    if (r.status == CommitStatus::Unavailable) return take_heard(ref);
-                                    if (r.status != CommitStatus::Ok) return reload(ref, 0);
+                                    found->transferring = r.status == CommitStatus::Unknown;
+                                    if (r.status == CommitStatus::Unavailable)
+                                        return apply_cached_record(ref);
+                                    if (r.status != CommitStatus::Ok) return reload_part(ref, 0);
                                     spdlog::info("job {}: given to {}", ref, to);
-                                    given_away(*found);
+                                    drop_transferred_job(*found);
                                 });
     }
 }
@@ -207,27 +211,29 @@
     Resources spare = unused_quota(team);
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.team == team && !lacks_room(*job, context_.runtime().now())) {
-            spare.cores -= job->spec.request.cores * job->waiting();
-            spare.gpus -= job->spec.request.gpus * job->waiting();
+            spare.cores -= job->spec.request.cores * job->waiting_tasks();
+            spare.gpus -= job->spec.request.gpus * job->waiting_tasks();
         }
     return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
 }
 
 Resources ShardOwner::unused_quota(const std::string& team) const {
-    const Resources share = context_.share(shard_, team);
-    const Resources used = shard_state_.used(team);
+    const Resources share = context_.quota_share(shard_, team);
+    const Resources used = shard_state_.team_usage(team);
     // What has no limit is not shared out, so there is nothing of it to give.
     auto part = [](Milli of, Milli in_use) { return of == kNoLimit ? 0 : std::max<Milli>(of - in_use, 0); };
     return {part(share.cores, used.cores), part(share.gpus, used.gpus), 0};
 }
 
-std::optional<Resources> ShardOwner::short_by(const std::string& team) const {
+std::optional<Resources> ShardOwner::smallest_quota_shortfall(const std::string& team) const {
     const Resources unused = unused_quota(team);
     std::optional<Resources> least;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->spec.team != team || job->stage != Stage::Queued || !job->open || job->backing_off) continue;
-        if (job->idle == 0 || lacks_room(*job, context_.runtime().now())) continue;
-        const Milli at_once = job->spec.kind == JobKind::Gang ? job->idle : 1;
+        if (job->spec.team != team || job->stage != Stage::Queued || !job->dependencies_met ||
+            job->backing_off)
+            continue;
+        if (job->unbound == 0 || lacks_room(*job, context_.runtime().now())) continue;
+        const Milli at_once = job->spec.kind == JobKind::Gang ? job->unbound : 1;
         const Resources lacks{std::max<Milli>(job->spec.request.cores * at_once - unused.cores, 0),
                               std::max<Milli>(job->spec.request.gpus * at_once - unused.gpus, 0), 0};
         if (!least || std::tie(lacks.gpus, lacks.cores) < std::tie(least->gpus, least->cores)) least = lacks;
@@ -238,7 +244,7 @@
 Json ShardOwner::status() const {
     int waiting = 0, running = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->open) waiting += job->idle;
+        if (job->dependencies_met) waiting += job->unbound;
         running += job->bound;
     }
     Json machines = Json::array();
@@ -260,8 +266,8 @@
             {"tasks_waiting", waiting},
             {"tasks_bound", running},
             {"machines", machines},
-            {"start", startup_.value()},
-            {"cancellations", cancellations_.value(context_.runtime().now())},
+            {"start", startup_.to_json()},
+            {"cancellations", cancellations_.to_json(context_.runtime().now())},
             {"waiting", waiting_by_tier()}};
 }
 
--- a/src/shard/permission.cpp
+++ b/src/shard/permission.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 template <typename Visit>
-void for_each_refused(const std::array<std::uint64_t, kRefusals>& refused, const Visit& visit) {
+void for_each_refused(const std::array<std::uint64_t, kRefusalCount>& refused, const Visit& visit) {
     for (std::size_t i = 0; i < refused.size(); ++i)
         if (refused[i] > 0) visit(name_of(static_cast<Refusal>(i)), refused[i]);
 }
@@ -52,27 +52,28 @@
     return "?";
 }
 
-Decision renewal_by_holder(const HolderEvidence& e) {
-    if (e.token_seen > e.token) return e.machine_leaving ? Refusal::MachineLeaving : Refusal::HigherTokenSeen;
+Decision decide_renewal_by_holder(const HolderEvidence& e) {
+    if (e.token_seen > e.token)
+        return e.machine_transferring ? Refusal::MachineLeaving : Refusal::HigherTokenSeen;
     if (!e.store_read_valid) return Refusal::StoreReadTooOld;
     if (e.session_over) return Refusal::SessionOver;
     if (!e.jobs_known) return Refusal::JobUnknown;
     return {};
 }
 
-Decision renewal_on_behalf(const ProxyEvidence& e) {
-    if (!e.member) return Refusal::NotAMember;
+Decision decide_renewal_on_behalf(const ProxyEvidence& e) {
+    if (!e.is_member) return Refusal::NotAMember;
     if (!e.store_read_valid) return Refusal::StoreReadTooOld;
     if (!e.holder_known) return Refusal::HolderUnknown;
-    if (!e.former_promises_over) return Refusal::PromisesUnknown;
-    if (e.relinquished) return Refusal::LeaseRelinquished;
+    if (!e.former_promises_expired) return Refusal::PromisesUnknown;
+    if (e.lease_relinquished) return Refusal::LeaseRelinquished;
     if (!e.machine_listed) return Refusal::MachineUnknown;
     if (e.token_seen > e.token) return Refusal::HigherTokenSeen;
     if (!e.jobs_known) return Refusal::JobUnknown;
     return {};
 }
 
-Decision launch(const LaunchEvidence& e) {
+Decision decide_launch(const LaunchEvidence& e) {
     if (!e.store_read_valid) return Refusal::StoreReadTooOld;
     if (!e.job_queued) return Refusal::JobOver;
     if (e.token_seen < e.token) return Refusal::TokenNotShown;
@@ -83,10 +84,10 @@
     return {};
 }
 
-bool stop_is_due(const StopEvidence& e) {
+bool is_stop_due(const StopEvidence& e) {
     if (!e.may_run || e.saving_with_grace) return false;
     // An answer renews the lease of what is to stop, and an earlier stop may not have arrived.
-    return e.renews_lease || !e.sent_lately;
+    return e.renews_lease || !e.sent_recently;
 }
 
 std::vector<Order> missing_stops(const Report& report, const std::vector<Order>& orders,
@@ -109,7 +110,7 @@
         ++tally.permitted;
 }
 
-Json Counters::value() const {
+Json Counters::to_json() const {
     const auto json_of = [](const Tally& tally) {
         Json refused = Json::object();
         for_each_refused(tally.refused,
@@ -121,7 +122,7 @@
             {"renewals_without_stop", violations_}};
 }
 
-std::string Counters::line() const {
+std::string Counters::log_line() const {
     std::string line = "renewals=" + std::to_string(renewals_.permitted);
     for_each_refused(renewals_.refused, [&line](const char* reason, std::uint64_t n) {
         line += std::string(" renewals_refused.") + reason + "=" + std::to_string(n);
--- a/src/shard/permission.hpp
+++ b/src/shard/permission.hpp
@@ -33,7 +33,7 @@
     GangIncomplete,      // another task of the gang is not bound
     DirectCallPreferred  // the answer to a heartbeat is the second way
 };
-constexpr std::size_t kRefusals = 16;
+constexpr std::size_t kRefusalCount = 16;
 const char* name_of(Refusal v);
 
 /// Nothing: permitted.
@@ -43,26 +43,26 @@
 struct HolderEvidence {
     bool store_read_valid = false;
     bool session_over = false;
-    bool machine_leaving = false;
+    bool machine_transferring = false;
     bool jobs_known = true;        // of each task that may run, whether its job is over
     std::uint64_t token = 0;       // ours
     std::uint64_t token_seen = 0;  // by the worker
 };
-Decision renewal_by_holder(const HolderEvidence& e);
+Decision decide_renewal_by_holder(const HolderEvidence& e);
 
 /// A heartbeat at a controller that can't reach the holder of its machine.
 struct ProxyEvidence {
     bool store_read_valid = false;
-    bool member = false;
+    bool is_member = false;
     bool holder_known = false;
-    bool former_promises_over = false;
-    bool relinquished = false;
+    bool former_promises_expired = false;
+    bool lease_relinquished = false;
     bool machine_listed = false;   // and not retired
     bool jobs_known = true;        // of each task that may run, whether its job is over
     std::uint64_t token = 0;       // of the holder
     std::uint64_t token_seen = 0;  // by the worker
 };
-Decision renewal_on_behalf(const ProxyEvidence& e);
+Decision decide_renewal_on_behalf(const ProxyEvidence& e);
 
 /// A bound task that its worker has not shown.
 struct LaunchEvidence {
@@ -75,16 +75,16 @@
     std::uint64_t token = 0;
     std::uint64_t token_seen = 0;
 };
-Decision launch(const LaunchEvidence& e);
+Decision decide_launch(const LaunchEvidence& e);
 
 /// A bound task that is to be stopped, and the message that may hold its stop.
 struct StopEvidence {
     bool may_run = false;            // launched, or shown by its worker
     bool saving_with_grace = false;  // a second stop would only cut that short
     bool renews_lease = false;       // an answer to a heartbeat, not a direct call
-    bool sent_lately = false;
+    bool sent_recently = false;
 };
-bool stop_is_due(const StopEvidence& e);
+bool is_stop_due(const StopEvidence& e);
 
 /// The stops that an answer lacks although it renews the lease of tasks whose jobs are over.
 std::vector<Order> missing_stops(const Report& report, const std::vector<Order>& orders,
@@ -93,19 +93,19 @@
 /// How the decisions of a process fell.
 class Counters {
   public:
-    void renewal(const Decision& d) { count(renewals_, d); }
-    void launch(const Decision& d) { count(launches_, d); }
+    void count_renewal(const Decision& d) { count(renewals_, d); }
+    void count_launch(const Decision& d) { count(launches_, d); }
     /// Answers that would have renewed a lease without a stop that was due: 0 unless there is a fault.
-    void violation() { ++violations_; }
+    void count_violation() { ++violations_; }
     std::uint64_t violations() const { return violations_; }
-    Json value() const;
+    Json to_json() const;
     /// For the log: `key=value`, what is 0 left out.
-    std::string line() const;
+    std::string log_line() const;
 
   private:
     struct Tally {
         std::uint64_t permitted = 0;
-        std::array<std::uint64_t, kRefusals> refused{};
+        std::array<std::uint64_t, kRefusalCount> refused{};
     };
     static void count(Tally& tally, const Decision& d);
 
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -23,11 +23,12 @@
 constexpr Micros kLongAgo = 3600 * kSecond;
 
 bool runs(const Slot& slot) {
-    return slot.state == SlotState::Bound && slot.seen && slot.phase == Phase::Running && !slot.stop;
+    return slot.state == SlotState::Bound && slot.seen && slot.phase == Phase::Running &&
+           !slot.stop_requested;
 }
 
 bool waits(const Job& job) {
-    return job.stage == Stage::Queued && job.open && !job.backing_off && !job.leaving;
+    return job.stage == Stage::Queued && job.dependencies_met && !job.backing_off && !job.transferring;
 }
 }  // namespace
 
@@ -41,13 +42,13 @@
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
         const bool over = slot.state == SlotState::Done || slot.state == SlotState::DonePending;
         return {!over, job->stage == Stage::Cancelled, slot.machine ? slot.machine->name : "", slot.attempt,
-                slot.stop};
+                slot.stop_requested};
     }
     scheduling::JobState job(const std::string& ref) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job) return {};
         return {true, job->stage == Stage::Cancelled, job->spec.kind == JobKind::Service,
-                waits(*job) ? job->idle : 0};
+                waits(*job) ? job->unbound : 0};
     }
     int tasks_on(const std::string& ref, const std::string& machine) const override {
         const Machine* m = rebalancer_.shard_state_.machine(machine);
@@ -136,7 +137,7 @@
     std::map<std::string, std::pair<bool, bool>> zones;  // heard, in doubt
     for (const auto& [name, m] : shard_state_.machines) {
         auto& [heard, doubt] = zones[m->zone];
-        const bool lately = m->seq > 0 && context_.runtime().listened() - m->report_listened < silent;
+        const bool lately = m->seq > 0 && context_.runtime().listened() - m->last_report_listening < silent;
         heard = heard || lately;
         doubt = doubt || (!lately && !m->tasks.empty());
     }
@@ -177,11 +178,11 @@
         j.tier = policy.tier(job->spec, job->rank);
         j.rank = job->rank;
         j.cancelled = job->stage == Stage::Cancelled;
-        j.idle = waits(*job) ? job->idle : 0;
+        j.idle = waits(*job) ? job->unbound : 0;
         j.bound = job->bound;
         j.waiting = j.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
-        j.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
-        j.zones = job->zones();
+        j.age = (context_.runtime().wall_ms() - job->eligible_since_ms) * kMillisecond;
+        j.zones = job->tasks_by_zone();
         auto moved = moved_.find(job->spec.ref);
         // A predecessor may have moved it until we came.
         j.since_moved = std::min(kLongAgo, now - (moved == moved_.end() ? since_ : moved->second.last));
@@ -207,10 +208,11 @@
             const bool moving = std::any_of(plan.moves().begin(), plan.moves().end(), [&](const auto& p) {
                 return p.move.job == t.job->spec.ref && p.move.task == t.task;
             });
-            if (slot.stop) v.stopping += t.job->spec.request;
+            if (slot.stop_requested) v.stopping += t.job->spec.request;
             v.tasks.push_back(view.tasks.size());
-            view.tasks.push_back({job_at.at(t.job), t.task, view.machines.size() - 1, runs(slot), slot.stop,
-                                  moving, slot.run_since > 0 ? now - slot.run_since : 0});
+            view.tasks.push_back({job_at.at(t.job), t.task, view.machines.size() - 1, runs(slot),
+                                  slot.stop_requested, moving,
+                                  slot.running_since > 0 ? now - slot.running_since : 0});
         }
     }
     auto keep = [&](const std::string& ref, const std::string& machine, int tasks, bool gathers) {
@@ -231,7 +233,7 @@
 void Rebalancer::propose() {
     // Nothing is begun while a node comes or ends, or with a plan that is not known to be stored.
     const policy::Policy& policy = context_.policy();
-    if (in_flight_ || unsure_ || context_.steady_for() < policy.budgets.settle) return;
+    if (in_flight_ || unsure_ || context_.stable_for() < policy.budgets.settle) return;
     const scheduling::View now = view();
     std::vector<Move> moves = scheduling::rebalance(now, policy, context_.settings().zones);
     std::vector<Gather> gathers;
@@ -250,7 +252,7 @@
 
 void Rebalancer::carry_on() {
     const scheduling::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
-    if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
+    if (!unsure_ && context_.stable_for() > 0) stop(doing.stop);
     const bool left_over = plan_.empty() && record_ != 0;
     if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
     if (context_.runtime().now() < not_before_ || !context_.store().room(Priority::Deferrable)) return;
@@ -271,9 +273,9 @@
 /// Whether a move may begin as things are now; they may have changed since it was planned.
 bool Rebalancer::may_stop(const Move& move, const Job& job) const {
     const Slot& slot = job.slots[static_cast<std::size_t>(move.task)];
-    if (slot.state != SlotState::Bound || slot.stop) return false;
+    if (slot.state != SlotState::Bound || slot.stop_requested) return false;
     const bool service = job.spec.kind == JobKind::Service;
-    if (service && (job.idle > 0 || !others_run(job, move.task))) return false;
+    if (service && (job.unbound > 0 || !others_run(job, move.task))) return false;
     if (move.reason == Reason::Balance && !troubled().empty()) return false;
     if (move.reason == Reason::Room && !context_.policy().movable(job.spec)) return false;
     if (move.to.empty()) return !service;
--- a/src/shard/reconciliation.cpp
+++ b/src/shard/reconciliation.cpp
@@ -6,35 +6,36 @@
 
 namespace {
 
-ReconcileAction reconcile_reported(const Stored& stored, const Shown& shown) {
-    const bool ours = stored.state == Stored::State::Bound || stored.state == Stored::State::Binding;
+ReconcileAction reconcile_reported(const StoredTask& stored, const ObservedTask& shown) {
+    const bool ours = stored.state == StoredTask::State::Bound || stored.state == StoredTask::State::Binding;
     if (ours) return shown.exited ? ReconcileAction::Ended : ReconcileAction::Runs;
-    if (!shown.exited) return ReconcileAction::Stray;
+    if (!shown.exited) return ReconcileAction::Orphaned;
     // A result that a former holder had not committed yet.
-    const bool counts = stored.state == Stored::State::Waiting && stored.wanted;
-    return counts && shown.cause == ExitCause::Done ? ReconcileAction::Result : ReconcileAction::Clear;
+    const bool counts = stored.state == StoredTask::State::Waiting && stored.result_wanted;
+    return counts && shown.cause == ExitCause::Done ? ReconcileAction::UnboundResult : ReconcileAction::Clear;
 }
 
-ReconcileAction reconcile_absent(const Stored& stored, const Proof& proof) {
-    if (stored.state != Stored::State::Bound) return ReconcileAction::Unsent;
+ReconcileAction reconcile_absent(const StoredTask& stored, const LaunchProof& proof) {
+    if (stored.state != StoredTask::State::Bound) return ReconcileAction::NotSent;
     if (stored.seen) return ReconcileAction::Gone;  // the worker has forgotten it: its session was over
     if (stored.launched) {
-        const bool arrived_never = proof.later_session || proof.higher_token || proof.answer_over;
+        const bool arrived_never =
+            proof.session_ended || proof.higher_token_seen || proof.response_superseded;
         if (!arrived_never) return ReconcileAction::InDoubt;
-        if (stored.foreign) return ReconcileAction::Gone;
+        if (stored.inherited) return ReconcileAction::Gone;
     }
-    if (stored.stopping && !proof.may_still_come) return ReconcileAction::Gone;
-    return stored.launched ? ReconcileAction::LaunchAgain : ReconcileAction::Unsent;
+    if (stored.stopping && !proof.may_still_arrive) return ReconcileAction::Gone;
+    return stored.launched ? ReconcileAction::Relaunch : ReconcileAction::NotSent;
 }
 
 }  // namespace
 
-ReconcileAction reconcile(const Stored& stored, const Shown& shown, const Proof& proof) {
-    return shown.shown ? reconcile_reported(stored, shown) : reconcile_absent(stored, proof);
+ReconcileAction reconcile(const StoredTask& stored, const ObservedTask& shown, const LaunchProof& proof) {
+    return shown.is_present ? reconcile_reported(stored, shown) : reconcile_absent(stored, proof);
 }
 
-bool is_news(const MessageAge& message, const MessageAge& last, std::uint64_t least_session) {
-    if (message.session < least_session) return false;
+bool is_newer_message(const MessageOrder& message, const MessageOrder& last, std::uint64_t min_session) {
+    if (message.session < min_session) return false;
     return std::tuple(message.session, message.seq) > std::tuple(last.session, last.seq);
 }
 
@@ -44,19 +45,19 @@
             return "runs";
         case ReconcileAction::Ended:
             return "ended";
-        case ReconcileAction::Result:
+        case ReconcileAction::UnboundResult:
             return "result";
         case ReconcileAction::Clear:
             return "clear";
-        case ReconcileAction::Stray:
+        case ReconcileAction::Orphaned:
             return "stray";
         case ReconcileAction::Gone:
             return "gone";
-        case ReconcileAction::LaunchAgain:
+        case ReconcileAction::Relaunch:
             return "launch again";
         case ReconcileAction::InDoubt:
             return "in doubt";
-        case ReconcileAction::Unsent:
+        case ReconcileAction::NotSent:
             return "unsent";
     }
     return "?";
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -33,7 +33,7 @@
 constexpr int kPreemptions = 20;  // in one pass
 }  // namespace
 
-std::map<std::string, int> Job::zones() const {
+std::map<std::string, int> Job::tasks_by_zone() const {
     std::map<std::string, int> count;
     for (const auto& slot : slots)
         if (slot.machine) ++count[slot.machine->zone];
@@ -88,8 +88,8 @@
 void Scheduler::miss_quota(const Job& job, int tasks) {
     if (limit_allows(job, tasks)) return;
     auto& missing = short_of_quota_[job.spec.team];
-    missing.cores += job.spec.request.cores * job.idle;
-    missing.gpus += job.spec.request.gpus * job.idle;
+    missing.cores += job.spec.request.cores * job.unbound;
+    missing.gpus += job.spec.request.gpus * job.unbound;
 }
 
 bool Scheduler::allowed(const Job& job, const Machine& m) {
@@ -98,21 +98,21 @@
 
 /// What the team would use with so many more tasks of the job.
 Resources Scheduler::used_with(const Job& job, int tasks) const {
-    Resources sum = shard_state_.used(job.spec.team);
+    Resources sum = shard_state_.team_usage(job.spec.team);
     sum.cores += job.spec.request.cores * tasks;
     sum.gpus += job.spec.request.gpus * tasks;
     return sum;
 }
 
 bool Scheduler::limit_allows(const Job& job, int tasks) const {
-    const Resources share = context_.share(shard_, job.spec.team);
+    const Resources share = context_.quota_share(shard_, job.spec.team);
     const Resources sum = used_with(job, tasks);
     return sum.cores <= share.cores && sum.gpus <= share.gpus;
 }
 
 bool Scheduler::quota_allows(const Job& job, int tasks) const {
     const Resources sum = used_with(job, tasks);
-    return sum.cores <= job.most.cores && sum.gpus <= job.most.gpus && limit_allows(job, tasks);
+    return sum.cores <= job.usage_limit.cores && sum.gpus <= job.usage_limit.gpus && limit_allows(job, tasks);
 }
 
 /// What a pass has found to need more room than any machine has, nothing that needs as much will find either.
@@ -193,17 +193,17 @@
     for (const Machine* m : usable_) {
         if (spot_machines_ > 0 && !m->spot) continue;
         size += m->type->size.cores;
-        used += m->reserved.cores - m->idle_work;
-        idle += m->idle_work;
+        used += m->reserved.cores - m->low_priority_cores;
+        idle += m->low_priority_cores;
     }
     // What waits counts as far as its team's limit lets it start: the rest takes no room.
     std::map<std::string, Milli> wanted;
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.spot || spot_machines_ == 0)
-            wanted[job->spec.team] += job->spec.request.cores * job->waiting();
+            wanted[job->spec.team] += job->spec.request.cores * job->waiting_tasks();
     for (const auto& [team, cores] : wanted)
-        used +=
-            std::clamp<Milli>(context_.share(shard_, team).cores - shard_state_.used(team).cores, 0, cores);
+        used += std::clamp<Milli>(
+            context_.quota_share(shard_, team).cores - shard_state_.team_usage(team).cores, 0, cores);
     const auto passed = static_cast<double>(peak_use_at_ > 0 ? now - peak_use_at_ : 0);
     peak_use_at_ = now;
     peak_use_ = std::max(static_cast<double>(std::min(used, size)),
@@ -216,7 +216,7 @@
 bool Scheduler::can_wait(const Job& job) const {
     const auto& aims = goals(job).finished;
     if (aims.empty()) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     const Micros needs = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
     if (age + needs <= aims.front()) return false;
     return aims.size() == 1 || age + needs < aims.back() * 3 / 4;
@@ -225,7 +225,7 @@
 /// Machines that it may use but had better not: those it failed on, until something of it has run elsewhere,
 /// and for idle work the ordinary ones, which others may wait for that can use no other.
 bool Scheduler::keeps_off(const Job& job, const Machine& m) const {
-    if (job.failed_on.count(m.name)) return true;
+    if (job.failed_machines.count(m.name)) return true;
     return job.is_best_effort() && job.spec.spot && !m.spot && spot_machines_ > 0;
 }
 
@@ -237,7 +237,7 @@
         return;
     shapes_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->open) shapes_->add(job->spec.request.gpus, job->idle, job->bound);
+        if (job->dependencies_met) shapes_->add(job->spec.request.gpus, job->unbound, job->bound);
 }
 
 /// Whether it takes room on machines that are being emptied once it finds none elsewhere: urgent work at
@@ -255,7 +255,7 @@
     list.reserve(usable_.size());
     machines.reserve(usable_.size());
     for (Machine* m : reach == Reach::Surplus ? surplus_ : usable_) {
-        if (reach != Reach::Surplus && m->out_of_reach() != (reach == Reach::Relayed)) continue;
+        if (reach != Reach::Surplus && m->is_relay_only() != (reach == Reach::Relayed)) continue;
         if (!allowed(job, *m) || keeps_off(job, *m)) continue;
         Candidate c;
         c.index = machines.size();
@@ -338,7 +338,8 @@
 
 scheduling::Queued Scheduler::queued(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
-    const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
+    const std::int64_t age_ms =
+        std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0);
     const JobSpec& s = job.spec;
     scheduling::Queued q;
     q.index = index;
@@ -350,7 +351,7 @@
     q.due_ms = job.due_ms;
     // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
     // up for size, so that none waits for ever.
-    const auto left = static_cast<double>(job.idle + job.bound) *
+    const auto left = static_cast<double>(job.unbound + job.bound) *
                       static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
                       static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
     q.weight = left / static_cast<double>(age_ms + 10'000);
@@ -359,8 +360,8 @@
     q.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
     q.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoom;
     auto of = [&s](int tasks) { return Resources{s.request.cores * tasks, s.request.gpus * tasks, 0}; };
-    q.waits = of(job.idle);
-    q.task = of(s.kind == JobKind::Gang ? job.idle : 1);
+    q.waits = of(job.unbound);
+    q.task = of(s.kind == JobKind::Gang ? job.unbound : 1);
     return q;
 }
 
@@ -373,7 +374,7 @@
         used.gpus += job->spec.request.gpus * job->bound;
     }
     for (const auto& team : context_.settings().teams)
-        teams[team.name].limit = context_.share(shard_, team.name);
+        teams[team.name].limit = context_.quota_share(shard_, team.name);
     return teams;
 }
 
@@ -382,13 +383,13 @@
     const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
     for (auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || job->leaving || job->idle == 0) continue;
+        if (job->stage != Stage::Queued || job->transferring || job->unbound == 0) continue;
         // The gate: every bind comes from here, and nothing of a job starts before all that it needs are
         // done.
-        if (!job->open) continue;
-        if (job->backing_off && (now < job->try_after || job->bound > 0)) continue;
+        if (!job->dependencies_met) continue;
+        if (job->backing_off && (now < job->next_try_at || job->bound > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
-        if (job->is_best_effort() && (!idle_turn || now < job->idle_turn)) continue;
+        if (job->is_best_effort() && (!idle_turn || now < job->next_best_effort_turn)) continue;
         waiting.push_back(job.get());
     }
     return waiting;
@@ -431,14 +432,14 @@
     if (preempts) preempted_at_ = now;
     for (const auto& turn : scheduling::turns(asked, team_uses(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
-        if (job.idle == 0) continue;  // all of it began in its turn for being overdue
-        job.most = {turn.most_cores, turn.most_gpus, 0};
+        if (job.unbound == 0) continue;  // all of it began in its turn for being overdue
+        job.usage_limit = {turn.most_cores, turn.most_gpus, 0};
         job.overdue = turn.overdue;
         const bool placed = plan_job(job);
         if (!placed && !job.overdue && preempts && !job.backing_off &&
             (now - job.waiting_since > kPreemptAfter || job.rank == PriorityClass::Production))
             preempt(job);
-        if (preempts && tier(job) == policy::Tier::Live && job.idle > 0 && !limit_allows(job, 1) &&
+        if (preempts && tier(job) == policy::Tier::Live && job.unbound > 0 && !limit_allows(job, 1) &&
             now - job.waiting_since > kLimitAfter)
             free_limit(job);
     }
@@ -448,7 +449,7 @@
 /// Live work goes before the batch of its own team inside their limit as well: as much of that is stopped as
 /// it needs for one task more, the least loss first.
 void Scheduler::free_limit(const Job& job) {
-    const Resources share = context_.share(shard_, job.spec.team);
+    const Resources share = context_.quota_share(shard_, job.spec.team);
     Resources over = used_with(job, 1) - share;
     std::vector<Victim> victims;
     for (auto& [ref, other] : shard_state_.jobs) {
@@ -456,7 +457,7 @@
         const bool batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
         for (auto& slot : other->slots) {
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop)
+            if (slot.stop_requested)
                 over -= other->spec.request;  // on its way out already
             else if (batch)
                 victims.push_back(victim(slot, *other, false));
@@ -480,7 +481,7 @@
 /// Whether stopping a task would make its job miss an aim that it can still make.
 bool Scheduler::wastes_work(const Job& job, Micros ran) const {
     const auto& aims = goals(job).finished;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(aims.begin(), aims.end(),
                        [&](Micros goal) { return age + left <= goal && age + left + kSetBack > goal; });
@@ -594,8 +595,8 @@
     }
     std::vector<Machine*> machines;
     std::vector<Candidate> candidates = candidates_for(job, Reach::Direct, machines);
-    if (candidates.empty() && !job.failed_on.empty()) {  // better where it failed than nowhere
-        job.failed_on.clear();
+    if (candidates.empty() && !job.failed_machines.empty()) {  // better where it failed than nowhere
+        job.failed_machines.clear();
         candidates = candidates_for(job, Reach::Direct, machines);
     }
     auto ask_more = [&](Reach reach) {
@@ -606,11 +607,11 @@
     if (job.spec.kind == JobKind::Gang)
         return plan_gang(job, candidates, machines) ||
                (takes_surplus(job) && ask_more(Reach::Surplus) && plan_gang(job, candidates, machines));
-    if (job.is_best_effort() && !job.overdue) job.idle_turn = now + idle_pause(job);
+    if (job.is_best_effort() && !job.overdue) job.next_best_effort_turn = now + idle_pause(job);
 
-    std::map<std::string, int> per_zone = job.zones();
+    std::map<std::string, int> per_zone = job.tasks_by_zone();
     const Zoning zoning = zoning_of(job);
-    const int zone_cap = job.zone_cap();
+    const int max_tasks_per_zone = job.max_tasks_per_zone();
     const bool zoned =
         job.spec.spread || job.spec.one_zone || job.spec.kind == JobKind::Service || spares(job);
     std::vector<const Candidate*> open;
@@ -621,14 +622,14 @@
     bool all = true;
     bool tried_relayed = false, tried_surplus = !takes_surplus(job);
     const bool asks_surplus = !tried_surplus;
-    const bool ready_only = job.holding_out = waits_for_image(job);
+    const bool ready_only = job.waiting_for_image = waits_for_image(job);
     const bool pieces = context_.store().uses_pieces();
-    while (job.first_idle < job.slots.size() && job.slots[job.first_idle].state != SlotState::Idle)
-        ++job.first_idle;
-    for (std::size_t i = job.first_idle; i < job.slots.size(); ++i) {
+    while (job.first_unbound < job.slots.size() && job.slots[job.first_unbound].state != SlotState::Unbound)
+        ++job.first_unbound;
+    for (std::size_t i = job.first_unbound; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
-        if (slot.state != SlotState::Idle) continue;
-        if (slot.retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))) {
+        if (slot.state != SlotState::Unbound) continue;
+        if (slot.retry_at > now || shard_state_.has_orphaned_task(job.spec.ref, static_cast<int>(i))) {
             all = all && slot.retry_at > now;
             continue;
         }
@@ -637,8 +638,8 @@
         if (better && better->seq == 0 && now - better->known_since < 2 * context_.settings().report_every)
             continue;
         // A part must not outgrow its value, unless that may be stored in pieces; the next ones have room.
-        if (!pieces && job.part_of(static_cast<int>(i)).is_full(job.part_tasks)) {
-            i = (i / job.part_tasks + 1) * job.part_tasks - 1;
+        if (!pieces && job.part_of(static_cast<int>(i)).is_full(job.tasks_per_part)) {
+            i = (i / job.tasks_per_part + 1) * job.tasks_per_part - 1;
             continue;
         }
         if (!quota_allows(job, 1)) {  // not for want of room
@@ -661,7 +662,7 @@
                     for (auto& c : candidates) {
                         auto used = per_zone.find(machines[c.index]->zone);
                         const int there = used == per_zone.end() ? 0 : used->second;
-                        if (there >= zone_cap) continue;
+                        if (there >= max_tasks_per_zone) continue;
                         if (job.spec.one_zone && !per_zone.empty() && there == 0) continue;
                         if (!leaves_reserve(job, machines[c.index]->zone)) continue;
                         // Replicas are kept apart beyond what the job asks for.
@@ -707,14 +708,15 @@
 bool Scheduler::plan_gang(Job& job, const std::vector<Candidate>& candidates,
                           const std::vector<Machine*>& machines) {
     const Micros now = context_.runtime().now();
-    if (job.bound > 0 || job.idle < job.spec.tasks - job.done)
+    if (job.bound > 0 || job.unbound < job.spec.tasks - job.done)
         return true;  // the old attempt is not gone yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
-        if (job.slots[i].state == SlotState::Idle &&
-            (job.slots[i].retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))))
+        if (job.slots[i].state == SlotState::Unbound &&
+            (job.slots[i].retry_at > now ||
+             shard_state_.has_orphaned_task(job.spec.ref, static_cast<int>(i))))
             return true;
-    if (!quota_allows(job, job.idle)) {
-        miss_quota(job, job.idle);
+    if (!quota_allows(job, job.unbound)) {
+        miss_quota(job, job.unbound);
         return true;
     }
     std::vector<std::string> zones{""};
@@ -730,7 +732,7 @@
         std::map<std::string, int> per_zone;
         std::vector<std::pair<int, Machine*>> chosen;
         for (std::size_t i = 0; i < job.slots.size(); ++i) {
-            if (job.slots[i].state != SlotState::Idle) continue;
+            if (job.slots[i].state != SlotState::Unbound) continue;
             std::vector<std::string> room;
             if (zoning.rule) room = zones_with_room(job, trial, machines, std::numeric_limits<int>::max());
             const auto choice = choose_zones(job, zoning, per_zone, zoning.rule ? &room : nullptr);
@@ -750,7 +752,7 @@
             ++per_zone[m->zone];
             chosen.emplace_back(static_cast<int>(i), m);
         }
-        if (static_cast<int>(chosen.size()) < job.idle) continue;
+        if (static_cast<int>(chosen.size()) < job.unbound) continue;
         const std::int64_t attempt = job.next_attempt++;
         for (const auto& [task, m] : chosen) {
             bind(job, task, *m, attempt);
@@ -780,7 +782,7 @@
     const auto& aims = goals(job).wait;
     // Stopping idle work costs next to nothing.
     const bool idle_only = job.rank > PriorityClass::High && !reclaims;
-    const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.idle : 1;
+    const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.unbound : 1;
     const bool hurries = !aims.empty() && now - job.waiting_since < aims.front();
     if (preemptions_left_ <= 0 || !quota_allows(job, 1)) return;
     const bool ready_only = waits_for_image(job);
@@ -788,7 +790,7 @@
         job.image_wait_over = true;
         return;
     }
-    std::map<std::string, int> per_zone = job.zones();
+    std::map<std::string, int> per_zone = job.tasks_by_zone();
     const Zoning zoning = zoning_of(job);
     // Zones in which room may be made; where nothing can be, a rule gives way.
     std::vector<std::string> zones = zoning.standing;
@@ -849,7 +851,7 @@
 /// since the last checkpoint, or somebody can't wait for it, the task exits at once.
 Scheduler::Victim Scheduler::victim(Slot& slot, Job& job, bool hurries) const {
     const Micros now = context_.runtime().now();
-    const Micros ran = slot.run_since ? now - slot.run_since : 0;
+    const Micros ran = slot.running_since ? now - slot.running_since : 0;
     const Micros saving = job.spec.save + kSecond;
     const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
     const bool saves = job.spec.checkpoint > 0 && !hurries && unsaved > saving;
@@ -864,7 +866,7 @@
 /// comes back to the same room first, and neither runs.
 bool Scheduler::comes_back_first(const Job& job) const {
     if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.begin_within;
 }
 
@@ -880,7 +882,7 @@
     for (const auto& [other, task] : m.tasks) {
         Slot& slot = other->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound) continue;
-        if (slot.stop) {
+        if (slot.stop_requested) {
             room += other->spec.request;  // on its way out already
             continue;
         }
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -21,8 +21,8 @@
     : context_(context),
       shard_(std::move(shard)),
       mod_revision_(mod_revision),
-      former_end_(former_authority_end),
-      taken_at_(context.runtime().now()),
+      former_authority_end_(former_authority_end),
+      acquired_at_(context.runtime().now()),
       scheduler_(context, shard_, shard_state_, *this),
       rebalancer_(context, shard_, mod_revision, shard_state_, *this) {}
 
@@ -30,7 +30,7 @@
     *alive_ = false;
     // What of these is durable is in the store; whoever asked looks there.
     for (auto& [ref, job] : shard_state_.jobs)
-        if (job->admitting) job->admitting({CommitStatus::Unknown, 0, {}});
+        if (job->on_admitted) job->on_admitted({CommitStatus::Unknown, 0, {}});
 }
 
 // ---------------------------------------------------------------- machines
@@ -41,7 +41,7 @@
         owned = std::make_unique<Machine>();
         owned->name = entry.name;
         owned->known_since = context_.runtime().now();
-        owned->last_heartbeat_listening = owned->report_listened = owned->idle_since =
+        owned->last_heartbeat_listening = owned->last_report_listening = owned->idle_since =
             context_.runtime().listened();
         owned->relinquishments.resize(context_.settings().peers.size());
     }
@@ -62,16 +62,16 @@
     // to another shard while it was empty: whatever a job's record still lists there is gone.
     auto it = shard_state_.machines.find(name);
     if (it == shard_state_.machines.end()) return;
-    void_machine(*it->second, why);
+    terminate_all_attempts(*it->second, why);
     shard_state_.machines.erase(it);
 }
 
-void ShardOwner::void_machine(Machine& m, const char* why) {
+void ShardOwner::terminate_all_attempts(Machine& m, const char* why) {
     if (!m.tasks.empty()) spdlog::info("machine {}: {} tasks are gone: {}", m.name, m.tasks.size(), why);
     const auto tasks = m.tasks;
     for (const auto& t : tasks) on_attempt_terminated(*t.job, t.task, 0);
     shard_state_.forget_orphaned_tasks(m);
-    m.exited.clear();
+    m.exited_tasks.clear();
     m.unacknowledged_launches.clear();
     m.launches_in_responses.clear();
     m.acknowledged_launches.clear();
@@ -85,10 +85,10 @@
 /// calls shows only the latter.
 Micros ShardOwner::unreachable_for(const Machine& m) const {
     const Micros listened = context_.runtime().listened();
-    return std::max(listened - m.report_listened, m.suspect ? listened - m.suspect_since : 0);
+    return std::max(listened - m.last_report_listening, m.suspect ? listened - m.suspect_since : 0);
 }
 
-Micros ShardOwner::patience() const {
+Micros ShardOwner::unreachable_limit() const {
     return context_.settings().report_every * 5 / 2 + kSecond;
 }
 
@@ -100,37 +100,37 @@
     spdlog::info("machine {}: {}", machine, on ? "surplus, nothing new is bound to it" : "needed again");
 }
 
-bool ShardOwner::passing(const Machine& m) const {
+bool ShardOwner::runs_only_spot_arrays(const Machine& m) const {
     return std::all_of(m.tasks.begin(), m.tasks.end(), [](const TaskRef& t) {
         return t.job->spec.kind == JobKind::Array && t.job->spec.spot;
     });
 }
 
-bool ShardOwner::bindable(const Machine& m) const {
+bool ShardOwner::is_bindable(const Machine& m) const {
     const Micros now = context_.runtime().now();
-    return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.leaving &&
-           !m.notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
-           unreachable_for(m) < patience();
+    return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.transferring &&
+           !m.interruption_notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
+           unreachable_for(m) < unreachable_limit();
 }
 
 /// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
 /// granted as long as the worker has not shown our token, and what other controllers may have renewed on our
 /// behalf. Of the last only their promise tells, or that they can't have been entitled any more.
-bool ShardOwner::lease_over(const Machine& m) const {
+bool ShardOwner::is_lease_expired(const Machine& m) const {
     // A report that we answered renews the lease from when it was sent, which was before it was heard.
     Micros last = std::max(m.last_heartbeat, m.known_since);
-    if (m.token_seen < mod_revision_) last = std::max(last, former_end_);
-    return over_since(m, last);
+    if (m.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
+    return are_leases_expired_since(m, last);
 }
 
 /// The same, where the shard's holders can have granted none since `last`.
-bool ShardOwner::over_since(const Machine& m, Micros last) const {
+bool ShardOwner::are_leases_expired_since(const Machine& m, Micros last) const {
     const Micros now = context_.runtime().now();
     if (now <= last + with_drift(context_.settings().lease)) return false;
     for (std::size_t peer = 0; peer < m.relinquishments.size(); ++peer) {
         if (m.relinquishments[peer].until > now)
-            last = std::max(last, m.relinquishments[peer].renewed);
-        else if (auto ended = context_.peer_ended(peer))
+            last = std::max(last, m.relinquishments[peer].last_renewal_at);
+        else if (auto ended = context_.peer_authority_end(peer))
             last = std::max(last, *ended);
         else
             return false;
@@ -144,7 +144,7 @@
     const Micros half = context_.settings().lease / 2;
     for (const auto& [name, m] : shard_state_.machines) {
         const bool unheard =
-            silent_for(*m) > half || (m->token_seen < mod_revision_ && now - taken_at_ > half);
+            silent_for(*m) > half || (m->token_seen < mod_revision_ && now - acquired_at_ > half);
         if (unheard && !m->is_idle() && m->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
@@ -161,12 +161,12 @@
 void ShardOwner::activate() {
     active_ = true;
     for (auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.kind == JobKind::Gang && job->idle > 0 && job->bound > 0) settle_gang(*job);
+        if (job->spec.kind == JobKind::Gang && job->unbound > 0 && job->bound > 0) stop_incomplete_gang(*job);
     std::size_t bound = 0;
     for (const auto& [name, m] : shard_state_.machines) bound += m->tasks.size();
     const Micros now = context_.runtime().now();
     rebalancer_.adopt();
-    startup_.began(now, now - taken_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
+    startup_.start(now, now - acquired_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
     spdlog::info("domain {}: active with {} jobs and {} machines, token {}", shard_, shard_state_.jobs.size(),
                  shard_state_.machines.size(), mod_revision_);
 }
@@ -185,12 +185,12 @@
         const bool raises = std::any_of(
             m.unacknowledged_launches.begin(), m.unacknowledged_launches.end(), [&](const auto& t) {
                 return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
-                       (heard || !wanted(t.first.job));
+                       (heard || !is_job_queued(t.first.job));
             });
-        if (raises) raise(m);
+        if (raises) raise_token(m);
         if (m.is_idle()) continue;
-        if (lease_over(m)) {
-            void_machine(m, "its lease is over");
+        if (is_lease_expired(m)) {
+            terminate_all_attempts(m, "its lease is over");
             m.min_session = m.session + 1;
             continue;
         }
@@ -199,57 +199,57 @@
         for (const auto& t : m.tasks) {
             const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop || !slot.seen) request_dispatch(m);
+            if (slot.stop_requested || !slot.seen) request_dispatch(m);
             // What is left of a gang that is done is never launched, since its others are not bound any more.
-            if ((slot.stop || t.job->gang_done) && !slot.seen && !slot.foreign &&
-                !still_live(m, slot, {t.job->spec.ref, t.task, slot.attempt}))
+            if ((slot.stop_requested || t.job->gang_done) && !slot.seen && !slot.inherited &&
+                !can_still_start(m, slot, {t.job->spec.ref, t.task, slot.attempt}))
                 dead.push_back(t);
         }
         for (const auto& t : dead) on_attempt_terminated(*t.job, t.task, 0);
-        if (m.notice && now <= m.notice_end) drain_noticed(m);
+        if (m.interruption_notice && now <= m.interruption_at) drain_interrupted(m);
     }
     flush_due_ = true;
-    for (const auto& job : cancellations_.overdue(now, context_.settings().cancel / 2))
+    for (const auto& job : cancellations_.take_overdue(now, context_.settings().cancel / 2))
         spdlog::warn("event=cancellation_unfinished job={} domain={} token={} for_ms={}", job, shard_,
                      mod_revision_, context_.settings().cancel / 2 / kMillisecond);
-    if (const std::string line = startup_.line(now); !line.empty())
+    if (const std::string line = startup_.take_log_line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
         drop_stale_records();
-        move_out_of_history();
+        migrate_legacy_record();
         rebalancer_.tick();
     }
     if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& j) {
             const Job& job = *j.second;
-            return job.stage == Stage::Queued && job.open && job.idle > 0 &&
-                   (!job.backing_off || now >= job.try_after);
+            return job.stage == Stage::Queued && job.dependencies_met && job.unbound > 0 &&
+                   (!job.backing_off || now >= job.next_try_at);
         }))
         plan_due_ = true;
-    work();
+    run_pending_work();
 }
 
 void ShardOwner::plan() {
     const Micros now = context_.runtime().now();
-    startup_.waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
-                                 [](const auto& j) { return j.second->waiting() > 0; }),
-                     now);
+    startup_.record_waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
+                                        [](const auto& j) { return j.second->waiting_tasks() > 0; }),
+                            now);
     scheduler_.plan();
 }
 
 void ShardOwner::bound(Job& job, int task) {
-    startup_.bound(context_.runtime().now());
-    touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    startup_.record_bind(context_.runtime().now());
+    mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
 }
 
-void ShardOwner::work() {
+void ShardOwner::run_pending_work() {
     const Micros now = context_.runtime().now();
     if (active_ && plan_due_) {
-        if (now - planned_at_ >= kPlanEvery) {
+        if (now - last_planned_at_ >= kPlanEvery) {
             plan_due_ = false;
-            planned_at_ = now;
+            last_planned_at_ = now;
             plan();
         } else {
-            context_.runtime().after(planned_at_ + kPlanEvery - now, [this, alive = alive_] {
+            context_.runtime().after(last_planned_at_ + kPlanEvery - now, [this, alive = alive_] {
                 if (*alive) context_.wake();
             });
         }
@@ -260,14 +260,14 @@
 
 /// On a machine that will be taken, work that can save itself is stopped in time, and so is what will hardly
 /// be done before: it starts elsewhere now, instead of being in doubt once the machine is silent.
-void ShardOwner::drain_noticed(Machine& m) {
+void ShardOwner::drain_interrupted(Machine& m) {
     const Micros now = context_.runtime().now();
-    const Micros left = std::max<Micros>(m.notice_end - now, 0);
+    const Micros left = std::max<Micros>(m.interruption_at - now, 0);
     const auto tasks = m.tasks;
     for (const auto& [job, task] : tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
-        if (slot.state != SlotState::Bound || slot.stop) continue;
-        const Micros ran = slot.run_since > 0 ? now - slot.run_since : 0;
+        if (slot.state != SlotState::Bound || slot.stop_requested) continue;
+        const Micros ran = slot.running_since > 0 ? now - slot.running_since : 0;
         if (job->spec.kind == JobKind::Gang) {
             for (auto& s : job->slots)
                 if (s.state == SlotState::Bound) stop(s, job->spec.save + kSecond);
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -43,24 +43,24 @@
     virtual void on_ownership_lost(const std::string& shard) = 0;
     virtual void wake() = 0;
     /// The shard's stored part of a team's limit, less what is being given away.
-    virtual Resources share(const std::string& shard, const std::string& team) const = 0;
+    virtual Resources quota_share(const std::string& shard, const std::string& team) const = 0;
     /// Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs.
     virtual bool within_guarantee(const std::string& ref) = 0;
     /// How the job stands among those that need one another.
     virtual DependencyStatus dependency_status(const std::string& ref) const = 0;
     /// Whether all controllers read a format, so that it may be written.
-    virtual bool all_read(std::uint64_t format) const = 0;
+    virtual bool all_can_read(std::uint64_t format) const = 0;
     /// What our own commit has made final, ahead of the news of it.
-    virtual void settled(const std::string& ref, const Json& value, Revision mod_revision) = 0;
+    virtual void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) = 0;
     /// From when on a peer that is not alive can renew no lease; nothing while it may.
-    virtual std::optional<Micros> peer_ended(std::size_t peer) const = 0;
+    virtual std::optional<Micros> peer_authority_end(std::size_t peer) const = 0;
     /// A job that is not over, as the news has told of it; nullptr: of none.
     virtual const LiveJob* stored_job(const std::string& ref) const = 0;
     /// What a shard has begun and not ended, as last read; nullptr: nothing ever.
     virtual const PlanCache::Stored* stored_plan(const std::string& shard) const = 0;
     /// How long no node has come or ended and each shard has had a holder that is alive, as far as the store
     /// tells just now; 0: not now.
-    virtual Micros steady_for() const = 0;
+    virtual Micros stable_for() const = 0;
     /// Whether what is known of the store is fresh enough to renew leases and to start tasks (see
     /// lease_validity.hpp). Stopping needs no such thing.
     virtual bool has_valid_lease() const = 0;
@@ -68,9 +68,9 @@
     virtual std::vector<Order> stops_for_finished_jobs(const Report& report) const = 0;
     /// Whether it is known of each task that may run there if its job is over; else that is read.
     virtual bool knows_jobs_of(const Report& report) = 0;
-    virtual permission::Counters& decisions() = 0;
+    virtual permission::Counters& permission_counters() = 0;
 
-    enum class MachineEdit { Raise, Retire, RetireNow };
+    enum class MachineEdit { RaiseToken, Retire, RetireNow };
     /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
     virtual void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                               std::function<void(bool)> done) = 0;
@@ -98,20 +98,20 @@
     void admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
                std::function<void(const Admission&)> done);
     /// The job stands differently among those that need one another.
-    void reconsider(const std::string& ref);
+    void on_dependencies_changed(const std::string& ref);
     /// Another policy is in force: plans again.
-    void on_policy() { plan_due_ = true; }
+    void on_policy_changed() { plan_due_ = true; }
 
     /// The orders to answer a report with, or nothing if it must not be answered.
-    struct Answer {
+    struct ReportResponse {
         std::uint64_t token = 0;
         std::vector<Order> orders;
-        bool direct = true;
+        bool directly_reachable = true;
     };
-    std::optional<Answer> on_report(const Report& report, bool relayed = false);
+    std::optional<ReportResponse> on_report(const Report& report, bool relayed = false);
 
     /// What follows from what has come in: places, commits, sends.
-    void work();
+    void run_pending_work();
     /// What follows from time passing; called about ten times a second.
     void tick();
 
@@ -123,34 +123,34 @@
     /// For how long it has not reported, or not shown that it hears us.
     Micros unreachable_for(const Machine& m) const;
     /// For how long it may be that before nothing more is bound to it.
-    Micros patience() const;
+    Micros unreachable_limit() const;
     void drain(const std::string& machine, bool on);
     /// Whether everything on it ends by itself before long and could have run elsewhere.
-    bool passing(const Machine& m) const;
+    bool runs_only_spot_arrays(const Machine& m) const;
     peer::ShardLoad load() const;
     /// What waits for room, if anything has for a while.
-    std::optional<peer::CapacityRequest> want() const;
+    std::optional<peer::CapacityRequest> capacity_request() const;
     /// What waits for a larger part of a team's limit.
     const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.short_of_quota(); }
     /// Idle machines that would hold such tasks, for another shard; from here on nothing is bound to them
     /// until `keep`.
-    std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& want);
+    std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& request);
     void withdraw_offer(const std::vector<std::string>& machines);
     /// Room in another shard, in thousandths of a core; the idle parts are on machines without any task.
-    struct RoomElsewhere {
+    struct RemoteCapacity {
         Milli ordinary = 0;
         Milli spot = 0;
         Milli idle_ordinary = 0;
         Milli idle_spot = 0;
     };
     /// Gives away waiting jobs that have never been bound, as many as fit into that room.
-    void transfer_jobs(const std::string& to, RoomElsewhere room);
+    void transfer_jobs(const std::string& to, RemoteCapacity room);
     /// What of the team's share neither is in use nor waited for.
     Resources spare_quota(const std::string& team) const;
     Resources unused_quota(const std::string& team) const;
     /// The least that the team's share lacks for one waiting task more, or for a gang: nothing if one will
     /// start without, none if nothing waits.
-    std::optional<Resources> short_by(const std::string& team) const;
+    std::optional<Resources> smallest_quota_shortfall(const std::string& team) const;
     /// Machines with tasks that are silent, or don't hear us, for which `peer` has not promised to renew no
     /// leases.
     std::vector<std::string> machines_to_relinquish(std::size_t peer) const;
@@ -161,18 +161,18 @@
     Json explain(const std::string& ref) const;
 
   private:
-    Json place_in_queue(const Job& job) const;
-    Json room_by_zone(const Job& job) const;
-    Json gpus_for(const Job& job) const;
-    std::vector<std::string> reasons(const Job& job, const Json& zones) const;
+    Json queue_position(const Job& job) const;
+    Json capacity_by_zone(const Job& job) const;
+    Json gpu_capacity_for(const Job& job) const;
+    std::vector<std::string> waiting_reasons(const Job& job, const Json& zones) const;
     Json waiting_by_tier() const;
     policy::Tier tier(const Job& job) const { return context_.policy().tier(job.spec, job.rank); }
 
     std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mod_revision_, m.token); }
     // Scheduler::Shard.
-    bool usable(const Machine& m) const override { return !m.draining && bindable(m); }
-    bool surplus(const Machine& m) const override { return m.draining && bindable(m); }
-    bool bindable(const Machine& m) const;
+    bool usable(const Machine& m) const override { return !m.draining && is_bindable(m); }
+    bool surplus(const Machine& m) const override { return m.draining && is_bindable(m); }
+    bool is_bindable(const Machine& m) const;
     void bound(Job& job, int task) override;
     void stop(Slot& slot, Micros grace) override;
     Resources kept_from(const Job& job, const Machine& m) const override {
@@ -183,111 +183,112 @@
         return rebalancer_.destination(job, task);
     }
 
-    bool lease_over(const Machine& m) const;
+    bool is_lease_expired(const Machine& m) const;
     /// Whether the job goes on.
-    bool wanted(const std::string& ref) const {
+    bool is_job_queued(const std::string& ref) const {
         const Job* job = shard_state_.job(ref);
         return job && job->stage == Stage::Queued;
     }
-    bool over_since(const Machine& m, Micros last) const;
-    bool hears(const Machine& m, const Report& r) const;
+    bool are_leases_expired_since(const Machine& m, Micros last) const;
+    bool has_received_answer(const Machine& m, const Report& r) const;
 
     void register_incarnation(Machine& m, const Report& report, bool is_report);
-    void suspect(Machine& m);
+    void mark_suspect(Machine& m);
     void apply_heartbeat(Machine& m, const Report& report, bool is_report);
-    void absent(Machine& m, Job& job, int task, const Report& report, bool is_report);
-    void exited(Machine& m, Job& job, int task, ExitCause cause);
-    void completed(Job& job, int task);
+    void handle_absent_task(Machine& m, Job& job, int task, const Report& report, bool is_report);
+    void handle_exited_task(Machine& m, Job& job, int task, ExitCause cause);
+    void handle_task_result(Job& job, int task);
     void on_attempt_terminated(Job& job, int task, Micros retry_in);
-    Micros failed(Machine& m, Job& job, Slot& slot);
+    Micros handle_task_failure(Machine& m, Job& job, Slot& slot);
     void on_first_success(Job& job);
     static void record_failure(Machine& m, const Job& job, Micros now);
-    void void_machine(Machine& m, const char* why);
-    static bool still_live(const Machine& m, const Slot& slot, const AttemptKey& key);
-    static bool may_come(const Machine& m, const AttemptKey& key);
-    recovery::Stored stored(const Job* job, const Slot* slot, const Machine& m, std::int64_t attempt) const;
-    void show(Machine& m, Job& job, Slot& slot, Phase phase);
-    int urgency(const Machine& m) const;
+    void terminate_all_attempts(Machine& m, const char* why);
+    static bool can_still_start(const Machine& m, const Slot& slot, const AttemptKey& key);
+    static bool has_unsettled_launch(const Machine& m, const AttemptKey& key);
+    recovery::StoredTask stored_task(const Job* job, const Slot* slot, const Machine& m,
+                                     std::int64_t attempt) const;
+    void handle_listed_task(Machine& m, Job& job, Slot& slot, Phase phase);
+    int dispatch_urgency(const Machine& m) const;
 
     /// A job as it begins here; `gate_ms`: when its gate opened, if its record tells.
     std::unique_ptr<Job> new_job(JobSpec spec, std::int64_t submitted_ms, std::optional<std::int64_t> gate_ms,
                                  const DependencyStatus& dependency_status);
-    static void divide(Job& job, std::size_t part_tasks);
+    static void divide_into_parts(Job& job, std::size_t tasks_per_part);
     void apply_dependency_status(Job& job, const DependencyStatus& dependency_status);
-    void open_gate(Job& job);
+    void on_dependencies_met(Job& job);
     void set_rank(Job& job, PriorityClass rank);
     void mark_done(Job& job, int task);
-    void set_idle(Job& job, Slot& slot);
+    void set_unbound(Job& job, Slot& slot);
     void cancel(Job& job);
-    void settle_gang(Job& job);
+    void stop_incomplete_gang(Job& job);
     void drop_job(const std::string& ref);
-    void not_admitted(Job& job, CommitStatus status);
-    void take_heard(const std::string& ref);
-    Micros gathers(const Job& job, bool binds) const;
-    void given_away(Job& job);
+    void on_admission_failed(Job& job, CommitStatus status);
+    void apply_cached_record(const std::string& ref);
+    Micros batching_delay(const Job& job, bool binds) const;
+    void drop_transferred_job(Job& job);
 
     void plan();
-    void drain_noticed(Machine& m);
+    void drain_interrupted(Machine& m);
 
-    void touch(Job& job, std::size_t part);
-    std::vector<Condition> as_known(const Job& job) const;
-    std::string key_of(const Job& job, std::size_t part) const;
+    void mark_part_dirty(Job& job, std::size_t part);
+    std::vector<Condition> record_conditions(const Job& job) const;
+    std::string part_key(const Job& job, std::size_t part) const;
     void drop_stale_records();
-    void move_out_of_history();
+    void migrate_legacy_record();
     void flush_jobs();
     void write_part(Job& job, std::size_t part, Priority priority);
-    void written(const std::string& ref, std::size_t part, const Json& value, bool final_record,
-                 const std::vector<AttemptKey>& binding, const std::vector<int>& done, RecordLocation place,
-                 const CommitResult& result);
-    void reload(const std::string& ref, std::size_t part);
-    void reload_later(const std::string& ref, std::size_t part);
+    void on_part_written(const std::string& ref, std::size_t part, const Json& value, bool final_record,
+                         const std::vector<AttemptKey>& binding, const std::vector<int>& done,
+                         RecordLocation place, const CommitResult& result);
+    void reload_part(const std::string& ref, std::size_t part);
+    void reload_part_later(const std::string& ref, std::size_t part);
     void read_record(const std::string& ref, std::size_t part,
                      std::function<void(const ReadResult&, RecordLocation, Revision legacy_revision)> done);
-    void reloaded(const std::string& ref, std::size_t part, const ReadResult& r, RecordLocation place,
-                  Revision legacy_revision);
+    void on_part_reloaded(const std::string& ref, std::size_t part, const ReadResult& r, RecordLocation place,
+                          Revision legacy_revision);
     Json part_value(const Job& job, std::size_t part, bool final_record) const;
     void adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision);
 
     std::vector<Order> orders_for(Machine& m, bool direct);
     void add_clears(Machine& m, std::vector<Order>& orders);
-    bool may_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const;
+    bool can_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const;
     void add_stop(Slot& slot, const AttemptKey& key, bool direct, std::vector<Order>& orders);
     void add_launch(Machine& m, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                     std::vector<Order>& orders);
-    bool probe_due(const Machine& m) const;
+    bool is_probe_due(const Machine& m) const;
     void request_dispatch(Machine& m);
     void send_orders();
-    void send_to(Machine& m);
-    void not_sent(Machine& m, const std::set<AttemptKey>& launched);
-    void unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t token,
-                    std::uint64_t session);
-    void raise(Machine& m);
+    void send_orders_to(Machine& m);
+    void on_orders_not_sent(Machine& m, const std::set<AttemptKey>& launched);
+    void on_orders_unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t token,
+                              std::uint64_t session);
+    void raise_token(Machine& m);
 
     ShardContext& context_;
     std::string shard_;
     Revision mod_revision_;
-    Micros former_end_;
-    Micros taken_at_;
+    Micros former_authority_end_;
+    Micros acquired_at_;
     bool active_ = false;
-    recovery::Startup startup_;
+    recovery::StartupSummary startup_;
     ShardState shard_state_;
     Scheduler scheduler_;
     Rebalancer rebalancer_;
     CancellationTracker cancellations_;
     std::uint64_t next_serial_ = 1;
-    std::set<std::string> dirty_;
+    std::set<std::string> dirty_jobs_;
     std::vector<Condition> stale_records_;  // records under c/active/ of jobs that are over, to be dropped
-    Micros dropped_at_ = 0;
-    Micros moved_at_ = 0;
+    Micros last_record_drop_at_ = 0;
+    Micros last_record_migration_at_ = 0;
     std::vector<std::string> dispatch_due_;  // machines to send orders to
-    int direct_calls_ = 0;
+    int direct_calls_in_flight_ = 0;
     bool plan_due_ = true;
     bool flush_due_ = false;
-    Micros planned_at_ = 0;
+    Micros last_planned_at_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 /// How many tasks fit into one stored part besides a description of `spec_bytes`.
-std::size_t part_tasks_for(std::size_t value_bytes, std::size_t spec_bytes);
+std::size_t compute_tasks_per_part(std::size_t value_bytes, std::size_t spec_bytes);
 
 }  // namespace cottonway
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -25,7 +25,7 @@
     return it == jobs.end() ? nullptr : it->second.get();
 }
 
-Resources ShardState::used(const std::string& team) const {
+Resources ShardState::team_usage(const std::string& team) const {
     auto it = usage_.find(team);
     return it == usage_.end() ? Resources{} : it->second;
 }
@@ -38,13 +38,13 @@
     slot.state = SlotState::Binding;
     slot.attempt = attempt;
     slot.machine = &m;
-    --job.idle;
+    --job.unbound;
     ++job.bound;
     auto& part = job.part_of(task);
     ++part.binding;
     part.bytes += binding_bytes(m);
     m.reserved += job.spec.request;
-    if (job.rank == PriorityClass::Low) m.idle_work += job.spec.request.cores;
+    if (job.rank == PriorityClass::Low) m.low_priority_cores += job.spec.request.cores;
     m.tasks.insert({&job, task});
     usage_[job.spec.team] += job.spec.request;
     remember_image(m, job, false);
@@ -57,17 +57,17 @@
     if (slot.state == SlotState::Binding) --part.binding;
     part.bytes -= binding_bytes(m);
     m.reserved -= job.spec.request;
-    if (job.rank == PriorityClass::Low) m.idle_work -= job.spec.request.cores;
+    if (job.rank == PriorityClass::Low) m.low_priority_cores -= job.spec.request.cores;
     m.tasks.erase({&job, task});
-    forget_fetch(m, job);
+    forget_unused_fetch(m, job);
     if (m.tasks.empty()) m.idle_since = listened;
     usage_[job.spec.team] -= job.spec.request;
     slot.machine = nullptr;
-    slot.state = SlotState::Idle;
-    job.first_idle = std::min(job.first_idle, static_cast<std::size_t>(task));
-    slot.seen = slot.foreign = slot.launch_sent = slot.stop = false;
+    slot.state = SlotState::Unbound;
+    job.first_unbound = std::min(job.first_unbound, static_cast<std::size_t>(task));
+    slot.seen = slot.inherited = slot.launch_sent = slot.stop_requested = false;
     --job.bound;
-    ++job.idle;
+    ++job.unbound;
 }
 
 void ShardState::add_orphaned_task(Machine& m, const ReportedTask& t) {
@@ -99,7 +99,7 @@
 }
 
 /// A fetch is given up once no task waits for it any more.
-void ShardState::forget_fetch(Machine& m, const Job& job) {
+void ShardState::forget_unused_fetch(Machine& m, const Job& job) {
     const bool waited_for = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& t) {
         return t.job->spec.image == job.spec.image;
     });
--- a/src/shard/shard_state.hpp
+++ b/src/shard/shard_state.hpp
@@ -20,7 +20,7 @@
     Machine* machine(const std::string& name) const;
     Job* job(const std::string& ref) const;
     /// What a team's tasks have, in doubt and stopping ones included.
-    Resources used(const std::string& team) const;
+    Resources team_usage(const std::string& team) const;
 
     /// An attempt at a task that waited; it counts from here on.
     void bind(Job& job, int task, Machine& m, std::int64_t attempt);
@@ -31,7 +31,7 @@
     /// A task that runs on a machine although it should not; it must not start elsewhere until it is gone.
     void add_orphaned_task(Machine& m, const ReportedTask& t);
     void forget_orphaned_tasks(Machine& m);
-    bool orphaned_tasks(const std::string& job, int task) const {
+    bool has_orphaned_task(const std::string& job, int task) const {
         return orphaned_task_counts_.count({job, task}) > 0;
     }
 
@@ -40,7 +40,7 @@
     static void remember_image(Machine& m, const Job& job, bool ready);
 
   private:
-    static void forget_fetch(Machine& m, const Job& job);
+    static void forget_unused_fetch(Machine& m, const Job& job);
 
     std::map<std::string, Resources> usage_;  // by team
     std::map<std::pair<std::string, int>, int> orphaned_task_counts_;
--- a/src/shard/startup.cpp
+++ b/src/shard/startup.cpp
@@ -14,7 +14,8 @@
 }
 }  // namespace
 
-void Startup::began(Micros now, Micros taken, std::size_t jobs, std::size_t machines, std::size_t bound) {
+void StartupSummary::start(Micros now, Micros taken, std::size_t jobs, std::size_t machines,
+                           std::size_t bound) {
     began_ = now;
     taken_ = taken;
     jobs_ = jobs;
@@ -22,40 +23,40 @@
     inherited_ = bound;
 }
 
-void Startup::heard(const std::string& machine, Micros now) {
-    if (!open() || all_heard_after_ >= 0) return;
+void StartupSummary::record_heartbeat(const std::string& machine, Micros now) {
+    if (!is_open() || all_heard_after_ >= 0) return;
     heard_.insert(machine);
     if (heard_.size() >= machines_) all_heard_after_ = now - began_;
 }
 
-void Startup::reconciled(ReconcileAction v, bool foreign) {
-    if (!open()) return;
-    runs_ += v == ReconcileAction::Runs && foreign;
-    ended_ += v == ReconcileAction::Ended && foreign;
-    gone_ += v == ReconcileAction::Gone && foreign;
-    results_ += v == ReconcileAction::Result;
-    orphaned_tasks_ += v == ReconcileAction::Stray;
+void StartupSummary::record_reconciled(ReconcileAction v, bool inherited) {
+    if (!is_open()) return;
+    runs_ += v == ReconcileAction::Runs && inherited;
+    ended_ += v == ReconcileAction::Ended && inherited;
+    gone_ += v == ReconcileAction::Gone && inherited;
+    results_ += v == ReconcileAction::UnboundResult;
+    orphaned_tasks_ += v == ReconcileAction::Orphaned;
 }
 
-void Startup::ordered(OrderKind kind, bool again) {
-    if (!open()) return;
+void StartupSummary::record_order(OrderKind kind, bool again) {
+    if (!is_open()) return;
     ++orders_[static_cast<std::size_t>(kind)];
     again_ += again;
 }
 
-void Startup::waiting(bool any, Micros now) {
+void StartupSummary::record_waiting(bool any, Micros now) {
     if (!any)
         waits_since_ = 0;
     else if (waits_since_ == 0)
         waits_since_ = now;
 }
 
-void Startup::bound(Micros now) {
+void StartupSummary::record_bind(Micros now) {
     if (began_ > 0 && first_bind_after_ < 0) first_bind_after_ = now - std::max(began_, waits_since_);
 }
 
-std::string Startup::line(Micros now) {
-    if (!open() || (now - began_ < kSumUpAfter && all_heard_after_ < 0)) return "";
+std::string StartupSummary::take_log_line(Micros now) {
+    if (!is_open() || (now - began_ < kSumUpAfter && all_heard_after_ < 0)) return "";
     // Orders for what has just been reconciled are still to come.
     if (all_heard_after_ >= 0 && now - began_ < all_heard_after_ + kSecond) return "";
     told_ = true;
@@ -70,7 +71,7 @@
         after(first_bind_after_));
 }
 
-Json Startup::value() const {
+Json StartupSummary::to_json() const {
     return {{"active_ms", taken_ / kMillisecond},
             {"jobs", jobs_},
             {"tasks", inherited_},
--- a/src/shard/startup.hpp
+++ b/src/shard/startup.hpp
@@ -12,23 +12,23 @@
 
 namespace cottonway::recovery {
 
-class Startup {
+class StartupSummary {
   public:
     /// The shard is active, `taken` microseconds after it was acquired.
-    void began(Micros now, Micros taken, std::size_t jobs, std::size_t machines, std::size_t bound);
-    void heard(const std::string& machine, Micros now);
-    void reconciled(ReconcileAction v, bool foreign);
+    void start(Micros now, Micros taken, std::size_t jobs, std::size_t machines, std::size_t bound);
+    void record_heartbeat(const std::string& machine, Micros now);
+    void record_reconciled(ReconcileAction v, bool inherited);
     /// `again`: the same had been sent before.
-    void ordered(OrderKind kind, bool again);
+    void record_order(OrderKind kind, bool again);
     /// Whether work waits, at each planning pass; and the first bind after that.
-    void waiting(bool any, Micros now);
-    void bound(Micros now);
+    void record_waiting(bool any, Micros now);
+    void record_bind(Micros now);
     /// The line for the log, once, when it is due.
-    std::string line(Micros now);
-    Json value() const;
+    std::string take_log_line(Micros now);
+    Json to_json() const;
 
   private:
-    bool open() const { return began_ > 0 && !told_; }
+    bool is_open() const { return began_ > 0 && !told_; }
 
     Micros began_ = 0;
     Micros taken_ = 0;
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -607,8 +607,8 @@
         if (!r.in_flight && due) report(name);
     }
     for (auto& n : nodes_) {
-        if (!n.controller || n.controller->decisions().violations() == n.violations) continue;
-        n.violations = n.controller->decisions().violations();
+        if (!n.controller || n.controller->permission_counters().violations() == n.violations) continue;
+        n.violations = n.controller->permission_counters().violations();
         breach("invariant", "a lease was about to be renewed without a stop that was due");
     }
     for (auto& [ref, u] : users_) {
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -77,8 +77,8 @@
     w->submit(w->job(1, JobKind::Service, kTasks, 0.1), 0);
     w->run(8 * kSecond);
     const int holder = w->holder();
-    const std::size_t part_tasks = w->owner_at(holder)->jobs().at("req-000001")->part_tasks;
-    ASSERT_GT(static_cast<std::size_t>(w->running("req-000001")), part_tasks) << w->story();
+    const std::size_t tasks_per_part = w->owner_at(holder)->jobs().at("req-000001")->tasks_per_part;
+    ASSERT_GT(static_cast<std::size_t>(w->running("req-000001")), tasks_per_part) << w->story();
     // What the former holder sends after the cancellation does not arrive.
     for (const auto& machine : w->machine_names()) w->cut(host(holder), machine);
     w->at(w->now() + kSecond, [&w, holder] { w->crash(holder, 20 * kSecond); });
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -70,7 +70,7 @@
     EXPECT_EQ(w->starts("req-000003"), 16) << w->story();
     const ShardOwner* owner = w->node(holder_of(*w, "req-000002"))->owners().begin()->second.get();
     EXPECT_TRUE(owner->jobs().at("req-000002")->slots.empty()) << "nor memory";
-    EXPECT_EQ(owner->jobs().at("req-000002")->waiting(), 0);
+    EXPECT_EQ(owner->jobs().at("req-000002")->waiting_tasks(), 0);
     EXPECT_RULES(*w);
 }
 
@@ -310,7 +310,7 @@
     ASSERT_GE(holder, 0);
     for (const auto& [name, o] : w->node(holder)->owners())
         if (o && o->jobs().count("req-000002")) {
-            EXPECT_EQ(o->jobs().at("req-000002")->since_ms, before);
+            EXPECT_EQ(o->jobs().at("req-000002")->eligible_since_ms, before);
         }
     EXPECT_RULES(*w);
 }
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -118,10 +118,10 @@
     const Job& wide = *owner->jobs().at("req-000006");
     EXPECT_EQ(wide.done, 64);
     EXPECT_EQ(wide.bound, 10) << "in doubt until their machines are heard";
-    EXPECT_EQ(wide.part_tasks, 145u);
+    EXPECT_EQ(wide.tasks_per_part, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
-    EXPECT_EQ(w.node(0)->share("loom-1", "red").cores, 24'000);
+    EXPECT_EQ(w.node(0)->quota_share("loom-1", "red").cores, 24'000);
     EXPECT_EQ(wire::text(w.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
     EXPECT_EQ(wire::text(w.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
 }
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -118,7 +118,7 @@
                  ->jobs()
                  .at(m.job)
                  ->slots[static_cast<std::size_t>(m.task)]
-                 .stop;
+                 .stop_requested;
          }},
         {"after it is gone, before it starts",
          [](Balance& b) {
--- a/tests/permission_test.cpp
+++ b/tests/permission_test.cpp
@@ -18,9 +18,9 @@
 
 ProxyEvidence entitled_proxy() {
     return {.store_read_valid = true,
-            .member = true,
+            .is_member = true,
             .holder_known = true,
-            .former_promises_over = true,
+            .former_promises_expired = true,
             .machine_listed = true,
             .token = 7,
             .token_seen = 6};
@@ -40,46 +40,46 @@
 }
 
 TEST(Permission, AHolderRenewsOnlyWhileItMayHaveMissedNoCancellation) {
-    EXPECT_EQ(renewal_by_holder(entitled_holder()), std::nullopt);
+    EXPECT_EQ(decide_renewal_by_holder(entitled_holder()), std::nullopt);
     auto e = entitled_holder();
     e.store_read_valid = false;
-    EXPECT_EQ(renewal_by_holder(e), Refusal::StoreReadTooOld);
+    EXPECT_EQ(decide_renewal_by_holder(e), Refusal::StoreReadTooOld);
     e = entitled_holder();
     e.session_over = true;
-    EXPECT_EQ(renewal_by_holder(e), Refusal::SessionOver);
+    EXPECT_EQ(decide_renewal_by_holder(e), Refusal::SessionOver);
     e = entitled_holder();
     e.token_seen = 8;
-    EXPECT_EQ(renewal_by_holder(e), Refusal::HigherTokenSeen);
-    e.machine_leaving = true;
-    EXPECT_EQ(renewal_by_holder(e), Refusal::MachineLeaving);
+    EXPECT_EQ(decide_renewal_by_holder(e), Refusal::HigherTokenSeen);
+    e.machine_transferring = true;
+    EXPECT_EQ(decide_renewal_by_holder(e), Refusal::MachineLeaving);
     e = entitled_holder();
     e.jobs_known = false;
-    EXPECT_EQ(renewal_by_holder(e), Refusal::JobUnknown);
+    EXPECT_EQ(decide_renewal_by_holder(e), Refusal::JobUnknown);
 }
 
 TEST(Permission, NobodyRenewsOnBehalfOfAHolderAgainstAPromiseOrAHigherToken) {
-    EXPECT_EQ(renewal_on_behalf(entitled_proxy()), std::nullopt);
+    EXPECT_EQ(decide_renewal_on_behalf(entitled_proxy()), std::nullopt);
     auto refused = [](auto change) {
         auto e = entitled_proxy();
         change(e);
-        return renewal_on_behalf(e);
+        return decide_renewal_on_behalf(e);
     };
     EXPECT_EQ(refused([](auto& e) { e.store_read_valid = false; }), Refusal::StoreReadTooOld);
-    EXPECT_EQ(refused([](auto& e) { e.member = false; }), Refusal::NotAMember);
+    EXPECT_EQ(refused([](auto& e) { e.is_member = false; }), Refusal::NotAMember);
     EXPECT_EQ(refused([](auto& e) { e.holder_known = false; }), Refusal::HolderUnknown);
-    EXPECT_EQ(refused([](auto& e) { e.former_promises_over = false; }), Refusal::PromisesUnknown);
-    EXPECT_EQ(refused([](auto& e) { e.relinquished = true; }), Refusal::LeaseRelinquished);
+    EXPECT_EQ(refused([](auto& e) { e.former_promises_expired = false; }), Refusal::PromisesUnknown);
+    EXPECT_EQ(refused([](auto& e) { e.lease_relinquished = true; }), Refusal::LeaseRelinquished);
     EXPECT_EQ(refused([](auto& e) { e.machine_listed = false; }), Refusal::MachineUnknown);
     EXPECT_EQ(refused([](auto& e) { e.jobs_known = false; }), Refusal::JobUnknown);
     EXPECT_EQ(refused([](auto& e) { e.token_seen = 8; }), Refusal::HigherTokenSeen);
 }
 
 TEST(Permission, NothingIsLaunchedOnStaleKnowledgeOrForAJobThatIsOver) {
-    EXPECT_EQ(launch(launchable()), std::nullopt);
+    EXPECT_EQ(decide_launch(launchable()), std::nullopt);
     auto refused = [](auto change) {
         auto e = launchable();
         change(e);
-        return launch(e);
+        return decide_launch(e);
     };
     EXPECT_EQ(refused([](auto& e) { e.store_read_valid = false; }), Refusal::StoreReadTooOld);
     EXPECT_EQ(refused([](auto& e) { e.job_queued = false; }), Refusal::JobOver);
@@ -91,11 +91,11 @@
 }
 
 TEST(Permission, AStopIsInEveryAnswerThatRenewsALeaseWhateverWasSentBefore) {
-    EXPECT_TRUE(stop_is_due({.may_run = true, .renews_lease = true, .sent_lately = true}));
-    EXPECT_FALSE(stop_is_due({.may_run = true, .renews_lease = false, .sent_lately = true}));
-    EXPECT_TRUE(stop_is_due({.may_run = true}));
-    EXPECT_FALSE(stop_is_due({.may_run = false, .renews_lease = true}));
-    EXPECT_FALSE(stop_is_due({.may_run = true, .saving_with_grace = true, .renews_lease = true}));
+    EXPECT_TRUE(is_stop_due({.may_run = true, .renews_lease = true, .sent_recently = true}));
+    EXPECT_FALSE(is_stop_due({.may_run = true, .renews_lease = false, .sent_recently = true}));
+    EXPECT_TRUE(is_stop_due({.may_run = true}));
+    EXPECT_FALSE(is_stop_due({.may_run = false, .renews_lease = true}));
+    EXPECT_FALSE(is_stop_due({.may_run = true, .saving_with_grace = true, .renews_lease = true}));
 }
 
 TEST(Permission, AnAnswerWithoutTheStopOfWhatIsOverIsNoticed) {
@@ -116,32 +116,32 @@
 
 TEST(Permission, CountersTellWhyNothingWasRenewed) {
     Counters counters;
-    counters.renewal({});
-    counters.renewal(Refusal::StoreReadTooOld);
-    counters.launch(Refusal::JobOver);
-    counters.violation();
-    const Json v = counters.value();
+    counters.count_renewal({});
+    counters.count_renewal(Refusal::StoreReadTooOld);
+    counters.count_launch(Refusal::JobOver);
+    counters.count_violation();
+    const Json v = counters.to_json();
     EXPECT_EQ(v["lease_renewals"]["permitted"], 1);
     EXPECT_EQ(v["lease_renewals"]["refused"]["store_read_too_old"], 1);
     EXPECT_EQ(v["launches"]["refused"]["job_over"], 1);
     EXPECT_EQ(v["renewals_without_stop"], 1);
-    EXPECT_EQ(counters.line(),
+    EXPECT_EQ(counters.log_line(),
               "renewals=1 renewals_refused.store_read_too_old=1 launches=0 launches_refused.job_over=1 "
               "renewals_without_stop=1");
 }
 
 TEST(CancellationTracker, TellsTheOldestUnfinishedAndHowLongOthersTook) {
     CancellationTracker tracker;
-    tracker.began("req-000001", 0);
-    tracker.began("req-000002", 2 * kSecond);
-    tracker.stop_sent("req-000001", kSecond / 2);
-    tracker.stop_sent("req-000001", 9 * kSecond);
-    tracker.gone("req-000001", 4 * kSecond);
-    tracker.gone("req-000003", 4 * kSecond);
-    EXPECT_TRUE(tracker.overdue(20 * kSecond, 30 * kSecond).empty());
-    EXPECT_EQ(tracker.overdue(40 * kSecond, 30 * kSecond), std::vector<std::string>{"req-000002"});
-    EXPECT_TRUE(tracker.overdue(41 * kSecond, 30 * kSecond).empty()) << "each is told once";
-    const Json v = tracker.value(42 * kSecond);
+    tracker.start("req-000001", 0);
+    tracker.start("req-000002", 2 * kSecond);
+    tracker.record_stop_sent("req-000001", kSecond / 2);
+    tracker.record_stop_sent("req-000001", 9 * kSecond);
+    tracker.finish("req-000001", 4 * kSecond);
+    tracker.finish("req-000003", 4 * kSecond);
+    EXPECT_TRUE(tracker.take_overdue(20 * kSecond, 30 * kSecond).empty());
+    EXPECT_EQ(tracker.take_overdue(40 * kSecond, 30 * kSecond), std::vector<std::string>{"req-000002"});
+    EXPECT_TRUE(tracker.take_overdue(41 * kSecond, 30 * kSecond).empty()) << "each is told once";
+    const Json v = tracker.to_json(42 * kSecond);
     EXPECT_EQ(v["unfinished"], 1);
     EXPECT_EQ(v["oldest_unfinished_ms"], 40'000);
     EXPECT_EQ(v["gone"], 1);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -128,23 +128,23 @@
     std::optional<ReconcileAction> hear(std::size_t i) {
         const Message m = messages[i];
         messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(i));
-        if (!is_news({m.session, m.seq}, {last_session, last_seq}, 0)) return std::nullopt;
+        if (!is_newer_message({m.session, m.seq}, {last_session, last_seq}, 0)) return std::nullopt;
         last_session = m.session;
         last_seq = m.seq;
         std::erase_if(unacknowledged_launches,
                       [&](const Launch& t) { return t.token < m.token || t.session < m.session; });
-        Stored stored;
-        stored.state = gone ? Stored::State::Waiting : Stored::State::Bound;
+        StoredTask stored;
+        stored.state = gone ? StoredTask::State::Waiting : StoredTask::State::Bound;
         stored.seen = seen;
         stored.launched = launched;
         stored.stopping = stopping;
-        Proof proof;
-        proof.later_session = m.session > launch_session;
-        proof.higher_token = m.token > launch_token;
-        proof.may_still_come = !unacknowledged_launches.empty();
+        LaunchProof proof;
+        proof.session_ended = m.session > launch_session;
+        proof.higher_token_seen = m.token > launch_token;
+        proof.may_still_arrive = !unacknowledged_launches.empty();
         const ReconcileAction v = reconcile(stored, {m.shown, false, ExitCause::Stopped}, proof);
         if (v == ReconcileAction::Runs) seen = true;
-        if (v == ReconcileAction::LaunchAgain) launched = false;
+        if (v == ReconcileAction::Relaunch) launched = false;
         if (v == ReconcileAction::Gone) gone = true;
         return v;
     }
@@ -194,27 +194,27 @@
 RC_GTEST_PROP(SquaringAlways, AMessageThatHasBeenOvertakenChangesNothing, ()) {
     // Of any set of messages only those count that come after all before them, so what is known in the end is
     // what the newest one says, in whatever order they come.
-    std::vector<MessageAge> messages;
+    std::vector<MessageOrder> messages;
     const int n = *rc::gen::inRange(1, 12);
     for (int i = 0; i < n; ++i)
         messages.push_back({*rc::gen::inRange<std::uint64_t>(1, 4), *rc::gen::inRange<std::uint64_t>(1, 50)});
-    MessageAge last{};
+    MessageOrder last{};
     for (const auto& m : messages)
-        if (is_news(m, last, 0)) last = m;
-    for (const auto& m : messages) RC_ASSERT(!is_news(m, last, 0));
-    RC_ASSERT(!is_news(last, {}, last.session + 1));
+        if (is_newer_message(m, last, 0)) last = m;
+    for (const auto& m : messages) RC_ASSERT(!is_newer_message(m, last, 0));
+    RC_ASSERT(!is_newer_message(last, {}, last.session + 1));
 }
 
 RC_GTEST_PROP(SquaringAlways, WhatRunsAsStoredIsNeverStopped, ()) {
-    Stored s;
-    s.state = *rc::gen::element(Stored::State::Bound, Stored::State::Binding);
-    s.wanted = *rc::gen::arbitrary<bool>();
+    StoredTask s;
+    s.state = *rc::gen::element(StoredTask::State::Bound, StoredTask::State::Binding);
+    s.result_wanted = *rc::gen::arbitrary<bool>();
     s.seen = *rc::gen::arbitrary<bool>();
     s.launched = *rc::gen::arbitrary<bool>();
-    s.foreign = *rc::gen::arbitrary<bool>();
-    Proof p;
-    p.later_session = *rc::gen::arbitrary<bool>();
-    p.higher_token = *rc::gen::arbitrary<bool>();
+    s.inherited = *rc::gen::arbitrary<bool>();
+    LaunchProof p;
+    p.session_ended = *rc::gen::arbitrary<bool>();
+    p.higher_token_seen = *rc::gen::arbitrary<bool>();
     RC_ASSERT(reconcile(s, {true, false, ExitCause::Stopped}, p) == ReconcileAction::Runs);
 }
 
--- a/tests/stored_parts_test.cpp
+++ b/tests/stored_parts_test.cpp
@@ -14,7 +14,7 @@
     auto w = settled_simulator(3, 6);
     w->submit(w->job(1, JobKind::Service, 2, 0.1), 0);
     w->run(2 * kSecond);
-    return w->owner_at(w->holder())->jobs().at("req-000001")->part_tasks;
+    return w->owner_at(w->holder())->jobs().at("req-000001")->tasks_per_part;
 }
 
 // The last replicas of a part never started: the others were taken to fill it.
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -51,7 +51,7 @@
         for (int n = 0; n < w.node_count(); ++n) {
             if (!w.owner_at(n)) continue;
             auto job = w.owner_at(n)->jobs().find(kRef);
-            if (job != w.owner_at(n)->jobs().end()) return job->second->zones();
+            if (job != w.owner_at(n)->jobs().end()) return job->second->tasks_by_zone();
         }
         return {};
     }
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -495,7 +495,7 @@
         EXPECT_EQ(w->told(ref), "accepted");
     }
     for (const auto& [name, m] : w->owner_at(w->holder())->machines()) {
-        EXPECT_TRUE(m->error_jobs.empty()) << name;
+        EXPECT_TRUE(m->failing_jobs.empty()) << name;
         EXPECT_FALSE(m->retired) << name;
     }
     w->submit(w->job(9, JobKind::Array, 24, 1), 2 * kSecond);
@@ -513,7 +513,7 @@
     for (int i = 1; i <= 6; ++i) EXPECT_EQ(w->told("req-00000" + std::to_string(i)), "done") << w->story();
     const auto& machines = w->owner_at(w->holder())->machines();
     const auto found = machines.find(bad);
-    EXPECT_TRUE(found == machines.end() || found->second->retired || !found->second->error_jobs.empty());
+    EXPECT_TRUE(found == machines.end() || found->second->retired || !found->second->failing_jobs.empty());
     EXPECT_RULES(*w);
 }
 
