--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -38,14 +38,14 @@
     const MachineType* machine_type(const std::string&) override { return &type_; }
     void on_ownership_lost(const std::string&) override {}
     void wake() override {}
-    Resources share(const std::string&, const std::string&) const override {
+    Resources quota_share(const std::string&, const std::string&) const override {
         return {kNoLimit, kNoLimit, kNoLimit};
     }
     bool within_guarantee(const std::string&) override { return true; }
     DependencyStatus dependency_status(const std::string&) const override { return {}; }
-    bool all_read(std::uint64_t) const override { return true; }
-    void settled(const std::string&, const Json&, Revision) override {}
-    std::optional<Micros> peer_ended(std::size_t) const override { return std::nullopt; }
+    bool all_can_read(std::uint64_t) const override { return true; }
+    void on_job_finalized(const std::string&, const Json&, Revision) override {}
+    std::optional<Micros> peer_authority_end(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
                       std::function<void(bool)>) override {}
     void pass(Micros span) { runtime_.pass(span); }
@@ -116,7 +116,7 @@
         add_jobs(*owner, static_cast<int>(state.range(1)), 1, 100'000);
         context.pass(kSecond);
         state.ResumeTiming();
-        owner->work();
+        owner->run_pending_work();
         state.PauseTiming();
         owner.reset();
         state.ResumeTiming();
@@ -128,7 +128,7 @@
     auto owner = owner_of(context, static_cast<int>(state.range(0)));
     add_jobs(*owner, (static_cast<int>(state.range(0)) + 49) / 50 * 50, 16, 100'000);
     context.pass(kSecond);
-    owner->work();
+    owner->run_pending_work();
     add_jobs(*owner, static_cast<int>(state.range(1)), 1, 200'000);
     for (auto _ : state) {
         context.pass(200 * kMillisecond);
