--- a/src/shard/permission.cpp
+++ b/src/shard/permission.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-const char* name_of(Refusal v) {
-    switch (v) {
+const char* name_of(Refusal refusal) {
+    switch (refusal) {
         case Refusal::StoreReadTooOld:
             return "store_read_too_old";
         case Refusal::SessionOver:
@@ -52,60 +52,62 @@
     return "?";
 }
 
-Decision decide_renewal_by_holder(const HolderEvidence& e) {
-    if (e.token_seen > e.token)
-        return e.machine_transferring ? Refusal::MachineLeaving : Refusal::HigherTokenSeen;
-    if (!e.store_read_valid) return Refusal::StoreReadTooOld;
-    if (e.session_over) return Refusal::SessionOver;
-    if (!e.jobs_known) return Refusal::JobUnknown;
+Decision decide_renewal_by_holder(const HolderEvidence& evidence) {
+    if (evidence.token_seen > evidence.token)
+        return evidence.machine_transferring ? Refusal::MachineLeaving : Refusal::HigherTokenSeen;
+    if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
+    if (evidence.session_over) return Refusal::SessionOver;
+    if (!evidence.jobs_known) return Refusal::JobUnknown;
     return {};
 }
 
-Decision decide_renewal_on_behalf(const ProxyEvidence& e) {
-    if (!e.is_member) return Refusal::NotAMember;
-    if (!e.store_read_valid) return Refusal::StoreReadTooOld;
-    if (!e.holder_known) return Refusal::HolderUnknown;
-    if (!e.former_promises_expired) return Refusal::PromisesUnknown;
-    if (e.lease_relinquished) return Refusal::LeaseRelinquished;
-    if (!e.machine_listed) return Refusal::MachineUnknown;
-    if (e.token_seen > e.token) return Refusal::HigherTokenSeen;
-    if (!e.jobs_known) return Refusal::JobUnknown;
+Decision decide_renewal_on_behalf(const ProxyEvidence& evidence) {
+    if (!evidence.is_member) return Refusal::NotAMember;
+    if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
+    if (!evidence.holder_known) return Refusal::HolderUnknown;
+    if (!evidence.former_promises_expired) return Refusal::PromisesUnknown;
+    if (evidence.lease_relinquished) return Refusal::LeaseRelinquished;
+    if (!evidence.machine_listed) return Refusal::MachineUnknown;
+    if (evidence.token_seen > evidence.token) return Refusal::HigherTokenSeen;
+    if (!evidence.jobs_known) return Refusal::JobUnknown;
     return {};
 }
 
-Decision decide_launch(const LaunchEvidence& e) {
-    if (!e.store_read_valid) return Refusal::StoreReadTooOld;
-    if (!e.job_queued) return Refusal::JobOver;
-    if (e.token_seen < e.token) return Refusal::TokenNotShown;
-    if (e.bound_by_other_holder) return Refusal::BoundByOtherHolder;
-    if (e.call_in_flight) return Refusal::CallInFlight;
-    if (!e.gang_complete) return Refusal::GangIncomplete;
-    if (e.direct_call_preferred) return Refusal::DirectCallPreferred;
+Decision decide_launch(const LaunchEvidence& evidence) {
+    if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
+    if (!evidence.job_queued) return Refusal::JobOver;
+    if (evidence.token_seen < evidence.token) return Refusal::TokenNotShown;
+    if (evidence.bound_by_other_holder) return Refusal::BoundByOtherHolder;
+    if (evidence.call_in_flight) return Refusal::CallInFlight;
+    if (!evidence.gang_complete) return Refusal::GangIncomplete;
+    if (evidence.direct_call_preferred) return Refusal::DirectCallPreferred;
     return {};
 }
 
-bool is_stop_due(const StopEvidence& e) {
-    if (!e.may_run || e.saving_with_grace) return false;
-    // An answer renews the lease of what is to stop, and an earlier stop may not have arrived.
-    return e.renews_lease || !e.sent_recently;
+bool is_stop_due(const StopEvidence& evidence) {
+    if (!evidence.may_run || evidence.saving_with_grace) return false;
+    // An answer to a heartbeat renews the lease of the task that has to stop, and an earlier stop may not
+    // have arrived. So each such answer carries the stop.
+    return evidence.renews_lease || !evidence.sent_recently;
 }
 
 std::vector<Order> missing_stops(const Report& report, const std::vector<Order>& orders,
                                  const std::function<bool(const std::string& job)>& job_over) {
     std::vector<Order> missing;
-    for (const auto& t : report.tasks) {
-        if (t.phase == Phase::Exited || !job_over(t.job)) continue;
-        const bool stopped = std::any_of(orders.begin(), orders.end(), [&t](const Order& o) {
-            return o.kind == OrderKind::Stop && o.job == t.job && o.task == t.task && o.attempt == t.attempt;
+    for (const auto& task : report.tasks) {
+        if (task.phase == Phase::Exited || !job_over(task.job)) continue;
+        const bool stopped = std::any_of(orders.begin(), orders.end(), [&task](const Order& order) {
+            return order.kind == OrderKind::Stop && order.job == task.job && order.task == task.task &&
+                   order.attempt == task.attempt;
         });
-        if (!stopped) missing.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
+        if (!stopped) missing.push_back({OrderKind::Stop, task.job, task.task, task.attempt, 0});
     }
     return missing;
 }
 
-void Counters::count(Tally& tally, const Decision& d) {
-    if (d)
-        ++tally.refused[static_cast<std::size_t>(*d)];
+void Counters::count(Tally& tally, const Decision& decision) {
+    if (decision)
+        ++tally.refused[static_cast<std::size_t>(*decision)];
     else
         ++tally.permitted;
 }
@@ -114,7 +116,7 @@
     const auto json_of = [](const Tally& tally) {
         Json refused = Json::object();
         for_each_refused(tally.refused,
-                         [&refused](const char* reason, std::uint64_t n) { refused[reason] = n; });
+                         [&refused](const char* reason, std::uint64_t number) { refused[reason] = number; });
         return Json{{"permitted", tally.permitted}, {"refused", refused}};
     };
     return {{"lease_renewals", json_of(renewals_)},
@@ -124,12 +126,12 @@
 
 std::string Counters::log_line() const {
     std::string line = "renewals=" + std::to_string(renewals_.permitted);
-    for_each_refused(renewals_.refused, [&line](const char* reason, std::uint64_t n) {
-        line += std::string(" renewals_refused.") + reason + "=" + std::to_string(n);
+    for_each_refused(renewals_.refused, [&line](const char* reason, std::uint64_t number) {
+        line += std::string(" renewals_refused.") + reason + "=" + std::to_string(number);
     });
     line += " launches=" + std::to_string(launches_.permitted);
-    for_each_refused(launches_.refused, [&line](const char* reason, std::uint64_t n) {
-        line += std::string(" launches_refused.") + reason + "=" + std::to_string(n);
+    for_each_refused(launches_.refused, [&line](const char* reason, std::uint64_t number) {
+        line += std::string(" launches_refused.") + reason + "=" + std::to_string(number);
     });
     return line + " renewals_without_stop=" + std::to_string(violations_);
 }
--- a/src/shard/permission.hpp
+++ b/src/shard/permission.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Whether a controller may renew a worker's lease or launch a task, and whether it must stop one. Pure
-// functions of what the controller knows; every answer to a heartbeat and every command to a worker is
-// decided here.
+// Decides whether a controller may renew a worker's lease, launch a task, or must stop one. Every answer to a
+// heartbeat and every command to a worker is checked here. All functions are pure: they depend only on the
+// evidence that the caller passes in.
 
 #include <array>
 #include <cstdint>
@@ -14,57 +14,57 @@
 
 namespace cottonway::permission {
 
-/// Why something is not permitted.
+/// The reason why an action is refused.
 enum class Refusal : std::uint8_t {
-    StoreReadTooOld,     // the last confirmed read of the store (see lease_validity.hpp)
-    SessionOver,         // the worker's session is proven over
+    StoreReadTooOld,     // the last confirmed read of the store is too old (see lease_validity.hpp)
+    SessionOver,         // the worker's session is proven to have ended
     HigherTokenSeen,     // the worker has seen a higher token than ours
-    TokenNotShown,       // the worker has not shown our token yet
-    MachineLeaving,      // being given to another shard
-    MachineUnknown,      // in no block, or retired
-    HolderUnknown,       // nobody is known to hold the shard
-    NotAMember,          // our own membership is not announced, or has ended
-    PromisesUnknown,     // those of our former process may still hold
-    LeaseRelinquished,   // promised to the holder
-    JobOver,             // cancelled or done
-    JobUnknown,          // over or not, that is being read
-    BoundByOtherHolder,  // which may have launched it
-    CallInFlight,        // with this launch
+    TokenNotShown,       // the worker has not reported our token yet
+    MachineLeaving,      // the machine is being transferred to another shard
+    MachineUnknown,      // the machine is in no block, or it is retired
+    HolderUnknown,       // no controller is known to hold the shard
+    NotAMember,          // this controller's membership is not announced, or it has ended
+    PromisesUnknown,     // promises made by this controller's previous process may still be in force
+    LeaseRelinquished,   // this controller promised the holder not to renew the lease
+    JobOver,             // the job is cancelled or done
+    JobUnknown,          // it is not known whether the job is over; its record is being read
+    BoundByOtherHolder,  // the task was bound by a former holder, which may have launched it
+    CallInFlight,        // a call that carries this launch is in flight
     GangIncomplete,      // another task of the gang is not bound
-    DirectCallPreferred  // the answer to a heartbeat is the second way
+    DirectCallPreferred  // a direct call is tried before the answer to a heartbeat
 };
 constexpr std::size_t kRefusalCount = 16;
-const char* name_of(Refusal v);
+const char* name_of(Refusal refusal);
 
-/// Nothing: permitted.
+/// The reason for a refusal; empty if the action is permitted.
 using Decision = std::optional<Refusal>;
 
-/// A heartbeat at the holder of its machine.
+/// What the shard's holder knows when it answers a heartbeat.
 struct HolderEvidence {
     bool store_read_valid = false;
     bool session_over = false;
     bool machine_transferring = false;
-    bool jobs_known = true;        // of each task that may run, whether its job is over
-    std::uint64_t token = 0;       // ours
-    std::uint64_t token_seen = 0;  // by the worker
+    bool jobs_known = true;        // for each task that may run, it is known whether its job is over
+    std::uint64_t token = 0;       // the holder's token
+    std::uint64_t token_seen = 0;  // the highest token that the worker has seen
 };
-Decision decide_renewal_by_holder(const HolderEvidence& e);
+Decision decide_renewal_by_holder(const HolderEvidence& evidence);
 
-/// A heartbeat at a controller that can't reach the holder of its machine.
+/// What a controller knows when it answers a heartbeat for a holder that it can't reach.
 struct ProxyEvidence {
     bool store_read_valid = false;
     bool is_member = false;
     bool holder_known = false;
     bool former_promises_expired = false;
     bool lease_relinquished = false;
-    bool machine_listed = false;   // and not retired
-    bool jobs_known = true;        // of each task that may run, whether its job is over
-    std::uint64_t token = 0;       // of the holder
-    std::uint64_t token_seen = 0;  // by the worker
+    bool machine_listed = false;   // a block lists the machine and it is not retired
+    bool jobs_known = true;        // for each task that may run, it is known whether its job is over
+    std::uint64_t token = 0;       // the holder's token
+    std::uint64_t token_seen = 0;  // the highest token that the worker has seen
 };
-Decision decide_renewal_on_behalf(const ProxyEvidence& e);
+Decision decide_renewal_on_behalf(const ProxyEvidence& evidence);
 
-/// A bound task that its worker has not shown.
+/// What the holder knows about a bound task that the worker has not reported.
 struct LaunchEvidence {
     bool store_read_valid = false;
     bool job_queued = false;
@@ -75,31 +75,33 @@
     std::uint64_t token = 0;
     std::uint64_t token_seen = 0;
 };
-Decision decide_launch(const LaunchEvidence& e);
+Decision decide_launch(const LaunchEvidence& evidence);
 
-/// A bound task that is to be stopped, and the message that may hold its stop.
+/// What the holder knows about a bound task to be stopped, and about the message that could carry the stop.
 struct StopEvidence {
-    bool may_run = false;            // launched, or shown by its worker
-    bool saving_with_grace = false;  // a second stop would only cut that short
-    bool renews_lease = false;       // an answer to a heartbeat, not a direct call
+    bool may_run = false;            // the task was launched, or its worker reported it
+    bool saving_with_grace = false;  // the task is saving its state; a second stop would only shorten that
+    bool renews_lease = false;       // the message answers a heartbeat; it is not a direct call
     bool sent_recently = false;
 };
-bool is_stop_due(const StopEvidence& e);
+bool is_stop_due(const StopEvidence& evidence);
 
-/// The stops that an answer lacks although it renews the lease of tasks whose jobs are over.
+/// Returns the stops that are missing from an answer that renews the lease: tasks in the report whose jobs
+/// are over and for which `orders` has no stop.
 std::vector<Order> missing_stops(const Report& report, const std::vector<Order>& orders,
                                  const std::function<bool(const std::string& job)>& job_over);
 
-/// How the decisions of a process fell.
+/// Counts the decisions of this process by outcome.
 class Counters {
   public:
-    void count_renewal(const Decision& d) { count(renewals_, d); }
-    void count_launch(const Decision& d) { count(launches_, d); }
-    /// Answers that would have renewed a lease without a stop that was due: 0 unless there is a fault.
+    void count_renewal(const Decision& decision) { count(renewals_, decision); }
+    void count_launch(const Decision& decision) { count(launches_, decision); }
+    /// Counts an answer that would have renewed a lease without a stop that was due. Stays 0 unless there is
+    /// a bug.
     void count_violation() { ++violations_; }
     std::uint64_t violations() const { return violations_; }
     Json to_json() const;
-    /// For the log: `key=value`, what is 0 left out.
+    /// Returns `key=value` pairs for the log; refusals that never occurred are left out.
     std::string log_line() const;
 
   private:
@@ -107,7 +109,7 @@
         std::uint64_t permitted = 0;
         std::array<std::uint64_t, kRefusalCount> refused{};
     };
-    static void count(Tally& tally, const Decision& d);
+    static void count(Tally& tally, const Decision& decision);
 
     Tally renewals_;
     Tally launches_;
