--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -245,7 +245,7 @@
         // Only what was bound as we would: the same attempt elsewhere is another holder's.
         if (slot.state == SlotState::Binding && slot.attempt == attempt && slot.machine->name == machine) {
             slot.state = SlotState::Bound;
-            --job.parts[part].binding;
+            --job.parts[part].pending_binds;
             request_dispatch(*slot.machine);
             return;
         }
@@ -254,7 +254,7 @@
         // No machine of ours: it was proven gone, or given away empty.
         if (m == shard_state_.machines.end()) return;
         shard_state_.bind(job, static_cast<int>(task), *m->second, attempt);
-        --job.parts[part].binding;
+        --job.parts[part].pending_binds;
         slot.state = SlotState::Bound;
         slot.inherited = true;
         slot.launch_sent = true;
@@ -408,12 +408,12 @@
                 // Each part is written on the condition that the job's record stays as it is.
                 if (p == 0 ? busy : job->parts[0].in_flight || job->parts[0].reloading) continue;
                 const bool stays = p == 0 && job->transferring;  // not given away after all
-                if (!stays && now - part.dirty_since < batching_delay(*job, part.binding > 0)) continue;
+                if (!stays && now - part.dirty_since < batching_delay(*job, part.pending_binds > 0)) continue;
                 const bool can_wait = job->is_best_effort() && now - part.dirty_since < kIdlePatience;
-                const Priority priority = stays                              ? Priority::Normal
-                                          : part.binding == 0 || can_wait    ? Priority::Deferrable
-                                          : job->rank <= PriorityClass::High ? Priority::Urgent
-                                                                             : Priority::Normal;
+                const Priority priority = stays                                 ? Priority::Normal
+                                          : part.pending_binds == 0 || can_wait ? Priority::Deferrable
+                                          : job->rank <= PriorityClass::High    ? Priority::Urgent
+                                                                                : Priority::Normal;
                 list.push_back({priority, part.dirty_since, job, p});
             }
         }
@@ -520,7 +520,7 @@
             Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
             if (slot.state != SlotState::Binding || slot.attempt != key.attempt) continue;
             slot.state = SlotState::Bound;
-            --p.binding;
+            --p.pending_binds;
             request_dispatch(*slot.machine);
         }
         for (int task : done) {
--- a/src/shard/machine.hpp
+++ b/src/shard/machine.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A machine of a shard as its holder knows it: what is on it, what it was last heard to say, what was sent
-// to it and is not settled.
+// A machine of a shard as the shard's holder knows it: the tasks on it, its last messages, and the launches
+// sent to it whose outcome is not known yet.
 
 #include <boost/container/flat_set.hpp>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 struct Job;
 
-/// Names one attempt at a task.
+/// Identifies one attempt at a task.
 struct AttemptKey {
     std::string job;
     int task = 0;
@@ -23,17 +23,18 @@
     auto operator<=>(const AttemptKey&) const = default;
 };
 
-/// A task of a job in the owner's memory; ordered by admission, not by address, so that runs repeat.
+/// A task of a job in the owner's memory. Ordered by the admission of the job and not by address, so that a
+/// run can be reproduced.
 struct TaskRef {
     Job* job = nullptr;
     int task = 0;
-    bool operator<(const TaskRef& o) const;
+    bool operator<(const TaskRef& other) const;
 };
 
-/// What another controller has promised about a machine: not to renew its lease any more.
+/// The promise of another controller not to renew a machine's lease any more.
 struct LeaseRelinquishment {
     Micros until = 0;
-    Micros last_renewal_at = 0;  // when it may have done so last
+    Micros last_renewal_at = 0;  // the latest time at which that controller may have renewed the lease
 };
 
 struct Machine {
@@ -44,40 +45,42 @@
     std::string addr;
     bool spot = false;
     bool retired = false;
-    std::uint64_t token = 0;  // of its block record; the shard's mark may be higher
+    std::uint64_t token = 0;  // from its block record; the revision of the shard's record may be higher
     const MachineType* type = nullptr;
     std::uint64_t session = 0;
     std::uint64_t seq = 0;
     std::uint64_t token_seen = 0;
-    std::uint64_t messages_applied = 0;   // taken in so far
-    std::uint64_t min_session = 0;        // earlier sessions are proven over
-    Micros last_heartbeat = 0;            // by the steady clock, for what is proven by time
-    Micros last_heartbeat_listening = 0;  // the same in time spent listening, for what is merely unheard
-    Micros last_report_at = 0;            // when its last report was taken in
-    Micros last_report_listening = 0;     // the same in time spent listening, or when it became known here
-    Micros heartbeat_before_load = 0;     // when it last reported before the shard's jobs were read
-    Micros session_since = 0;             // when its session was first heard of
+    std::uint64_t messages_applied = 0;   // number of messages applied so far
+    std::uint64_t min_session = 0;        // earlier sessions are proven to have ended
+    Micros last_heartbeat = 0;            // by the steady clock; for conclusions that rest on elapsed time
+    Micros last_heartbeat_listening = 0;  // the same by the listening clock (see ListeningClock), for silence
+    Micros last_report_at = 0;            // when its last report was applied
+    Micros last_report_listening = 0;     // the same by the listening clock, or when the machine became known
+    Micros heartbeat_before_load = 0;     // when it last sent a message before the shard's jobs had been read
+    Micros session_since = 0;             // when a message of its session first arrived
     Micros known_since = 0;
     bool interruption_notice = false;
     Micros interruption_at = 0;
     Resources reserved;
-    Milli low_priority_cores = 0;               // cores of these that work of idle rank has
-    boost::container::flat_set<TaskRef> tasks;  // gone through far more often than changed
+    Milli low_priority_cores = 0;               // cores of `reserved` that tasks of low priority use
+    boost::container::flat_set<TaskRef> tasks;  // a flat set: iterated far more often than changed
     std::vector<ReportedTask> exited_tasks;
     std::vector<ReportedTask> orphaned_tasks;
     std::vector<LeaseRelinquishment> relinquishments;  // by peer
-    /// Launches sent by /do that were not answered: live until the worker's token or session is raised.
+    /// A launch sent by /do that was not answered. It may still be executed until the worker's token or
+    /// session is raised.
     struct UnacknowledgedLaunch {
         std::uint64_t token = 0;
         std::uint64_t session = 0;
         Micros since = 0;
     };
     std::map<AttemptKey, UnacknowledgedLaunch> unacknowledged_launches;
-    /// Launches in report answers, by the sequence of the report; settled by any later report.
+    /// Launches sent in answers to reports, with the sequence number of the report. Any later report settles
+    /// them.
     std::map<AttemptKey, std::uint64_t> launches_in_responses;
-    std::set<AttemptKey> direct_launches;  // in the /do that is under way
-    /// Launches by /do that were carried out, with which token and when: a copy of one may still arrive, and
-    /// would start the attempt anew once it has been cleared.
+    std::set<AttemptKey> direct_launches;  // launches in the /do that is in flight
+    /// A launch by /do that was executed, with its token and time. A duplicate of it may still arrive, and
+    /// would start the attempt again once the worker has cleared it.
     struct AcknowledgedLaunch {
         std::uint64_t token = 0;
         Micros at = 0;
@@ -86,31 +89,31 @@
     bool direct_call_in_flight = false;
     Micros next_direct_call_at = 0;
     Micros direct_call_backoff = 0;
-    Micros last_direct_answer_at = 0;  // when it last answered a call of ours
-    bool relayed = false;              // its last report came through another controller
+    Micros last_direct_answer_at = 0;  // when it last answered a direct call
+    bool relayed = false;              // its last report was relayed by another controller
     Micros relayed_since = 0;
     Micros probed_at = 0;
-    bool suspect = false;          // a call of ours was not answered; until it has shown that it hears us
-    Micros suspect_since = 0;      // in time spent listening
-    bool dispatch_queued = false;  // in the owner's list of machines to send to
-    bool raising_token = false;    // its token is being raised
-    bool retiring = false;         // being marked as retired
-    bool transferring = false;     // being given to another shard
+    bool suspect = false;          // did not answer a direct call; reset once it is known to receive messages
+    Micros suspect_since = 0;      // by the listening clock
+    bool dispatch_queued = false;  // in the owner's list of machines to send orders to
+    bool raising_token = false;    // a write that raises its token is in flight
+    bool retiring = false;         // a write that marks it as retired is in flight
+    bool transferring = false;     // being transferred to another shard
     bool draining = false;         // nothing new is bound to it
-    Micros idle_since = 0;         // in time spent listening
+    Micros idle_since = 0;         // by the listening clock
     Micros avoid_until = 0;
-    std::set<std::string> failing_jobs;  // whose tasks fail here though they run elsewhere
-    /// Images that it has, or is fetching for a task; most recent last.
+    std::set<std::string> failing_jobs;  // jobs whose tasks fail here although they run elsewhere
+    /// An image that the machine has or is fetching for a task.
     struct Image {
         std::string name;
         Milli gb = 0;
         bool ready = false;
     };
-    std::vector<Image> images;
+    std::vector<Image> images;  // most recently used last
 
-    /// Nothing is known to be on it, or taken to be there by what it showed last.
+    /// Returns true if no task is bound to the machine and its last message listed no orphaned task.
     bool is_idle() const { return tasks.empty() && orphaned_tasks.empty(); }
-    /// Heard through another controller only, and not reached by a call of ours since.
+    /// Returns true if its reports arrive through another controller and no direct call has reached it since.
     bool is_relay_only() const { return relayed && last_direct_answer_at <= relayed_since; }
 };
 
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxImages = 64;
-constexpr std::size_t kBindingBytes = 14;  // of a binding besides the machine's name
+constexpr std::size_t kMaxImagesPerMachine = 64;
+constexpr std::size_t kBindingOverheadBytes = 14;  // size of a stored binding without the machine's name
 
 std::size_t binding_bytes(const Machine& m) {
-    return m.name.size() + kBindingBytes;
+    return m.name.size() + kBindingOverheadBytes;
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
     --job.unbound;
     ++job.bound;
     auto& part = job.part_of(task);
-    ++part.binding;
+    ++part.pending_binds;
     part.bytes += binding_bytes(m);
     m.reserved += job.spec.request;
     if (job.rank == PriorityClass::Low) m.low_priority_cores += job.spec.request.cores;
@@ -54,7 +54,7 @@
     Machine& m = *slot.machine;
     const auto task = static_cast<int>(&slot - job.slots.data());
     auto& part = job.part_of(task);
-    if (slot.state == SlotState::Binding) --part.binding;
+    if (slot.state == SlotState::Binding) --part.pending_binds;
     part.bytes -= binding_bytes(m);
     m.reserved -= job.spec.request;
     if (job.rank == PriorityClass::Low) m.low_priority_cores -= job.spec.request.cores;
@@ -70,20 +70,21 @@
     ++job.unbound;
 }
 
-void ShardState::add_orphaned_task(Machine& m, const ReportedTask& t) {
-    m.orphaned_tasks.push_back(t);
-    ++orphaned_task_counts_[{t.job, t.task}];
+void ShardState::add_orphaned_task(Machine& m, const ReportedTask& task) {
+    m.orphaned_tasks.push_back(task);
+    ++orphaned_task_counts_[{task.job, task.task}];
 }
 
 void ShardState::forget_orphaned_tasks(Machine& m) {
-    for (const auto& s : m.orphaned_tasks)
-        if (--orphaned_task_counts_[{s.job, s.task}] <= 0) orphaned_task_counts_.erase({s.job, s.task});
+    for (const auto& orphan : m.orphaned_tasks)
+        if (--orphaned_task_counts_[{orphan.job, orphan.task}] <= 0)
+            orphaned_task_counts_.erase({orphan.job, orphan.task});
     m.orphaned_tasks.clear();
 }
 
 void ShardState::remember_image(Machine& m, const Job& job, bool ready) {
     auto known = std::find_if(m.images.begin(), m.images.end(),
-                              [&](const Machine::Image& i) { return i.name == job.spec.image; });
+                              [&](const Machine::Image& image) { return image.name == job.spec.image; });
     if (known != m.images.end()) {
         known->ready = known->ready || ready;
         std::rotate(known, known + 1, m.images.end());
@@ -91,21 +92,23 @@
         m.images.push_back({job.spec.image, job.spec.image_gb, ready});
     }
     Milli total = 0;
-    for (const auto& i : m.images) total += i.gb;
-    while (m.images.size() > 1 && (m.images.size() > kMaxImages || (m.type && total > m.type->cache_gb))) {
+    for (const auto& image : m.images) total += image.gb;
+    while (m.images.size() > 1 &&
+           (m.images.size() > kMaxImagesPerMachine || (m.type && total > m.type->cache_gb))) {
         total -= m.images.front().gb;
         m.images.erase(m.images.begin());
     }
 }
 
-/// A fetch is given up once no task waits for it any more.
+/// Forgets a fetch that no task on the machine needs any more: the worker gives it up.
 void ShardState::forget_unused_fetch(Machine& m, const Job& job) {
-    const bool waited_for = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& t) {
-        return t.job->spec.image == job.spec.image;
+    const bool still_needed = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& task) {
+        return task.job->spec.image == job.spec.image;
     });
-    if (!waited_for)
-        std::erase_if(m.images,
-                      [&](const Machine::Image& i) { return !i.ready && i.name == job.spec.image; });
+    if (!still_needed)
+        std::erase_if(m.images, [&](const Machine::Image& image) {
+            return !image.ready && image.name == job.spec.image;
+        });
 }
 
 }  // namespace cottonway
--- a/src/shard/shard_state.hpp
+++ b/src/shard/shard_state.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// The books of a shard: its machines and jobs, what is bound where, and what each team uses. Every bind and
-// its end goes through here, so that the sums agree. It decides nothing and knows no clock.
+// The state of a shard in memory: its machines and jobs, which tasks are bound where, and what each team
+// uses. Every bind and release goes through this class, which keeps the totals consistent. It makes no
+// decisions and reads no clock.
 
 #include <map>
 #include <memory>
@@ -19,24 +20,26 @@
 
     Machine* machine(const std::string& name) const;
     Job* job(const std::string& ref) const;
-    /// What a team's tasks have, in doubt and stopping ones included.
+    /// Returns the resources that a team's tasks use, including tasks that are in doubt or stopping.
     Resources team_usage(const std::string& team) const;
 
-    /// An attempt at a task that waited; it counts from here on.
+    /// Binds an unbound task to a machine under a new attempt. From here on the task uses the machine's room
+    /// and its team's quota.
     void bind(Job& job, int task, Machine& m, std::int64_t attempt);
-    /// The attempt is proven gone, or was never durable: the task waits again. `listened`: now, in time spent
-    /// listening.
+    /// Makes a task unbound again, once its attempt is proven gone or if its binding never became durable.
+    /// `listened` is the current time of the listening clock.
     void release(Job& job, Slot& slot, Micros listened);
 
-    /// A task that runs on a machine although it should not; it must not start elsewhere until it is gone.
+    /// Records a task that runs on a machine without being bound to it. It must not start elsewhere until
+    /// that attempt is gone.
     void add_orphaned_task(Machine& m, const ReportedTask& t);
     void forget_orphaned_tasks(Machine& m);
     bool has_orphaned_task(const std::string& job, int task) const {
         return orphaned_task_counts_.count({job, task}) > 0;
     }
 
-    /// The machine has the image from now on, or fetches it: then others that need the same had better wait
-    /// for that one fetch than start another elsewhere.
+    /// Records that the machine has the job's image, or fetches it if `ready` is false. Other tasks that need
+    /// the image then prefer to wait for that fetch over starting another one elsewhere.
     static void remember_image(Machine& m, const Job& job, bool ready);
 
   private:
