--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -21,14 +21,14 @@
 std::optional<ShardOwner::ReportResponse> ShardOwner::on_report(const Report& report, bool relayed) {
     auto it = shard_state_.machines.find(report.machine);
     if (it == shard_state_.machines.end()) return std::nullopt;
-    Machine& m = *it->second;
+    Machine& machine = *it->second;
     // Its new holder may reach it before the outcome of the move reaches us.
     permission::HolderEvidence evidence;
     evidence.store_read_valid = context_.has_valid_lease();
-    evidence.session_over = report.session < m.min_session;
-    evidence.machine_transferring = m.transferring;
+    evidence.session_over = report.session < machine.min_session;
+    evidence.machine_transferring = machine.transferring;
     evidence.jobs_known = active_ || context_.knows_jobs_of(report);
-    evidence.token = token(m);
+    evidence.token = token(machine);
     evidence.token_seen = report.token;
     const permission::Decision decision = permission::decide_renewal_by_holder(evidence);
     context_.permission_counters().count_renewal(decision);
@@ -38,69 +38,71 @@
     }
     if (decision) return std::nullopt;
     const Micros now = context_.runtime().now();
-    if (m.addr.empty()) m.addr = report.addr;
+    if (machine.addr.empty()) machine.addr = report.addr;
     // What is as old as another message, or older, tells nothing new, not even that the machine can be heard.
     // It gets the token and stops alone: its worker may still wait for it if only the answer to a /do has
     // overtaken it.
     // The lease that this renews counts from when it was sent, so from before what has overtaken it was
     // heard.
-    if (!recovery::is_newer_message({report.session, report.seq}, {m.session, m.seq}, m.min_session))
-        return ReportResponse{token(m), context_.stops_for_finished_jobs(report), !m.is_relay_only()};
-    if (relayed && !m.relayed) m.relayed_since = now;
-    m.relayed = relayed;
+    if (!recovery::is_newer_message({report.session, report.seq}, {machine.session, machine.seq},
+                                    machine.min_session))
+        return ReportResponse{token(machine), context_.stops_for_finished_jobs(report),
+                              !machine.is_relay_only()};
+    if (relayed && !machine.relayed) machine.relayed_since = now;
+    machine.relayed = relayed;
     if (active_)
-        apply_heartbeat(m, report, true);
+        apply_heartbeat(machine, report, true);
     else
-        register_incarnation(m, report, true);
-    ReportResponse answer{token(m), {}, !m.is_relay_only()};
+        register_incarnation(machine, report, true);
+    ReportResponse answer{token(machine), {}, !machine.is_relay_only()};
     // Until everything is read, which an outage may put off for long, a lease is not renewed for what is
     // known to be over.
-    answer.orders = active_ ? orders_for(m, false) : context_.stops_for_finished_jobs(report);
+    answer.orders = active_ ? orders_for(machine, false) : context_.stops_for_finished_jobs(report);
     // Whether the worker can be reached without help is found out by calling it now and then.
-    if (is_probe_due(m)) request_dispatch(m);
+    if (is_probe_due(machine)) request_dispatch(machine);
     if (plan_due_ || flush_due_ || !dispatch_due_.empty()) context_.wake();
     return answer;
 }
 
-std::vector<Order> ShardOwner::orders_for(Machine& m, bool direct) {
+std::vector<Order> ShardOwner::orders_for(Machine& machine, bool direct) {
     std::vector<Order> orders;
-    add_clears(m, orders);
-    for (const auto& t : m.orphaned_tasks) {
+    add_clears(machine, orders);
+    for (const auto& t : machine.orphaned_tasks) {
         orders.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
         startup_.record_order(OrderKind::Stop, false);
     }
-    for (const auto& [job, task] : m.tasks) {
+    for (const auto& [job, task] : machine.tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         const AttemptKey key{job->spec.ref, task, slot.attempt};
         if (slot.stop_requested)
             add_stop(slot, key, direct, orders);
         else
-            add_launch(m, *job, slot, key, direct, orders);
+            add_launch(machine, *job, slot, key, direct, orders);
     }
     return orders;
 }
 
-void ShardOwner::add_clears(Machine& m, std::vector<Order>& orders) {
+void ShardOwner::add_clears(Machine& machine, std::vector<Order>& orders) {
     std::size_t uncleared = 0;
-    for (const auto& t : m.exited_tasks) {
-        if (!can_clear(m, t, uncleared)) continue;
-        m.acknowledged_launches.erase({t.job, t.task, t.attempt});
+    for (const auto& t : machine.exited_tasks) {
+        if (!can_clear(machine, t, uncleared)) continue;
+        machine.acknowledged_launches.erase({t.job, t.task, t.attempt});
         orders.push_back({OrderKind::Clear, t.job, t.task, t.attempt, 0});
         startup_.record_order(OrderKind::Clear, false);
     }
-    if (uncleared > kMaxUncleared) raise_token(m);
+    if (uncleared > kMaxUncleared) raise_token(machine);
 }
 
 /// After a clear the attempt is unknown to the worker, and a launch that is still on its way would start it
 /// once more: not before none can be. `uncleared` counts those that wait for a higher token.
-bool ShardOwner::can_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const {
+bool ShardOwner::can_clear(const Machine& machine, const ReportedTask& t, std::size_t& uncleared) const {
     const AttemptKey key{t.job, t.task, t.attempt};
-    if (has_unsettled_launch(m, key)) return false;
+    if (has_unsettled_launch(machine, key)) return false;
     // So would a copy of one that was carried out, for as long as token and session match. A result is
     // kept, so that such a start ends at once; anything else would run, perhaps beside its successor.
-    if (const auto sent = m.acknowledged_launches.find(key);
-        sent != m.acknowledged_launches.end() && m.token_seen <= sent->second.token) {
+    if (const auto sent = machine.acknowledged_launches.find(key);
+        sent != machine.acknowledged_launches.end() && machine.token_seen <= sent->second.token) {
         if (t.cause != ExitCause::Done) ++uncleared;
         if (t.cause != ExitCause::Done || context_.runtime().now() - sent->second.at <= kCopies) return false;
     }
@@ -124,59 +126,60 @@
     orders.push_back({OrderKind::Stop, key.job, key.task, key.attempt, slot.grace});
 }
 
-void ShardOwner::add_launch(Machine& m, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
+void ShardOwner::add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                             std::vector<Order>& orders) {
     permission::LaunchEvidence evidence;
     // A launch to a session that began after our authority, of a task whose cancellation we can't hear of,
     // would outlive every bound on it.
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.job_queued = job.stage == Stage::Queued;
-    evidence.token = token(m);
-    evidence.token_seen = m.token_seen;
+    evidence.token = token(machine);
+    evidence.token_seen = machine.token_seen;
     evidence.bound_by_other_holder = slot.inherited;
-    evidence.call_in_flight = m.direct_launches.count(key) > 0;
+    evidence.call_in_flight = machine.direct_launches.count(key) > 0;
     evidence.gang_complete = job.spec.kind != JobKind::Gang ||
                              std::all_of(job.slots.begin(), job.slots.end(),
                                          [](const Slot& s) { return s.state == SlotState::Bound; });
     // The answer to a report is the second way; it is taken when the direct one does not work.
-    const bool direct_works = m.direct_call_backoff == 0 && !m.is_relay_only();
-    evidence.direct_call_preferred = !direct && (direct_works || m.launches_in_responses.count(key));
+    const bool direct_works = machine.direct_call_backoff == 0 && !machine.is_relay_only();
+    evidence.direct_call_preferred = !direct && (direct_works || machine.launches_in_responses.count(key));
     const permission::Decision decision = permission::decide_launch(evidence);
     context_.permission_counters().count_launch(decision);
     if (decision) return;
     startup_.record_order(OrderKind::Launch, slot.launch_sent);
-    slot.launched_by_response = !direct && !m.unacknowledged_launches.count(key);
+    slot.launched_by_response = !direct && !machine.unacknowledged_launches.count(key);
     slot.launch_sent = true;
-    slot.launch_token = token(m);
-    slot.launch_session = m.session;
-    slot.launch_seq = m.seq;
+    slot.launch_token = token(machine);
+    slot.launch_session = machine.session;
+    slot.launch_seq = machine.seq;
     if (direct)
-        m.direct_launches.insert(key);
+        machine.direct_launches.insert(key);
     else
-        m.launches_in_responses[key] = m.seq;
+        machine.launches_in_responses[key] = machine.seq;
     orders.push_back({OrderKind::Launch, key.job, key.task, key.attempt, 0});
 }
 
 /// Whether a worker whose reports are relayed, or that left a call unanswered, is to be called, to find out
 /// whether it can be reached again.
-bool ShardOwner::is_probe_due(const Machine& m) const {
-    return (m.is_relay_only() || m.suspect) && context_.runtime().now() - m.probed_at > kProbeEvery;
+bool ShardOwner::is_probe_due(const Machine& machine) const {
+    return (machine.is_relay_only() || machine.suspect) &&
+           context_.runtime().now() - machine.probed_at > kProbeEvery;
 }
 
 /// Puts a machine on the list of those to send to.
-void ShardOwner::request_dispatch(Machine& m) {
-    if (m.dispatch_queued) return;
-    m.dispatch_queued = true;
-    dispatch_due_.push_back(m.name);
+void ShardOwner::request_dispatch(Machine& machine) {
+    if (machine.dispatch_queued) return;
+    machine.dispatch_queued = true;
+    dispatch_due_.push_back(machine.name);
     context_.wake();
 }
 
 /// What goes first when more machines are to be called than may be at a time: tasks of cancelled jobs, whose
 /// time runs out; services; what has a deadline; what else is to be launched; the rest, such as showing a
 /// token.
-int ShardOwner::dispatch_urgency(const Machine& m) const {
+int ShardOwner::dispatch_urgency(const Machine& machine) const {
     int best = 4;
-    for (const auto& [job, task] : m.tasks) {
+    for (const auto& [job, task] : machine.tasks) {
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         if (job->stage == Stage::Cancelled) return 0;
@@ -191,8 +194,8 @@
     if (static_cast<int>(dispatch_due_.size()) > most - direct_calls_in_flight_) {
         std::vector<std::pair<int, std::string>> order;
         for (auto& name : dispatch_due_)
-            if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
-                order.emplace_back(dispatch_urgency(*m->second), std::move(name));
+            if (auto machine = shard_state_.machines.find(name); machine != shard_state_.machines.end())
+                order.emplace_back(dispatch_urgency(*machine->second), std::move(name));
         std::stable_sort(order.begin(), order.end(),
                          [](const auto& a, const auto& b) { return a.first < b.first; });
         dispatch_due_.clear();
@@ -212,107 +215,112 @@
     dispatch_due_.insert(dispatch_due_.end(), later.begin(), later.end());
 }
 
-void ShardOwner::send_orders_to(Machine& m) {
+void ShardOwner::send_orders_to(Machine& machine) {
     const Micros now = context_.runtime().now();
-    if (m.direct_call_in_flight || now < m.next_direct_call_at || m.addr.empty()) return;
+    if (machine.direct_call_in_flight || now < machine.next_direct_call_at || machine.addr.empty()) return;
     // A worker that only others reach gets its orders in the answers to its reports.
-    const bool probe = active_ && is_probe_due(m);
-    if (m.is_relay_only() && !probe) return;
-    if (probe) m.probed_at = now;
-    const bool show_token = m.token_seen < token(m) || (active_ && m.seq == 0);
+    const bool probe = active_ && is_probe_due(machine);
+    if (machine.is_relay_only() && !probe) return;
+    if (probe) machine.probed_at = now;
+    const bool show_token = machine.token_seen < token(machine) || (active_ && machine.seq == 0);
     std::vector<Order> orders;
-    if (m.session > 0 && !show_token && !probe) orders = orders_for(m, true);
+    if (machine.session > 0 && !show_token && !probe) orders = orders_for(machine, true);
     const bool idle =
         std::all_of(orders.begin(), orders.end(), [](const Order& o) { return o.kind == OrderKind::Clear; });
     if (!show_token && !probe && idle) return;  // the next report's answer will do
     // Where the session is not known yet, the first one is as good a guess as any: if it is another, the
     // answer tells.
-    const std::uint64_t session = std::max<std::uint64_t>(m.session, 1);
-    m.direct_call_in_flight = true;
+    const std::uint64_t session = std::max<std::uint64_t>(machine.session, 1);
+    machine.direct_call_in_flight = true;
     ++direct_calls_in_flight_;
     Call call;
     call.target = Target::Worker;
-    call.addr = m.addr;
+    call.addr = machine.addr;
     call.timeout = 2500 * kMillisecond;
     call.method = "POST";
     call.path = "/do";
-    call.body = wire::direct_orders(token(m), session, orders);
-    context_.runtime().call(std::move(call), [this, alive = alive_, machine = m.name, sent_token = token(m),
-                                              session](const Reply& r) {
+    call.body = wire::direct_orders(token(machine), session, orders);
+    context_.runtime().call(std::move(call), [this, alive = alive_, name = machine.name,
+                                              sent_token = token(machine), session](const Reply& reply) {
         if (!*alive) return;
         --direct_calls_in_flight_;
-        auto it = shard_state_.machines.find(machine);
+        auto it = shard_state_.machines.find(name);
         if (it == shard_state_.machines.end()) return;
-        Machine& x = *it->second;
-        x.direct_call_in_flight = false;
-        auto launched = std::exchange(x.direct_launches, {});
-        auto report = r.status == 200 || r.status == 409 ? wire::parse_report(r.body) : std::nullopt;
+        Machine& target = *it->second;
+        target.direct_call_in_flight = false;
+        auto launched = std::exchange(target.direct_launches, {});
+        auto report =
+            reply.status == 200 || reply.status == 409 ? wire::parse_report(reply.body) : std::nullopt;
         context_.wake();
-        if (r.status == kNotSent) return on_orders_not_sent(x, launched);
-        if (!report || report->machine != machine)
-            return on_orders_unanswered(x, launched, sent_token, session);
-        x.direct_call_backoff = 0;
-        x.next_direct_call_at = 0;
-        x.last_direct_answer_at = context_.runtime().now();
-        x.suspect = false;
-        if (report->token > token(x)) return x.transferring ? void() : context_.on_ownership_lost(shard_);
+        if (reply.status == kNotSent) return on_orders_not_sent(target, launched);
+        if (!report || report->machine != name)
+            return on_orders_unanswered(target, launched, sent_token, session);
+        target.direct_call_backoff = 0;
+        target.next_direct_call_at = 0;
+        target.last_direct_answer_at = context_.runtime().now();
+        target.suspect = false;
+        if (report->token > token(target))
+            return target.transferring ? void() : context_.on_ownership_lost(shard_);
         if (active_)
-            apply_heartbeat(x, *report, false);
+            apply_heartbeat(target, *report, false);
         else
-            register_incarnation(x, *report, false);
+            register_incarnation(target, *report, false);
         // Asked again, if it must be, but not at once: what it tells may be no use for a while.
-        if (r.status == 409 || x.seq == 0 || x.token_seen < token(x))
-            x.next_direct_call_at = context_.runtime().now() + 100 * kMillisecond;
+        if (reply.status == 409 || target.seq == 0 || target.token_seen < token(target))
+            target.next_direct_call_at = context_.runtime().now() + 100 * kMillisecond;
         // Answered: what the worker does not show was not started and will not be.
         for (const auto& key : launched) {
-            if (r.status == 200) x.acknowledged_launches[key] = {sent_token, context_.runtime().now()};
+            if (reply.status == 200)
+                target.acknowledged_launches[key] = {sent_token, context_.runtime().now()};
             Job* job = shard_state_.job(key.job);
             if (!job) continue;
             Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
             if (slot.state == SlotState::Bound && slot.attempt == key.attempt && !slot.seen &&
-                !x.unacknowledged_launches.count(key)) {
+                !target.unacknowledged_launches.count(key)) {
                 slot.launch_sent = false;
-                request_dispatch(x);
+                request_dispatch(target);
             }
         }
     });
 }
 
 /// It left a call unanswered.
-void ShardOwner::mark_suspect(Machine& m) {
-    if (!std::exchange(m.suspect, true)) m.suspect_since = context_.runtime().listened();
+void ShardOwner::mark_suspect(Machine& machine) {
+    if (!std::exchange(machine.suspect, true)) machine.suspect_since = context_.runtime().listened();
 }
 
 /// No connection came about, so nothing was or will be executed: what was to be launched can run elsewhere,
 /// and nothing more is bound there until the machine is heard of again.
-void ShardOwner::on_orders_not_sent(Machine& m, const std::set<AttemptKey>& launched) {
+void ShardOwner::on_orders_not_sent(Machine& machine, const std::set<AttemptKey>& launched) {
     const Micros now = context_.runtime().now();
-    m.direct_call_backoff = std::clamp(m.direct_call_backoff * 2, kSecond, 8 * kSecond);
-    m.next_direct_call_at = now + m.direct_call_backoff;
-    mark_suspect(m);
+    machine.direct_call_backoff = std::clamp(machine.direct_call_backoff * 2, kSecond, 8 * kSecond);
+    machine.next_direct_call_at = now + machine.direct_call_backoff;
+    mark_suspect(machine);
     for (const auto& key : launched) {
         Job* job = shard_state_.job(key.job);
         if (!job) continue;
         Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
         if (slot.state != SlotState::Bound || slot.attempt != key.attempt || slot.seen) continue;
-        if (m.unacknowledged_launches.count(key) || m.launches_in_responses.count(key))
+        if (machine.unacknowledged_launches.count(key) || machine.launches_in_responses.count(key))
             continue;  // sent earlier, or otherwise
         slot.launch_sent = false;
-        spdlog::info("task {}/{}: {} can't be reached, to be placed elsewhere", key.job, key.task, m.name);
+        spdlog::info("task {}/{}: {} can't be reached, to be placed elsewhere", key.job, key.task,
+                     machine.name);
         on_attempt_terminated(*job, key.task, 0);
     }
 }
 
 /// No answer: each launch in it may still be executed, as long as token and session match. It stays in doubt,
 /// and is sent again: a repeated launch has no effect.
-void ShardOwner::on_orders_unanswered(Machine& m, const std::set<AttemptKey>& launched,
+void ShardOwner::on_orders_unanswered(Machine& machine, const std::set<AttemptKey>& launched,
                                       std::uint64_t sent_token, std::uint64_t session) {
     const Micros now = context_.runtime().now();
-    for (const auto& key : launched) m.unacknowledged_launches.insert({key, {sent_token, session, now}});
-    m.direct_call_backoff = std::clamp(m.direct_call_backoff * 2, kSecond, 4 * kSecond);
-    m.next_direct_call_at = now + m.direct_call_backoff;
-    mark_suspect(m);
-    for (const auto& [job, task] : m.tasks) {
+    for (const auto& key : launched)
+        machine.unacknowledged_launches.insert({key, {sent_token, session, now}});
+    machine.direct_call_backoff = std::clamp(machine.direct_call_backoff * 2, kSecond, 4 * kSecond);
+    machine.next_direct_call_at = now + machine.direct_call_backoff;
+    mark_suspect(machine);
+    for (const auto& [job, task] : machine.tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state == SlotState::Bound && slot.launch_sent && !slot.seen)
             slot.launched_by_response = false;
@@ -321,11 +329,11 @@
 
 /// Raises one machine's token in its block record, which ends all doubt about unanswered launches. The other
 /// machines of the block keep theirs.
-void ShardOwner::raise_token(Machine& m) {
-    if (m.raising_token) return;
-    m.raising_token = true;
-    context_.edit_machine(shard_, m.name, ShardContext::MachineEdit::RaiseToken,
-                          [this, alive = alive_, name = m.name](bool) {
+void ShardOwner::raise_token(Machine& machine) {
+    if (machine.raising_token) return;
+    machine.raising_token = true;
+    context_.edit_machine(shard_, machine.name, ShardContext::MachineEdit::RaiseToken,
+                          [this, alive = alive_, name = machine.name](bool) {
                               if (!*alive) return;
                               auto it = shard_state_.machines.find(name);
                               if (it != shard_state_.machines.end()) it->second->raising_token = false;
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -21,17 +21,17 @@
 /// a job has ever run, neither is known to be at fault, and the job itself keeps off the machine. One that
 /// fails on several machines and runs on none is taken to be broken: it is tried with one task at a time and
 /// ever more seldom, so that it takes hardly any room, starts and changes. Only its user ends it.
-Micros ShardOwner::handle_task_failure(Machine& m, Job& job, Slot& slot) {
+Micros ShardOwner::handle_task_failure(Machine& machine, Job& job, Slot& slot) {
     const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
     if (job.done > 0) job.proven_runnable = true;
     if (job.proven_runnable) {
-        record_failure(m, job, now);
-        spdlog::info("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), m.name);
+        record_failure(machine, job, now);
+        spdlog::info("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
         return kSecond << std::min(slot.errors - 1, 5);
     }
     ++job.failures;
-    if (job.failed_machines.size() < kMaxFailedOn) job.failed_machines.insert(m.name);
+    if (job.failed_machines.size() < kMaxFailedOn) job.failed_machines.insert(machine.name);
     if (job.backing_off) {
         if (slot.attempt < job.backoff_first_attempt) return kSecond;  // began with the others
         job.next_try_at = now + std::min(kFirstTry << std::min(job.backoff_tries, 10), kLongestTry);
@@ -45,7 +45,7 @@
                      job.spec.ref, job.failures, job.failed_machines.size());
         mark_part_dirty(job, 0);  // so that another holder does not begin with all of it again
     }
-    spdlog::debug("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), m.name);
+    spdlog::debug("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
     return kSecond;
 }
 
@@ -55,8 +55,8 @@
     job.proven_runnable = true;
     const Micros now = context_.runtime().now();
     for (const auto& name : job.failed_machines)
-        if (auto m = shard_state_.machines.find(name); m != shard_state_.machines.end())
-            record_failure(*m->second, job, now);
+        if (auto machine = shard_state_.machines.find(name); machine != shard_state_.machines.end())
+            record_failure(*machine->second, job, now);
     job.failed_machines.clear();
     if (!job.backing_off) return;
     job.backing_off = false;
@@ -66,10 +66,11 @@
     plan_due_ = true;
 }
 
-void ShardOwner::record_failure(Machine& m, const Job& job, Micros now) {
-    m.failing_jobs.insert(job.spec.ref);
-    m.avoid_until = now + (m.failing_jobs.size() >= 2 ? kAvoidLong : kAvoid);
-    spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", m.name, m.failing_jobs.size());
+void ShardOwner::record_failure(Machine& machine, const Job& job, Micros now) {
+    machine.failing_jobs.insert(job.spec.ref);
+    machine.avoid_until = now + (machine.failing_jobs.size() >= 2 ? kAvoidLong : kAvoid);
+    spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", machine.name,
+                 machine.failing_jobs.size());
 }
 
 }  // namespace cottonway
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -64,8 +64,8 @@
             auto v = wire::number(value, key);
             return v ? std::optional(static_cast<std::int64_t>(*v)) : std::nullopt;
         };
-        auto job =
-            new_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"), context_.dependency_status(ref));
+        auto job = create_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"),
+                              context_.dependency_status(ref));
         // The previous version's records don't tell and have 64 tasks a part.
         divide_into_parts(*job, std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1));
         known = job.get();
@@ -102,9 +102,9 @@
     context_.wake();
 }
 
-std::unique_ptr<Job> ShardOwner::new_job(JobSpec spec, std::int64_t submitted_ms,
-                                         std::optional<std::int64_t> gate_ms,
-                                         const DependencyStatus& dependency_status) {
+std::unique_ptr<Job> ShardOwner::create_job(JobSpec spec, std::int64_t submitted_ms,
+                                            std::optional<std::int64_t> gate_ms,
+                                            const DependencyStatus& dependency_status) {
     auto job = std::make_unique<Job>();
     job->spec = std::move(spec);
     job->serial = next_serial_++;
@@ -129,7 +129,7 @@
                        std::function<void(const Admission&)> done) {
     const std::string ref = spec.ref;
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
-    auto job = new_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
+    auto job = create_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
     auto needs = std::exchange(job->spec.needs, {});  // gone by the time when its parts fill
     divide_into_parts(*job, compute_tasks_per_part(context_.settings().value_bytes,
                                                    chunks::stored_size(part_value(*job, 0, false))));
@@ -250,10 +250,10 @@
             return;
         }
         if (slot.state != SlotState::Unbound || slot.attempt >= attempt) return;
-        auto m = shard_state_.machines.find(machine);
+        auto found = shard_state_.machines.find(machine);
         // No machine of ours: it was proven gone, or given away empty.
-        if (m == shard_state_.machines.end()) return;
-        shard_state_.bind(job, static_cast<int>(task), *m->second, attempt);
+        if (found == shard_state_.machines.end()) return;
+        shard_state_.bind(job, static_cast<int>(task), *found->second, attempt);
         --job.parts[part].pending_binds;
         slot.state = SlotState::Bound;
         slot.inherited = true;
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -45,16 +45,16 @@
             context_.runtime().listened();
         owned->relinquishments.resize(context_.settings().peers.size());
     }
-    Machine& m = *owned;
-    m.block = block.id;
-    m.type_name = block.type;
-    m.zone = block.zone;
-    m.spot = block.spot;
-    if (!entry.addr.empty()) m.addr = entry.addr;
-    m.retired = entry.retired;
-    m.token = std::max<std::uint64_t>(m.token, entry.token);
-    m.type = context_.machine_type(block.type);
-    if (m.token_seen < token(m)) request_dispatch(m);
+    Machine& machine = *owned;
+    machine.block = block.id;
+    machine.type_name = block.type;
+    machine.zone = block.zone;
+    machine.spot = block.spot;
+    if (!entry.addr.empty()) machine.addr = entry.addr;
+    machine.retired = entry.retired;
+    machine.token = std::max<std::uint64_t>(machine.token, entry.token);
+    machine.type = context_.machine_type(block.type);
+    if (machine.token_seen < token(machine)) request_dispatch(machine);
 }
 
 void ShardOwner::on_machine_gone(const std::string& name, const char* why) {
@@ -66,26 +66,28 @@
     shard_state_.machines.erase(it);
 }
 
-void ShardOwner::terminate_all_attempts(Machine& m, const char* why) {
-    if (!m.tasks.empty()) spdlog::info("machine {}: {} tasks are gone: {}", m.name, m.tasks.size(), why);
-    const auto tasks = m.tasks;
+void ShardOwner::terminate_all_attempts(Machine& machine, const char* why) {
+    if (!machine.tasks.empty())
+        spdlog::info("machine {}: {} tasks are gone: {}", machine.name, machine.tasks.size(), why);
+    const auto tasks = machine.tasks;
     for (const auto& t : tasks) on_attempt_terminated(*t.job, t.task, 0);
-    shard_state_.forget_orphaned_tasks(m);
-    m.exited_tasks.clear();
-    m.unacknowledged_launches.clear();
-    m.launches_in_responses.clear();
-    m.acknowledged_launches.clear();
+    shard_state_.forget_orphaned_tasks(machine);
+    machine.exited_tasks.clear();
+    machine.unacknowledged_launches.clear();
+    machine.launches_in_responses.clear();
+    machine.acknowledged_launches.clear();
 }
 
-Micros ShardOwner::silent_for(const Machine& m) const {
-    return context_.runtime().listened() - m.last_heartbeat_listening;
+Micros ShardOwner::silent_for(const Machine& machine) const {
+    return context_.runtime().listened() - machine.last_heartbeat_listening;
 }
 
 /// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
 /// calls shows only the latter.
-Micros ShardOwner::unreachable_for(const Machine& m) const {
+Micros ShardOwner::unreachable_for(const Machine& machine) const {
     const Micros listened = context_.runtime().listened();
-    return std::max(listened - m.last_report_listening, m.suspect ? listened - m.suspect_since : 0);
+    return std::max(listened - machine.last_report_listening,
+                    machine.suspect ? listened - machine.suspect_since : 0);
 }
 
 Micros ShardOwner::unreachable_limit() const {
@@ -100,36 +102,37 @@
     spdlog::info("machine {}: {}", machine, on ? "surplus, nothing new is bound to it" : "needed again");
 }
 
-bool ShardOwner::runs_only_spot_arrays(const Machine& m) const {
-    return std::all_of(m.tasks.begin(), m.tasks.end(), [](const TaskRef& t) {
+bool ShardOwner::runs_only_spot_arrays(const Machine& machine) const {
+    return std::all_of(machine.tasks.begin(), machine.tasks.end(), [](const TaskRef& t) {
         return t.job->spec.kind == JobKind::Array && t.job->spec.spot;
     });
 }
 
-bool ShardOwner::is_bindable(const Machine& m) const {
+bool ShardOwner::is_bindable(const Machine& machine) const {
     const Micros now = context_.runtime().now();
-    return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.transferring &&
-           !m.interruption_notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
-           unreachable_for(m) < unreachable_limit();
+    return machine.type && machine.seq > 0 && machine.token_seen >= token(machine) && !machine.retired &&
+           !machine.retiring && !machine.transferring && !machine.interruption_notice && !machine.suspect &&
+           now >= machine.avoid_until && machine.orphaned_tasks.empty() &&
+           unreachable_for(machine) < unreachable_limit();
 }
 
 /// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
 /// granted as long as the worker has not shown our token, and what other controllers may have renewed on our
 /// behalf. Of the last only their promise tells, or that they can't have been entitled any more.
-bool ShardOwner::is_lease_expired(const Machine& m) const {
+bool ShardOwner::is_lease_expired(const Machine& machine) const {
     // A report that we answered renews the lease from when it was sent, which was before it was heard.
-    Micros last = std::max(m.last_heartbeat, m.known_since);
-    if (m.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
-    return are_leases_expired_since(m, last);
+    Micros last = std::max(machine.last_heartbeat, machine.known_since);
+    if (machine.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
+    return are_leases_expired_since(machine, last);
 }
 
 /// The same, where the shard's holders can have granted none since `last`.
-bool ShardOwner::are_leases_expired_since(const Machine& m, Micros last) const {
+bool ShardOwner::are_leases_expired_since(const Machine& machine, Micros last) const {
     const Micros now = context_.runtime().now();
     if (now <= last + with_drift(context_.settings().lease)) return false;
-    for (std::size_t peer = 0; peer < m.relinquishments.size(); ++peer) {
-        if (m.relinquishments[peer].until > now)
-            last = std::max(last, m.relinquishments[peer].last_renewal_at);
+    for (std::size_t peer = 0; peer < machine.relinquishments.size(); ++peer) {
+        if (machine.relinquishments[peer].until > now)
+            last = std::max(last, machine.relinquishments[peer].last_renewal_at);
         else if (auto ended = context_.peer_authority_end(peer))
             last = std::max(last, *ended);
         else
@@ -142,10 +145,11 @@
     std::vector<std::string> names;
     const Micros now = context_.runtime().now();
     const Micros half = context_.settings().lease / 2;
-    for (const auto& [name, m] : shard_state_.machines) {
+    for (const auto& [name, machine] : shard_state_.machines) {
         const bool unheard =
-            silent_for(*m) > half || (m->token_seen < mod_revision_ && now - acquired_at_ > half);
-        if (unheard && !m->is_idle() && m->relinquishments[peer].until < now + context_.settings().lease)
+            silent_for(*machine) > half || (machine->token_seen < mod_revision_ && now - acquired_at_ > half);
+        if (unheard && !machine->is_idle() &&
+            machine->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
     return names;
@@ -163,7 +167,7 @@
     for (auto& [ref, job] : shard_state_.jobs)
         if (job->spec.kind == JobKind::Gang && job->unbound > 0 && job->bound > 0) stop_incomplete_gang(*job);
     std::size_t bound = 0;
-    for (const auto& [name, m] : shard_state_.machines) bound += m->tasks.size();
+    for (const auto& [name, machine] : shard_state_.machines) bound += machine->tasks.size();
     const Micros now = context_.runtime().now();
     rebalancer_.adopt();
     startup_.start(now, now - acquired_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
@@ -174,39 +178,40 @@
 void ShardOwner::tick() {
     const Micros now = context_.runtime().now();
     for (auto& [name, owned] : shard_state_.machines) {
-        Machine& m = *owned;
-        if (!m.type) m.type = context_.machine_type(m.type_name);
-        if (m.token_seen < token(m) || (active_ && m.seq == 0)) request_dispatch(m);
+        Machine& machine = *owned;
+        if (!machine.type) machine.type = context_.machine_type(machine.type_name);
+        if (machine.token_seen < token(machine) || (active_ && machine.seq == 0)) request_dispatch(machine);
         if (!active_) continue;
-        if (!m.orphaned_tasks.empty()) request_dispatch(m);
+        if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
         // Where the worker is not heard its session ends by itself, unless another controller keeps it alive
         // on our behalf: then a launch of a job that has been cancelled since could arrive at any time.
-        const bool heard = silent_for(m) < 2 * context_.settings().report_every;
-        const bool raises = std::any_of(
-            m.unacknowledged_launches.begin(), m.unacknowledged_launches.end(), [&](const auto& t) {
-                return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
-                       (heard || !is_job_queued(t.first.job));
-            });
-        if (raises) raise_token(m);
-        if (m.is_idle()) continue;
-        if (is_lease_expired(m)) {
-            terminate_all_attempts(m, "its lease is over");
-            m.min_session = m.session + 1;
+        const bool heard = silent_for(machine) < 2 * context_.settings().report_every;
+        const bool raises = std::any_of(machine.unacknowledged_launches.begin(),
+                                        machine.unacknowledged_launches.end(), [&](const auto& t) {
+                                            return now - t.second.since > kUnanswered &&
+                                                   t.second.token >= token(machine) &&
+                                                   (heard || !is_job_queued(t.first.job));
+                                        });
+        if (raises) raise_token(machine);
+        if (machine.is_idle()) continue;
+        if (is_lease_expired(machine)) {
+            terminate_all_attempts(machine, "its lease is over");
+            machine.min_session = machine.session + 1;
             continue;
         }
         // Tasks to be stopped whose launch was never sent, or can no longer arrive; and what is to be sent.
         std::vector<TaskRef> dead;
-        for (const auto& t : m.tasks) {
+        for (const auto& t : machine.tasks) {
             const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop_requested || !slot.seen) request_dispatch(m);
+            if (slot.stop_requested || !slot.seen) request_dispatch(machine);
             // What is left of a gang that is done is never launched, since its others are not bound any more.
             if ((slot.stop_requested || t.job->gang_done) && !slot.seen && !slot.inherited &&
-                !can_still_start(m, slot, {t.job->spec.ref, t.task, slot.attempt}))
+                !can_still_start(machine, slot, {t.job->spec.ref, t.task, slot.attempt}))
                 dead.push_back(t);
         }
         for (const auto& t : dead) on_attempt_terminated(*t.job, t.task, 0);
-        if (m.interruption_notice && now <= m.interruption_at) drain_interrupted(m);
+        if (machine.interruption_notice && now <= machine.interruption_at) stop_before_interruption(machine);
     }
     flush_due_ = true;
     for (const auto& job : cancellations_.take_overdue(now, context_.settings().cancel / 2))
@@ -260,10 +265,10 @@
 
 /// On a machine that will be taken, work that can save itself is stopped in time, and so is what will hardly
 /// be done before: it starts elsewhere now, instead of being in doubt once the machine is silent.
-void ShardOwner::drain_interrupted(Machine& m) {
+void ShardOwner::stop_before_interruption(Machine& machine) {
     const Micros now = context_.runtime().now();
-    const Micros left = std::max<Micros>(m.interruption_at - now, 0);
-    const auto tasks = m.tasks;
+    const Micros left = std::max<Micros>(machine.interruption_at - now, 0);
+    const auto tasks = machine.tasks;
     for (const auto& [job, task] : tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound || slot.stop_requested) continue;
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -119,14 +119,14 @@
     const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return shard_state_.machines; }
     const std::map<std::string, std::unique_ptr<Job>>& jobs() const { return shard_state_.jobs; }
     void retire(const std::string& machine, const char* why);
-    Micros silent_for(const Machine& m) const;
+    Micros silent_for(const Machine& machine) const;
     /// For how long it has not reported, or not shown that it hears us.
-    Micros unreachable_for(const Machine& m) const;
+    Micros unreachable_for(const Machine& machine) const;
     /// For how long it may be that before nothing more is bound to it.
     Micros unreachable_limit() const;
     void drain(const std::string& machine, bool on);
     /// Whether everything on it ends by itself before long and could have run elsewhere.
-    bool runs_only_spot_arrays(const Machine& m) const;
+    bool runs_only_spot_arrays(const Machine& machine) const;
     peer::ShardLoad load() const;
     /// What waits for room, if anything has for a while.
     std::optional<peer::CapacityRequest> capacity_request() const;
@@ -168,51 +168,54 @@
     Json waiting_by_tier() const;
     policy::Tier tier(const Job& job) const { return context_.policy().tier(job.spec, job.rank); }
 
-    std::uint64_t token(const Machine& m) const { return std::max<std::uint64_t>(mod_revision_, m.token); }
+    std::uint64_t token(const Machine& machine) const {
+        return std::max<std::uint64_t>(mod_revision_, machine.token);
+    }
     // Scheduler::Shard.
-    bool usable(const Machine& m) const override { return !m.draining && is_bindable(m); }
-    bool surplus(const Machine& m) const override { return m.draining && is_bindable(m); }
-    bool is_bindable(const Machine& m) const;
+    bool usable(const Machine& machine) const override { return !machine.draining && is_bindable(machine); }
+    bool surplus(const Machine& machine) const override { return machine.draining && is_bindable(machine); }
+    bool is_bindable(const Machine& machine) const;
     void bound(Job& job, int task) override;
     void stop(Slot& slot, Micros grace) override;
-    Resources kept_from(const Job& job, const Machine& m) const override {
-        return rebalancer_.kept_from(job, m);
+    Resources kept_from(const Job& job, const Machine& machine) const override {
+        return rebalancer_.kept_from(job, machine);
     }
     bool keeps_for(const Job& job) const override { return rebalancer_.keeps_for(job); }
     const Machine* destination(const Job& job, int task) const override {
         return rebalancer_.destination(job, task);
     }
 
-    bool is_lease_expired(const Machine& m) const;
+    bool is_lease_expired(const Machine& machine) const;
     /// Whether the job goes on.
     bool is_job_queued(const std::string& ref) const {
         const Job* job = shard_state_.job(ref);
         return job && job->stage == Stage::Queued;
     }
-    bool are_leases_expired_since(const Machine& m, Micros last) const;
-    bool has_received_answer(const Machine& m, const Report& r) const;
+    bool are_leases_expired_since(const Machine& machine, Micros last) const;
+    bool has_received_answer(const Machine& machine, const Report& r) const;
 
-    void register_incarnation(Machine& m, const Report& report, bool is_report);
-    void mark_suspect(Machine& m);
-    void apply_heartbeat(Machine& m, const Report& report, bool is_report);
-    void handle_absent_task(Machine& m, Job& job, int task, const Report& report, bool is_report);
-    void handle_exited_task(Machine& m, Job& job, int task, ExitCause cause);
+    void register_incarnation(Machine& machine, const Report& report, bool is_report);
+    void mark_suspect(Machine& machine);
+    void apply_heartbeat(Machine& machine, const Report& report, bool is_report);
+    void handle_absent_task(Machine& machine, Job& job, int task, const Report& report, bool is_report);
+    void handle_exited_task(Machine& machine, Job& job, int task, ExitCause cause);
     void handle_task_result(Job& job, int task);
     void on_attempt_terminated(Job& job, int task, Micros retry_in);
-    Micros handle_task_failure(Machine& m, Job& job, Slot& slot);
+    Micros handle_task_failure(Machine& machine, Job& job, Slot& slot);
     void on_first_success(Job& job);
-    static void record_failure(Machine& m, const Job& job, Micros now);
-    void terminate_all_attempts(Machine& m, const char* why);
-    static bool can_still_start(const Machine& m, const Slot& slot, const AttemptKey& key);
-    static bool has_unsettled_launch(const Machine& m, const AttemptKey& key);
-    recovery::StoredTask stored_task(const Job* job, const Slot* slot, const Machine& m,
+    static void record_failure(Machine& machine, const Job& job, Micros now);
+    void terminate_all_attempts(Machine& machine, const char* why);
+    static bool can_still_start(const Machine& machine, const Slot& slot, const AttemptKey& key);
+    static bool has_unsettled_launch(const Machine& machine, const AttemptKey& key);
+    recovery::StoredTask stored_task(const Job* job, const Slot* slot, const Machine& machine,
                                      std::int64_t attempt) const;
-    void handle_listed_task(Machine& m, Job& job, Slot& slot, Phase phase);
-    int dispatch_urgency(const Machine& m) const;
+    void handle_listed_task(Machine& machine, Job& job, Slot& slot, Phase phase);
+    int dispatch_urgency(const Machine& machine) const;
 
     /// A job as it begins here; `gate_ms`: when its gate opened, if its record tells.
-    std::unique_ptr<Job> new_job(JobSpec spec, std::int64_t submitted_ms, std::optional<std::int64_t> gate_ms,
-                                 const DependencyStatus& dependency_status);
+    std::unique_ptr<Job> create_job(JobSpec spec, std::int64_t submitted_ms,
+                                    std::optional<std::int64_t> gate_ms,
+                                    const DependencyStatus& dependency_status);
     static void divide_into_parts(Job& job, std::size_t tasks_per_part);
     void apply_dependency_status(Job& job, const DependencyStatus& dependency_status);
     void on_dependencies_met(Job& job);
@@ -228,7 +231,7 @@
     void drop_transferred_job(Job& job);
 
     void plan();
-    void drain_interrupted(Machine& m);
+    void stop_before_interruption(Machine& machine);
 
     void mark_part_dirty(Job& job, std::size_t part);
     std::vector<Condition> record_conditions(const Job& job) const;
@@ -249,20 +252,20 @@
     Json part_value(const Job& job, std::size_t part, bool final_record) const;
     void adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision);
 
-    std::vector<Order> orders_for(Machine& m, bool direct);
-    void add_clears(Machine& m, std::vector<Order>& orders);
-    bool can_clear(const Machine& m, const ReportedTask& t, std::size_t& uncleared) const;
+    std::vector<Order> orders_for(Machine& machine, bool direct);
+    void add_clears(Machine& machine, std::vector<Order>& orders);
+    bool can_clear(const Machine& machine, const ReportedTask& t, std::size_t& uncleared) const;
     void add_stop(Slot& slot, const AttemptKey& key, bool direct, std::vector<Order>& orders);
-    void add_launch(Machine& m, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
+    void add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                     std::vector<Order>& orders);
-    bool is_probe_due(const Machine& m) const;
-    void request_dispatch(Machine& m);
+    bool is_probe_due(const Machine& machine) const;
+    void request_dispatch(Machine& machine);
     void send_orders();
-    void send_orders_to(Machine& m);
-    void on_orders_not_sent(Machine& m, const std::set<AttemptKey>& launched);
-    void on_orders_unanswered(Machine& m, const std::set<AttemptKey>& launched, std::uint64_t token,
+    void send_orders_to(Machine& machine);
+    void on_orders_not_sent(Machine& machine, const std::set<AttemptKey>& launched);
+    void on_orders_unanswered(Machine& machine, const std::set<AttemptKey>& launched, std::uint64_t token,
                               std::uint64_t session);
-    void raise_token(Machine& m);
+    void raise_token(Machine& machine);
 
     ShardContext& context_;
     std::string shard_;
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t kMaxImagesPerMachine = 64;
 constexpr std::size_t kBindingOverheadBytes = 14;  // size of a stored binding without the machine's name
 
-std::size_t binding_bytes(const Machine& m) {
-    return m.name.size() + kBindingOverheadBytes;
+std::size_t binding_bytes(const Machine& machine) {
+    return machine.name.size() + kBindingOverheadBytes;
 }
 
 }  // namespace
@@ -30,37 +30,37 @@
     return it == usage_.end() ? Resources{} : it->second;
 }
 
-void ShardState::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
+void ShardState::bind(Job& job, int task, Machine& machine, std::int64_t attempt) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const int errors = slot.errors;
     slot = Slot{};
     slot.errors = errors;
     slot.state = SlotState::Binding;
     slot.attempt = attempt;
-    slot.machine = &m;
+    slot.machine = &machine;
     --job.unbound;
     ++job.bound;
     auto& part = job.part_of(task);
     ++part.pending_binds;
-    part.bytes += binding_bytes(m);
-    m.reserved += job.spec.request;
-    if (job.rank == PriorityClass::Low) m.low_priority_cores += job.spec.request.cores;
-    m.tasks.insert({&job, task});
+    part.bytes += binding_bytes(machine);
+    machine.reserved += job.spec.request;
+    if (job.rank == PriorityClass::Low) machine.low_priority_cores += job.spec.request.cores;
+    machine.tasks.insert({&job, task});
     usage_[job.spec.team] += job.spec.request;
-    remember_image(m, job, false);
+    remember_image(machine, job, false);
 }
 
 void ShardState::release(Job& job, Slot& slot, Micros listened) {
-    Machine& m = *slot.machine;
+    Machine& machine = *slot.machine;
     const auto task = static_cast<int>(&slot - job.slots.data());
     auto& part = job.part_of(task);
     if (slot.state == SlotState::Binding) --part.pending_binds;
-    part.bytes -= binding_bytes(m);
-    m.reserved -= job.spec.request;
-    if (job.rank == PriorityClass::Low) m.low_priority_cores -= job.spec.request.cores;
-    m.tasks.erase({&job, task});
-    forget_unused_fetch(m, job);
-    if (m.tasks.empty()) m.idle_since = listened;
+    part.bytes -= binding_bytes(machine);
+    machine.reserved -= job.spec.request;
+    if (job.rank == PriorityClass::Low) machine.low_priority_cores -= job.spec.request.cores;
+    machine.tasks.erase({&job, task});
+    forget_unused_fetch(machine, job);
+    if (machine.tasks.empty()) machine.idle_since = listened;
     usage_[job.spec.team] -= job.spec.request;
     slot.machine = nullptr;
     slot.state = SlotState::Unbound;
@@ -70,43 +70,43 @@
     ++job.unbound;
 }
 
-void ShardState::add_orphaned_task(Machine& m, const ReportedTask& task) {
-    m.orphaned_tasks.push_back(task);
+void ShardState::add_orphaned_task(Machine& machine, const ReportedTask& task) {
+    machine.orphaned_tasks.push_back(task);
     ++orphaned_task_counts_[{task.job, task.task}];
 }
 
-void ShardState::forget_orphaned_tasks(Machine& m) {
-    for (const auto& orphan : m.orphaned_tasks)
+void ShardState::forget_orphaned_tasks(Machine& machine) {
+    for (const auto& orphan : machine.orphaned_tasks)
         if (--orphaned_task_counts_[{orphan.job, orphan.task}] <= 0)
             orphaned_task_counts_.erase({orphan.job, orphan.task});
-    m.orphaned_tasks.clear();
+    machine.orphaned_tasks.clear();
 }
 
-void ShardState::remember_image(Machine& m, const Job& job, bool ready) {
-    auto known = std::find_if(m.images.begin(), m.images.end(),
+void ShardState::remember_image(Machine& machine, const Job& job, bool ready) {
+    auto known = std::find_if(machine.images.begin(), machine.images.end(),
                               [&](const Machine::Image& image) { return image.name == job.spec.image; });
-    if (known != m.images.end()) {
+    if (known != machine.images.end()) {
         known->ready = known->ready || ready;
-        std::rotate(known, known + 1, m.images.end());
+        std::rotate(known, known + 1, machine.images.end());
     } else {
-        m.images.push_back({job.spec.image, job.spec.image_gb, ready});
+        machine.images.push_back({job.spec.image, job.spec.image_gb, ready});
     }
     Milli total = 0;
-    for (const auto& image : m.images) total += image.gb;
-    while (m.images.size() > 1 &&
-           (m.images.size() > kMaxImagesPerMachine || (m.type && total > m.type->cache_gb))) {
-        total -= m.images.front().gb;
-        m.images.erase(m.images.begin());
+    for (const auto& image : machine.images) total += image.gb;
+    while (machine.images.size() > 1 && (machine.images.size() > kMaxImagesPerMachine ||
+                                         (machine.type && total > machine.type->cache_gb))) {
+        total -= machine.images.front().gb;
+        machine.images.erase(machine.images.begin());
     }
 }
 
 /// Forgets a fetch that no task on the machine needs any more: the worker gives it up.
-void ShardState::forget_unused_fetch(Machine& m, const Job& job) {
-    const bool still_needed = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& task) {
-        return task.job->spec.image == job.spec.image;
-    });
+void ShardState::forget_unused_fetch(Machine& machine, const Job& job) {
+    const bool still_needed =
+        std::any_of(machine.tasks.begin(), machine.tasks.end(),
+                    [&](const TaskRef& task) { return task.job->spec.image == job.spec.image; });
     if (!still_needed)
-        std::erase_if(m.images, [&](const Machine::Image& image) {
+        std::erase_if(machine.images, [&](const Machine::Image& image) {
             return !image.ready && image.name == job.spec.image;
         });
 }
--- a/src/shard/shard_state.hpp
+++ b/src/shard/shard_state.hpp
@@ -25,25 +25,25 @@
 
     /// Binds an unbound task to a machine under a new attempt. From here on the task uses the machine's room
     /// and its team's quota.
-    void bind(Job& job, int task, Machine& m, std::int64_t attempt);
+    void bind(Job& job, int task, Machine& machine, std::int64_t attempt);
     /// Makes a task unbound again, once its attempt is proven gone or if its binding never became durable.
     /// `listened` is the current time of the listening clock.
     void release(Job& job, Slot& slot, Micros listened);
 
     /// Records a task that runs on a machine without being bound to it. It must not start elsewhere until
     /// that attempt is gone.
-    void add_orphaned_task(Machine& m, const ReportedTask& t);
-    void forget_orphaned_tasks(Machine& m);
+    void add_orphaned_task(Machine& machine, const ReportedTask& t);
+    void forget_orphaned_tasks(Machine& machine);
     bool has_orphaned_task(const std::string& job, int task) const {
         return orphaned_task_counts_.count({job, task}) > 0;
     }
 
     /// Records that the machine has the job's image, or fetches it if `ready` is false. Other tasks that need
     /// the image then prefer to wait for that fetch over starting another one elsewhere.
-    static void remember_image(Machine& m, const Job& job, bool ready);
+    static void remember_image(Machine& machine, const Job& job, bool ready);
 
   private:
-    static void forget_unused_fetch(Machine& m, const Job& job);
+    static void forget_unused_fetch(Machine& machine, const Job& job);
 
     std::map<std::string, Resources> usage_;  // by team
     std::map<std::pair<std::string, int>, int> orphaned_task_counts_;
