--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Micros kPlanEvery = 20 * kMillisecond;
-/// How long a launch may go without an answer until its machine's token is raised.
-constexpr Micros kUnanswered = 3 * kSecond;
+constexpr Micros kPlanningInterval = 20 * kMillisecond;
+/// A machine's token is raised when a launch sent to it has had no answer for this long.
+constexpr Micros kLaunchAnswerTimeout = 3 * kSecond;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 ShardOwner::~ShardOwner() {
     *alive_ = false;
-    // What of these is durable is in the store; whoever asked looks there.
+    // If a record became durable all the same, whoever submitted the job finds it in the store.
     for (auto& [ref, job] : shard_state_.jobs)
         if (job->on_admitted) job->on_admitted({CommitStatus::Unknown, 0, {}});
 }
@@ -58,8 +58,9 @@
 }
 
 void ShardOwner::on_machine_gone(const std::string& name, const char* why) {
-    // A record stops listing a machine once the cloud has confirmed its deletion, or when it has been given
-    // to another shard while it was empty: whatever a job's record still lists there is gone.
+    // A block record stops listing a machine once the cloud has confirmed its deletion, or when the machine
+    // was transferred to another shard while it was empty. So every task that a job's record still binds to
+    // the machine is gone.
     auto it = shard_state_.machines.find(name);
     if (it == shard_state_.machines.end()) return;
     terminate_all_attempts(*it->second, why);
@@ -70,7 +71,7 @@
     if (!machine.tasks.empty())
         spdlog::info("machine {}: {} tasks are gone: {}", machine.name, machine.tasks.size(), why);
     const auto tasks = machine.tasks;
-    for (const auto& t : tasks) on_attempt_terminated(*t.job, t.task, 0);
+    for (const auto& task : tasks) on_attempt_terminated(*task.job, task.task, 0);
     shard_state_.forget_orphaned_tasks(machine);
     machine.exited_tasks.clear();
     machine.unacknowledged_launches.clear();
@@ -82,8 +83,8 @@
     return context_.runtime().listened() - machine.last_heartbeat_listening;
 }
 
-/// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
-/// calls shows only the latter.
+/// A worker is usable while it reports, which renews its lease, and receives orders. Its answers to direct
+/// calls only prove the latter.
 Micros ShardOwner::unreachable_for(const Machine& machine) const {
     const Micros listened = context_.runtime().listened();
     return std::max(listened - machine.last_report_listening,
@@ -99,12 +100,13 @@
     if (it == shard_state_.machines.end() || it->second->draining == on) return;
     it->second->draining = on;
     plan_due_ = true;
-    spdlog::info("machine {}: {}", machine, on ? "surplus, nothing new is bound to it" : "needed again");
+    spdlog::info("machine {}: {}", machine,
+                 on ? "surplus, no new tasks are bound to it" : "needed again, tasks may be bound to it");
 }
 
 bool ShardOwner::runs_only_spot_arrays(const Machine& machine) const {
-    return std::all_of(machine.tasks.begin(), machine.tasks.end(), [](const TaskRef& t) {
-        return t.job->spec.kind == JobKind::Array && t.job->spec.spot;
+    return std::all_of(machine.tasks.begin(), machine.tasks.end(), [](const TaskRef& task) {
+        return task.job->spec.kind == JobKind::Array && task.job->spec.spot;
     });
 }
 
@@ -116,17 +118,19 @@
            unreachable_for(machine) < unreachable_limit();
 }
 
-/// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
-/// granted as long as the worker has not shown our token, and what other controllers may have renewed on our
-/// behalf. Of the last only their promise tells, or that they can't have been entitled any more.
+/// Returns true if every lease that the worker may hold has expired: leases that this holder granted, leases
+/// that a former holder may have granted while the worker has not reported this holder's token, and renewals
+/// by other controllers on the holder's behalf. The latter are excluded only by a controller's promise not to
+/// renew, or once that controller can no longer be entitled to.
 bool ShardOwner::is_lease_expired(const Machine& machine) const {
-    // A report that we answered renews the lease from when it was sent, which was before it was heard.
+    // An answered report renews the lease from the time when it was sent, which was before it arrived here.
     Micros last = std::max(machine.last_heartbeat, machine.known_since);
     if (machine.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
     return are_leases_expired_since(machine, last);
 }
 
-/// The same, where the shard's holders can have granted none since `last`.
+/// Returns true if every lease that the worker may hold has expired, given that no holder of the shard has
+/// granted one after `last`.
 bool ShardOwner::are_leases_expired_since(const Machine& machine, Micros last) const {
     const Micros now = context_.runtime().now();
     if (now <= last + with_drift(context_.settings().lease)) return false;
@@ -144,11 +148,11 @@
 std::vector<std::string> ShardOwner::machines_to_relinquish(std::size_t peer) const {
     std::vector<std::string> names;
     const Micros now = context_.runtime().now();
-    const Micros half = context_.settings().lease / 2;
+    const Micros half_lease = context_.settings().lease / 2;
     for (const auto& [name, machine] : shard_state_.machines) {
-        const bool unheard =
-            silent_for(*machine) > half || (machine->token_seen < mod_revision_ && now - acquired_at_ > half);
-        if (unheard && !machine->is_idle() &&
+        const bool is_silent = silent_for(*machine) > half_lease ||
+                               (machine->token_seen < mod_revision_ && now - acquired_at_ > half_lease);
+        if (is_silent && !machine->is_idle() &&
             machine->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
@@ -160,7 +164,7 @@
     if (it != shard_state_.machines.end()) it->second->relinquishments[peer] = promise;
 }
 
-// ---------------------------------------------------------------- the pass over everything
+// ---------------------------------------------------------------- periodic work
 
 void ShardOwner::activate() {
     active_ = true;
@@ -183,34 +187,36 @@
         if (machine.token_seen < token(machine) || (active_ && machine.seq == 0)) request_dispatch(machine);
         if (!active_) continue;
         if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
-        // Where the worker is not heard its session ends by itself, unless another controller keeps it alive
-        // on our behalf: then a launch of a job that has been cancelled since could arrive at any time.
+        // The session of a silent worker ends by itself, unless another controller renews its lease on this
+        // holder's behalf. In that case an unanswered launch could arrive at any time, even if its job has
+        // been cancelled since, so the token is raised for jobs that are no longer queued as well.
         const bool heard = silent_for(machine) < 2 * context_.settings().report_every;
-        const bool raises = std::any_of(machine.unacknowledged_launches.begin(),
-                                        machine.unacknowledged_launches.end(), [&](const auto& t) {
-                                            return now - t.second.since > kUnanswered &&
-                                                   t.second.token >= token(machine) &&
-                                                   (heard || !is_job_queued(t.first.job));
-                                        });
-        if (raises) raise_token(machine);
+        const bool needs_new_token = std::any_of(
+            machine.unacknowledged_launches.begin(), machine.unacknowledged_launches.end(),
+            [&](const auto& launch) {
+                return now - launch.second.since > kLaunchAnswerTimeout &&
+                       launch.second.token >= token(machine) && (heard || !is_job_queued(launch.first.job));
+            });
+        if (needs_new_token) raise_token(machine);
         if (machine.is_idle()) continue;
         if (is_lease_expired(machine)) {
             terminate_all_attempts(machine, "its lease is over");
             machine.min_session = machine.session + 1;
             continue;
         }
-        // Tasks to be stopped whose launch was never sent, or can no longer arrive; and what is to be sent.
-        std::vector<TaskRef> dead;
-        for (const auto& t : machine.tasks) {
-            const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
+        // Finds the tasks to be stopped whose launch was never sent or can no longer arrive.
+        std::vector<TaskRef> never_started;
+        for (const auto& task : machine.tasks) {
+            const Slot& slot = task.job->slots[static_cast<std::size_t>(task.task)];
             if (slot.state != SlotState::Bound) continue;
             if (slot.stop_requested || !slot.seen) request_dispatch(machine);
-            // What is left of a gang that is done is never launched, since its others are not bound any more.
-            if ((slot.stop_requested || t.job->gang_done) && !slot.seen && !slot.inherited &&
-                !can_still_start(machine, slot, {t.job->spec.ref, t.task, slot.attempt}))
-                dead.push_back(t);
+            // The remaining tasks of a gang that is done are never launched, since its other tasks are no
+            // longer bound.
+            if ((slot.stop_requested || task.job->gang_done) && !slot.seen && !slot.inherited &&
+                !can_still_start(machine, slot, {task.job->spec.ref, task.task, slot.attempt}))
+                never_started.push_back(task);
         }
-        for (const auto& t : dead) on_attempt_terminated(*t.job, t.task, 0);
+        for (const auto& task : never_started) on_attempt_terminated(*task.job, task.task, 0);
         if (machine.interruption_notice && now <= machine.interruption_at) stop_before_interruption(machine);
     }
     flush_due_ = true;
@@ -224,8 +230,8 @@
         migrate_legacy_record();
         rebalancer_.tick();
     }
-    if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& j) {
-            const Job& job = *j.second;
+    if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& entry) {
+            const Job& job = *entry.second;
             return job.stage == Stage::Queued && job.dependencies_met && job.unbound > 0 &&
                    (!job.backing_off || now >= job.next_try_at);
         }))
@@ -236,7 +242,7 @@
 void ShardOwner::plan() {
     const Micros now = context_.runtime().now();
     startup_.record_waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
-                                        [](const auto& j) { return j.second->waiting_tasks() > 0; }),
+                                        [](const auto& entry) { return entry.second->waiting_tasks() > 0; }),
                             now);
     scheduler_.plan();
 }
@@ -249,12 +255,12 @@
 void ShardOwner::run_pending_work() {
     const Micros now = context_.runtime().now();
     if (active_ && plan_due_) {
-        if (now - last_planned_at_ >= kPlanEvery) {
+        if (now - last_planned_at_ >= kPlanningInterval) {
             plan_due_ = false;
             last_planned_at_ = now;
             plan();
         } else {
-            context_.runtime().after(last_planned_at_ + kPlanEvery - now, [this, alive = alive_] {
+            context_.runtime().after(last_planned_at_ + kPlanningInterval - now, [this, alive = alive_] {
                 if (*alive) context_.wake();
             });
         }
@@ -263,8 +269,9 @@
     send_orders();
 }
 
-/// On a machine that will be taken, work that can save itself is stopped in time, and so is what will hardly
-/// be done before: it starts elsewhere now, instead of being in doubt once the machine is silent.
+/// Stops tasks on a machine that the cloud is about to interrupt: tasks that can save their state, early
+/// enough to do so, and tasks that will hardly finish before. They start elsewhere now, instead of being in
+/// doubt once the machine is silent.
 void ShardOwner::stop_before_interruption(Machine& machine) {
     const Micros now = context_.runtime().now();
     const Micros left = std::max<Micros>(machine.interruption_at - now, 0);
@@ -274,8 +281,8 @@
         if (slot.state != SlotState::Bound || slot.stop_requested) continue;
         const Micros ran = slot.running_since > 0 ? now - slot.running_since : 0;
         if (job->spec.kind == JobKind::Gang) {
-            for (auto& s : job->slots)
-                if (s.state == SlotState::Bound) stop(s, job->spec.save + kSecond);
+            for (auto& gang_slot : job->slots)
+                if (gang_slot.state == SlotState::Bound) stop(gang_slot, job->spec.save + kSecond);
         } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint > 0) {
             stop(slot, job->spec.save + kSecond);
         } else if (job->spec.estimate * 4 / 5 - ran > left) {
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// ShardOwner: what one controller decides as the holder of a shard. It knows the shard's machines (blocks)
-// and jobs, binds tasks to machines, and follows attempts until they are proven gone. See docs/design.md.
+// ShardOwner: the part of a controller that manages a shard which the controller holds. It tracks the shard's
+// machines (from block records) and jobs, binds tasks to machines, and follows each attempt until it is
+// proven gone. See docs/design.md.
 
 #include <cstdint>
 #include <functional>
@@ -30,48 +31,51 @@
 
 namespace cottonway {
 
-/// What the owner needs of the controller around it.
+/// What a ShardOwner needs from the controller that it is part of.
 class ShardContext {
   public:
     virtual ~ShardContext() = default;
     virtual Runtime& runtime() = 0;
     virtual StoreClient& store() = 0;
     virtual const Settings& settings() = 0;
-    /// The one in force; it may change at any time.
+    /// Returns the policy in force, which may change at any time.
     virtual const policy::Policy& policy() const = 0;
     virtual const MachineType* machine_type(const std::string& name) = 0;
     virtual void on_ownership_lost(const std::string& shard) = 0;
     virtual void wake() = 0;
-    /// The shard's stored part of a team's limit, less what is being given away.
+    /// Returns the shard's stored share of a team's limit, less the part that is being given to other shards.
     virtual Resources quota_share(const std::string& shard, const std::string& team) const = 0;
-    /// Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs.
+    /// Returns true if the job fits into its team's guarantee together with the team's earlier unfinished
+    /// jobs.
     virtual bool within_guarantee(const std::string& ref) = 0;
-    /// How the job stands among those that need one another.
+    /// Returns the state of the job's dependencies and of the jobs that depend on it.
     virtual DependencyStatus dependency_status(const std::string& ref) const = 0;
-    /// Whether all controllers read a format, so that it may be written.
+    /// Returns true if all controllers can read a format, so that it may be written.
     virtual bool all_can_read(std::uint64_t format) const = 0;
-    /// What our own commit has made final, ahead of the news of it.
+    /// Reports a final record that this owner committed, before the change feed delivers it.
     virtual void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) = 0;
-    /// From when on a peer that is not alive can renew no lease; nothing while it may.
+    /// Returns the time from which a peer that is not alive can't renew any lease; empty while it still may.
     virtual std::optional<Micros> peer_authority_end(std::size_t peer) const = 0;
-    /// A job that is not over, as the news has told of it; nullptr: of none.
+    /// Returns a job that is not over as the change feed has delivered it; nullptr if there is none.
     virtual const LiveJob* stored_job(const std::string& ref) const = 0;
-    /// What a shard has begun and not ended, as last read; nullptr: nothing ever.
+    /// Returns the migration plan that a shard has begun and not ended, as last read; nullptr if there never
+    /// was one.
     virtual const PlanCache::Stored* stored_plan(const std::string& shard) const = 0;
-    /// How long no node has come or ended and each shard has had a holder that is alive, as far as the store
-    /// tells just now; 0: not now.
+    /// Returns for how long no node has joined or ended and each shard has had a live holder, according to
+    /// the store; 0 if that is not the case now.
     virtual Micros stable_for() const = 0;
-    /// Whether what is known of the store is fresh enough to renew leases and to start tasks (see
-    /// lease_validity.hpp). Stopping needs no such thing.
+    /// Returns true if the last read of the store is recent enough to renew leases and to start tasks (see
+    /// lease_validity.hpp). Stopping a task does not require it.
     virtual bool has_valid_lease() const = 0;
-    /// Orders to stop what runs there although its job is over, as far as is known here.
+    /// Returns stop orders for the reported tasks whose jobs are known to be over.
     virtual std::vector<Order> stops_for_finished_jobs(const Report& report) const = 0;
-    /// Whether it is known of each task that may run there if its job is over; else that is read.
+    /// Returns true if it is known for each reported task that may run whether its job is over. Otherwise
+    /// starts to read the missing records.
     virtual bool knows_jobs_of(const Report& report) = 0;
     virtual permission::Counters& permission_counters() = 0;
 
     enum class MachineEdit { RaiseToken, Retire, RetireNow };
-    /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
+    /// Rewrites the block record that lists the machine. The new record arrives through the change feed.
     virtual void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                               std::function<void(bool)> done) = 0;
 };
@@ -85,79 +89,85 @@
     Revision mod_revision() const { return mod_revision_; }
     bool active() const { return active_; }
 
-    // Loading: machines, then jobs, then their parts, then activate.
+    // Loading order: machines, then jobs, then the parts of the jobs, then activate().
     void on_machine(const Block& block, const Block::Machine& entry);
     void on_machine_gone(const std::string& name, const char* why);
-    void on_job(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision);
-    /// What stands under c/job/ besides a job's record under c/active/.
+    void on_job(const std::string& ref, RecordLocation location, const Json& value, Revision mod_revision);
+    /// Sets the revision of a record that exists under c/job/ in addition to the job's record under
+    /// c/active/.
     void on_legacy_revision(const std::string& ref, Revision legacy_revision);
     void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision);
     void activate();
 
-    /// Admits a new job, with the first binds of its tasks in the same change where there is room for them.
+    /// Admits a new job. If there is room, the change that admits it also binds its first tasks.
     void admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
                std::function<void(const Admission&)> done);
-    /// The job stands differently among those that need one another.
+    /// Applies a change of the job's dependencies, or of the jobs that depend on it.
     void on_dependencies_changed(const std::string& ref);
-    /// Another policy is in force: plans again.
+    /// Requests a planning pass because another policy is in force.
     void on_policy_changed() { plan_due_ = true; }
 
-    /// The orders to answer a report with, or nothing if it must not be answered.
+    /// The answer to a worker's report.
     struct ReportResponse {
         std::uint64_t token = 0;
         std::vector<Order> orders;
         bool directly_reachable = true;
     };
+    /// Applies a worker's report and returns the answer, or nothing if the report must not be answered.
     std::optional<ReportResponse> on_report(const Report& report, bool relayed = false);
 
-    /// What follows from what has come in: places, commits, sends.
+    /// Does the work that incoming messages have made necessary: plans, commits records, sends orders.
     void run_pending_work();
-    /// What follows from time passing; called about ten times a second.
+    /// Does the periodic work. Called about ten times a second.
     void tick();
 
-    // For the fleet and for other shards.
+    // For the autoscaler and for other shards.
     const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return shard_state_.machines; }
     const std::map<std::string, std::unique_ptr<Job>>& jobs() const { return shard_state_.jobs; }
     void retire(const std::string& machine, const char* why);
+    /// Returns for how long no message of the machine has arrived.
     Micros silent_for(const Machine& machine) const;
-    /// For how long it has not reported, or not shown that it hears us.
+    /// Returns for how long the machine has not reported, or has not shown that it receives messages.
     Micros unreachable_for(const Machine& machine) const;
-    /// For how long it may be that before nothing more is bound to it.
+    /// Returns the limit of `unreachable_for` above which no task is bound to a machine.
     Micros unreachable_limit() const;
     void drain(const std::string& machine, bool on);
-    /// Whether everything on it ends by itself before long and could have run elsewhere.
+    /// Returns true if all tasks on the machine belong to array jobs that may use spot machines. Those tasks
+    /// end before long, and could have run elsewhere.
     bool runs_only_spot_arrays(const Machine& machine) const;
     peer::ShardLoad load() const;
-    /// What waits for room, if anything has for a while.
+    /// Returns the capacity that waiting jobs need, if some have waited for a while.
     std::optional<peer::CapacityRequest> capacity_request() const;
-    /// What waits for a larger part of a team's limit.
+    /// Returns, by team, the resources of tasks that wait for a larger share of the team's limit.
     const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.short_of_quota(); }
-    /// Idle machines that would hold such tasks, for another shard; from here on nothing is bound to them
-    /// until `keep`.
+    /// Picks idle machines on which such tasks fit, for another shard. Nothing is bound to them any more
+    /// unless withdraw_offer() is called.
     std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& request);
     void withdraw_offer(const std::vector<std::string>& machines);
-    /// Room in another shard, in thousandths of a core; the idle parts are on machines without any task.
+    /// Free room in another shard, in thousandths of a core. `idle_*` is the part on machines without any
+    /// task.
     struct RemoteCapacity {
         Milli ordinary = 0;
         Milli spot = 0;
         Milli idle_ordinary = 0;
         Milli idle_spot = 0;
     };
-    /// Gives away waiting jobs that have never been bound, as many as fit into that room.
+    /// Transfers waiting jobs that have never been bound to another shard, as many as fit into `room`.
     void transfer_jobs(const std::string& to, RemoteCapacity room);
-    /// What of the team's share neither is in use nor waited for.
+    /// Returns the part of the team's quota share that is neither used nor needed by waiting jobs.
     Resources spare_quota(const std::string& team) const;
+    /// Returns the part of the team's quota share that is not used.
     Resources unused_quota(const std::string& team) const;
-    /// The least that the team's share lacks for one waiting task more, or for a gang: nothing if one will
-    /// start without, none if nothing waits.
+    /// Returns the smallest amount by which the team's share is too small to start one more waiting task, or
+    /// a whole gang. Returns zero if one fits already, and nothing if no task waits.
     std::optional<Resources> smallest_quota_shortfall(const std::string& team) const;
-    /// Machines with tasks that are silent, or don't hear us, for which `peer` has not promised to renew no
-    /// leases.
+    /// Returns the machines with tasks that for half a lease have been silent, or have not seen the shard's
+    /// token, and for which a promise of `peer` not to renew leases ends within a lease or does not exist.
     std::vector<std::string> machines_to_relinquish(std::size_t peer) const;
     void on_relinquished(std::size_t peer, const std::string& machine, LeaseRelinquishment promise);
     Json status() const;
     const Rebalancer& rebalancer() const { return rebalancer_; }
-    /// Why a job of the shard waits; null if it is none.
+    /// Returns why a job of the shard waits; null if the shard has no such job.
     Json explain(const std::string& ref) const;
 
   private:
@@ -186,13 +196,12 @@
     }
 
     bool is_lease_expired(const Machine& machine) const;
-    /// Whether the job goes on.
     bool is_job_queued(const std::string& ref) const {
         const Job* job = shard_state_.job(ref);
         return job && job->stage == Stage::Queued;
     }
     bool are_leases_expired_since(const Machine& machine, Micros last) const;
-    bool has_received_answer(const Machine& machine, const Report& r) const;
+    bool has_received_answer(const Machine& machine, const Report& report) const;
 
     void register_incarnation(Machine& machine, const Report& report, bool is_report);
     void mark_suspect(Machine& machine);
@@ -212,9 +221,10 @@
     void handle_listed_task(Machine& machine, Job& job, Slot& slot, Phase phase);
     int dispatch_urgency(const Machine& machine) const;
 
-    /// A job as it begins here; `gate_ms`: when its gate opened, if its record tells.
+    /// Creates the in-memory state of a job. `met_ms` is when its dependencies were met, if the record has
+    /// it.
     std::unique_ptr<Job> create_job(JobSpec spec, std::int64_t submitted_ms,
-                                    std::optional<std::int64_t> gate_ms,
+                                    std::optional<std::int64_t> met_ms,
                                     const DependencyStatus& dependency_status);
     static void divide_into_parts(Job& job, std::size_t tasks_per_part);
     void apply_dependency_status(Job& job, const DependencyStatus& dependency_status);
@@ -227,7 +237,7 @@
     void drop_job(const std::string& ref);
     void on_admission_failed(Job& job, CommitStatus status);
     void apply_cached_record(const std::string& ref);
-    Micros batching_delay(const Job& job, bool binds) const;
+    Micros batching_delay(const Job& job, bool has_binds) const;
     void drop_transferred_job(Job& job);
 
     void plan();
@@ -241,20 +251,20 @@
     void flush_jobs();
     void write_part(Job& job, std::size_t part, Priority priority);
     void on_part_written(const std::string& ref, std::size_t part, const Json& value, bool final_record,
-                         const std::vector<AttemptKey>& binding, const std::vector<int>& done,
-                         RecordLocation place, const CommitResult& result);
+                         const std::vector<AttemptKey>& bound_attempts, const std::vector<int>& done_tasks,
+                         RecordLocation location, const CommitResult& result);
     void reload_part(const std::string& ref, std::size_t part);
     void reload_part_later(const std::string& ref, std::size_t part);
     void read_record(const std::string& ref, std::size_t part,
                      std::function<void(const ReadResult&, RecordLocation, Revision legacy_revision)> done);
-    void on_part_reloaded(const std::string& ref, std::size_t part, const ReadResult& r, RecordLocation place,
-                          Revision legacy_revision);
+    void on_part_reloaded(const std::string& ref, std::size_t part, const ReadResult& result,
+                          RecordLocation location, Revision legacy_revision);
     Json part_value(const Job& job, std::size_t part, bool final_record) const;
     void adopt_part(Job& job, std::size_t part, const Json& value, Revision mod_revision);
 
     std::vector<Order> orders_for(Machine& machine, bool direct);
     void add_clears(Machine& machine, std::vector<Order>& orders);
-    bool can_clear(const Machine& machine, const ReportedTask& t, std::size_t& uncleared) const;
+    bool can_clear(const Machine& machine, const ReportedTask& task, std::size_t& uncleared) const;
     void add_stop(Slot& slot, const AttemptKey& key, bool direct, std::vector<Order>& orders);
     void add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                     std::vector<Order>& orders);
@@ -280,7 +290,8 @@
     CancellationTracker cancellations_;
     std::uint64_t next_serial_ = 1;
     std::set<std::string> dirty_jobs_;
-    std::vector<Condition> stale_records_;  // records under c/active/ of jobs that are over, to be dropped
+    std::vector<Condition>
+        stale_records_;  // records under c/active/ of jobs that are over; still to be deleted
     Micros last_record_drop_at_ = 0;
     Micros last_record_migration_at_ = 0;
     std::vector<std::string> dispatch_due_;  // machines to send orders to
@@ -291,7 +302,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// How many tasks fit into one stored part besides a description of `spec_bytes`.
+/// Returns how many tasks fit into one stored part next to a job specification of `spec_bytes`.
 std::size_t compute_tasks_per_part(std::size_t value_bytes, std::size_t spec_bytes);
 
 }  // namespace cottonway
