--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -1,4 +1,5 @@
-// Attempts at tasks, from the bind until they are proven gone, and the doubt in between.
+// ShardOwner: attempts at tasks, from the bind until they are proven gone, and the reconciliation of workers'
+// messages with them.
 
 #include <algorithm>
 #include <utility>
@@ -11,8 +12,8 @@
 
 namespace {
 
-constexpr Micros kWorkerPatience = 4 * kSecond;  // for an answer to its report
-constexpr Micros kProven = 5 * kSecond;          // a task that has run for this long can run
+constexpr Micros kWorkerAnswerTimeout = 4 * kSecond;  // how long a worker waits for the answer to its report
+constexpr Micros kProvenRunTime = 5 * kSecond;  // a task that has run for this long proves its job runnable
 
 using recovery::ReconcileAction;
 
@@ -26,12 +27,13 @@
 void ShardOwner::on_attempt_terminated(Job& job, int task, Micros retry_in) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
-    // What is proven gone from a machine that can't be heard is written down, bound elsewhere or not: a next
-    // holder would have to wait for the former one's authority and a lease to prove it once more.
-    const bool durable =
+    // The end of an attempt on an unreachable machine is stored even if the task isn't bound elsewhere.
+    // Otherwise the next holder would have to wait for the authority of this one and for a lease to end
+    // before it could prove the same again.
+    const bool stores_end =
         slot.state == SlotState::Bound && unreachable_for(*slot.machine) > unreachable_limit();
     set_unbound(job, slot);
-    if (durable) mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
+    if (stores_end) mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled && job.bound == 0) cancellations_.finish(job.spec.ref, now);
     slot.retry_at = now + retry_in;
@@ -71,7 +73,8 @@
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state == SlotState::Binding)
-            on_attempt_terminated(job, static_cast<int>(i), 0);  // never durable, so never launched
+            // The binding was never durable, so the task was never launched.
+            on_attempt_terminated(job, static_cast<int>(i), 0);
         else if (slot.state == SlotState::Bound)
             stop(slot, 0);
     }
@@ -79,7 +82,7 @@
     context_.wake();
 }
 
-/// A gang that lost a task, or is being stopped, ends as a whole before it starts again.
+/// Stops the rest of a gang that lost a task or is being stopped: it ends as a whole before it starts again.
 void ShardOwner::stop_incomplete_gang(Job& job) {
     if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound == 0) return;
     job.gang_stopping = true;
@@ -90,12 +93,12 @@
     job.gang_stopping = false;
 }
 
-/// A worker tells of a task's result, whether the task is still bound there or not.
+/// Handles a worker's report that a task is done, whether or not the task is still bound to that worker.
 void ShardOwner::handle_task_result(Job& job, int task) {
     mark_done(job, task);
     if (job.spec.kind != JobKind::Gang) return;
-    // A gang completes together: if one task is done, all of them are. On a machine that is silent they still
-    // count until they are proven gone.
+    // A gang completes as a whole: if one task is done, all of them are. Those on silent machines still use
+    // resources until they are proven gone.
     job.gang_done = true;
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
@@ -110,110 +113,116 @@
         handle_task_result(job, task);
         return;
     }
-    Micros retry = 0;
+    Micros retry_in = 0;
     if (cause == ExitCause::Error) {
-        retry = handle_task_failure(machine, job, slot);
+        retry_in = handle_task_failure(machine, job, slot);
     } else if (cause == ExitCause::NoRoom || cause == ExitCause::Busy || cause == ExitCause::Unknown) {
-        retry = kSecond;
+        retry_in = kSecond;
         if (cause == ExitCause::NoRoom) machine.avoid_until = now + 2 * kSecond;
-        spdlog::info("task {}/{}: start refused on {}", job.spec.ref, task, machine.name);
+        spdlog::info("task {}/{}: the worker on {} refused to start it", job.spec.ref, task, machine.name);
     }
-    on_attempt_terminated(job, task, retry);
+    on_attempt_terminated(job, task, retry_in);
 }
 
-/// A message that arrives while the jobs are still being read: its tasks can't be told from strays yet, and
-/// must not be stopped as such. Only the session and the token count.
-void ShardOwner::register_incarnation(Machine& machine, const Report& r, bool is_report) {
-    if (r.session < machine.session) return;
-    if (r.session > machine.session) {
+/// Takes only the session and the token from a message that arrives while the jobs are still being read. Its
+/// tasks can't be told from orphaned ones yet and must not be stopped as such.
+void ShardOwner::register_incarnation(Machine& machine, const Report& report, bool is_report) {
+    if (report.session < machine.session) return;
+    if (report.session > machine.session) {
         machine.seq = 0;
         machine.session_since = context_.runtime().now();
     }
-    machine.session = r.session;
-    machine.token_seen = std::max(machine.token_seen, r.token);
+    machine.session = report.session;
+    machine.token_seen = std::max(machine.token_seen, report.token);
     machine.last_heartbeat = machine.heartbeat_before_load = context_.runtime().now();
     machine.last_heartbeat_listening = context_.runtime().listened();
     if (is_report) machine.last_report_listening = machine.last_heartbeat_listening;
 }
 
-/// Whether a report, which is news, tells that the worker has lately had an answer from a controller. Without
-/// one it would have waited for longer before it reports again, and its session ends with its lease.
-bool ShardOwner::has_received_answer(const Machine& machine, const Report& r) const {
+/// Returns true if a new report proves that the worker has recently received an answer from a controller.
+/// Without an answer it would have waited for longer before it reported again, and its session would have
+/// ended with its lease.
+bool ShardOwner::has_received_answer(const Machine& machine, const Report& report) const {
     const Micros now = context_.runtime().now();
-    if (machine.last_report_at == 0 || r.session != machine.session) return false;
-    return now - machine.last_report_at < kWorkerPatience ||
+    if (machine.last_report_at == 0 || report.session != machine.session) return false;
+    return now - machine.last_report_at < kWorkerAnswerTimeout ||
            now - machine.session_since > with_drift(context_.settings().lease);
 }
 
-/// Applies a worker's message; `is_report` tells a report from the answer to a /do.
-void ShardOwner::apply_heartbeat(Machine& machine, const Report& r, bool is_report) {
+/// Applies a worker's message. `is_report` is true for a report and false for the answer to a /do.
+void ShardOwner::apply_heartbeat(Machine& machine, const Report& report, bool is_report) {
     const Micros now = context_.runtime().now();
-    if (!recovery::is_newer_message({r.session, r.seq}, {machine.session, machine.seq}, machine.min_session))
+    if (!recovery::is_newer_message({report.session, report.seq}, {machine.session, machine.seq},
+                                    machine.min_session))
         return;
     const bool was_usable = usable(machine);
-    // That it reports does not tell that it hears us.
-    if (is_report && has_received_answer(machine, r)) machine.suspect = false;
-    if (r.session > machine.session) {
+    // That reports arrive from the worker does not prove that it receives messages.
+    if (is_report && has_received_answer(machine, report)) machine.suspect = false;
+    if (report.session > machine.session) {
         machine.session_since = now;
-        machine.unacknowledged_launches
-            .clear();  // /do names the session: what was sent to an earlier one is refused
+        // Each /do names the session it is for, so a worker refuses what was sent to an earlier one.
+        machine.unacknowledged_launches.clear();
         machine.launches_in_responses.clear();
         machine.acknowledged_launches.clear();
     }
-    machine.session = r.session;
-    machine.seq = r.seq;
-    machine.token_seen = std::max(machine.token_seen, r.token);
+    machine.session = report.session;
+    machine.seq = report.seq;
+    machine.token_seen = std::max(machine.token_seen, report.token);
     machine.last_heartbeat = now;
     machine.last_heartbeat_listening = context_.runtime().listened();
     if (is_report)
         machine.last_report_at = now, machine.last_report_listening = machine.last_heartbeat_listening;
-    if (r.notice && !machine.interruption_notice) {
+    if (report.notice && !machine.interruption_notice) {
         machine.interruption_notice = true;
-        machine.interruption_at = now + *r.notice;
-        spdlog::info("machine {}: will be taken in {} s", machine.name, *r.notice / kSecond);
+        machine.interruption_at = now + *report.notice;
+        spdlog::info("machine {}: the cloud will interrupt it in {} s", machine.name,
+                     *report.notice / kSecond);
         stop_before_interruption(machine);
     }
-    std::erase_if(machine.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
+    std::erase_if(machine.unacknowledged_launches,
+                  [&](const auto& launch) { return report.token > launch.second.token; });
     if (is_report)
-        std::erase_if(machine.launches_in_responses, [&](const auto& l) { return r.seq > l.second; });
+        std::erase_if(machine.launches_in_responses,
+                      [&](const auto& launch) { return report.seq > launch.second; });
 
     ++machine.messages_applied;
     startup_.record_heartbeat(machine.name, now);
     shard_state_.forget_orphaned_tasks(machine);
     machine.exited_tasks.clear();
-    for (const auto& t : r.tasks) {
-        Job* job = shard_state_.job(t.job);
-        Slot* slot = job && static_cast<std::size_t>(t.task) < job->slots.size()
-                         ? &job->slots[static_cast<std::size_t>(t.task)]
+    for (const auto& task : report.tasks) {
+        Job* job = shard_state_.job(task.job);
+        Slot* slot = job && static_cast<std::size_t>(task.task) < job->slots.size()
+                         ? &job->slots[static_cast<std::size_t>(task.task)]
                          : nullptr;
-        const bool exited_now = t.phase == Phase::Exited;
-        const auto verdict =
-            recovery::reconcile(stored_task(job, slot, machine, t.attempt), {true, exited_now, t.cause}, {});
+        const bool has_exited = task.phase == Phase::Exited;
+        const auto verdict = recovery::reconcile(stored_task(job, slot, machine, task.attempt),
+                                                 {true, has_exited, task.cause}, {});
         startup_.record_reconciled(verdict, slot && slot->inherited && !slot->seen);
-        if (exited_now) machine.exited_tasks.push_back(t);
+        if (has_exited) machine.exited_tasks.push_back(task);
         switch (verdict) {
             case ReconcileAction::Runs:
-                handle_listed_task(machine, *job, *slot, t.phase);
+                handle_listed_task(machine, *job, *slot, task.phase);
                 break;
             case ReconcileAction::Ended:
-                handle_listed_task(machine, *job, *slot, t.phase);
-                handle_exited_task(machine, *job, t.task, t.cause);
+                handle_listed_task(machine, *job, *slot, task.phase);
+                handle_exited_task(machine, *job, task.task, task.cause);
                 break;
             case ReconcileAction::UnboundResult:
-                handle_task_result(*job, t.task);
+                handle_task_result(*job, task.task);
                 break;
             case ReconcileAction::Orphaned:
-                shard_state_.add_orphaned_task(machine, t);
+                shard_state_.add_orphaned_task(machine, task);
                 break;
             default:
                 break;
         }
     }
     std::vector<TaskRef> missing;
-    for (const auto& t : machine.tasks)
-        if (t.job->slots[static_cast<std::size_t>(t.task)].last_message_listing != machine.messages_applied)
-            missing.push_back(t);
-    for (const auto& t : missing) handle_absent_task(machine, *t.job, t.task, r, is_report);
+    for (const auto& task : machine.tasks)
+        if (task.job->slots[static_cast<std::size_t>(task.task)].last_message_listing !=
+            machine.messages_applied)
+            missing.push_back(task);
+    for (const auto& task : missing) handle_absent_task(machine, *task.job, task.task, report, is_report);
     if (!machine.tasks.empty()) machine.idle_since = machine.last_heartbeat_listening;
     if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
     if (!was_usable && usable(machine)) plan_due_ = true;
@@ -222,61 +231,65 @@
 recovery::StoredTask ShardOwner::stored_task(const Job* job, const Slot* slot, const Machine& machine,
                                              std::int64_t attempt) const {
     using State = recovery::StoredTask::State;
-    recovery::StoredTask out;
-    if (!job || !slot) return out;
-    const bool here = slot->machine == &machine && slot->attempt == attempt;
+    recovery::StoredTask stored;
+    if (!job || !slot) return stored;
+    const bool bound_here = slot->machine == &machine && slot->attempt == attempt;
     switch (slot->state) {
         case SlotState::Unbound:
-            out.state = State::Waiting;
+            stored.state = State::Waiting;
             break;
         case SlotState::Binding:
-            out.state = here ? State::Binding : State::Elsewhere;
+            stored.state = bound_here ? State::Binding : State::Elsewhere;
             break;
         case SlotState::Bound:
-            out.state = here ? State::Bound : State::Elsewhere;
+            stored.state = bound_here ? State::Bound : State::Elsewhere;
             break;
         case SlotState::DonePending:
         case SlotState::Done:
-            out.state = State::Done;
+            stored.state = State::Done;
             break;
     }
-    out.result_wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
-    out.seen = slot->seen;
-    out.launched = slot->launch_sent;
-    out.inherited = slot->inherited;
-    out.stopping = slot->stop_requested;
-    return out;
+    stored.result_wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
+    stored.seen = slot->seen;
+    stored.launched = slot->launch_sent;
+    stored.inherited = slot->inherited;
+    stored.stopping = slot->stop_requested;
+    return stored;
 }
 
-/// A message shows a bound task.
+/// Handles a bound task that a message of its worker lists.
 void ShardOwner::handle_listed_task(Machine& machine, Job& job, Slot& slot, Phase phase) {
     const Micros now = context_.runtime().now();
     slot.last_message_listing = machine.messages_applied;
     slot.seen = true;
     slot.launch_sent = true;
     if (slot.phase != Phase::Running && phase == Phase::Running) {
-        // What an earlier holder has begun has run for some time, nobody knows for how long.
+        // It is unknown for how long a task that a former holder launched has been running; half of the
+        // estimate is assumed.
         slot.running_since = slot.inherited ? now - job.spec.estimate / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
         ShardState::remember_image(machine, job, true);
     }
     slot.phase = phase;
-    if (phase == Phase::Running && now - slot.running_since > kProven) on_first_success(job);
+    if (phase == Phase::Running && now - slot.running_since > kProvenRunTime) on_first_success(job);
 }
 
-/// A bound task that a message does not show: gone, not launched yet, or in doubt.
-void ShardOwner::handle_absent_task(Machine& machine, Job& job, int task, const Report& r, bool is_report) {
+/// Handles a bound task that a message of its worker does not list: it is gone, not launched yet, or in
+/// doubt.
+void ShardOwner::handle_absent_task(Machine& machine, Job& job, int task, const Report& report,
+                                    bool is_report) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const AttemptKey key{job.spec.ref, task, slot.attempt};
     recovery::LaunchProof proof;
-    proof.session_ended = slot.launch_session != UINT64_MAX && r.session > slot.launch_session;
-    proof.higher_token_seen = r.token > slot.launch_token;
-    proof.response_superseded = slot.launched_by_response && is_report && r.seq > slot.launch_seq &&
+    proof.session_ended = slot.launch_session != UINT64_MAX && report.session > slot.launch_session;
+    proof.higher_token_seen = report.token > slot.launch_token;
+    proof.response_superseded = slot.launched_by_response && is_report && report.seq > slot.launch_seq &&
                                 !machine.unacknowledged_launches.count(key) &&
                                 !machine.direct_launches.count(key);
-    // A worker takes an answer before its next report. One that does not show our token has taken none of
-    // ours, so whatever the former holder started has ended with the last lease that one can have granted,
-    // or that was granted while reports could not be reconciled yet.
+    // A worker processes the answer to a report before it reports again. One that does not report this
+    // holder's token has processed no answer of this holder. So whatever the former holder launched has ended
+    // with the last lease that the former holder can have granted, or that was granted while reports could
+    // not be reconciled yet.
     if (slot.inherited && is_report && machine.token_seen < mod_revision_ &&
         are_leases_expired_since(machine, std::max(former_authority_end_, machine.heartbeat_before_load)))
         proof.session_ended = true;
@@ -284,12 +297,14 @@
     const auto verdict = recovery::reconcile(stored_task(&job, &slot, machine, slot.attempt), {}, proof);
     startup_.record_reconciled(verdict, slot.inherited);
     if (verdict == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
-    const bool unsent =
+    const bool not_sent =
         verdict == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
-    // Proven not to be there: on a machine that does not hear us it would be launched in vain for ever.
-    if ((verdict == ReconcileAction::Relaunch || unsent) && machine.suspect &&
+    // The task is proven not to run there. A machine that does not receive messages would never start it, so
+    // it is released to be placed elsewhere.
+    if ((verdict == ReconcileAction::Relaunch || not_sent) && machine.suspect &&
         !has_unsettled_launch(machine, key)) {
-        spdlog::info("task {}/{}: {} does not hear us, to be placed elsewhere", key.job, task, machine.name);
+        spdlog::info("task {}/{}: {} does not receive messages, to be placed elsewhere", key.job, task,
+                     machine.name);
         return on_attempt_terminated(job, task, 0);
     }
     if (verdict != ReconcileAction::Relaunch) return;
@@ -297,13 +312,13 @@
     request_dispatch(machine);
 }
 
-/// Whether a launch of this attempt that was sent in one way or another is not settled.
+/// Returns true if a launch of this attempt was sent, directly or in an answer, and its outcome is not known.
 bool ShardOwner::has_unsettled_launch(const Machine& machine, const AttemptKey& key) {
     return machine.unacknowledged_launches.count(key) || machine.direct_launches.count(key) ||
            machine.launches_in_responses.count(key);
 }
 
-/// Whether a launch of this attempt may still be executed.
+/// Returns true if a launch of this attempt may still be executed.
 bool ShardOwner::can_still_start(const Machine& machine, const Slot& slot, const AttemptKey& key) {
     return slot.launch_sent || has_unsettled_launch(machine, key);
 }
