--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -1,4 +1,5 @@
-// Workers' reports, and the orders that they are answered with or called for.
+// ShardOwner: the answers to workers' reports, and the orders sent to workers in those answers or by direct
+// calls.
 
 #include <algorithm>
 #include <utility>
@@ -10,11 +11,13 @@
 
 namespace {
 
-// How long a copy of a call may arrive after its answer without starting a task anew whose result is kept.
-constexpr Micros kCopies = 10 * kSecond;
-// Of a machine's ended attempts that wait for a higher token to be cleared: what its reports have room for.
-constexpr std::size_t kMaxUncleared = 32;
-constexpr Micros kProbeEvery = 5 * kSecond;  // of workers whose reports are relayed
+// For this long after a /do was answered a duplicate of it may arrive. Until then a worker keeps the result
+// of a task that the /do launched, so that the duplicate can't start the task again.
+constexpr Micros kDuplicateWindow = 10 * kSecond;
+// How many ended attempts of a machine may wait for a higher token before they are cleared: its reports have
+// room for that many.
+constexpr std::size_t kMaxUnclearedAttempts = 32;
+constexpr Micros kProbeInterval = 5 * kSecond;  // between direct calls to a worker that may be unreachable
 
 }  // namespace
 
@@ -22,10 +25,10 @@
     auto it = shard_state_.machines.find(report.machine);
     if (it == shard_state_.machines.end()) return std::nullopt;
     Machine& machine = *it->second;
-    // Its new holder may reach it before the outcome of the move reaches us.
     permission::HolderEvidence evidence;
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.session_over = report.session < machine.min_session;
+    // The machine's new holder may reach the worker before the outcome of the transfer arrives here.
     evidence.machine_transferring = machine.transferring;
     evidence.jobs_known = active_ || context_.knows_jobs_of(report);
     evidence.token = token(machine);
@@ -33,17 +36,16 @@
     const permission::Decision decision = permission::decide_renewal_by_holder(evidence);
     context_.permission_counters().count_renewal(decision);
     if (decision == permission::Refusal::HigherTokenSeen) {
-        spdlog::info("machine {} has seen a higher token than ours", report.machine);
+        spdlog::info("machine {} has seen a higher token than this holder's", report.machine);
         context_.on_ownership_lost(shard_);
     }
     if (decision) return std::nullopt;
     const Micros now = context_.runtime().now();
     if (machine.addr.empty()) machine.addr = report.addr;
-    // What is as old as another message, or older, tells nothing new, not even that the machine can be heard.
-    // It gets the token and stops alone: its worker may still wait for it if only the answer to a /do has
-    // overtaken it.
-    // The lease that this renews counts from when it was sent, so from before what has overtaken it was
-    // heard.
+    // A report that is not newer than the last message tells nothing, not even that the machine is alive. It
+    // is still answered, with the token and with stops only: if just the answer to a /do has overtaken it,
+    // the worker still waits for the answer. The lease that this renews counts from when the report was sent,
+    // which was before the message that overtook it arrived.
     if (!recovery::is_newer_message({report.session, report.seq}, {machine.session, machine.seq},
                                     machine.min_session))
         return ReportResponse{token(machine), context_.stops_for_finished_jobs(report),
@@ -54,21 +56,21 @@
         apply_heartbeat(machine, report, true);
     else
         register_incarnation(machine, report, true);
-    ReportResponse answer{token(machine), {}, !machine.is_relay_only()};
-    // Until everything is read, which an outage may put off for long, a lease is not renewed for what is
-    // known to be over.
-    answer.orders = active_ ? orders_for(machine, false) : context_.stops_for_finished_jobs(report);
-    // Whether the worker can be reached without help is found out by calling it now and then.
+    ReportResponse response{token(machine), {}, !machine.is_relay_only()};
+    // Until all jobs are read, which a store outage may delay for long, the answer stops at least the tasks
+    // whose jobs are known to be over, so that the renewed lease does not keep them running.
+    response.orders = active_ ? orders_for(machine, false) : context_.stops_for_finished_jobs(report);
+    // A direct call now and then finds out whether the worker can be reached without a relay.
     if (is_probe_due(machine)) request_dispatch(machine);
     if (plan_due_ || flush_due_ || !dispatch_due_.empty()) context_.wake();
-    return answer;
+    return response;
 }
 
 std::vector<Order> ShardOwner::orders_for(Machine& machine, bool direct) {
     std::vector<Order> orders;
     add_clears(machine, orders);
-    for (const auto& t : machine.orphaned_tasks) {
-        orders.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
+    for (const auto& orphan : machine.orphaned_tasks) {
+        orders.push_back({OrderKind::Stop, orphan.job, orphan.task, orphan.attempt, 0});
         startup_.record_order(OrderKind::Stop, false);
     }
     for (const auto& [job, task] : machine.tasks) {
@@ -85,36 +87,40 @@
 
 void ShardOwner::add_clears(Machine& machine, std::vector<Order>& orders) {
     std::size_t uncleared = 0;
-    for (const auto& t : machine.exited_tasks) {
-        if (!can_clear(machine, t, uncleared)) continue;
-        machine.acknowledged_launches.erase({t.job, t.task, t.attempt});
-        orders.push_back({OrderKind::Clear, t.job, t.task, t.attempt, 0});
+    for (const auto& task : machine.exited_tasks) {
+        if (!can_clear(machine, task, uncleared)) continue;
+        machine.acknowledged_launches.erase({task.job, task.task, task.attempt});
+        orders.push_back({OrderKind::Clear, task.job, task.task, task.attempt, 0});
         startup_.record_order(OrderKind::Clear, false);
     }
-    if (uncleared > kMaxUncleared) raise_token(machine);
+    if (uncleared > kMaxUnclearedAttempts) raise_token(machine);
 }
 
-/// After a clear the attempt is unknown to the worker, and a launch that is still on its way would start it
-/// once more: not before none can be. `uncleared` counts those that wait for a higher token.
-bool ShardOwner::can_clear(const Machine& machine, const ReportedTask& t, std::size_t& uncleared) const {
-    const AttemptKey key{t.job, t.task, t.attempt};
+/// Returns true if the worker may forget an ended attempt. After a clear the attempt is unknown to the
+/// worker, so a launch of it that is still in flight would start it again. `uncleared` counts the attempts
+/// that can be cleared only under a higher token.
+bool ShardOwner::can_clear(const Machine& machine, const ReportedTask& task, std::size_t& uncleared) const {
+    const AttemptKey key{task.job, task.task, task.attempt};
     if (has_unsettled_launch(machine, key)) return false;
-    // So would a copy of one that was carried out, for as long as token and session match. A result is
-    // kept, so that such a start ends at once; anything else would run, perhaps beside its successor.
+    // A duplicate of a launch that was executed would start it again too, as long as token and session match.
+    // If the attempt's result is kept, such a start ends at once; otherwise the duplicate would run, perhaps
+    // beside the next attempt.
     if (const auto sent = machine.acknowledged_launches.find(key);
         sent != machine.acknowledged_launches.end() && machine.token_seen <= sent->second.token) {
-        if (t.cause != ExitCause::Done) ++uncleared;
-        if (t.cause != ExitCause::Done || context_.runtime().now() - sent->second.at <= kCopies) return false;
+        if (task.cause != ExitCause::Done) ++uncleared;
+        if (task.cause != ExitCause::Done || context_.runtime().now() - sent->second.at <= kDuplicateWindow)
+            return false;
     }
-    const Job* job = shard_state_.job(t.job);
-    if (!job || t.task >= job->spec.tasks) return true;
-    return job->slots[static_cast<std::size_t>(t.task)].state != SlotState::DonePending;  // durable first
+    const Job* job = shard_state_.job(task.job);
+    if (!job || task.task >= job->spec.tasks) return true;
+    return job->slots[static_cast<std::size_t>(task.task)].state !=
+           SlotState::DonePending;  // not before the result is durable
 }
 
 void ShardOwner::add_stop(Slot& slot, const AttemptKey& key, bool direct, std::vector<Order>& orders) {
     const Micros now = context_.runtime().now();
     permission::StopEvidence evidence;
-    evidence.may_run = slot.launch_sent || slot.seen;  // else given up in tick()
+    evidence.may_run = slot.launch_sent || slot.seen;  // otherwise tick() releases the task
     evidence.saving_with_grace = slot.phase == Phase::Saving && slot.grace > 0;
     evidence.renews_lease = !direct;
     evidence.sent_recently =
@@ -129,8 +135,8 @@
 void ShardOwner::add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                             std::vector<Order>& orders) {
     permission::LaunchEvidence evidence;
-    // A launch to a session that began after our authority, of a task whose cancellation we can't hear of,
-    // would outlive every bound on it.
+    // Without a recent read of the store this holder may have missed the job's cancellation. A launch to a
+    // session that began after the holder's authority ended would then outlive the limit on cancelled tasks.
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.job_queued = job.stage == Stage::Queued;
     evidence.token = token(machine);
@@ -139,10 +145,11 @@
     evidence.call_in_flight = machine.direct_launches.count(key) > 0;
     evidence.gang_complete = job.spec.kind != JobKind::Gang ||
                              std::all_of(job.slots.begin(), job.slots.end(),
-                                         [](const Slot& s) { return s.state == SlotState::Bound; });
-    // The answer to a report is the second way; it is taken when the direct one does not work.
-    const bool direct_works = machine.direct_call_backoff == 0 && !machine.is_relay_only();
-    evidence.direct_call_preferred = !direct && (direct_works || machine.launches_in_responses.count(key));
+                                         [](const Slot& other) { return other.state == SlotState::Bound; });
+    // Launches go by direct call, and in the answer to a report only if direct calls do not work.
+    const bool direct_calls_work = machine.direct_call_backoff == 0 && !machine.is_relay_only();
+    evidence.direct_call_preferred =
+        !direct && (direct_calls_work || machine.launches_in_responses.count(key));
     const permission::Decision decision = permission::decide_launch(evidence);
     context_.permission_counters().count_launch(decision);
     if (decision) return;
@@ -159,14 +166,14 @@
     orders.push_back({OrderKind::Launch, key.job, key.task, key.attempt, 0});
 }
 
-/// Whether a worker whose reports are relayed, or that left a call unanswered, is to be called, to find out
-/// whether it can be reached again.
+/// Returns true if a worker whose reports are relayed, or that did not answer a call, is due to be called, in
+/// order to find out whether it can be reached again.
 bool ShardOwner::is_probe_due(const Machine& machine) const {
     return (machine.is_relay_only() || machine.suspect) &&
-           context_.runtime().now() - machine.probed_at > kProbeEvery;
+           context_.runtime().now() - machine.probed_at > kProbeInterval;
 }
 
-/// Puts a machine on the list of those to send to.
+/// Adds a machine to the list of machines to send orders to.
 void ShardOwner::request_dispatch(Machine& machine) {
     if (machine.dispatch_queued) return;
     machine.dispatch_queued = true;
@@ -174,38 +181,40 @@
     context_.wake();
 }
 
-/// What goes first when more machines are to be called than may be at a time: tasks of cancelled jobs, whose
-/// time runs out; services; what has a deadline; what else is to be launched; the rest, such as showing a
-/// token.
+/// Returns the position of a machine when more machines have to be called than calls may be in flight, lowest
+/// first: tasks of cancelled jobs, which must stop in time; production work; jobs with a deadline; other
+/// launches and stops; the rest, such as announcing a token.
 int ShardOwner::dispatch_urgency(const Machine& machine) const {
-    int best = 4;
+    int urgency = 4;
     for (const auto& [job, task] : machine.tasks) {
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         if (job->stage == Stage::Cancelled) return 0;
-        best = std::min(best, job->rank == PriorityClass::Production ? 1 : job->due_ms != INT64_MAX ? 2 : 3);
+        urgency = std::min(urgency, job->rank == PriorityClass::Production ? 1
+                                    : job->due_ms != INT64_MAX             ? 2
+                                                                           : 3);
     }
-    return best;
+    return urgency;
 }
 
 void ShardOwner::send_orders() {
     if (dispatch_due_.empty()) return;
-    const int most = static_cast<int>(context_.settings().sockets / 16);
-    if (static_cast<int>(dispatch_due_.size()) > most - direct_calls_in_flight_) {
-        std::vector<std::pair<int, std::string>> order;
+    const int max_calls = static_cast<int>(context_.settings().sockets / 16);
+    if (static_cast<int>(dispatch_due_.size()) > max_calls - direct_calls_in_flight_) {
+        std::vector<std::pair<int, std::string>> by_urgency;
         for (auto& name : dispatch_due_)
             if (auto machine = shard_state_.machines.find(name); machine != shard_state_.machines.end())
-                order.emplace_back(dispatch_urgency(*machine->second), std::move(name));
-        std::stable_sort(order.begin(), order.end(),
+                by_urgency.emplace_back(dispatch_urgency(*machine->second), std::move(name));
+        std::stable_sort(by_urgency.begin(), by_urgency.end(),
                          [](const auto& a, const auto& b) { return a.first < b.first; });
         dispatch_due_.clear();
-        for (auto& [urgent, name] : order) dispatch_due_.push_back(std::move(name));
+        for (auto& [urgency, name] : by_urgency) dispatch_due_.push_back(std::move(name));
     }
     std::vector<std::string> later;
     for (const auto& name : std::exchange(dispatch_due_, {})) {
         auto it = shard_state_.machines.find(name);
         if (it == shard_state_.machines.end()) continue;
-        if (direct_calls_in_flight_ >= most) {
+        if (direct_calls_in_flight_ >= max_calls) {
             later.push_back(name);
             continue;
         }
@@ -218,18 +227,18 @@
 void ShardOwner::send_orders_to(Machine& machine) {
     const Micros now = context_.runtime().now();
     if (machine.direct_call_in_flight || now < machine.next_direct_call_at || machine.addr.empty()) return;
-    // A worker that only others reach gets its orders in the answers to its reports.
-    const bool probe = active_ && is_probe_due(machine);
-    if (machine.is_relay_only() && !probe) return;
-    if (probe) machine.probed_at = now;
-    const bool show_token = machine.token_seen < token(machine) || (active_ && machine.seq == 0);
+    // A worker that only other controllers reach gets its orders in the answers to its reports.
+    const bool is_probe = active_ && is_probe_due(machine);
+    if (machine.is_relay_only() && !is_probe) return;
+    if (is_probe) machine.probed_at = now;
+    const bool announces_token = machine.token_seen < token(machine) || (active_ && machine.seq == 0);
     std::vector<Order> orders;
-    if (machine.session > 0 && !show_token && !probe) orders = orders_for(machine, true);
-    const bool idle =
-        std::all_of(orders.begin(), orders.end(), [](const Order& o) { return o.kind == OrderKind::Clear; });
-    if (!show_token && !probe && idle) return;  // the next report's answer will do
-    // Where the session is not known yet, the first one is as good a guess as any: if it is another, the
-    // answer tells.
+    if (machine.session > 0 && !announces_token && !is_probe) orders = orders_for(machine, true);
+    const bool only_clears = std::all_of(orders.begin(), orders.end(),
+                                         [](const Order& order) { return order.kind == OrderKind::Clear; });
+    if (!announces_token && !is_probe && only_clears)
+        return;  // clears can wait for the answer to the next report
+    // If the session is not known yet, 1 is tried. The answer tells the right one if it is another.
     const std::uint64_t session = std::max<std::uint64_t>(machine.session, 1);
     machine.direct_call_in_flight = true;
     ++direct_calls_in_flight_;
@@ -265,10 +274,10 @@
             apply_heartbeat(target, *report, false);
         else
             register_incarnation(target, *report, false);
-        // Asked again, if it must be, but not at once: what it tells may be no use for a while.
+        // If another call is necessary, it is delayed: its answer may be of no use for a while.
         if (reply.status == 409 || target.seq == 0 || target.token_seen < token(target))
             target.next_direct_call_at = context_.runtime().now() + 100 * kMillisecond;
-        // Answered: what the worker does not show was not started and will not be.
+        // The call was answered, so a launch that the answer does not list was not executed and will not be.
         for (const auto& key : launched) {
             if (reply.status == 200)
                 target.acknowledged_launches[key] = {sent_token, context_.runtime().now()};
@@ -284,13 +293,14 @@
     });
 }
 
-/// It left a call unanswered.
+/// Marks a machine whose worker did not answer a call.
 void ShardOwner::mark_suspect(Machine& machine) {
     if (!std::exchange(machine.suspect, true)) machine.suspect_since = context_.runtime().listened();
 }
 
-/// No connection came about, so nothing was or will be executed: what was to be launched can run elsewhere,
-/// and nothing more is bound there until the machine is heard of again.
+/// Handles a call that failed before the connection was made, so none of its orders was or will be executed.
+/// Tasks that it was to launch can run elsewhere, and nothing more is bound to the machine until it is known
+/// to receive messages again.
 void ShardOwner::on_orders_not_sent(Machine& machine, const std::set<AttemptKey>& launched) {
     const Micros now = context_.runtime().now();
     machine.direct_call_backoff = std::clamp(machine.direct_call_backoff * 2, kSecond, 8 * kSecond);
@@ -302,7 +312,7 @@
         Slot& slot = job->slots[static_cast<std::size_t>(key.task)];
         if (slot.state != SlotState::Bound || slot.attempt != key.attempt || slot.seen) continue;
         if (machine.unacknowledged_launches.count(key) || machine.launches_in_responses.count(key))
-            continue;  // sent earlier, or otherwise
+            continue;  // the launch was also sent earlier, or in the answer to a report
         slot.launch_sent = false;
         spdlog::info("task {}/{}: {} can't be reached, to be placed elsewhere", key.job, key.task,
                      machine.name);
@@ -310,8 +320,8 @@
     }
 }
 
-/// No answer: each launch in it may still be executed, as long as token and session match. It stays in doubt,
-/// and is sent again: a repeated launch has no effect.
+/// Handles a call without an answer. Each of its launches may still be executed as long as token and session
+/// match. It stays in doubt and is sent again, since a repeated launch has no effect.
 void ShardOwner::on_orders_unanswered(Machine& machine, const std::set<AttemptKey>& launched,
                                       std::uint64_t sent_token, std::uint64_t session) {
     const Micros now = context_.runtime().now();
@@ -327,8 +337,8 @@
     }
 }
 
-/// Raises one machine's token in its block record, which ends all doubt about unanswered launches. The other
-/// machines of the block keep theirs.
+/// Raises one machine's token in its block record, so that unanswered launches under the old token can no
+/// longer be executed. The other machines of the block keep their tokens.
 void ShardOwner::raise_token(Machine& machine) {
     if (machine.raising_token) return;
     machine.raising_token = true;
@@ -346,7 +356,7 @@
     if (it == shard_state_.machines.end() || it->second->retiring || it->second->retired) return;
     it->second->retiring = true;
     spdlog::info("machine {}: to be returned: {}", machine, why);
-    // Its deletion ends the doubt about what is on it.
+    // The deletion of the machine proves that the tasks on it are gone, so it is urgent if there are any.
     const bool urgent = !it->second->tasks.empty();
     context_.edit_machine(shard_, machine,
                           urgent ? ShardContext::MachineEdit::RetireNow : ShardContext::MachineEdit::Retire,
