--- a/src/shard/cancellation_tracker.hpp
+++ b/src/shard/cancellation_tracker.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// How long the tasks of cancelled jobs take to be gone, from when their holder knew of the cancellation.
+// Measures how long the tasks of cancelled jobs take to be gone, from when the shard's holder learned of the
+// cancellation.
 
 #include <array>
 #include <cstdint>
@@ -14,29 +15,33 @@
 
 class CancellationTracker {
   public:
-    /// A cancelled job has tasks on machines, or that may still start.
-    void start(const std::string& job, Micros now) { open_.try_emplace(job, Open{now, -1, false}); }
+    /// Starts to measure a cancelled job that has tasks on machines, or tasks that may still start.
+    void start(const std::string& job, Micros now) {
+        open_cancellations_.try_emplace(job, OpenCancellation{now, -1, false});
+    }
+    /// Records that a stop was sent to a task of the job. Only the first one counts.
     void record_stop_sent(const std::string& job, Micros now);
-    /// The last of its tasks is proven gone.
+    /// Ends the measurement: the last task of the job is proven gone.
     void finish(const std::string& job, Micros now);
-    /// Jobs that have been unfinished for longer than `limit`, each told once.
+    /// Returns the jobs that have been unfinished for longer than `limit`; each job is returned only once.
     std::vector<std::string> take_overdue(Micros now, Micros limit);
     Json to_json(Micros now) const;
 
   private:
-    struct Open {
+    struct OpenCancellation {
         Micros since = 0;
         Micros first_stop = -1;  // -1: none sent yet
-        bool told = false;
+        bool reported = false;
     };
-    static constexpr std::array<Micros, 7> kBounds{kSecond,      3 * kSecond,  8 * kSecond, 15 * kSecond,
-                                                   30 * kSecond, 45 * kSecond, 60 * kSecond};
+    static constexpr std::array<Micros, 7> kDurationBounds{
+        kSecond, 3 * kSecond, 8 * kSecond, 15 * kSecond, 30 * kSecond, 45 * kSecond, 60 * kSecond};
 
-    std::map<std::string, Open> open_;
-    std::array<std::uint64_t, kBounds.size() + 1> gone_within_{};  // the last: later
-    std::uint64_t gone_ = 0;
+    std::map<std::string, OpenCancellation> open_cancellations_;
+    std::array<std::uint64_t, kDurationBounds.size() + 1>
+        gone_by_duration_{};  // by upper bound; the last element counts those above all bounds
+    std::uint64_t gone_count_ = 0;
     Micros longest_ = 0;
-    Micros longest_to_stop_ = 0;
+    Micros longest_to_first_stop_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -1,4 +1,4 @@
-// The owner's judgement of failed tasks: the job's fault or the machine's.
+// ShardOwner: decides whether the job or the machine is at fault when a task fails.
 
 #include <algorithm>
 
@@ -8,19 +8,20 @@
 namespace cottonway {
 
 namespace {
-constexpr int kFailures = 4;  // on several machines, before a job is taken to be broken
-constexpr int kRounds = 3;    // of one task, wherever it was
-constexpr std::size_t kMaxFailedOn = 64;
-constexpr Micros kFirstTry = 4 * kSecond;  // after that, doubled with each try
-constexpr Micros kLongestTry = 60 * kSecond;
-constexpr Micros kAvoid = 10 * kSecond;
-constexpr Micros kAvoidLong = 60 * kSecond;
+constexpr int kBrokenAfterFailures = 4;  // of tasks on two machines; on a third machine one failure is enough
+constexpr int kBrokenAfterTaskErrors = 3;  // of one task, on whatever machines
+constexpr std::size_t kMaxFailedMachines = 64;
+constexpr Micros kInitialBackoff = 4 * kSecond;  // doubled with each failed try
+constexpr Micros kMaxBackoff = 60 * kSecond;
+constexpr Micros kAvoidMachine = 10 * kSecond;      // after tasks of one job have failed on it
+constexpr Micros kAvoidMachineLong = 60 * kSecond;  // after tasks of several jobs have failed on it
 }  // namespace
 
-/// A task has failed. A machine is at fault when jobs fail on it that run elsewhere; so as long as nothing of
-/// a job has ever run, neither is known to be at fault, and the job itself keeps off the machine. One that
-/// fails on several machines and runs on none is taken to be broken: it is tried with one task at a time and
-/// ever more seldom, so that it takes hardly any room, starts and changes. Only its user ends it.
+/// Handles a failed task and returns the delay until it may be tried again. A machine is at fault if jobs
+/// fail on it that run elsewhere. While no task of the job has ever run it is unknown which of the two is at
+/// fault, and the job avoids the machine. A job that fails on several machines and runs on none is considered
+/// broken: it is tried with one task at a time under exponential backoff, so that it uses little room and few
+/// starts and writes. Only its user ends it.
 Micros ShardOwner::handle_task_failure(Machine& machine, Job& job, Slot& slot) {
     const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
@@ -31,25 +32,27 @@
         return kSecond << std::min(slot.errors - 1, 5);
     }
     ++job.failures;
-    if (job.failed_machines.size() < kMaxFailedOn) job.failed_machines.insert(machine.name);
+    if (job.failed_machines.size() < kMaxFailedMachines) job.failed_machines.insert(machine.name);
     if (job.backing_off) {
-        if (slot.attempt < job.backoff_first_attempt) return kSecond;  // began with the others
-        job.next_try_at = now + std::min(kFirstTry << std::min(job.backoff_tries, 10), kLongestTry);
+        if (slot.attempt < job.backoff_first_attempt) return kSecond;  // started before the backoff began
+        job.next_try_at = now + std::min(kInitialBackoff << std::min(job.backoff_tries, 10), kMaxBackoff);
         ++job.backoff_tries;
     } else if (job.failed_machines.size() >= 3 ||
-               (job.failed_machines.size() == 2 && job.failures >= kFailures) || slot.errors >= kRounds) {
+               (job.failed_machines.size() == 2 && job.failures >= kBrokenAfterFailures) ||
+               slot.errors >= kBrokenAfterTaskErrors) {
         job.backing_off = true;
         job.backoff_first_attempt = job.next_attempt;
-        job.next_try_at = now + kFirstTry;
-        spdlog::info("job {}: taken to be broken, {} tasks failed on {} machines and none has run",
+        job.next_try_at = now + kInitialBackoff;
+        spdlog::info("job {}: considered broken, {} tasks failed on {} machines and none has run",
                      job.spec.ref, job.failures, job.failed_machines.size());
-        mark_part_dirty(job, 0);  // so that another holder does not begin with all of it again
+        mark_part_dirty(job, 0);  // so that the next holder does not start all of its tasks again
     }
     spdlog::debug("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
     return kSecond;
 }
 
-/// A task of it has run, so it is not the job that is broken but the machines it failed on.
+/// Records that a task of the job has run. So the job is not broken, and its earlier failures count against
+/// the machines.
 void ShardOwner::on_first_success(Job& job) {
     if (job.proven_runnable) return;
     job.proven_runnable = true;
@@ -61,14 +64,14 @@
     if (!job.backing_off) return;
     job.backing_off = false;
     job.waiting_since = now;
-    spdlog::info("job {}: runs after all", job.spec.ref);
+    spdlog::info("job {}: a task has run, no longer considered broken", job.spec.ref);
     mark_part_dirty(job, 0);
     plan_due_ = true;
 }
 
 void ShardOwner::record_failure(Machine& machine, const Job& job, Micros now) {
     machine.failing_jobs.insert(job.spec.ref);
-    machine.avoid_until = now + (machine.failing_jobs.size() >= 2 ? kAvoidLong : kAvoid);
+    machine.avoid_until = now + (machine.failing_jobs.size() >= 2 ? kAvoidMachineLong : kAvoidMachine);
     spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", machine.name,
                  machine.failing_jobs.size());
 }
