--- a/src/shard/reconciliation.cpp
+++ b/src/shard/reconciliation.cpp
@@ -6,22 +6,25 @@
 
 namespace {
 
-ReconcileAction reconcile_reported(const StoredTask& stored, const ObservedTask& shown) {
-    const bool ours = stored.state == StoredTask::State::Bound || stored.state == StoredTask::State::Binding;
-    if (ours) return shown.exited ? ReconcileAction::Ended : ReconcileAction::Runs;
-    if (!shown.exited) return ReconcileAction::Orphaned;
-    // A result that a former holder had not committed yet.
-    const bool counts = stored.state == StoredTask::State::Waiting && stored.result_wanted;
-    return counts && shown.cause == ExitCause::Done ? ReconcileAction::UnboundResult : ReconcileAction::Clear;
+ReconcileAction reconcile_reported(const StoredTask& stored, const ObservedTask& observed) {
+    const bool bound_here =
+        stored.state == StoredTask::State::Bound || stored.state == StoredTask::State::Binding;
+    if (bound_here) return observed.exited ? ReconcileAction::Ended : ReconcileAction::Runs;
+    if (!observed.exited) return ReconcileAction::Orphaned;
+    // A former holder may not have committed the task's result yet.
+    const bool result_counts = stored.state == StoredTask::State::Waiting && stored.result_wanted;
+    return result_counts && observed.cause == ExitCause::Done ? ReconcileAction::UnboundResult
+                                                              : ReconcileAction::Clear;
 }
 
 ReconcileAction reconcile_absent(const StoredTask& stored, const LaunchProof& proof) {
     if (stored.state != StoredTask::State::Bound) return ReconcileAction::NotSent;
-    if (stored.seen) return ReconcileAction::Gone;  // the worker has forgotten it: its session was over
+    if (stored.seen)
+        return ReconcileAction::Gone;  // the worker has forgotten the task because its session ended
     if (stored.launched) {
-        const bool arrived_never =
+        const bool can_not_arrive =
             proof.session_ended || proof.higher_token_seen || proof.response_superseded;
-        if (!arrived_never) return ReconcileAction::InDoubt;
+        if (!can_not_arrive) return ReconcileAction::InDoubt;
         if (stored.inherited) return ReconcileAction::Gone;
     }
     if (stored.stopping && !proof.may_still_arrive) return ReconcileAction::Gone;
@@ -30,8 +33,8 @@
 
 }  // namespace
 
-ReconcileAction reconcile(const StoredTask& stored, const ObservedTask& shown, const LaunchProof& proof) {
-    return shown.is_present ? reconcile_reported(stored, shown) : reconcile_absent(stored, proof);
+ReconcileAction reconcile(const StoredTask& stored, const ObservedTask& observed, const LaunchProof& proof) {
+    return observed.is_present ? reconcile_reported(stored, observed) : reconcile_absent(stored, proof);
 }
 
 bool is_newer_message(const MessageOrder& message, const MessageOrder& last, std::uint64_t min_session) {
@@ -39,8 +42,8 @@
     return std::tuple(message.session, message.seq) > std::tuple(last.session, last.seq);
 }
 
-const char* name_of(ReconcileAction v) {
-    switch (v) {
+const char* name_of(ReconcileAction action) {
+    switch (action) {
         case ReconcileAction::Runs:
             return "runs";
         case ReconcileAction::Ended:
