--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,4 +1,4 @@
-// Every task of a cancelled job is gone in time, whichever way its stop has to go.
+// Every task of a cancelled job is gone within the time limit, whichever way its stop takes.
 
 #include <gtest/gtest.h>
 
@@ -25,32 +25,35 @@
 
 class StopsWithoutDirectCalls : public testing::TestWithParam<Timing> {};
 
-TEST_P(StopsWithoutDirectCalls, ReachWorkersInTheAnswersToTheirHeartbeats) {
+TEST_P(StopsWithoutDirectCalls, ArriveInAnswersToHeartbeats) {
     constexpr int kMachines = 16;
     constexpr int kReplicas = 4;
-    Settings site = small_site();
-    site.report_every = GetParam().report_every;
-    site.lease = GetParam().lease;
-    site.cancel = GetParam().cancel;
-    Simulator w(7, site);
-    for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-    w.start_nodes();
-    w.run(2 * site.report_every + 6 * kSecond);
-    for (int job = 1; job <= 3; ++job) w.submit(w.job(job, JobKind::Service, kReplicas, 2), 0);
-    w.run(2 * site.report_every);
-    ASSERT_EQ(w.running("req-000001") + w.running("req-000002") + w.running("req-000003"), 3 * kReplicas)
-        << w.story();
-    for (int node = 0; node < w.node_count(); ++node) w.exhaust_sockets(node, true);
-    w.cancel("req-000001");
-    w.run(kSecond);
-    ASSERT_EQ(w.told("req-000001"), "cancelled") << w.story();
-    // An answer to each worker's next heartbeat is enough.
-    w.run(site.report_every * 5 / 4 + kSecond);
-    EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-    w.cancel("req-000002");
-    w.run(site.cancel + 5 * kSecond);
-    EXPECT_EQ(w.running("req-000003"), kReplicas) << w.story();
-    EXPECT_RULES(w);
+    Settings settings = small_site();
+    settings.report_every = GetParam().report_every;
+    settings.lease = GetParam().lease;
+    settings.cancel = GetParam().cancel;
+    Simulator simulator(7, settings);
+    for (int i = 0; i < kMachines; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+    simulator.start_nodes();
+    simulator.run(2 * settings.report_every + 6 * kSecond);
+    for (int job = 1; job <= 3; ++job)
+        simulator.submit(simulator.job(job, JobKind::Service, kReplicas, 2), 0);
+    simulator.run(2 * settings.report_every);
+    ASSERT_EQ(
+        simulator.running("req-000001") + simulator.running("req-000002") + simulator.running("req-000003"),
+        3 * kReplicas)
+        << simulator.story();
+    for (int node = 0; node < simulator.node_count(); ++node) simulator.exhaust_sockets(node, true);
+    simulator.cancel("req-000001");
+    simulator.run(kSecond);
+    ASSERT_EQ(simulator.told("req-000001"), "cancelled") << simulator.story();
+    // The answer to each worker's next heartbeat must be enough.
+    simulator.run(settings.report_every * 5 / 4 + kSecond);
+    EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+    simulator.cancel("req-000002");
+    simulator.run(settings.cancel + 5 * kSecond);
+    EXPECT_EQ(simulator.running("req-000003"), kReplicas) << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
 INSTANTIATE_TEST_SUITE_P(Timings, StopsWithoutDirectCalls,
@@ -59,10 +62,10 @@
                                          Timing{1'500 * kMillisecond, 10 * kSecond, 40 * kSecond}),
                          testing::PrintToStringParamName());
 
-/// How the holder of a job with several stored parts ends around the job's cancellation.
+/// When the job is cancelled relative to the crash of its shard's holder. The job has several stored parts.
 struct Takeover {
     const char* name;
-    Micros cancelled_after_end;
+    Micros cancelled_after_crash;
 };
 
 void PrintTo(const Takeover& takeover, std::ostream* out) {
@@ -71,174 +74,185 @@
 
 class CancelledJobWithSeveralParts : public testing::TestWithParam<Takeover> {};
 
-TEST_P(CancelledJobWithSeveralParts, IsStoppedWholeByTheNextHolder) {
+TEST_P(CancelledJobWithSeveralParts, IsStoppedCompletelyByTheNextHolder) {
     constexpr int kTasks = 200;
-    auto w = settled_simulator(3, 6);
-    w->submit(w->job(1, JobKind::Service, kTasks, 0.1), 0);
-    w->run(8 * kSecond);
-    const int holder = w->holder();
-    const std::size_t tasks_per_part = w->owner_at(holder)->jobs().at("req-000001")->tasks_per_part;
-    ASSERT_GT(static_cast<std::size_t>(w->running("req-000001")), tasks_per_part) << w->story();
-    // What the former holder sends after the cancellation does not arrive.
-    for (const auto& machine : w->machine_names()) w->cut(host(holder), machine);
-    w->at(w->now() + kSecond, [&w, holder] { w->crash(holder, 20 * kSecond); });
-    w->at(w->now() + kSecond + GetParam().cancelled_after_end, [&w] { w->cancel("req-000001"); });
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "cancelled") << w->story();
-    w->run(w->settings.cancel + 5 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0) << w->story();
-    EXPECT_RULES(*w);
+    auto simulator = settled_simulator(3, 6);
+    simulator->submit(simulator->job(1, JobKind::Service, kTasks, 0.1), 0);
+    simulator->run(8 * kSecond);
+    const int holder = simulator->holder();
+    const std::size_t tasks_per_part = simulator->owner_at(holder)->jobs().at("req-000001")->tasks_per_part;
+    ASSERT_GT(static_cast<std::size_t>(simulator->running("req-000001")), tasks_per_part)
+        << simulator->story();
+    // Messages that the former holder sends to workers after the cancellation do not arrive.
+    for (const auto& machine : simulator->machine_names()) simulator->cut(host(holder), machine);
+    simulator->at(simulator->now() + kSecond,
+                  [&simulator, holder] { simulator->crash(holder, 20 * kSecond); });
+    simulator->at(simulator->now() + kSecond + GetParam().cancelled_after_crash,
+                  [&simulator] { simulator->cancel("req-000001"); });
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "cancelled") << simulator->story();
+    simulator->run(simulator->settings.cancel + 5 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 0) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
 INSTANTIATE_TEST_SUITE_P(Takeovers, CancelledJobWithSeveralParts,
-                         testing::Values(Takeover{"CancelledBeforeTheEnd", -500 * kMillisecond},
+                         testing::Values(Takeover{"CancelledBeforeTheCrash", -500 * kMillisecond},
                                          Takeover{"CancelledBeforeTheTakeover", 100 * kMillisecond},
                                          Takeover{"CancelledDuringTheTakeover", 1'500 * kMillisecond},
                                          Takeover{"CancelledAfterTheTakeover", 6 * kSecond}),
                          testing::PrintToStringParamName());
 
-/// More than a controller keeps views of.
+/// More finished jobs than a controller keeps in its cache.
 constexpr int kOtherJobs = 20'001;
-constexpr Micros kLearning = 500 * kMillisecond;  // of them, one after the other
-constexpr Micros kReadingAgain = 2 * kSecond;
-
-/// Writes final records of other jobs, as their holders would; the controllers learn of them in steps, or by
-/// reading everything again.
-void finish_other_jobs(Simulator& w, bool as_news) {
-    const auto per_change = static_cast<int>(w.state().limits.txn_ops);
-    for (int first = 0; first < kOtherJobs; first += per_change) {
+constexpr Micros kFeedTime = 500 * kMillisecond;  // for their records to arrive one after the other
+constexpr Micros kFullReadTime = 2 * kSecond;
+
+/// Writes final records of other jobs, as their holders would. The controllers receive them through the
+/// change feed, or by a full read of the store.
+void finish_other_jobs(Simulator& simulator, bool through_feed) {
+    const auto records_per_change = static_cast<int>(simulator.state().limits.txn_ops);
+    for (int first = 0; first < kOtherJobs; first += records_per_change) {
         Json writes = Json::array();
-        for (int i = first; i < std::min(first + per_change, kOtherJobs); ++i)
+        for (int i = first; i < std::min(first + records_per_change, kOtherJobs); ++i)
             writes.push_back(Json{{"write", keys::job + "req-9" + std::to_string(100'000 + i)},
                                   {"data", {{"s", "done"}, {"dom", "loom-0"}, {"k", 1}, {"fd", 1}}}});
         const Json change{{"when", Json::array()}, {"then", writes}};
-        ASSERT_EQ(w.state().handle("POST", "/commit", change, w.now()).status, 200);
-        if (as_news) w.run(per_change * kLearning / kOtherJobs);
+        ASSERT_EQ(simulator.state().handle("POST", "/commit", change, simulator.now()).status, 200);
+        if (through_feed) simulator.run(records_per_change * kFeedTime / kOtherJobs);
     }
-    w.run(as_news ? kLearning : kReadingAgain);
+    simulator.run(through_feed ? kFeedTime : kFullReadTime);
 }
 
-/// Its user cancels through another controller until that has confirmed it.
-void cancel_beside(Simulator& w, int node, const std::string& ref) {
-    w.users_at = (node + 1) % w.node_count();
-    w.cancel(ref);
-    for (int i = 0; i < 600 && w.told(ref) != "cancelled"; ++i) w.run(10 * kMillisecond);
-    ASSERT_EQ(w.told(ref), "cancelled") << w.story();
+/// Cancels a job through a controller other than `node` and waits until that controller has confirmed it.
+void cancel_through_other_node(Simulator& simulator, int node, const std::string& ref) {
+    simulator.users_at = (node + 1) % simulator.node_count();
+    simulator.cancel(ref);
+    for (int i = 0; i < 600 && simulator.told(ref) != "cancelled"; ++i) simulator.run(10 * kMillisecond);
+    ASSERT_EQ(simulator.told(ref), "cancelled") << simulator.story();
 }
 
-/// How the controllers learn of many finished jobs.
+/// How the controllers receive the records of many finished jobs.
 struct OtherJobs {
     const char* name;
-    bool as_news;             // or by reading everything again
-    std::set<int> old_nodes;  // of the version before: while there are some, final records are read as well
+    bool through_feed;  // otherwise by a full read of the store
+    std::set<int>
+        old_nodes;  // nodes of the previous version; while there are any, final records are read as well
 };
-const std::vector<OtherJobs> kWaysToLearn{{"as news", true, {}},
-                                          {"reading again", false, {}},
-                                          {"reading again with the history", false, {0, 1, 2}}};
+const std::vector<OtherJobs> kWaysToReceive{{"by change feed", true, {}},
+                                            {"by full read", false, {}},
+                                            {"by full read with the history", false, {0, 1, 2}}};
 
-/// A service of two tasks that its user cancels, beside one that goes on.
+/// A simulation with two services of two tasks each. The first one is cancelled, the other one runs on.
 struct CancelledService {
-    CancelledService(std::uint64_t seed, const std::set<int>& old_nodes) : w(seed) {
-        for (int i = 0; i < 2; ++i) w.add_machine("small", "a");
-        w.start_nodes(3, old_nodes);
-        w.run(6 * kSecond);
-        w.submit(w.job(1, JobKind::Service, 2), 0);
-        w.submit(w.job(2, JobKind::Service, 2), 0);
-        w.run(30 * kSecond);  // a controller renews no lease for others before
-        holder = w.holder();
+    CancelledService(std::uint64_t seed, const std::set<int>& old_nodes) : simulator(seed) {
+        for (int i = 0; i < 2; ++i) simulator.add_machine("small", "a");
+        simulator.start_nodes(3, old_nodes);
+        simulator.run(6 * kSecond);
+        simulator.submit(simulator.job(1, JobKind::Service, 2), 0);
+        simulator.submit(simulator.job(2, JobKind::Service, 2), 0);
+        simulator.run(30 * kSecond);  // a controller renews no lease on behalf of others before that
+        holder = simulator.holder();
     }
-    /// The holder reaches the store only, and other controllers renew its workers' leases.
+    /// Cuts the holder off from everything but the store, so that other controllers renew its workers'
+    /// leases.
     void isolate_holder() {
-        for (const auto& machine : w.machine_names()) w.cut(host(holder), machine);
-        for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.cut(host(holder), host(i));
-        w.run(10 * kSecond);
+        for (const auto& machine : simulator.machine_names()) simulator.cut(host(holder), machine);
+        for (int i = 0; i < simulator.node_count(); ++i)
+            if (i != holder) simulator.cut(host(holder), host(i));
+        simulator.run(10 * kSecond);
     }
-    void mute(bool on) {
-        for (const auto& machine : w.machine_names()) w.mute(machine, on);
+    void mute_workers(bool on) {
+        for (const auto& machine : simulator.machine_names()) simulator.mute(machine, on);
     }
     void cancel_before(const OtherJobs& other_jobs) {
-        cancel_beside(w, holder, "req-000001");
-        finish_other_jobs(w, other_jobs.as_news);
-        EXPECT_EQ(w.running("req-000001"), 2) << w.story();
+        cancel_through_other_node(simulator, holder, "req-000001");
+        finish_other_jobs(simulator, other_jobs.through_feed);
+        EXPECT_EQ(simulator.running("req-000001"), 2) << simulator.story();
     }
 
-    Simulator w;
+    Simulator simulator;
     int holder = -1;
 };
 
-// ran_cancelled: leases were renewed on the holder's behalf without a stop.
-TEST(CancelledBeforeManyFinishedJobs, IsStoppedByControllersThatRenewOnItsHoldersBehalf) {
-    for (const OtherJobs& other_jobs : kWaysToLearn)
+// Guards against controllers that renew leases on the holder's behalf without a stop for the cancelled job,
+// because the records of many other finished jobs have displaced its record from their caches.
+TEST(CancelledBeforeManyFinishedJobs, IsStoppedByControllersThatRenewOnBehalfOfItsHolder) {
+    for (const OtherJobs& other_jobs : kWaysToReceive)
         for (const std::uint64_t seed : {1, 2, 3}) {
             SCOPED_TRACE(other_jobs.name);
             CancelledService service(seed, other_jobs.old_nodes);
-            Simulator& w = service.w;
+            Simulator& simulator = service.simulator;
             service.isolate_holder();
-            service.mute(true);  // not heard until the other jobs are
+            service.mute_workers(true);  // no report arrives until the other jobs are known
             service.cancel_before(other_jobs);
-            service.mute(false);
-            w.run(w.settings.cancel);
-            EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-            EXPECT_EQ(w.running("req-000002"), 2) << w.story();
-            w.heal_all();
-            w.run(20 * kSecond);
-            EXPECT_RULES(w);
+            service.mute_workers(false);
+            simulator.run(simulator.settings.cancel);
+            EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+            EXPECT_EQ(simulator.running("req-000002"), 2) << simulator.story();
+            simulator.heal_all();
+            simulator.run(20 * kSecond);
+            EXPECT_RULES(simulator);
         }
 }
 
-// An attempt that a late launch had started ran on once the final record of its job had been forgotten.
-TEST(CancelledBeforeManyFinishedJobs, IsReadAgainBeforeALeaseIsRenewedForWhatIsLeftOfIt) {
-    for (const OtherJobs& other_jobs : kWaysToLearn)
+// Guards against an attempt that runs on after its job's final record has been dropped from the cache, for
+// example one that a late launch has started.
+TEST(CancelledBeforeManyFinishedJobs, IsReadAgainBeforeALeaseOfItsTasksIsRenewed) {
+    for (const OtherJobs& other_jobs : kWaysToReceive)
         for (const std::uint64_t seed : {7, 8}) {
             SCOPED_TRACE(other_jobs.name);
             CancelledService service(seed, other_jobs.old_nodes);
-            Simulator& w = service.w;
+            Simulator& simulator = service.simulator;
             service.isolate_holder();
-            service.mute(true);  // not heard until the other jobs are
-            cancel_beside(w, service.holder, "req-000001");
+            service.mute_workers(true);  // no report arrives until the other jobs are known
+            cancel_through_other_node(simulator, service.holder, "req-000001");
             const Json final_record{{"s", "cancelled"}, {"dom", "loom-0"}, {"k", 2}, {"fd", 0}};
             Json writes = Json::array({Json{{"write", keys::job + "req-000001"}, {"data", final_record}}});
             writes.push_back(Json{{"drop", keys::active + "req-000001"}});
             const Json change{{"when", Json::array()}, {"then", writes}};
-            ASSERT_EQ(w.state().handle("POST", "/commit", change, w.now()).status, 200);
-            finish_other_jobs(w, other_jobs.as_news);
-            service.mute(false);
-            w.run(w.settings.cancel);
-            EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-            EXPECT_EQ(w.starts("req-000002"), 2) << "its tasks keep their leases\n" << w.story();
-            w.heal_all();
-            w.run(20 * kSecond);
-            EXPECT_RULES(w);
+            ASSERT_EQ(simulator.state().handle("POST", "/commit", change, simulator.now()).status, 200);
+            finish_other_jobs(simulator, other_jobs.through_feed);
+            service.mute_workers(false);
+            simulator.run(simulator.settings.cancel);
+            EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+            EXPECT_EQ(simulator.starts("req-000002"), 2)
+                << "the tasks of the other service keep their leases\n"
+                << simulator.story();
+            simulator.heal_all();
+            simulator.run(20 * kSecond);
+            EXPECT_RULES(simulator);
         }
 }
 
-// A next holder that was still reading answered heartbeats without the stop.
-TEST(CancelledBeforeManyFinishedJobs, IsStoppedByANextHolderThatIsStillReading) {
-    const OtherJobs& other_jobs = kWaysToLearn.front();  // with the others the next holder is there too soon
+// Guards against a next holder that still reads the shard's jobs and answers heartbeats without the stop.
+TEST(CancelledBeforeManyFinishedJobs, IsStoppedByANextHolderThatIsStillLoading) {
+    const OtherJobs& other_jobs =
+        kWaysToReceive.front();  // with the other ways the next holder is ready too soon
     for (const std::uint64_t seed : {4, 5, 6}) {
         CancelledService service(seed, other_jobs.old_nodes);
-        Simulator& w = service.w;
-        const std::string shard = w.owner_at(service.holder)->shard();
-        w.refuse(service.holder, true);
+        Simulator& simulator = service.simulator;
+        const std::string shard = simulator.owner_at(service.holder)->shard();
+        simulator.refuse(service.holder, true);
         service.cancel_before(other_jobs);
-        const auto taken = [&] {
-            for (int i = 0; i < w.node_count(); ++i)
-                if (const ShardOwner* o = w.node(i)->owner(shard); i != service.holder && o && !o->active())
+        const auto next_holder_is_loading = [&] {
+            for (int i = 0; i < simulator.node_count(); ++i)
+                if (const ShardOwner* owner = simulator.node(i)->owner(shard);
+                    i != service.holder && owner && !owner->active())
                     return true;
             return false;
         };
-        for (int i = 0; i < 10'000 && !taken(); ++i) w.run(kMillisecond);
-        ASSERT_TRUE(taken()) << w.story();
-        ASSERT_EQ(w.running("req-000001"), 2) << w.story();
-        w.state().set_down(true, w.now());
-        w.run(9 * kSecond);
-        EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-        w.state().set_down(false, w.now());
-        w.refuse(service.holder, false);
-        w.heal_all();
-        w.run(10 * kSecond);
-        EXPECT_RULES(w);
+        for (int i = 0; i < 10'000 && !next_holder_is_loading(); ++i) simulator.run(kMillisecond);
+        ASSERT_TRUE(next_holder_is_loading()) << simulator.story();
+        ASSERT_EQ(simulator.running("req-000001"), 2) << simulator.story();
+        simulator.state().set_down(true, simulator.now());
+        simulator.run(9 * kSecond);
+        EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+        simulator.state().set_down(false, simulator.now());
+        simulator.refuse(service.holder, false);
+        simulator.heal_all();
+        simulator.run(10 * kSecond);
+        EXPECT_RULES(simulator);
     }
 }
 
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -17,9 +17,9 @@
 /// told.
 class ConsistencyChecker {
   public:
-    ConsistencyChecker(Simulator& w, JobSpec spec, Micros span) : w_(w), spec_(std::move(spec)) {
+    ConsistencyChecker(Simulator& simulator, JobSpec spec, Micros span) : w_(simulator), spec_(std::move(spec)) {
         for (Micros t = 0; t < span; t += 100 * kMillisecond)
-            w.at(w.now() + t, [this] {
+            simulator.at(simulator.now() + t, [this] {
                 for (int i = 0; i < w_.node_count(); ++i) ask(i);
             });
     }
@@ -69,25 +69,25 @@
     *out << row.change;
 }
 
-JobSpec watched(Simulator& w, int tasks = 2, double cores = 1) {
-    return w.job(9, JobKind::Array, tasks, cores);
+JobSpec watched(Simulator& simulator, int tasks = 2, double cores = 1) {
+    return simulator.job(9, JobKind::Array, tasks, cores);
 }
-void submit(Simulator& w) {
-    w.submit(watched(w), 3 * kSecond);
+void submit(Simulator& simulator) {
+    simulator.submit(watched(simulator), 3 * kSecond);
 }
 void nothing(Simulator&) {}
 /// All that runs for some seconds, and what is watched waits for room.
-void crowded(Simulator& w) {
-    for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
-    w.run(kSecond);
-    w.submit(watched(w, 20), 3 * kSecond);
-    w.run(1500 * kMillisecond);
+void crowded(Simulator& simulator) {
+    for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
+    simulator.run(kSecond);
+    simulator.submit(watched(simulator, 20), 3 * kSecond);
+    simulator.run(1500 * kMillisecond);
 }
-void running(Simulator& w) {
-    w.submit(watched(w), 8 * kSecond);
-    w.run(2 * kSecond);
+void running(Simulator& simulator) {
+    simulator.submit(watched(simulator), 8 * kSecond);
+    simulator.run(2 * kSecond);
 }
-void publish(Simulator& w) {
+void publish(Simulator& simulator) {
     policy::Policy p;
     p.revision = 3;
     for (int i = 0; i < 60; ++i) {  // more than a small value holds
@@ -96,115 +96,115 @@
         rule.scope.job_class = "class-" + std::to_string(i);
         p.tiers.push_back(rule);
     }
-    w.node(1)->set_policy_file(p);
+    simulator.node(1)->set_policy_file(p);
 }
 
 const std::string kRecord = std::string("c/active/") + kRef;
 
 const std::vector<Row> kRows = {
-    {"admission", {kRecord}, false, [](Simulator& w) { w.cut("users", host(w.holder())); }, submit},
+    {"admission", {kRecord}, false, [](Simulator& simulator) { simulator.cut("users", host(simulator.holder())); }, submit},
     {"admission with its binds",
      {kRecord},
      false,
-     [](Simulator& w) {
+     [](Simulator& simulator) {
          for (int i = 0; i < 3; ++i)
-             if (i != w.holder()) w.cut("users", host(i));
+             if (i != simulator.holder()) simulator.cut("users", host(i));
      },
      submit},
     {"admission, cancelled beside it",
      {kRecord},
      false,
      nothing,
-     [](Simulator& w) {
-         submit(w);
-         w.run(300 * kMillisecond);
-         w.cancel(kRef);
+     [](Simulator& simulator) {
+         submit(simulator);
+         simulator.run(300 * kMillisecond);
+         simulator.cancel(kRef);
      }},
     {"binds and done tasks", {kRecord, kRecord, kRecord}, false, crowded, nothing},
     {"the same in parts",
      {kRecord, kRecord, std::string("c/part/") + kRef, std::string("c/part/") + kRef},
      true,
-     [](Simulator& w) {
-         for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
-         w.run(kSecond);
-         w.submit(watched(w, 60, 0.2), 2 * kSecond);
-         w.run(kSecond);
+     [](Simulator& simulator) {
+         for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
+         simulator.run(kSecond);
+         simulator.submit(watched(simulator, 60, 0.2), 2 * kSecond);
+         simulator.run(kSecond);
      },
      nothing},
     {"final record", {std::string("c/job/") + kRef}, false, running, nothing},
-    {"cancellation", {kRecord}, false, running, [](Simulator& w) { w.cancel(kRef); }},
+    {"cancellation", {kRecord}, false, running, [](Simulator& simulator) { simulator.cancel(kRef); }},
     {"cancellation at the end",
      {kRecord},
      false,
-     [](Simulator& w) {
-         w.cancel_at_end = 1;
-         running(w);
-         for (int i = 0; i < 900 && w.completed_tasks(kRef) < 2; ++i) w.run(20 * kMillisecond);
+     [](Simulator& simulator) {
+         simulator.cancel_at_end = 1;
+         running(simulator);
+         for (int i = 0; i < 900 && simulator.completed_tasks(kRef) < 2; ++i) simulator.run(20 * kMillisecond);
      },
      nothing},
-    {"lease", {"c/block/"}, false, nothing, [](Simulator& w) { w.add_machine("small", "a"); }},
+    {"lease", {"c/block/"}, false, nothing, [](Simulator& simulator) { simulator.add_machine("small", "a"); }},
     {"raised token",
      {"c/block/"},
      false,
-     [](Simulator& w) {
-         for (const auto& m : w.machine_names()) w.hold_next(host(w.holder()), m);
-         submit(w);
-         w.run(2 * kSecond);
+     [](Simulator& simulator) {
+         for (const auto& m : simulator.machine_names()) simulator.hold_next(host(simulator.holder()), m);
+         submit(simulator);
+         simulator.run(2 * kSecond);
      },
      nothing},
     {"returned machine",
      {"c/block/", "c/block/"},
      false,
      nothing,
-     [](Simulator& w) { w.owner_at(w.holder())->retire(w.machine_names().back(), "a test"); }},
+     [](Simulator& simulator) { simulator.owner_at(simulator.holder())->retire(simulator.machine_names().back(), "a test"); }},
     {"leader and domain after an end",
      {"c/leader", "c/domain/"},
      false,
      running,
-     [](Simulator& w) { w.crash(w.holder(), 20 * kSecond); }},
-    {"live key", {"c/live/"}, false, running, [](Simulator& w) { w.crash(w.holder(), 200 * kMillisecond); }},
+     [](Simulator& simulator) { simulator.crash(simulator.holder(), 20 * kSecond); }},
+    {"live key", {"c/live/"}, false, running, [](Simulator& simulator) { simulator.crash(simulator.holder(), 200 * kMillisecond); }},
     {"policy", {"c/policy"}, false, nothing, publish},
     {"pieces and what names them", {"c/0/", "c/policy"}, true, nothing, publish},
     {"machines that move",
      {"c/block/"},
      true,
-     [](Simulator& w) {
-         w.submit(watched(w, 16), 10 * kSecond);
-         w.run(2 * kSecond);
-         w.add_machine("small", "a");
-         for (int i = 0; i < 500 && leased(w).size() < 2; ++i) w.run(10 * kMillisecond);
+     [](Simulator& simulator) {
+         simulator.submit(watched(simulator, 16), 10 * kSecond);
+         simulator.run(2 * kSecond);
+         simulator.add_machine("small", "a");
+         for (int i = 0; i < 500 && leased(simulator).size() < 2; ++i) simulator.run(10 * kMillisecond);
      },
      nothing,
      1},
     {"job that is given away",
      {kRecord},
      true,
-     [](Simulator& w) {
-         w.submit(w.job(2, JobKind::Service, 6), 0);  // the rest of the machine
-         w.run(3 * kSecond);
-         JobSpec s = watched(w, 60, 0.08);
+     [](Simulator& simulator) {
+         simulator.submit(simulator.job(2, JobKind::Service, 6), 0);  // the rest of the machine
+         simulator.run(3 * kSecond);
+         JobSpec s = watched(simulator, 60, 0.08);
          s.team = "blue";
-         w.submit(s, 3 * kSecond);
-         w.run(2 * kSecond);
-         w.at(w.now() + 25 * kSecond, [&w] { w.cancel("req-000002"); });
+         simulator.submit(s, 3 * kSecond);
+         simulator.run(2 * kSecond);
+         simulator.at(simulator.now() + 25 * kSecond, [&simulator] { simulator.cancel("req-000002"); });
      },
-     [](Simulator& w) { w.add_machine("large", "a"); },
+     [](Simulator& simulator) { simulator.add_machine("large", "a"); },
      1},
     {"share that is given",
      {"c/share/"},
      true,
-     [](Simulator& w) {
-         JobSpec s = watched(w, 20);
+     [](Simulator& simulator) {
+         JobSpec s = watched(simulator, 20);
          s.team = "blue";
-         w.submit(s, 3 * kSecond);
+         simulator.submit(s, 3 * kSecond);
      },
      nothing},
     {"handing over",
      {"c/domain/"},
      true,
-     [](Simulator& w) {
-         w.crash(w.busiest(), 8 * kSecond);
-         w.run(9 * kSecond);
+     [](Simulator& simulator) {
+         simulator.crash(simulator.busiest(), 8 * kSecond);
+         simulator.run(9 * kSecond);
      },
      nothing,
      8},
@@ -215,29 +215,29 @@
 TEST_P(LostAnswers, LeaveTheWriterNoWiserThanTheOthers) {
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto w = settled_simulator(seed, row.machines, row.several ? narrow() : small_site());
-        w->submit(w->job(1, JobKind::Service, 2), 0);
-        w->run(2 * kSecond);
-        row.before(*w);
-        for (const auto& key : row.lost) w->late_next(key, 0);
-        ConsistencyChecker looks(*w, watched(*w), 6 * kSecond);
-        row.act(*w);
-        w->run(12 * kSecond);
-        w->heal_all();
-        w->release();
-        w->run(20 * kSecond);
-        EXPECT_EQ(w->late_to_come(), 0U) << "seed " << seed << "\n" << w->story();
-        w->run(30 * kSecond);
-        EXPECT_RULES(*w);
-        EXPECT_EQ(w->running("req-000001"), 2);
-        for (const auto& ref : w->refs()) {
+        auto simulator = settled_simulator(seed, row.machines, row.several ? narrow() : small_site());
+        simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+        simulator->run(2 * kSecond);
+        row.before(*simulator);
+        for (const auto& key : row.lost) simulator->late_next(key, 0);
+        ConsistencyChecker looks(*simulator, watched(*simulator), 6 * kSecond);
+        row.act(*simulator);
+        simulator->run(12 * kSecond);
+        simulator->heal_all();
+        simulator->release();
+        simulator->run(20 * kSecond);
+        EXPECT_EQ(simulator->late_to_come(), 0U) << "seed " << seed << "\n" << simulator->story();
+        simulator->run(30 * kSecond);
+        EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->running("req-000001"), 2);
+        for (const auto& ref : simulator->refs()) {
             if (ref == "req-000001") continue;
-            EXPECT_TRUE(w->told(ref) == "done" || w->told(ref) == "cancelled")
-                << ref << " is " << w->told(ref) << "\n"
-                << w->story();
-            EXPECT_EQ(w->running(ref), 0) << ref;
+            EXPECT_TRUE(simulator->told(ref) == "done" || simulator->told(ref) == "cancelled")
+                << ref << " is " << simulator->told(ref) << "\n"
+                << simulator->story();
+            EXPECT_EQ(simulator->running(ref), 0) << ref;
         }
-        expect_each_machine_leased_once(*w);
+        expect_each_machine_leased_once(*simulator);
     }
 }
 
@@ -249,16 +249,16 @@
 
 /// What a new machine's first report waits for is in the news as well.
 TEST(LostAnswer, AFirstReportIsAnsweredOnceItsMachineIsLeased) {
-    auto w = settled_simulator(8);
-    const std::string machine = w->add_machine("small", "a");
-    w->mute(machine,
+    auto simulator = settled_simulator(8);
+    const std::string machine = simulator->add_machine("small", "a");
+    simulator->mute(machine,
             true);  // its first report is made below; it answers the call that proves that it is there
-    w->late_next("c/block/", 0);
-    const Micros asked = w->now();
-    const auto report = w->worker(machine)->report(asked);
-    EXPECT_EQ(w->ask(w->leader(), "POST", "/v1/report", report).status, 200) << w->story();
-    EXPECT_EQ(w->late_to_come(), 0U);
-    EXPECT_LT(w->now() - asked, kSecond) << "long before the leader knows by itself";
+    simulator->late_next("c/block/", 0);
+    const Micros asked = simulator->now();
+    const auto report = simulator->worker(machine)->report(asked);
+    EXPECT_EQ(simulator->ask(simulator->leader(), "POST", "/v1/report", report).status, 200) << simulator->story();
+    EXPECT_EQ(simulator->late_to_come(), 0U);
+    EXPECT_LT(simulator->now() - asked, kSecond) << "long before the leader knows by itself";
 }
 
 /// All that is written by processes which start: each alone, and all together.
@@ -266,18 +266,18 @@
     const std::vector<std::string> keys{"c/live/",   "c/leader", "c/domain/", "c/share/",
                                         "c/format/", "c/types",  "c/history", "c/block/"};
     for (std::size_t i = 0; i <= keys.size(); ++i) {
-        Simulator w(7, i % 2 ? narrow() : small_site());
-        for (int m = 0; m < 4; ++m) w.add_machine("small", m % 2 ? "b" : "a");
+        Simulator simulator(7, i % 2 ? narrow() : small_site());
+        for (int m = 0; m < 4; ++m) simulator.add_machine("small", m % 2 ? "b" : "a");
         for (std::size_t k = 0; k < keys.size(); ++k)
-            if (i == k || i == keys.size()) w.late_next(keys[k], 0);
-        w.start_nodes();
-        w.submit(w.job(1, JobKind::Array, 4), 2 * kSecond);
-        w.run(60 * kSecond);
-        EXPECT_EQ(w.late_to_come(), 0U) << i;
-        EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-        EXPECT_EQ(w.starts("req-000001"), 4) << w.story();
-        EXPECT_RULES(w);
-        expect_each_machine_leased_once(w);
+            if (i == k || i == keys.size()) simulator.late_next(keys[k], 0);
+        simulator.start_nodes();
+        simulator.submit(simulator.job(1, JobKind::Array, 4), 2 * kSecond);
+        simulator.run(60 * kSecond);
+        EXPECT_EQ(simulator.late_to_come(), 0U) << i;
+        EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
+        EXPECT_EQ(simulator.starts("req-000001"), 4) << simulator.story();
+        EXPECT_RULES(simulator);
+        expect_each_machine_leased_once(simulator);
     }
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,5 +1,5 @@
-// The start after all controllers went down: who takes what, what a start reads, and reconciliation what
-// workers report with what is stored.
+// Recovery after all controllers were down: which controller takes which shard, what a starting controller
+// reads, and how workers' reports are reconciled with the stored records.
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_RULES(simulator) \
+    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
 
 using recovery::FailoverState;
 using recovery::Holding;
@@ -19,256 +20,262 @@
 using recovery::Receiver;
 using Moves = std::vector<std::pair<std::string, std::string>>;
 
-TEST(Dividing, OneOrphanGoesToWhoeverHasTheFewestMachines) {
-    FailoverState s{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
-    EXPECT_EQ(recovery::shards_to_take(s), std::vector<std::string>{"d"});
-    s.self = "b";
-    EXPECT_TRUE(recovery::shards_to_take(s).empty());
-    s.now = 400 * kMillisecond;  // it is still there, so "a" does not come to it
-    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
+TEST(ShardFailover, OrphanGoesToTheNodeWithTheFewestMachines) {
+    FailoverState state{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
+    EXPECT_EQ(recovery::shards_to_take(state), std::vector<std::string>{"d"});
+    state.self = "b";
+    EXPECT_TRUE(recovery::shards_to_take(state).empty());
+    state.now = 400 * kMillisecond;  // the shard is still an orphan, so "a" did not take it
+    EXPECT_EQ(recovery::shards_to_take(state).size(), 1u);
 }
 
-TEST(Dividing, SeveralOrphansAreDividedEvenly) {
-    FailoverState s{"", {{"a", 100}, {"b", 100}}, {}, 0, 0};
-    for (const char* d : {"v", "w", "x", "y"}) s.orphans.push_back({d, 100, 0, false});
+TEST(ShardFailover, SeveralOrphansAreDividedEvenly) {
+    FailoverState state{"", {{"a", 100}, {"b", 100}}, {}, 0, 0};
+    for (const char* shard : {"v", "w", "x", "y"}) state.orphans.push_back({shard, 100, 0, false});
     std::set<std::string> all;
     for (const char* self : {"a", "b"}) {
-        s.self = self;
-        const auto mine = recovery::shards_to_take(s);
+        state.self = self;
+        const auto mine = recovery::shards_to_take(state);
         EXPECT_EQ(mine.size(), 2u) << self;
         all.insert(mine.begin(), mine.end());
     }
-    EXPECT_EQ(all.size(), 4u) << "everyone comes to the same result";
+    EXPECT_EQ(all.size(), 4u) << "all nodes come to the same result";
 }
 
-TEST(Dividing, WhatWasThereBeforeUsIsLeftToItsHolderForAWhile) {
-    FailoverState s{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
-    EXPECT_TRUE(recovery::shards_to_take(s).empty());
-    s.now = 3 * kSecond;
-    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
+TEST(ShardFailover, OrphanFromBeforeTheStartIsLeftToItsHolderForAWhile) {
+    FailoverState state{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
+    EXPECT_TRUE(recovery::shards_to_take(state).empty());
+    state.now = 3 * kSecond;
+    EXPECT_EQ(recovery::shards_to_take(state).size(), 1u);
 }
 
-TEST(Dividing, OwnDomainsGoBackAllInOneStep) {
+TEST(ShardFailover, ShardsGoBackToTheirOwnersInOneStep) {
     const std::vector<Holding> held{
         {"a", 10, true, false}, {"b", 30, true, true}, {"c", 20, true, true}, {"d", 5, true, true}};
     const std::vector<Receiver> back{{"c", kSecond}, {"b", kSecond}};
     EXPECT_EQ(recovery::shards_to_transfer("a", held, back), (Moves{{"c", "c"}, {"b", "b"}}));
-    // One of another name, and one that has not been there for long enough.
+    // No shard has the name of the first receiver, and the second has not been alive for long enough.
     EXPECT_EQ(recovery::shards_to_transfer("a", held, {{"x", kSecond}, {"y", kSecond / 2}}),
               (Moves{{"d", "x"}}));
     auto later = held;
-    for (auto& h : later) h.at_start = false;
-    EXPECT_TRUE(recovery::shards_to_transfer("a", later, back).empty()) << "those have to settle";
+    for (auto& holding : later) holding.at_start = false;
+    EXPECT_TRUE(recovery::shards_to_transfer("a", later, back).empty())
+        << "these receivers have to be alive for longer";
     EXPECT_EQ(recovery::shards_to_transfer("a", {{"a", 10, true, false}}, back), Moves{})
-        << "the last one stays";
+        << "the last shard stays";
 }
 
-/// Nine machines over the shards of three controllers, settled.
-std::unique_ptr<Simulator> spread(std::uint64_t seed) {
-    Settings site = small_site();
-    site.cpu_share = 0.001;
-    auto w = std::make_unique<Simulator>(seed, site);
-    for (int i = 0; i < 9; ++i) w->add_machine("small", i % 2 ? "b" : "a");
-    w->start_nodes();
-    w->run(8 * kSecond);
-    return w;
+/// Returns a settled simulator with nine machines in the shards of three controllers.
+std::unique_ptr<Simulator> simulator_with_several_shards(std::uint64_t seed) {
+    Settings settings = small_site();
+    settings.cpu_share = 0.001;
+    auto simulator = std::make_unique<Simulator>(seed, settings);
+    for (int i = 0; i < 9; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
+    simulator->start_nodes();
+    simulator->run(8 * kSecond);
+    return simulator;
 }
 
-std::size_t held_at(Simulator& w, int node) {
-    std::size_t n = 0;
-    if (w.node(node))
-        for (const auto& [name, o] : w.node(node)->owners()) n += o && !o->machines().empty();
-    return n;
+std::size_t shards_held_at(Simulator& simulator, int node) {
+    std::size_t count = 0;
+    if (simulator.node(node))
+        for (const auto& [name, owner] : simulator.node(node)->owners())
+            count += owner && !owner->machines().empty();
+    return count;
 }
 
-TEST(AllWentDown, NobodyTakesWhatItsHolderComesBackFor) {
+TEST(RestartOfAllControllers, NoShardIsTakenBeforeItsHolderReturns) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        auto w = spread(seed);
-        w->submit(w->job(1, JobKind::Service, 6), 0);
-        w->run(3 * kSecond);
-        for (int i = 0; i < 3; ++i) w->crash(i, 3 * kSecond + i * 400 * kMillisecond);
-        std::size_t most = 0;
+        auto simulator = simulator_with_several_shards(seed);
+        simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+        simulator->run(3 * kSecond);
+        for (int i = 0; i < 3; ++i) simulator->crash(i, 3 * kSecond + i * 400 * kMillisecond);
+        std::size_t max_held = 0;
         for (int i = 0; i < 80; ++i) {
-            w->run(100 * kMillisecond);
-            for (int n = 0; n < 3; ++n) most = std::max(most, held_at(*w, n));
+            simulator->run(100 * kMillisecond);
+            for (int n = 0; n < 3; ++n) max_held = std::max(max_held, shards_held_at(*simulator, n));
         }
-        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->story();
-        for (int n = 0; n < 3; ++n) EXPECT_TRUE(w->owner_at(n)) << n;
-        EXPECT_EQ(w->starts("req-000001"), 6) << w->story();
-        EXPECT_RULES(*w);
+        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->story();
+        for (int n = 0; n < 3; ++n) EXPECT_TRUE(simulator->owner_at(n)) << n;
+        EXPECT_EQ(simulator->starts("req-000001"), 6) << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(AllWentDown, KeysThatAnOutageHasKeptProveNobodyAlive) {
-    // Found on a day of the fleet: all ended during an outage of the state service, after which every lease
-    // has its full time again. To the first one up the others looked alive, then dead, and it took
-    // everything.
+TEST(RestartOfAllControllers, LiveKeysKeptByAnOutageProveNoNodeAlive) {
+    // All controllers ended during an outage of the state service, after which every lease has its full time
+    // again. The first controller up saw the others as alive, then as dead, and took all shards.
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        auto w = spread(seed);
-        w->state().set_down(true, w->now());
-        w->run(2 * kSecond);
-        for (int i = 0; i < 3; ++i) w->crash(i, 6 * kSecond + i * kSecond);
-        w->run(5 * kSecond);
-        w->state().set_down(false, w->now());  // the last one comes up just after its old key is gone
-        std::size_t most = 0;
+        auto simulator = simulator_with_several_shards(seed);
+        simulator->state().set_down(true, simulator->now());
+        simulator->run(2 * kSecond);
+        for (int i = 0; i < 3; ++i) simulator->crash(i, 6 * kSecond + i * kSecond);
+        simulator->run(5 * kSecond);
+        simulator->state().set_down(
+            false, simulator->now());  // the last controller comes up just after its old key has expired
+        std::size_t max_held = 0;
         for (int i = 0; i < 80; ++i) {
-            w->run(100 * kMillisecond);
-            for (int n = 0; n < 3; ++n) most = std::max(most, held_at(*w, n));
+            simulator->run(100 * kMillisecond);
+            for (int n = 0; n < 3; ++n) max_held = std::max(max_held, shards_held_at(*simulator, n));
         }
-        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->story();
-        for (int n = 0; n < 3; ++n) EXPECT_TRUE(w->owner_at(n)) << n;
-        EXPECT_RULES(*w);
+        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->story();
+        for (int n = 0; n < 3; ++n) EXPECT_TRUE(simulator->owner_at(n)) << n;
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(AllWentDown, OneThatStaysDownIsReplacedAndGetsItsDomainBackSoon) {
-    auto w = spread(5);
-    w->submit(w->job(1, JobKind::Service, 6), 0);
-    w->run(3 * kSecond);
-    for (int i = 0; i < 3; ++i) w->crash(i, i == 2 ? 8 * kSecond : 3 * kSecond);
-    w->run(6'500 * kMillisecond);  // 3.5 s after the first two are back
-    EXPECT_EQ(held_at(*w, 0) + held_at(*w, 1), 3u) << w->story();
-    w->run(3'500 * kMillisecond);  // 2 s after the third is
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(held_at(*w, n), 1u) << n << "\n" << w->story();
-    EXPECT_EQ(w->starts("req-000001"), 6) << w->story();
-    EXPECT_RULES(*w);
+TEST(RestartOfAllControllers, ControllerThatStaysDownIsReplacedAndGetsItsShardBack) {
+    auto simulator = simulator_with_several_shards(5);
+    simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+    simulator->run(3 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, i == 2 ? 8 * kSecond : 3 * kSecond);
+    simulator->run(6'500 * kMillisecond);  // 3.5 s after the first two are back
+    EXPECT_EQ(shards_held_at(*simulator, 0) + shards_held_at(*simulator, 1), 3u) << simulator->story();
+    simulator->run(3'500 * kMillisecond);  // 2 s after the third is back
+    for (int n = 0; n < 3; ++n)
+        EXPECT_EQ(shards_held_at(*simulator, n), 1u) << n << "\n" << simulator->story();
+    EXPECT_EQ(simulator->starts("req-000001"), 6) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-// ---------------------------------------------------------------- hard cases
+// ---------------------------------------------------------------- restarts with further faults
 
-/// Services and batch work on machines, a gang, a pipeline half done and a queue.
-void fill(Simulator& w) {
-    w.submit(w.job(1, JobKind::Service, 4), 0);
-    w.submit(w.job(2, JobKind::Array, 6), 12 * kSecond);
-    JobSpec gang = w.job(3, JobKind::Gang, 3, 2);
+/// Submits a service, batch work, a gang, a job that depends on another, and a job whose tasks fail.
+void submit_varied_jobs(Simulator& simulator) {
+    simulator.submit(simulator.job(1, JobKind::Service, 4), 0);
+    simulator.submit(simulator.job(2, JobKind::Array, 6), 12 * kSecond);
+    JobSpec gang = simulator.job(3, JobKind::Gang, 3, 2);
     gang.checkpoint = 3 * kSecond;
     gang.save = kSecond;
-    w.submit(gang, 20 * kSecond);
-    w.submit(w.job(4, JobKind::Array, 2), 15 * kSecond);
-    w.run(4 * kSecond);
-    JobSpec second = w.job(5, JobKind::Array, 2);
-    second.needs = {"req-000004"};
-    w.submit(second, 2 * kSecond);
-    JobSpec mistaken = w.job(6, JobKind::Array, 8, 0.5);
-    w.submit(mistaken, kSecond, 0, true);
-    w.run(kSecond);
+    simulator.submit(gang, 20 * kSecond);
+    simulator.submit(simulator.job(4, JobKind::Array, 2), 15 * kSecond);
+    simulator.run(4 * kSecond);
+    JobSpec dependent = simulator.job(5, JobKind::Array, 2);
+    dependent.needs = {"req-000004"};
+    simulator.submit(dependent, 2 * kSecond);
+    JobSpec failing = simulator.job(6, JobKind::Array, 8, 0.5);
+    simulator.submit(failing, kSecond, 0, true);
+    simulator.run(kSecond);
 }
 
-void expect_unharmed(Simulator& w, const std::string& what) {
-    EXPECT_EQ(w.starts("req-000001"), 4) << what << "\n" << w.story();
-    EXPECT_EQ(w.starts("req-000002"), 6) << what;
-    EXPECT_EQ(w.starts("req-000003"), 3) << what;
-    EXPECT_EQ(w.starts("req-000004"), 2) << what;
-    EXPECT_EQ(w.running("req-000001"), 4) << what;
+void expect_nothing_lost(Simulator& simulator, const std::string& fault) {
+    EXPECT_EQ(simulator.starts("req-000001"), 4) << fault << "\n" << simulator.story();
+    EXPECT_EQ(simulator.starts("req-000002"), 6) << fault;
+    EXPECT_EQ(simulator.starts("req-000003"), 3) << fault;
+    EXPECT_EQ(simulator.starts("req-000004"), 2) << fault;
+    EXPECT_EQ(simulator.running("req-000001"), 4) << fault;
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
-        EXPECT_EQ(w.told(ref), "done") << what << " " << ref << "\n" << w.story();
-    EXPECT_RULES(w);
+        EXPECT_EQ(simulator.told(ref), "done") << fault << " " << ref << "\n" << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
-TEST(HardStarts, EndsAgainInTheMiddleOfEachStep) {
+TEST(RestartWithFaults, RepeatedCrashesAtEachStepLoseNothing) {
     for (int step = 1; step <= 12; ++step) {
-        auto w = spread(static_cast<std::uint64_t>(step));
-        fill(*w);
-        for (int again = 0; again < 3; ++again) {
-            for (int i = 0; i < 3; ++i) w->crash(i, kSecond + i * 50 * kMillisecond);
-            w->run(kSecond + step * 40 * kMillisecond);
+        auto simulator = simulator_with_several_shards(static_cast<std::uint64_t>(step));
+        submit_varied_jobs(*simulator);
+        for (int crash = 0; crash < 3; ++crash) {
+            for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond + i * 50 * kMillisecond);
+            simulator->run(kSecond + step * 40 * kMillisecond);
         }
-        w->run(35 * kSecond);
-        expect_unharmed(*w, "ended again " + std::to_string(step * 40) + " ms after the first was back");
+        simulator->run(35 * kSecond);
+        expect_nothing_lost(*simulator,
+                            "crashed again " + std::to_string(step * 40) + " ms after the first was back");
     }
 }
 
-TEST(HardStarts, TheStoreIsDownSlowOrRefusesOneNode) {
+TEST(RestartWithFaults, StoreThatIsDownLosesAnswersOrRefusesANodeLosesNothing) {
     for (int kind = 0; kind < 3; ++kind) {
-        auto w = spread(20 + static_cast<std::uint64_t>(kind));
-        fill(*w);
-        for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-        if (kind == 0) w->state().set_down(true, w->now());
-        if (kind == 1) w->answers_lost = 0.5;
-        if (kind == 2) w->refuse(1, true);
-        w->run(4 * kSecond);
-        w->state().set_down(false, w->now());
-        w->answers_lost = 0;
-        w->run(3 * kSecond);
-        w->refuse(1, false);
-        w->run(35 * kSecond);
-        expect_unharmed(*w, std::to_string(kind));
+        auto simulator = simulator_with_several_shards(20 + static_cast<std::uint64_t>(kind));
+        submit_varied_jobs(*simulator);
+        for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+        if (kind == 0) simulator->state().set_down(true, simulator->now());
+        if (kind == 1) simulator->answers_lost = 0.5;
+        if (kind == 2) simulator->refuse(1, true);
+        simulator->run(4 * kSecond);
+        simulator->state().set_down(false, simulator->now());
+        simulator->answers_lost = 0;
+        simulator->run(3 * kSecond);
+        simulator->refuse(1, false);
+        simulator->run(35 * kSecond);
+        expect_nothing_lost(*simulator, std::to_string(kind));
     }
 }
 
-TEST(HardStarts, JustShorterThanTheLeaseNothingIsLostAndLongerAllStartsOnceMore) {
-    auto w = spread(30);
-    fill(*w);
-    for (int i = 0; i < 3; ++i) w->crash(i, 7 * kSecond);  // the workers' lease is 12 s
-    w->run(45 * kSecond);
-    expect_unharmed(*w, "shorter");
-    auto v = spread(31);
-    v->submit(v->job(1, JobKind::Service, 4), 0);
-    v->submit(v->job(2, JobKind::Array, 6), 25 * kSecond);
-    v->run(3 * kSecond);
-    for (int i = 0; i < 3; ++i) v->crash(i, 16 * kSecond);
-    v->run(15 * kSecond);
-    EXPECT_EQ(v->running("req-000001"), 0) << "their leases are over";
-    v->run(45 * kSecond);
-    EXPECT_EQ(v->starts("req-000001"), 8) << v->story();
-    EXPECT_EQ(v->starts("req-000002"), 12);
-    EXPECT_EQ(v->told("req-000002"), "done");
-    EXPECT_RULES(*v);
+TEST(RestartWithFaults, TasksSurviveDowntimeShorterThanTheLeaseAndRestartAfterALongerOne) {
+    auto simulator = simulator_with_several_shards(30);
+    submit_varied_jobs(*simulator);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, 7 * kSecond);  // the workers' lease is 12 s
+    simulator->run(45 * kSecond);
+    expect_nothing_lost(*simulator, "downtime shorter than the lease");
+    auto longer = simulator_with_several_shards(31);
+    longer->submit(longer->job(1, JobKind::Service, 4), 0);
+    longer->submit(longer->job(2, JobKind::Array, 6), 25 * kSecond);
+    longer->run(3 * kSecond);
+    for (int i = 0; i < 3; ++i) longer->crash(i, 16 * kSecond);
+    longer->run(15 * kSecond);
+    EXPECT_EQ(longer->running("req-000001"), 0) << "the workers' leases have expired";
+    longer->run(45 * kSecond);
+    EXPECT_EQ(longer->starts("req-000001"), 8) << longer->story();
+    EXPECT_EQ(longer->starts("req-000002"), 12);
+    EXPECT_EQ(longer->told("req-000002"), "done");
+    EXPECT_RULES(*longer);
 }
 
-TEST(HardStarts, SomeMachinesDieAndSomeHangMeanwhile) {
-    auto w = spread(40);
-    w->submit(w->job(1, JobKind::Service, 6), 0);
-    w->run(3 * kSecond);
-    for (int i = 0; i < 3; ++i) w->crash(i, 2 * kSecond);
-    const auto names = w->machine_names();
-    w->kill_machine(names[0]);
-    w->kill_machine(names[1]);
-    w->hang(names[2], true);
-    w->hang(names[3], true);
-    w->run(4 * kSecond);
-    JobSpec next = w->job(2, JobKind::Array, 4);
-    w->submit(next, 2 * kSecond);
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->told("req-000002"), "done") << "those that are heard are used at once\n" << w->story();
-    w->hang(names[2], false);
-    w->hang(names[3], false);
-    w->run(40 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 6) << w->story();
-    EXPECT_RULES(*w);
+TEST(RestartWithFaults, TasksOfDeadMachinesMoveWhileHungMachinesAreWaitedFor) {
+    auto simulator = simulator_with_several_shards(40);
+    simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+    simulator->run(3 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, 2 * kSecond);
+    const auto names = simulator->machine_names();
+    simulator->kill_machine(names[0]);
+    simulator->kill_machine(names[1]);
+    simulator->hang(names[2], true);
+    simulator->hang(names[3], true);
+    simulator->run(4 * kSecond);
+    JobSpec next = simulator->job(2, JobKind::Array, 4);
+    simulator->submit(next, 2 * kSecond);
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->told("req-000002"), "done") << "machines that report are used at once\n"
+                                                     << simulator->story();
+    simulator->hang(names[2], false);
+    simulator->hang(names[3], false);
+    simulator->run(40 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 6) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(HardStarts, OneThatStoodStillComesBackLateAndWhatWasHeldBackArrives) {
-    auto w = spread(50);
-    fill(*w);
-    w->hold_next("loom-0", "state");  // a transaction, or a look
-    const std::string machine = w->machine_names().front();
-    w->hold_next("loom-1", machine);  // a launch, or showing a token
-    w->submit(w->job(7, JobKind::Array, 4), 3 * kSecond, 0);
-    w->run(100 * kMillisecond);
-    w->freeze(2, 12 * kSecond);  // while the others end and are back
-    w->crash(0, 2 * kSecond);
-    w->crash(1, 2 * kSecond);
-    w->run(10 * kSecond);
-    w->release();
-    w->run(35 * kSecond);
-    EXPECT_EQ(w->told("req-000007"), "done") << w->story();
-    EXPECT_EQ(w->starts("req-000007"), 4);
-    expect_unharmed(*w, "held back");
+TEST(RestartWithFaults, FrozenControllerAndDelayedMessagesStartNothingTwice) {
+    auto simulator = simulator_with_several_shards(50);
+    submit_varied_jobs(*simulator);
+    simulator->hold_next("loom-0", "state");  // a transaction, or a read of the store
+    const std::string machine = simulator->machine_names().front();
+    simulator->hold_next("loom-1", machine);  // a launch, or the announcement of a token
+    simulator->submit(simulator->job(7, JobKind::Array, 4), 3 * kSecond, 0);
+    simulator->run(100 * kMillisecond);
+    simulator->freeze(2, 12 * kSecond);  // while the others crash and come back
+    simulator->crash(0, 2 * kSecond);
+    simulator->crash(1, 2 * kSecond);
+    simulator->run(10 * kSecond);
+    simulator->release();
+    simulator->run(35 * kSecond);
+    EXPECT_EQ(simulator->told("req-000007"), "done") << simulator->story();
+    EXPECT_EQ(simulator->starts("req-000007"), 4);
+    expect_nothing_lost(*simulator, "delayed messages");
 }
 
-TEST(HardStarts, ACancellationThatWasAnsweredJustBeforeHolds) {
+TEST(RestartWithFaults, CancellationConfirmedJustBeforeTheCrashHolds) {
     for (int ms : {0, 10, 30, 60, 120}) {
-        auto w = spread(60);
-        fill(*w);
-        w->cancel("req-000001");
-        for (int i = 0; i < 200 && w->told("req-000001") != "cancelled"; ++i) w->run(5 * kMillisecond);
-        w->run(ms * kMillisecond);
-        for (int i = 0; i < 3; ++i) w->crash(i, 3 * kSecond);
-        w->run(15 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 0) << ms << " ms after\n" << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 4);
-        EXPECT_RULES(*w);
+        auto simulator = simulator_with_several_shards(60);
+        submit_varied_jobs(*simulator);
+        simulator->cancel("req-000001");
+        for (int i = 0; i < 200 && simulator->told("req-000001") != "cancelled"; ++i)
+            simulator->run(5 * kMillisecond);
+        simulator->run(ms * kMillisecond);
+        for (int i = 0; i < 3; ++i) simulator->crash(i, 3 * kSecond);
+        simulator->run(15 * kSecond);
+        EXPECT_EQ(simulator->running("req-000001"), 0) << ms << " ms after\n" << simulator->story();
+        EXPECT_EQ(simulator->starts("req-000001"), 4);
+        EXPECT_RULES(*simulator);
     }
 }
 
