--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -1,5 +1,6 @@
-// Transactions that are carried out at once and whose answer alone is lost, while the other controllers read
-// what they wrote: every kind of change that the program writes, one at a time.
+// Transactions that are executed at once but whose answer is lost, so that the other controllers read what
+// was written while the writer does not know the outcome. Covers every kind of change that the controllers
+// write, one at a time.
 
 #include <gtest/gtest.h>
 
@@ -12,12 +13,12 @@
 
 constexpr auto kRef = "req-000009";
 
-/// JobService at every controller ask after a job and submit it again, ten times a second. No answer may be
-/// older than one that had been received when it was asked for, and nothing may be denied that anyone was
-/// told.
+/// Asks every controller for a job, and submits it again, ten times a second. No answer may be older than an
+/// answer that had been received before the request, and no controller may deny what a user was told before.
 class ConsistencyChecker {
   public:
-    ConsistencyChecker(Simulator& simulator, JobSpec spec, Micros span) : w_(simulator), spec_(std::move(spec)) {
+    ConsistencyChecker(Simulator& simulator, JobSpec spec, Micros span)
+        : w_(simulator), spec_(std::move(spec)) {
         for (Micros t = 0; t < span; t += 100 * kMillisecond)
             simulator.at(simulator.now() + t, [this] {
                 for (int i = 0; i < w_.node_count(); ++i) ask(i);
@@ -27,82 +28,87 @@
   private:
     void ask(int node) {
         if (!w_.node(node)) return;
-        const auto judge = [this, node, told = told_](const ApiResponse& r) {
+        const auto check_answer = [this, node, known_stage = reported_stage_](const ApiResponse& r) {
             if (r.status == 400 || r.status == 422) w_.broken.push_back("forgotten: a repeat was refused");
             if (r.status != 200 && r.status != 201 && r.status != 404) return;
             const std::string stage = wire::text(r.body, "stage").value_or("");
-            const int now = r.status == 404 ? 0 : stage == "done" || stage == "cancelled" ? 2 : 1;
-            if (now < told)
-                w_.broken.push_back("went_back: " + spec_.ref + " is " + (now ? stage : "unknown") + " at " +
-                                    host(node));
-            told_ = std::max(told_, now);
+            const int stage_number = r.status == 404 ? 0 : stage == "done" || stage == "cancelled" ? 2 : 1;
+            if (stage_number < known_stage)
+                w_.broken.push_back("went_back: " + spec_.ref + " is " + (stage_number ? stage : "unknown") +
+                                    " at " + host(node));
+            reported_stage_ = std::max(reported_stage_, stage_number);
         };
-        w_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, judge);
-        if (told_ == 0) return;  // its own user submits it first
-        w_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false}, judge);
+        w_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
+        if (reported_stage_ == 0) return;  // the simulator's user submits the job first
+        w_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false},
+                              check_answer);
     }
     Simulator& w_;
     JobSpec spec_;
-    int told_ = 0;  // 1: accepted, 2: over
+    int reported_stage_ = 0;  // 1: accepted, 2: over
 };
 
-Settings narrow() {
-    Settings s = small_site();
-    s.cpu_share = 0.001;  // several shards
-    s.value_bytes = 1024;
-    s.txn_ops = 4;
-    s.ops.idle_return = 600 * kSecond;
-    return s;
+Settings settings_with_small_limits() {
+    Settings settings = small_site();
+    settings.cpu_share = 0.001;  // leads to several shards
+    settings.value_bytes = 1024;
+    settings.txn_ops = 4;
+    settings.ops.idle_return = 600 * kSecond;
+    return settings;
 }
 
-struct Row {
+struct ChangeCase {
     const char* change;
-    std::vector<std::string> lost;  // keys that the changes write whose answers are lost
-    bool several = false;           // shards, and small values
-    /// What leads up to the change; it is asked for right after.
+    std::vector<std::string> lost;  // prefixes of the keys written by the changes whose answers are lost
+    bool several_shards = false;    // and small stored values
+    /// Prepares the state; `act` then causes the change.
     std::function<void(Simulator&)> before;
     std::function<void(Simulator&)> act;
     int machines = 4;
 };
 
-void PrintTo(const Row& row, std::ostream* out) {
-    *out << row.change;
+void PrintTo(const ChangeCase& change_case, std::ostream* out) {
+    *out << change_case.change;
 }
 
-JobSpec watched(Simulator& simulator, int tasks = 2, double cores = 1) {
+JobSpec watched_job(Simulator& simulator, int tasks = 2, double cores = 1) {
     return simulator.job(9, JobKind::Array, tasks, cores);
 }
-void submit(Simulator& simulator) {
-    simulator.submit(watched(simulator), 3 * kSecond);
+void submit_watched_job(Simulator& simulator) {
+    simulator.submit(watched_job(simulator), 3 * kSecond);
 }
-void nothing(Simulator&) {}
-/// All that runs for some seconds, and what is watched waits for room.
-void crowded(Simulator& simulator) {
+void do_nothing(Simulator&) {}
+/// Fills all machines for some seconds, so that the watched job waits for room.
+void submit_waiting_job(Simulator& simulator) {
     for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
     simulator.run(kSecond);
-    simulator.submit(watched(simulator, 20), 3 * kSecond);
+    simulator.submit(watched_job(simulator, 20), 3 * kSecond);
     simulator.run(1500 * kMillisecond);
 }
-void running(Simulator& simulator) {
-    simulator.submit(watched(simulator), 8 * kSecond);
+void submit_and_run(Simulator& simulator) {
+    simulator.submit(watched_job(simulator), 8 * kSecond);
     simulator.run(2 * kSecond);
 }
-void publish(Simulator& simulator) {
-    policy::Policy p;
-    p.revision = 3;
-    for (int i = 0; i < 60; ++i) {  // more than a small value holds
+void publish_policy(Simulator& simulator) {
+    policy::Policy policy_file;
+    policy_file.revision = 3;
+    for (int i = 0; i < 60; ++i) {  // more rules than fit into one small value
         policy::TierRule rule;
         rule.scope.team = "red";
         rule.scope.job_class = "class-" + std::to_string(i);
-        p.tiers.push_back(rule);
+        policy_file.tiers.push_back(rule);
     }
-    simulator.node(1)->set_policy_file(p);
+    simulator.node(1)->set_policy_file(policy_file);
 }
 
 const std::string kRecord = std::string("c/active/") + kRef;
 
-const std::vector<Row> kRows = {
-    {"admission", {kRecord}, false, [](Simulator& simulator) { simulator.cut("users", host(simulator.holder())); }, submit},
+const std::vector<ChangeCase> kChangeCases = {
+    {"admission",
+     {kRecord},
+     false,
+     [](Simulator& simulator) { simulator.cut("users", host(simulator.holder())); },
+     submit_watched_job},
     {"admission with its binds",
      {kRecord},
      false,
@@ -110,118 +116,131 @@
          for (int i = 0; i < 3; ++i)
              if (i != simulator.holder()) simulator.cut("users", host(i));
      },
-     submit},
-    {"admission, cancelled beside it",
+     submit_watched_job},
+    {"admission and cancellation",
      {kRecord},
      false,
-     nothing,
+     do_nothing,
      [](Simulator& simulator) {
-         submit(simulator);
+         submit_watched_job(simulator);
          simulator.run(300 * kMillisecond);
          simulator.cancel(kRef);
      }},
-    {"binds and done tasks", {kRecord, kRecord, kRecord}, false, crowded, nothing},
-    {"the same in parts",
+    {"binds and done tasks", {kRecord, kRecord, kRecord}, false, submit_waiting_job, do_nothing},
+    {"binds and done tasks in parts",
      {kRecord, kRecord, std::string("c/part/") + kRef, std::string("c/part/") + kRef},
      true,
      [](Simulator& simulator) {
          for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
          simulator.run(kSecond);
-         simulator.submit(watched(simulator, 60, 0.2), 2 * kSecond);
+         simulator.submit(watched_job(simulator, 60, 0.2), 2 * kSecond);
          simulator.run(kSecond);
      },
-     nothing},
-    {"final record", {std::string("c/job/") + kRef}, false, running, nothing},
-    {"cancellation", {kRecord}, false, running, [](Simulator& simulator) { simulator.cancel(kRef); }},
+     do_nothing},
+    {"final record", {std::string("c/job/") + kRef}, false, submit_and_run, do_nothing},
+    {"cancellation", {kRecord}, false, submit_and_run, [](Simulator& simulator) { simulator.cancel(kRef); }},
     {"cancellation at the end",
      {kRecord},
      false,
      [](Simulator& simulator) {
          simulator.cancel_at_end = 1;
-         running(simulator);
-         for (int i = 0; i < 900 && simulator.completed_tasks(kRef) < 2; ++i) simulator.run(20 * kMillisecond);
+         submit_and_run(simulator);
+         for (int i = 0; i < 900 && simulator.completed_tasks(kRef) < 2; ++i)
+             simulator.run(20 * kMillisecond);
      },
-     nothing},
-    {"lease", {"c/block/"}, false, nothing, [](Simulator& simulator) { simulator.add_machine("small", "a"); }},
+     do_nothing},
+    {"new machine in a block",
+     {"c/block/"},
+     false,
+     do_nothing,
+     [](Simulator& simulator) { simulator.add_machine("small", "a"); }},
     {"raised token",
      {"c/block/"},
      false,
      [](Simulator& simulator) {
          for (const auto& m : simulator.machine_names()) simulator.hold_next(host(simulator.holder()), m);
-         submit(simulator);
+         submit_watched_job(simulator);
          simulator.run(2 * kSecond);
      },
-     nothing},
+     do_nothing},
     {"returned machine",
      {"c/block/", "c/block/"},
      false,
-     nothing,
-     [](Simulator& simulator) { simulator.owner_at(simulator.holder())->retire(simulator.machine_names().back(), "a test"); }},
-    {"leader and domain after an end",
+     do_nothing,
+     [](Simulator& simulator) {
+         simulator.owner_at(simulator.holder())->retire(simulator.machine_names().back(), "a test");
+     }},
+    {"leader and domain after a crash",
      {"c/leader", "c/domain/"},
      false,
-     running,
+     submit_and_run,
      [](Simulator& simulator) { simulator.crash(simulator.holder(), 20 * kSecond); }},
-    {"live key", {"c/live/"}, false, running, [](Simulator& simulator) { simulator.crash(simulator.holder(), 200 * kMillisecond); }},
-    {"policy", {"c/policy"}, false, nothing, publish},
-    {"pieces and what names them", {"c/0/", "c/policy"}, true, nothing, publish},
-    {"machines that move",
+    {"live key",
+     {"c/live/"},
+     false,
+     submit_and_run,
+     [](Simulator& simulator) { simulator.crash(simulator.holder(), 200 * kMillisecond); }},
+    {"policy", {"c/policy"}, false, do_nothing, publish_policy},
+    {"policy in chunks", {"c/0/", "c/policy"}, true, do_nothing, publish_policy},
+    {"machine transfer",
      {"c/block/"},
      true,
      [](Simulator& simulator) {
-         simulator.submit(watched(simulator, 16), 10 * kSecond);
+         simulator.submit(watched_job(simulator, 16), 10 * kSecond);
          simulator.run(2 * kSecond);
          simulator.add_machine("small", "a");
          for (int i = 0; i < 500 && leased(simulator).size() < 2; ++i) simulator.run(10 * kMillisecond);
      },
-     nothing,
+     do_nothing,
      1},
-    {"job that is given away",
+    {"job transfer",
      {kRecord},
      true,
      [](Simulator& simulator) {
-         simulator.submit(simulator.job(2, JobKind::Service, 6), 0);  // the rest of the machine
+         simulator.submit(simulator.job(2, JobKind::Service, 6), 0);  // takes the rest of the machine
          simulator.run(3 * kSecond);
-         JobSpec s = watched(simulator, 60, 0.08);
-         s.team = "blue";
-         simulator.submit(s, 3 * kSecond);
+         JobSpec spec = watched_job(simulator, 60, 0.08);
+         spec.team = "blue";
+         simulator.submit(spec, 3 * kSecond);
          simulator.run(2 * kSecond);
          simulator.at(simulator.now() + 25 * kSecond, [&simulator] { simulator.cancel("req-000002"); });
      },
      [](Simulator& simulator) { simulator.add_machine("large", "a"); },
      1},
-    {"share that is given",
+    {"quota share transfer",
      {"c/share/"},
      true,
      [](Simulator& simulator) {
-         JobSpec s = watched(simulator, 20);
-         s.team = "blue";
-         simulator.submit(s, 3 * kSecond);
+         JobSpec spec = watched_job(simulator, 20);
+         spec.team = "blue";
+         simulator.submit(spec, 3 * kSecond);
      },
-     nothing},
-    {"handing over",
+     do_nothing},
+    {"shard transfer",
      {"c/domain/"},
      true,
      [](Simulator& simulator) {
          simulator.crash(simulator.busiest(), 8 * kSecond);
          simulator.run(9 * kSecond);
      },
-     nothing,
+     do_nothing,
      8},
 };
 
-class LostAnswers : public testing::TestWithParam<Row> {};
+class LostAnswers : public testing::TestWithParam<ChangeCase> {};
 
-TEST_P(LostAnswers, LeaveTheWriterNoWiserThanTheOthers) {
-    const Row& row = GetParam();
+TEST_P(LostAnswers, WriterAndOtherControllersStayConsistent) {
+    const ChangeCase& change_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto simulator = settled_simulator(seed, row.machines, row.several ? narrow() : small_site());
+        auto simulator =
+            settled_simulator(seed, change_case.machines,
+                              change_case.several_shards ? settings_with_small_limits() : small_site());
         simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
         simulator->run(2 * kSecond);
-        row.before(*simulator);
-        for (const auto& key : row.lost) simulator->late_next(key, 0);
-        ConsistencyChecker looks(*simulator, watched(*simulator), 6 * kSecond);
-        row.act(*simulator);
+        change_case.before(*simulator);
+        for (const auto& key : change_case.lost) simulator->late_next(key, 0);
+        ConsistencyChecker checker(*simulator, watched_job(*simulator), 6 * kSecond);
+        change_case.act(*simulator);
         simulator->run(12 * kSecond);
         simulator->heal_all();
         simulator->release();
@@ -241,32 +260,34 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, LostAnswers, testing::ValuesIn(kRows), [](const auto& row) {
-    std::string name = row.param.change;
+INSTANTIATE_TEST_SUITE_P(Kinds, LostAnswers, testing::ValuesIn(kChangeCases), [](const auto& info) {
+    std::string name = info.param.change;
     std::erase_if(name, [](char c) { return !std::isalnum(static_cast<unsigned char>(c)); });
     return name;
 });
 
-/// What a new machine's first report waits for is in the news as well.
-TEST(LostAnswer, AFirstReportIsAnsweredOnceItsMachineIsLeased) {
+/// The write that adds a new machine to a block loses its answer. The leader learns of it from the change
+/// feed as well, so it answers the machine's first report at once.
+TEST(LostAnswer, FirstReportIsAnsweredOnceItsMachineIsInABlock) {
     auto simulator = settled_simulator(8);
     const std::string machine = simulator->add_machine("small", "a");
-    simulator->mute(machine,
-            true);  // its first report is made below; it answers the call that proves that it is there
+    // The first report is sent below. The machine answers the call that checks that it exists.
+    simulator->mute(machine, true);
     simulator->late_next("c/block/", 0);
     const Micros asked = simulator->now();
     const auto report = simulator->worker(machine)->report(asked);
-    EXPECT_EQ(simulator->ask(simulator->leader(), "POST", "/v1/report", report).status, 200) << simulator->story();
+    EXPECT_EQ(simulator->ask(simulator->leader(), "POST", "/v1/report", report).status, 200)
+        << simulator->story();
     EXPECT_EQ(simulator->late_to_come(), 0U);
-    EXPECT_LT(simulator->now() - asked, kSecond) << "long before the leader knows by itself";
+    EXPECT_LT(simulator->now() - asked, kSecond) << "long before the leader reads the record by itself";
 }
 
-/// All that is written by processes which start: each alone, and all together.
-TEST(LostAnswer, AStartComesToItsEnd) {
+/// Loses the answers to the writes of starting controllers: to each kind of write alone, and to all together.
+TEST(LostAnswer, StartCompletes) {
     const std::vector<std::string> keys{"c/live/",   "c/leader", "c/domain/", "c/share/",
                                         "c/format/", "c/types",  "c/history", "c/block/"};
     for (std::size_t i = 0; i <= keys.size(); ++i) {
-        Simulator simulator(7, i % 2 ? narrow() : small_site());
+        Simulator simulator(7, i % 2 ? settings_with_small_limits() : small_site());
         for (int m = 0; m < 4; ++m) simulator.add_machine("small", m % 2 ? "b" : "a");
         for (std::size_t k = 0; k < keys.size(); ++k)
             if (i == k || i == keys.size()) simulator.late_next(keys[k], 0);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -1,4 +1,5 @@
-// Properties of the decisions of a start, over situations and histories that RapidCheck makes up.
+// Properties of shard failover, reconciliation and the job cache, checked by RapidCheck over generated states
+// and histories.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -15,62 +16,62 @@
 
 using namespace recovery;
 
-// ---------------------------------------------------------------- dividing
+// ---------------------------------------------------------------- shard failover
 
-std::map<std::string, std::size_t> some_nodes() {
+std::map<std::string, std::size_t> arbitrary_nodes() {
     std::map<std::string, std::size_t> nodes;
     const int n = *rc::gen::inRange(1, 7);
     for (int i = 0; i < n; ++i) nodes["n" + std::to_string(i)] = *rc::gen::inRange<std::size_t>(0, 400);
     return nodes;
 }
 
-RC_GTEST_PROP(DividingAlways, EveryOrphanIsTakenByExactlyOneNode, ()) {
-    FailoverState s;
-    s.alive = some_nodes();
+RC_GTEST_PROP(ShardFailoverProperties, EveryOrphanIsTakenByExactlyOneNode, ()) {
+    FailoverState state;
+    state.alive = arbitrary_nodes();
     const int n = *rc::gen::inRange(1, 9);
     for (int i = 0; i < n; ++i)
-        s.orphans.push_back({"d" + std::to_string(i), *rc::gen::inRange<std::size_t>(0, 400), 0, false});
+        state.orphans.push_back({"d" + std::to_string(i), *rc::gen::inRange<std::size_t>(0, 400), 0, false});
     std::map<std::string, int> taken;
-    std::map<std::string, std::size_t> load = s.alive;
-    for (const auto& [node, machines] : s.alive) {
-        s.self = node;
-        for (const auto& d : shards_to_take(s)) {
-            ++taken[d];
-            for (const auto& o : s.orphans)
-                if (o.shard == d) load[node] += o.machines;
+    std::map<std::string, std::size_t> load = state.alive;
+    for (const auto& [node, machines] : state.alive) {
+        state.self = node;
+        for (const auto& shard : shards_to_take(state)) {
+            ++taken[shard];
+            for (const auto& orphan : state.orphans)
+                if (orphan.shard == shard) load[node] += orphan.machines;
         }
     }
-    for (const auto& o : s.orphans) RC_ASSERT(taken[o.shard] == 1);
-    // Nobody is given more while another has less by more than the largest orphan.
+    for (const auto& orphan : state.orphans) RC_ASSERT(taken[orphan.shard] == 1);
+    // A node that takes orphans never has more machines than another one by more than the largest orphan.
     std::size_t largest = 0, least = SIZE_MAX;
-    for (const auto& o : s.orphans) largest = std::max(largest, o.machines);
-    for (const auto& [node, l] : load) least = std::min(least, l);
-    for (const auto& [node, l] : load)
-        if (l > s.alive.at(node)) RC_ASSERT(l <= least + largest);
+    for (const auto& orphan : state.orphans) largest = std::max(largest, orphan.machines);
+    for (const auto& [node, node_load] : load) least = std::min(least, node_load);
+    for (const auto& [node, node_load] : load)
+        if (node_load > state.alive.at(node)) RC_ASSERT(node_load <= least + largest);
 }
 
-RC_GTEST_PROP(DividingAlways, NothingThatWasThereBeforeUsIsTakenTooSoon, ()) {
-    FailoverState s;
-    s.alive = some_nodes();
-    s.self = s.alive.begin()->first;
-    s.come_back = *rc::gen::inRange<Micros>(0, 5 * kSecond);
-    s.now = *rc::gen::inRange<Micros>(0, 10 * kSecond);
+RC_GTEST_PROP(ShardFailoverProperties, OrphanFromBeforeTheStartIsTakenOnlyAfterTheWait, ()) {
+    FailoverState state;
+    state.alive = arbitrary_nodes();
+    state.self = state.alive.begin()->first;
+    state.come_back = *rc::gen::inRange<Micros>(0, 5 * kSecond);
+    state.now = *rc::gen::inRange<Micros>(0, 10 * kSecond);
     const Micros since = *rc::gen::inRange<Micros>(0, 10 * kSecond);
-    s.orphans.push_back({"d", 10, since, true});
-    if (s.now - since < s.come_back) RC_ASSERT(shards_to_take(s).empty());
-    // And it is never left for good.
-    s.now = since + s.come_back + static_cast<Micros>(s.alive.size()) * kSecond;
-    RC_ASSERT(shards_to_take(s).size() == 1u);
+    state.orphans.push_back({"d", 10, since, true});
+    if (state.now - since < state.come_back) RC_ASSERT(shards_to_take(state).empty());
+    // The orphan is taken in the end.
+    state.now = since + state.come_back + static_cast<Micros>(state.alive.size()) * kSecond;
+    RC_ASSERT(shards_to_take(state).size() == 1u);
 }
 
-RC_GTEST_PROP(DividingAlways, WhatIsHandedOverLeavesOneAndGoesToEachOnce, ()) {
+RC_GTEST_PROP(ShardFailoverProperties, TransferLeavesOneShardAndGivesEachNodeAtMostOne, ()) {
     std::vector<Holding> held;
-    const int n = *rc::gen::inRange(0, 8), m = *rc::gen::inRange(0, 8);
-    for (int i = 0; i < n; ++i)
+    const int held_count = *rc::gen::inRange(0, 8), receiver_count = *rc::gen::inRange(0, 8);
+    for (int i = 0; i < held_count; ++i)
         held.push_back({"n" + std::to_string(i), *rc::gen::inRange<std::size_t>(0, 3), true,
                         *rc::gen::arbitrary<bool>()});
     std::vector<Receiver> receivers;
-    for (int i = 1; i <= m; ++i)
+    for (int i = 1; i <= receiver_count; ++i)
         receivers.push_back({"n" + std::to_string(i), *rc::gen::inRange<Micros>(0, 6 * kSecond)});
     const auto moves = shards_to_transfer("n0", held, receivers);
     std::set<std::string> shards, nodes;
@@ -85,115 +86,122 @@
 
 // ---------------------------------------------------------------- reconciliation
 
-/// One task, one worker, and a network that delays: the holder launches, hears, and concludes by `square`.
-/// Messages arrive in any order; a `/do` may be executed at any later time as long as token and session
-/// match.
+/// A model of one task, one worker and a network with delays. The holder launches the task, receives messages
+/// and reconciles them. Messages arrive in any order; a `/do` may be executed at any later time as long as
+/// token and session match.
 struct Model {
     struct Launch {
         std::uint64_t token, session;
     };
     struct Message {
         std::uint64_t session, seq, token;
-        bool shown;
+        bool lists_task;
         bool is_report;
     };
-    // The worker.
+    // State of the worker.
     std::uint64_t session = 1, seq = 0, token = 1;
-    bool on = false;
-    std::deque<Launch> under_way;
-    std::vector<Message> messages;  // under way to the holder
-    // The holder.
-    std::uint64_t our_token = 1;
+    bool task_running = false;
+    std::deque<Launch> launches_in_flight;
+    std::vector<Message> messages;  // in flight to the holder
+    // State of the holder.
+    std::uint64_t holder_token = 1;
     bool launched = false, seen = false, stopping = false, gone = false;
     std::uint64_t launch_token = 0, launch_session = 0;
-    std::vector<Launch> unacknowledged_launches;  // sent and not known to be settled
+    std::vector<Launch> unacknowledged_launches;  // sent, and the outcome is not known
     std::uint64_t last_session = 1, last_seq = 0;
 
-    void send() {
-        under_way.push_back({our_token, last_session});
-        unacknowledged_launches.push_back({our_token, last_session});
+    void send_launch() {
+        launches_in_flight.push_back({holder_token, last_session});
+        unacknowledged_launches.push_back({holder_token, last_session});
         launched = true;
-        launch_token = our_token;
+        launch_token = holder_token;
         launch_session = last_session;
     }
-    void execute(std::size_t i) {
-        const Launch l = under_way[i];
-        under_way.erase(under_way.begin() + static_cast<std::ptrdiff_t>(i));
-        if (l.token < token || l.session != session) return;
-        token = l.token;
-        on = true;
+    void execute_launch(std::size_t i) {
+        const Launch launch = launches_in_flight[i];
+        launches_in_flight.erase(launches_in_flight.begin() + static_cast<std::ptrdiff_t>(i));
+        if (launch.token < token || launch.session != session) return;
+        token = launch.token;
+        task_running = true;
+    }
+    void send_message(bool is_report) {
+        messages.push_back({session, ++seq, token, task_running, is_report});
     }
-    void tell(bool is_report) { messages.push_back({session, ++seq, token, on, is_report}); }
-    /// Returns the verdict, if the message is news.
-    std::optional<ReconcileAction> hear(std::size_t i) {
-        const Message m = messages[i];
+    /// Applies a message and returns what was concluded, if it is newer than the last one.
+    std::optional<ReconcileAction> receive(std::size_t i) {
+        const Message message = messages[i];
         messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(i));
-        if (!is_newer_message({m.session, m.seq}, {last_session, last_seq}, 0)) return std::nullopt;
-        last_session = m.session;
-        last_seq = m.seq;
-        std::erase_if(unacknowledged_launches,
-                      [&](const Launch& t) { return t.token < m.token || t.session < m.session; });
+        if (!is_newer_message({message.session, message.seq}, {last_session, last_seq}, 0))
+            return std::nullopt;
+        last_session = message.session;
+        last_seq = message.seq;
+        std::erase_if(unacknowledged_launches, [&](const Launch& launch) {
+            return launch.token < message.token || launch.session < message.session;
+        });
         StoredTask stored;
         stored.state = gone ? StoredTask::State::Waiting : StoredTask::State::Bound;
         stored.seen = seen;
         stored.launched = launched;
         stored.stopping = stopping;
         LaunchProof proof;
-        proof.session_ended = m.session > launch_session;
-        proof.higher_token_seen = m.token > launch_token;
+        proof.session_ended = message.session > launch_session;
+        proof.higher_token_seen = message.token > launch_token;
         proof.may_still_arrive = !unacknowledged_launches.empty();
-        const ReconcileAction v = reconcile(stored, {m.shown, false, ExitCause::Stopped}, proof);
-        if (v == ReconcileAction::Runs) seen = true;
-        if (v == ReconcileAction::Relaunch) launched = false;
-        if (v == ReconcileAction::Gone) gone = true;
-        return v;
+        const ReconcileAction action =
+            reconcile(stored, {message.lists_task, false, ExitCause::Stopped}, proof);
+        if (action == ReconcileAction::Runs) seen = true;
+        if (action == ReconcileAction::Relaunch) launched = false;
+        if (action == ReconcileAction::Gone) gone = true;
+        return action;
     }
     bool may_run() const {
-        return on || std::any_of(under_way.begin(), under_way.end(),
-                                 [&](const Launch& l) { return l.token >= token && l.session == session; });
+        return task_running ||
+               std::any_of(launches_in_flight.begin(), launches_in_flight.end(), [&](const Launch& launch) {
+                   return launch.token >= token && launch.session == session;
+               });
     }
 };
 
-RC_GTEST_PROP(SquaringAlways, NothingIsGoneThatRunsOrMayStillStart, ()) {
-    Model m;
+RC_GTEST_PROP(ReconciliationProperties, TaskThatRunsOrMayStillStartIsNeverTakenAsGone, ()) {
+    Model model;
     const int steps = *rc::gen::inRange(1, 60);
-    for (int i = 0; i < steps && !m.gone; ++i) {
+    for (int i = 0; i < steps && !model.gone; ++i) {
         auto any = [](std::size_t n) { return *rc::gen::inRange<std::size_t>(0, n); };
         switch (*rc::gen::inRange(0, 8)) {
             case 0:
-                if (!m.stopping && !m.launched) m.send();
+                if (!model.stopping && !model.launched) model.send_launch();
                 break;
             case 1:
-                if (!m.under_way.empty()) m.execute(any(m.under_way.size()));
+                if (!model.launches_in_flight.empty()) model.execute_launch(any(model.launches_in_flight.size()));
                 break;
             case 2:
-                m.tell(true);
+                model.send_message(true);
                 break;
             case 3:
-                if (!m.messages.empty()) m.hear(any(m.messages.size()));
+                if (!model.messages.empty()) model.receive(any(model.messages.size()));
                 break;
-            case 4:  // the worker's lease is over: it kills and forgets everything
-                ++m.session;
-                m.on = false;
+            case 4:  // the worker's lease expires: it kills and forgets all tasks
+                ++model.session;
+                model.task_running = false;
                 break;
-            case 5:  // the shard's token is raised and shown
-                ++m.our_token;
-                m.token = std::max(m.token, m.our_token);
+            case 5:  // the shard's token is raised and announced to the worker
+                ++model.holder_token;
+                model.token = std::max(model.token, model.holder_token);
                 break;
             case 6:
-                m.stopping = true;
+                model.stopping = true;
                 break;
-            case 7:  // the network gives up on one
-                if (!m.messages.empty()) m.messages.erase(m.messages.begin());
+            case 7:  // the network loses a message
+                if (!model.messages.empty()) model.messages.erase(model.messages.begin());
                 break;
         }
-        if (m.gone) RC_ASSERT(!m.may_run());
+        if (model.gone) RC_ASSERT(!model.may_run());
     }
 }
 
-RC_GTEST_PROP(SquaringAlways, AMessageThatHasBeenOvertakenChangesNothing, ()) {
-    // Of any set of messages only those count that come after all before them, so what is known in the end is
-    // what the newest one says, in whatever order they come.
+RC_GTEST_PROP(ReconciliationProperties, OvertakenMessagesAreIgnored, ()) {
+    // A message counts only if it is newer than all that arrived before it. So in the end the newest message
+    // determines what is known, in whatever order they arrive.
     std::vector<MessageOrder> messages;
     const int n = *rc::gen::inRange(1, 12);
     for (int i = 0; i < n; ++i)
@@ -205,23 +213,23 @@
     RC_ASSERT(!is_newer_message(last, {}, last.session + 1));
 }
 
-RC_GTEST_PROP(SquaringAlways, WhatRunsAsStoredIsNeverStopped, ()) {
-    StoredTask s;
-    s.state = *rc::gen::element(StoredTask::State::Bound, StoredTask::State::Binding);
-    s.result_wanted = *rc::gen::arbitrary<bool>();
-    s.seen = *rc::gen::arbitrary<bool>();
-    s.launched = *rc::gen::arbitrary<bool>();
-    s.inherited = *rc::gen::arbitrary<bool>();
-    LaunchProof p;
-    p.session_ended = *rc::gen::arbitrary<bool>();
-    p.higher_token_seen = *rc::gen::arbitrary<bool>();
-    RC_ASSERT(reconcile(s, {true, false, ExitCause::Stopped}, p) == ReconcileAction::Runs);
+RC_GTEST_PROP(ReconciliationProperties, ReportedTaskThatIsBoundThereIsNeverStopped, ()) {
+    StoredTask stored;
+    stored.state = *rc::gen::element(StoredTask::State::Bound, StoredTask::State::Binding);
+    stored.result_wanted = *rc::gen::arbitrary<bool>();
+    stored.seen = *rc::gen::arbitrary<bool>();
+    stored.launched = *rc::gen::arbitrary<bool>();
+    stored.inherited = *rc::gen::arbitrary<bool>();
+    LaunchProof proof;
+    proof.session_ended = *rc::gen::arbitrary<bool>();
+    proof.higher_token_seen = *rc::gen::arbitrary<bool>();
+    RC_ASSERT(reconcile(stored, {true, false, ExitCause::Stopped}, proof) == ReconcileAction::Runs);
 }
 
-// ---------------------------------------------------------------- news in any order
+// ---------------------------------------------------------------- records in any order
 
-RC_GTEST_PROP(HistoryAlways, NewsInAnyOrderComesToTheSame, ()) {
-    // The records of one job as they followed one another, told in any order and more than once.
+RC_GTEST_PROP(JobCacheProperties, RecordsInAnyOrderLeadToTheSameView, ()) {
+    // The successive records of one job are delivered in any order, and some of them more than once.
     JobSpec spec;
     spec.ref = "req-000001";
     spec.team = "red";
@@ -229,41 +237,43 @@
     spec.request = {1000, 0, 1000};
     spec.image = "i";
     spec.job_class = "c";
-    struct News {
+    struct StoredRecord {
         RecordLocation place;
         Json value;
         Revision mod_revision;
     };
-    std::vector<News> all;
+    std::vector<StoredRecord> records;
     Revision mod_revision = 10;
-    auto live = [&](int running) {
+    auto live_record = [&](int running) {
         return Json{{"s", "queued"}, {"dom", "d"},   {"k", 3}, {"d", wire::job_value(spec)},
                     {"at", 5},       {"fr", running}};
     };
-    const bool was_old = *rc::gen::arbitrary<bool>();
-    if (was_old) all.push_back({RecordLocation::Job, live(0), ++mod_revision});
+    const bool had_old_format = *rc::gen::arbitrary<bool>();
+    if (had_old_format) records.push_back({RecordLocation::Job, live_record(0), ++mod_revision});
     const int changes = *rc::gen::inRange(1, 4);
-    for (int i = 0; i < changes; ++i) all.push_back({RecordLocation::Active, live(i + 1), ++mod_revision});
-    const bool over = *rc::gen::arbitrary<bool>();
-    if (over)
-        all.push_back(
+    for (int i = 0; i < changes; ++i)
+        records.push_back({RecordLocation::Active, live_record(i + 1), ++mod_revision});
+    const bool is_over = *rc::gen::arbitrary<bool>();
+    if (is_over)
+        records.push_back(
             {RecordLocation::Job, Json{{"s", "done"}, {"dom", "d"}, {"k", 3}, {"fd", 3}}, ++mod_revision});
     Settings settings;
-    JobCache book(settings);
+    JobCache cache(settings);
     std::vector<std::size_t> order;
-    const int tellings = *rc::gen::inRange(0, 12);
-    for (int i = 0; i < tellings; ++i) order.push_back(*rc::gen::inRange<std::size_t>(0, all.size()));
-    for (std::size_t i = 0; i < all.size(); ++i) order.push_back(i);  // each at least once
+    const int extra_deliveries = *rc::gen::inRange(0, 12);
+    for (int i = 0; i < extra_deliveries; ++i)
+        order.push_back(*rc::gen::inRange<std::size_t>(0, records.size()));
+    for (std::size_t i = 0; i < records.size(); ++i) order.push_back(i);  // each record at least once
     for (const std::size_t i : order)
-        book.take(spec.ref, all[i].place, all[i].value, all[i].mod_revision, kSecond);
-    const JobView* view = book.known(spec.ref);
+        cache.take(spec.ref, records[i].place, records[i].value, records[i].mod_revision, kSecond);
+    const JobView* view = cache.known(spec.ref);
     RC_ASSERT(view != nullptr);
     RC_ASSERT(view->mod_revision == mod_revision);
-    RC_ASSERT(view->final() == over);
-    RC_ASSERT((book.find(spec.ref) == nullptr) == over);
-    if (!over) {
-        RC_ASSERT(book.find(spec.ref)->place == RecordLocation::Active);
-        RC_ASSERT(book.find(spec.ref)->running == changes);
+    RC_ASSERT(view->final() == is_over);
+    RC_ASSERT((cache.find(spec.ref) == nullptr) == is_over);
+    if (!is_over) {
+        RC_ASSERT(cache.find(spec.ref)->place == RecordLocation::Active);
+        RC_ASSERT(cache.find(spec.ref)->running == changes);
     }
 }
 
