--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -1,4 +1,5 @@
-// Machines that reach no controller while commands reach them, and machines that hear nothing for good.
+// Machines with one-way connections: mute ones, whose reports reach no controller while commands reach them,
+// and deaf ones, which receive nothing for good.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -15,74 +16,79 @@
     return told_times(simulator, " starts on " + machine);
 }
 
-enum class Ends { Nobody, Holder, All };
+enum class Crash { None, Holder, All };
 
-/// A machine with a service and half of a long array reaches nobody, for less than a lease or more; the
-/// holder ends a little later, or all do. Short work comes all the while, and there is room elsewhere.
-TEST(Mute, WhatRunsThereGoesOnOrRunsElsewhereSoon) {
-    for (const Ends ends : {Ends::Nobody, Ends::Holder, Ends::All})
-        for (const Micros span : {3, 45}) {
-            auto simulator = settled_simulator(51 + static_cast<std::uint64_t>(span), 4, patient());
+/// A machine with a service goes mute for less or for more than a lease. A little later no controller, the
+/// holder or every controller crashes. Short jobs are submitted all the while, and there is room for them
+/// elsewhere.
+TEST(OneWayPartition, TasksOfAMuteMachineRunOnOrMoveElsewhereSoon) {
+    for (const Crash crash : {Crash::None, Crash::Holder, Crash::All})
+        for (const Micros seconds_mute : {3, 45}) {
+            auto simulator = settled_simulator(51 + static_cast<std::uint64_t>(seconds_mute), 4, patient());
             const auto story = [&] {
-                return fmt::format("ends {} span {}\n", static_cast<int>(ends), span) + simulator->story(200);
+                return fmt::format("crash {} seconds mute {}\n", static_cast<int>(crash), seconds_mute) +
+                       simulator->story(200);
             };
             simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
             simulator->run(3 * kSecond);
             const std::string machine = *simulator->machines_of("req-000001").begin();
-            const auto before = starts_on(*simulator, machine);
+            const auto starts_before = starts_on(*simulator, machine);
             simulator->mute(machine, true);
-            const Micros from = simulator->now();
-            simulator->at(from + 2 * kSecond, [&] {
+            const Micros muted_at = simulator->now();
+            simulator->at(muted_at + 2 * kSecond, [&] {
                 const int holder = simulator->holder();
                 for (int i = 0; i < 3; ++i)
-                    if (ends == Ends::All || (ends == Ends::Holder && i == holder))
-                        simulator->crash(i, ends == Ends::All ? 400 * kMillisecond : 90 * kSecond);
+                    if (crash == Crash::All || (crash == Crash::Holder && i == holder))
+                        simulator->crash(i, crash == Crash::All ? 400 * kMillisecond : 90 * kSecond);
             });
             for (int i = 0; i < 20; ++i)
-                simulator->at(from + i * 2 * kSecond, [&, i] {
-                    simulator->submit(simulator->job(10 + i, JobKind::Array, 1, 1), i % 4 ? kSecond : 25 * kSecond);
+                simulator->at(muted_at + i * 2 * kSecond, [&, i] {
+                    simulator->submit(simulator->job(10 + i, JobKind::Array, 1, 1),
+                                      i % 4 ? kSecond : 25 * kSecond);
                 });
-            simulator->run(span * kSecond);
-            if (span > 12) {
+            simulator->run(seconds_mute * kSecond);
+            if (seconds_mute > 12) {
                 EXPECT_EQ(simulator->machines_of("req-000001").count(machine), 0u) << story();
                 EXPECT_EQ(simulator->running("req-000001"), 1) << story();
-                // What was bound there before its silence was noticed, by each holder.
-                EXPECT_LE(starts_on(*simulator, machine) - before, 6) << story();
+                // Each holder may have bound some tasks there before it noticed the silence.
+                EXPECT_LE(starts_on(*simulator, machine) - starts_before, 6) << story();
             }
             simulator->mute(machine, false);
-            simulator->run(std::max<Micros>(75 - span, 40) * kSecond);
+            simulator->run(std::max<Micros>(75 - seconds_mute, 40) * kSecond);
             for (int i = 0; i < 20; ++i)
                 EXPECT_EQ(simulator->told(simulator->job(10 + i, JobKind::Array, 1).ref), "done") << story();
-            EXPECT_EQ(simulator->starts("req-000001"), span > 12 ? 2 : 1) << story();
+            EXPECT_EQ(simulator->starts("req-000001"), seconds_mute > 12 ? 2 : 1) << story();
             simulator->submit(simulator->job(2, JobKind::Array, 4, 5), 2 * kSecond);
             simulator->run(6 * kSecond);
-            EXPECT_EQ(simulator->told("req-000002"), "done") << "it is used again\n" << story();
+            EXPECT_EQ(simulator->told("req-000002"), "done") << "the machine must be used again\n" << story();
             EXPECT_RULES(*simulator);
         }
 }
 
-/// It answers every call, so that it seems well: its lease runs out all the same, again and again.
-TEST(Mute, AnswersToCallsDoNotMakeItUsable) {
+/// Guards against a holder that takes a mute machine for usable because it answers every call. Its lease
+/// expires all the same, so tasks bound to it would be lost again and again.
+TEST(OneWayPartition, AnswersToCallsDoNotMakeAMuteMachineUsable) {
     auto simulator = settled_simulator(52, 3, patient());
     const std::string machine = simulator->machine_names().front();
     simulator->mute(machine, true);
     simulator->run(7 * kSecond);
-    simulator->crash(simulator->holder(), 200 * kSecond);  // the next one calls it
-    const auto before = starts_on(*simulator, machine);
+    simulator->crash(simulator->holder(), 200 * kSecond);  // the next holder calls the machine
+    const auto starts_before = starts_on(*simulator, machine);
     simulator->run(6 * kSecond);
     for (int i = 0; i < 30; ++i) {
         simulator->submit(simulator->job(1 + i, JobKind::Array, 1, 1), 8 * kSecond);
         simulator->run(kSecond);
     }
-    // Only while the new holder may wait for its first report.
-    EXPECT_LE(starts_on(*simulator, machine) - before, 3) << simulator->story(200);
+    // Only as many as the new holder may bind while it waits for the machine's first report.
+    EXPECT_LE(starts_on(*simulator, machine) - starts_before, 3) << simulator->story(200);
     simulator->run(30 * kSecond);
-    for (int i = 0; i < 30; ++i) EXPECT_EQ(simulator->told(simulator->job(1 + i, JobKind::Array, 1).ref), "done");
+    for (int i = 0; i < 30; ++i)
+        EXPECT_EQ(simulator->told(simulator->job(1 + i, JobKind::Array, 1).ref), "done");
     EXPECT_RULES(*simulator);
 }
 
-/// One that the cloud lists and that answers calls, but has never reported.
-TEST(Mute, ANewMachineThatNeverReportsIsLeftAloneAndReturned) {
+/// The cloud lists a machine that answers calls but has never reported.
+TEST(OneWayPartition, NewMachineThatNeverReportsIsAvoidedAndReturned) {
     auto simulator = settled_simulator(53, 2, patient());
     const std::string machine = simulator->add_machine("small", "a");
     simulator->mute(machine, true);
@@ -92,20 +98,23 @@
     }
     EXPECT_LE(starts_on(*simulator, machine), 7) << simulator->story(200);
     simulator->run(25 * kSecond);
-    for (int i = 0; i < 30; ++i) EXPECT_EQ(simulator->running(simulator->job(1 + i, JobKind::Service, 1).ref), 1);
+    for (int i = 0; i < 30; ++i)
+        EXPECT_EQ(simulator->running(simulator->job(1 + i, JobKind::Service, 1).ref), 1);
     EXPECT_EQ(simulator->machines_of("req-000001").count(machine), 0u);
     simulator->run(110 * kSecond);
-    EXPECT_EQ(simulator->worker(machine), nullptr) << "returned";
+    EXPECT_EQ(simulator->worker(machine), nullptr) << "the machine must be returned";
     EXPECT_RULES(*simulator);
 }
 
-/// A machine that has not reported, or not shown that it hears, for a lease and 90 s is returned, once
-/// nothing can be on it.
-TEST(Mute, WhatStaysDeafOrMuteIsReturnedOnceNothingCanBeOnIt) {
+/// A machine that has not reported, or has not shown that it receives messages, for a lease and 90 s is
+/// returned once no task can run on it.
+TEST(OneWayPartition, DeafOrMuteMachineIsReturnedOnceNoTaskCanRunThere) {
     for (const bool deaf : {false, true})
         for (const bool busy : {false, true}) {
             auto simulator = settled_simulator(54, 3, patient());
-            const auto story = [&] { return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->story(); };
+            const auto story = [&] {
+                return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->story();
+            };
             if (busy) simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
             simulator->run(3 * kSecond);
             const std::string machine =
@@ -114,10 +123,11 @@
                 simulator->deafen(machine, true);
             else
                 simulator->mute(machine, true);
-            // A task for it, so that somebody calls it.
+            // Submits a task that is bound to the machine, so that a controller calls it.
             simulator->submit(simulator->job(2, JobKind::Array, 3, 5), 2 * kSecond);
             simulator->run(60 * kSecond);
-            EXPECT_NE(simulator->worker(machine), nullptr) << "not for a spell\n" << story();
+            EXPECT_NE(simulator->worker(machine), nullptr) << "a short fault must not return the machine\n"
+                                                           << story();
             simulator->run(simulator->settings.lease + 60 * kSecond);
             EXPECT_EQ(simulator->worker(machine), nullptr) << story();
             if (busy) {
@@ -128,9 +138,9 @@
         }
 }
 
-/// One whose tasks can't be proven gone, since a controller that may renew its lease does not answer, is
-/// kept, however long: its deletion would end work that may be well.
-TEST(Mute, WhatMayStillBeOnItKeepsIt) {
+/// A machine whose tasks can't be proven gone, because a controller that may renew its lease does not answer,
+/// is kept however long that takes: its deletion would end work that may run well.
+TEST(OneWayPartition, MachineIsKeptWhileItsTasksMayStillRun) {
     auto simulator = settled_simulator(55, 2, patient());
     simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
     simulator->run(30 * kSecond);
@@ -138,7 +148,8 @@
     const int holder = simulator->holder(), other = (holder + 1) % 3;
     for (int i = 0; i < 3; ++i)
         if (i != other) simulator->cut(host(i), machine);
-    simulator->cut(host(holder), host(other));  // it keeps the machine's lease alive, and promises nothing
+    // The other controller keeps renewing the machine's lease and can't promise to stop doing so.
+    simulator->cut(host(holder), host(other));
     simulator->run(150 * kSecond);
     EXPECT_EQ(simulator->machines_of("req-000001"), std::set{machine}) << simulator->story();
     EXPECT_EQ(simulator->starts("req-000001"), 1) << simulator->story();
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -25,7 +25,7 @@
     return nodes;
 }
 
-RC_GTEST_PROP(ShardFailoverProperties, EveryOrphanIsTakenByExactlyOneNode, ()) {
+RC_GTEST_PROP(ShardFailoverDecisionProperties, EveryOrphanIsTakenByExactlyOneNode, ()) {
     FailoverState state;
     state.alive = arbitrary_nodes();
     const int n = *rc::gen::inRange(1, 9);
@@ -50,7 +50,7 @@
         if (node_load > state.alive.at(node)) RC_ASSERT(node_load <= least + largest);
 }
 
-RC_GTEST_PROP(ShardFailoverProperties, OrphanFromBeforeTheStartIsTakenOnlyAfterTheWait, ()) {
+RC_GTEST_PROP(ShardFailoverDecisionProperties, OrphanFromBeforeTheStartIsTakenOnlyAfterTheWait, ()) {
     FailoverState state;
     state.alive = arbitrary_nodes();
     state.self = state.alive.begin()->first;
@@ -64,7 +64,7 @@
     RC_ASSERT(shards_to_take(state).size() == 1u);
 }
 
-RC_GTEST_PROP(ShardFailoverProperties, TransferLeavesOneShardAndGivesEachNodeAtMostOne, ()) {
+RC_GTEST_PROP(ShardFailoverDecisionProperties, TransferLeavesOneShardAndGivesEachNodeAtMostOne, ()) {
     std::vector<Holding> held;
     const int held_count = *rc::gen::inRange(0, 8), receiver_count = *rc::gen::inRange(0, 8);
     for (int i = 0; i < held_count; ++i)
@@ -172,7 +172,8 @@
                 if (!model.stopping && !model.launched) model.send_launch();
                 break;
             case 1:
-                if (!model.launches_in_flight.empty()) model.execute_launch(any(model.launches_in_flight.size()));
+                if (!model.launches_in_flight.empty())
+                    model.execute_launch(any(model.launches_in_flight.size()));
                 break;
             case 2:
                 model.send_message(true);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -20,7 +20,7 @@
 using recovery::Receiver;
 using Moves = std::vector<std::pair<std::string, std::string>>;
 
-TEST(ShardFailover, OrphanGoesToTheNodeWithTheFewestMachines) {
+TEST(ShardFailoverDecision, OrphanGoesToTheNodeWithTheFewestMachines) {
     FailoverState state{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
     EXPECT_EQ(recovery::shards_to_take(state), std::vector<std::string>{"d"});
     state.self = "b";
@@ -29,7 +29,7 @@
     EXPECT_EQ(recovery::shards_to_take(state).size(), 1u);
 }
 
-TEST(ShardFailover, SeveralOrphansAreDividedEvenly) {
+TEST(ShardFailoverDecision, SeveralOrphansAreDividedEvenly) {
     FailoverState state{"", {{"a", 100}, {"b", 100}}, {}, 0, 0};
     for (const char* shard : {"v", "w", "x", "y"}) state.orphans.push_back({shard, 100, 0, false});
     std::set<std::string> all;
@@ -42,14 +42,14 @@
     EXPECT_EQ(all.size(), 4u) << "all nodes come to the same result";
 }
 
-TEST(ShardFailover, OrphanFromBeforeTheStartIsLeftToItsHolderForAWhile) {
+TEST(ShardFailoverDecision, OrphanFromBeforeTheStartIsLeftToItsHolderForAWhile) {
     FailoverState state{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
     EXPECT_TRUE(recovery::shards_to_take(state).empty());
     state.now = 3 * kSecond;
     EXPECT_EQ(recovery::shards_to_take(state).size(), 1u);
 }
 
-TEST(ShardFailover, ShardsGoBackToTheirOwnersInOneStep) {
+TEST(ShardFailoverDecision, ShardsGoBackToTheirOwnersInOneStep) {
     const std::vector<Holding> held{
         {"a", 10, true, false}, {"b", 30, true, true}, {"c", 20, true, true}, {"d", 5, true, true}};
     const std::vector<Receiver> back{{"c", kSecond}, {"b", kSecond}};
