--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -324,7 +324,7 @@
     for (const Machine* m : busy) {
         const bool on = settled && surplus >= m->type->size.cores;
         if (on) surplus -= m->type->size.cores;
-        owner.drain(m->name, on);
+        owner.set_draining(m->name, on);
     }
 }
 
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -45,7 +45,7 @@
             continue;
         }
         if (auto want = o->capacity_request()) request_machines(*o, *want);
-        for (const auto& [team, missing] : o->short_of_quota()) request_quota(*o, team, missing);
+        for (const auto& [team, missing] : o->missing_quota_by_team()) request_quota(*o, team, missing);
     }
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -72,7 +72,7 @@
     std::vector<Order> stops_for_finished_jobs(const Report& report) const override {
         return cache_.jobs.stops_for_finished_jobs(report);
     }
-    bool knows_jobs_of(const Report& report) override { return history_.knows_jobs_of(report); }
+    bool knows_outcomes_of(const Report& report) override { return history_.knows_jobs_of(report); }
     void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                       std::function<void(bool)> done) override {
         machine_allocator_.edit(shard, machine, edit, std::move(done));
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -35,9 +35,9 @@
     set_unbound(job, slot);
     if (stores_end) mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
     const Micros now = context_.runtime().now();
-    if (job.stage == Stage::Cancelled && job.bound == 0) cancellations_.finish(job.spec.ref, now);
+    if (job.stage == Stage::Cancelled && job.bound_tasks == 0) cancellations_.finish(job.spec.ref, now);
     slot.retry_at = now + retry_in;
-    if (job.unbound == 1) job.waiting_since = now;
+    if (job.unbound_tasks == 1) job.waiting_since = now;
     dirty_jobs_.insert(job.spec.ref);
     flush_due_ = true;
     if (job.gang_done)
@@ -51,8 +51,8 @@
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state == SlotState::Done || slot.state == SlotState::DonePending) return;
     if (slot.state != SlotState::Unbound) set_unbound(job, slot);
-    --job.unbound;
-    ++job.done;
+    --job.unbound_tasks;
+    ++job.done_tasks;
     slot.state = SlotState::DonePending;
     mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
 }
@@ -67,9 +67,9 @@
 
 void ShardOwner::cancel(Job& job) {
     if (job.stage != Stage::Cancelled)
-        spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound);
+        spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound_tasks);
     job.stage = Stage::Cancelled;
-    if (job.bound > 0) cancellations_.start(job.spec.ref, context_.runtime().now());
+    if (job.bound_tasks > 0) cancellations_.start(job.spec.ref, context_.runtime().now());
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state == SlotState::Binding)
@@ -84,7 +84,7 @@
 
 /// Stops the rest of a gang that lost a task or is being stopped: it ends as a whole before it starts again.
 void ShardOwner::stop_incomplete_gang(Job& job) {
-    if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound == 0) return;
+    if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound_tasks == 0) return;
     job.gang_stopping = true;
     for (auto& slot : job.slots)
         if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) stop(slot, 0);
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -30,7 +30,7 @@
     evidence.session_over = report.session < machine.min_session;
     // The machine's new holder may reach the worker before the outcome of the transfer arrives here.
     evidence.machine_transferring = machine.transferring;
-    evidence.jobs_known = active_ || context_.knows_jobs_of(report);
+    evidence.jobs_known = active_ || context_.knows_outcomes_of(report);
     evidence.token = token(machine);
     evidence.token_seen = report.token;
     const permission::Decision decision = permission::decide_renewal_by_holder(evidence);
@@ -351,11 +351,11 @@
                           });
 }
 
-void ShardOwner::retire(const std::string& machine, const char* why) {
+void ShardOwner::retire(const std::string& machine, const char* reason) {
     auto it = shard_state_.machines.find(machine);
     if (it == shard_state_.machines.end() || it->second->retiring || it->second->retired) return;
     it->second->retiring = true;
-    spdlog::info("machine {}: to be returned: {}", machine, why);
+    spdlog::info("machine {}: to be returned: {}", machine, reason);
     // The deletion of the machine proves that the tasks on it are gone, so it is urgent if there are any.
     const bool urgent = !it->second->tasks.empty();
     context_.edit_machine(shard_, machine,
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -29,7 +29,7 @@
     };
     std::size_t all = 0, before = 0, before_of_team = 0;
     for (const auto& [ref, other] : shard_state_.jobs) {
-        if (other->stage != Stage::Queued || !other->dependencies_met || other->unbound == 0) continue;
+        if (other->stage != Stage::Queued || !other->dependencies_met || other->unbound_tasks == 0) continue;
         ++all;
         if (!(key(*other) < key(job))) continue;
         ++before;
@@ -83,7 +83,7 @@
     std::vector<std::string> why;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
-    if (job.unbound == 0) return {"nothing of it waits"};
+    if (job.unbound_tasks == 0) return {"nothing of it waits"};
     if (!job.dependencies_met) return {"jobs that it needs are not done"};
     if (job.transferring) why.push_back("it is being given to another domain");
     if (job.on_admitted) why.push_back("its record is not stored yet");
@@ -130,11 +130,11 @@
            {"tier", policy::name_of(tier(job))},
            {"rank", name_of(job.rank)},
            {"within_guarantee", job.within_guarantee},
-           {"tasks", {{"waiting", job.unbound}, {"bound", job.bound}, {"done", job.done}}},
+           {"tasks", {{"waiting", job.unbound_tasks}, {"bound", job.bound_tasks}, {"done", job.done_tasks}}},
            {"a_task_needs", resources_value(job.spec.request)},
            {"counts_since_ms_ago",
             std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0)}};
-    if (job.unbound > 0 && job.waiting_since > 0)
+    if (job.unbound_tasks > 0 && job.waiting_since > 0)
         v["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
     v["queue"] = queue_position(job);
     v["limit"] = {{"here", resources_value(context_.quota_share(shard_, job.spec.team))},
@@ -149,10 +149,10 @@
 Json ShardOwner::waiting_by_tier() const {
     std::map<policy::Tier, std::pair<int, int>> sums;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || !job->dependencies_met || job->unbound == 0) continue;
+        if (job->stage != Stage::Queued || !job->dependencies_met || job->unbound_tasks == 0) continue;
         auto& sum = sums[tier(*job)];
         ++sum.first;
-        sum.second += job->unbound;
+        sum.second += job->unbound_tasks;
     }
     Json v = Json::object();
     for (const auto& [tier, sum] : sums)
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -25,7 +25,7 @@
 Micros ShardOwner::handle_task_failure(Machine& machine, Job& job, Slot& slot) {
     const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
-    if (job.done > 0) job.proven_runnable = true;
+    if (job.done_tasks > 0) job.proven_runnable = true;
     if (job.proven_runnable) {
         record_failure(machine, job, now);
         spdlog::info("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -69,8 +69,9 @@
     std::int64_t due_ms = INT64_MAX;
     std::vector<Slot> slots;
     std::int64_t next_attempt = 1;
-    int unbound = 0, bound = 0, done = 0;  // numbers of tasks; Binding counts as bound, DonePending as done
-    std::size_t first_unbound = 0;         // no task before this index is unbound
+    int unbound_tasks = 0, bound_tasks = 0,
+        done_tasks = 0;             // numbers of tasks; Binding counts as bound, DonePending as done
+    std::size_t first_unbound = 0;  // no task before this index is unbound
     Micros waiting_since = 0;
     bool within_guarantee = false;
     /// What the team may use in all once the next task of this job starts (see scheduling::Turn).
@@ -120,7 +121,8 @@
     /// Returns the number of tasks that wait for room. Returns 0 for a job in backoff and for best-effort
     /// work, which uses leftover room: neither may attract machines or quota, or keep other jobs away.
     int waiting_tasks() const {
-        return stage == Stage::Queued && dependencies_met && !backing_off && !is_best_effort() ? unbound : 0;
+        return stage == Stage::Queued && dependencies_met && !backing_off && !is_best_effort() ? unbound_tasks
+                                                                                               : 0;
     }
     /// Returns true if the job only uses room that is left over. A job of low priority within its team's
     /// guarantee is not best-effort, so it need not wait for other teams.
@@ -129,7 +131,8 @@
     Part& part_of(int task) { return parts[static_cast<std::size_t>(task) / tasks_per_part]; }
     /// Returns true if no task is left to run, to stop or to wait for.
     bool is_over() const {
-        return stage == Stage::Cancelled ? bound == 0 : spec.kind != JobKind::Service && done == spec.tasks;
+        return stage == Stage::Cancelled ? bound_tasks == 0
+                                         : spec.kind != JobKind::Service && done_tasks == spec.tasks;
     }
     /// Returns how many tasks of the job may be in one zone.
     int max_tasks_per_zone() const { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -116,7 +116,7 @@
     job->serial = next_serial_++;
     job->submitted_ms = submitted_ms;
     job->waiting_since = context_.runtime().now();
-    job->unbound = job->spec.tasks;
+    job->unbound_tasks = job->spec.tasks;
     job->eligible_since_ms = met_ms.value_or(submitted_ms);
     job->has_dependencies = met_ms || !job->spec.needs.empty();
     job->rank = job->spec.rank;
@@ -287,7 +287,7 @@
     }
     // One done task proves that its whole gang is done, also for a holder that did not see it end. Other
     // tasks of the gang that were started again would wait for the done one in vain.
-    if (job.spec.kind == JobKind::Gang && job.done > 0) {
+    if (job.spec.kind == JobKind::Gang && job.done_tasks > 0) {
         job.gang_done = true;
         for (std::size_t i = first; i < last; ++i)
             if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
@@ -309,7 +309,7 @@
         record["k"] = job.spec.tasks;
         record["dom"] = shard_;
         if (final_record) {
-            record["fd"] = job.done;
+            record["fd"] = job.done_tasks;
             // Jobs that depend on this one are eligible from this time.
             if (job.stage != Stage::Cancelled && context_.all_can_read(format::kPipelines))
                 record["end"] = context_.runtime().wall_ms();
@@ -319,8 +319,8 @@
         record["at"] = job.submitted_ms;
         if (job.has_dependencies && job.dependencies_met) record["go"] = job.eligible_since_ms;
         record["ps"] = job.tasks_per_part;
-        record["fd"] = job.done;
-        record["fr"] = job.bound;
+        record["fd"] = job.done_tasks;
+        record["fr"] = job.bound_tasks;
         if (job.backing_off) record["er"] = true;
     }
     record["n"] = job.next_attempt;
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -70,13 +70,13 @@
     std::map<std::string, Resources> waiting;
     for (const auto& [ref, job] : shard_state_.jobs) {
         if (job->rank == PriorityClass::Production && job->dependencies_met)
-            d.production += job->spec.request.cores * (job->unbound + job->bound);
+            d.production += job->spec.request.cores * (job->unbound_tasks + job->bound_tasks);
         if (job->waiting_tasks() == 0) continue;
-        d.waiting += capacity.occupied_by(job->spec) * job->unbound;
+        d.waiting += capacity.occupied_by(job->spec) * job->unbound_tasks;
         if (lacks_room(*job, context_.runtime().now())) continue;
         auto& w = waiting[job->spec.team];
-        w.cores += job->spec.request.cores * job->unbound;
-        w.gpus += job->spec.request.gpus * job->unbound;
+        w.cores += job->spec.request.cores * job->unbound_tasks;
+        w.gpus += job->spec.request.gpus * job->unbound_tasks;
     }
     for (const auto& team : context_.settings().teams) {
         d.teams.push_back({team.name, context_.quota_share(shard_, team.name),
@@ -165,7 +165,8 @@
     for (auto& [ref, owned] : shard_state_.jobs) {
         Job& job = *owned;
         auto& part = job.parts[0];
-        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.unbound != job.spec.tasks) continue;
+        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.unbound_tasks != job.spec.tasks)
+            continue;
         if (part.in_flight || part.reloading || part.mod_revision == 0) continue;
         if (!shard_state_.machines.empty() && (!job.dependencies_met || now - job.waiting_since < kWantAfter))
             continue;
@@ -232,8 +233,8 @@
         if (job->spec.team != team || job->stage != Stage::Queued || !job->dependencies_met ||
             job->backing_off)
             continue;
-        if (job->unbound == 0 || lacks_room(*job, context_.runtime().now())) continue;
-        const Milli at_once = job->spec.kind == JobKind::Gang ? job->unbound : 1;
+        if (job->unbound_tasks == 0 || lacks_room(*job, context_.runtime().now())) continue;
+        const Milli at_once = job->spec.kind == JobKind::Gang ? job->unbound_tasks : 1;
         const Resources lacks{std::max<Milli>(job->spec.request.cores * at_once - unused.cores, 0),
                               std::max<Milli>(job->spec.request.gpus * at_once - unused.gpus, 0), 0};
         if (!least || std::tie(lacks.gpus, lacks.cores) < std::tie(least->gpus, least->cores)) least = lacks;
@@ -244,8 +245,8 @@
 Json ShardOwner::status() const {
     int waiting = 0, running = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->dependencies_met) waiting += job->unbound;
-        running += job->bound;
+        if (job->dependencies_met) waiting += job->unbound_tasks;
+        running += job->bound_tasks;
     }
     Json machines = Json::array();
     for (const auto& [name, m] : shard_state_.machines)
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -48,7 +48,7 @@
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job) return {};
         return {true, job->stage == Stage::Cancelled, job->spec.kind == JobKind::Service,
-                waits(*job) ? job->unbound : 0};
+                waits(*job) ? job->unbound_tasks : 0};
     }
     int tasks_on(const std::string& ref, const std::string& machine) const override {
         const Machine* m = rebalancer_.shard_state_.machine(machine);
@@ -178,8 +178,8 @@
         j.tier = policy.tier(job->spec, job->rank);
         j.rank = job->rank;
         j.cancelled = job->stage == Stage::Cancelled;
-        j.idle = waits(*job) ? job->unbound : 0;
-        j.bound = job->bound;
+        j.idle = waits(*job) ? job->unbound_tasks : 0;
+        j.bound = job->bound_tasks;
         j.waiting = j.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
         j.age = (context_.runtime().wall_ms() - job->eligible_since_ms) * kMillisecond;
         j.zones = job->tasks_by_zone();
@@ -275,7 +275,7 @@
     const Slot& slot = job.slots[static_cast<std::size_t>(move.task)];
     if (slot.state != SlotState::Bound || slot.stop_requested) return false;
     const bool service = job.spec.kind == JobKind::Service;
-    if (service && (job.unbound > 0 || !others_run(job, move.task))) return false;
+    if (service && (job.unbound_tasks > 0 || !others_run(job, move.task))) return false;
     if (move.reason == Reason::Balance && !troubled().empty()) return false;
     if (move.reason == Reason::Room && !context_.policy().movable(job.spec)) return false;
     if (move.to.empty()) return !service;
@@ -299,7 +299,7 @@
         }
     }
     for (auto& [job, its] : by_job) {
-        if (job->spec.kind == JobKind::Gang && static_cast<int>(its.size()) < job->bound) continue;
+        if (job->spec.kind == JobKind::Gang && static_cast<int>(its.size()) < job->bound_tasks) continue;
         for (const Move* move : its) {
             spdlog::info("task {}/{}: stopped on {} to move to {}{}", move->job, move->task, move->from,
                          move->to.empty() ? "where there is room" : move->to,
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -88,8 +88,8 @@
 void Scheduler::miss_quota(const Job& job, int tasks) {
     if (limit_allows(job, tasks)) return;
     auto& missing = short_of_quota_[job.spec.team];
-    missing.cores += job.spec.request.cores * job.unbound;
-    missing.gpus += job.spec.request.gpus * job.unbound;
+    missing.cores += job.spec.request.cores * job.unbound_tasks;
+    missing.gpus += job.spec.request.gpus * job.unbound_tasks;
 }
 
 bool Scheduler::allowed(const Job& job, const Machine& m) {
@@ -237,7 +237,7 @@
         return;
     shapes_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->dependencies_met) shapes_->add(job->spec.request.gpus, job->unbound, job->bound);
+        if (job->dependencies_met) shapes_->add(job->spec.request.gpus, job->unbound_tasks, job->bound_tasks);
 }
 
 /// Whether it takes room on machines that are being emptied once it finds none elsewhere: urgent work at
@@ -351,27 +351,27 @@
     q.due_ms = job.due_ms;
     // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
     // up for size, so that none waits for ever.
-    const auto left = static_cast<double>(job.unbound + job.bound) *
+    const auto left = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
                       static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
                       static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
     q.weight = left / static_cast<double>(age_ms + 10'000);
     q.age = age_ms * kMillisecond;
     // Of work that takes what is left over one task at least runs, once it has waited for so long.
-    q.begun = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
+    q.begun = job.bound_tasks > 0 || job.backing_off || (job.done_tasks > 0 && !job.is_best_effort());
     q.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoom;
     auto of = [&s](int tasks) { return Resources{s.request.cores * tasks, s.request.gpus * tasks, 0}; };
-    q.waits = of(job.unbound);
-    q.task = of(s.kind == JobKind::Gang ? job.unbound : 1);
+    q.waits = of(job.unbound_tasks);
+    q.task = of(s.kind == JobKind::Gang ? job.unbound_tasks : 1);
     return q;
 }
 
 std::map<std::string, scheduling::TeamUse> Scheduler::team_uses() const {
     std::map<std::string, scheduling::TeamUse> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->bound == 0) continue;
+        if (job->bound_tasks == 0) continue;
         auto& used = teams[job->spec.team].used[tier(*job)];
-        used.cores += job->spec.request.cores * job->bound;
-        used.gpus += job->spec.request.gpus * job->bound;
+        used.cores += job->spec.request.cores * job->bound_tasks;
+        used.gpus += job->spec.request.gpus * job->bound_tasks;
     }
     for (const auto& team : context_.settings().teams)
         teams[team.name].limit = context_.quota_share(shard_, team.name);
@@ -383,11 +383,11 @@
     const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
     for (auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || job->transferring || job->unbound == 0) continue;
+        if (job->stage != Stage::Queued || job->transferring || job->unbound_tasks == 0) continue;
         // The gate: every bind comes from here, and nothing of a job starts before all that it needs are
         // done.
         if (!job->dependencies_met) continue;
-        if (job->backing_off && (now < job->next_try_at || job->bound > 0)) continue;
+        if (job->backing_off && (now < job->next_try_at || job->bound_tasks > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
         if (job->is_best_effort() && (!idle_turn || now < job->next_best_effort_turn)) continue;
         waiting.push_back(job.get());
@@ -423,7 +423,7 @@
     evaluate_gpu_demand();
     weigh_zones();
     idle_bound_ = std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& j) {
-        return j.second->rank == PriorityClass::Low && j.second->bound > 0;
+        return j.second->rank == PriorityClass::Low && j.second->bound_tasks > 0;
     });
     short_of_quota_.clear();
     claimed_.clear();
@@ -432,14 +432,14 @@
     if (preempts) preempted_at_ = now;
     for (const auto& turn : scheduling::turns(asked, team_uses(), context_.policy().priority)) {
         Job& job = *waiting[turn.index];
-        if (job.unbound == 0) continue;  // all of it began in its turn for being overdue
+        if (job.unbound_tasks == 0) continue;  // all of it began in its turn for being overdue
         job.usage_limit = {turn.most_cores, turn.most_gpus, 0};
         job.overdue = turn.overdue;
         const bool placed = plan_job(job);
         if (!placed && !job.overdue && preempts && !job.backing_off &&
             (now - job.waiting_since > kPreemptAfter || job.rank == PriorityClass::Production))
             preempt(job);
-        if (preempts && tier(job) == policy::Tier::Live && job.unbound > 0 && !limit_allows(job, 1) &&
+        if (preempts && tier(job) == policy::Tier::Live && job.unbound_tasks > 0 && !limit_allows(job, 1) &&
             now - job.waiting_since > kLimitAfter)
             free_limit(job);
     }
@@ -453,7 +453,7 @@
     Resources over = used_with(job, 1) - share;
     std::vector<Victim> victims;
     for (auto& [ref, other] : shard_state_.jobs) {
-        if (other->spec.team != job.spec.team || other->bound == 0) continue;
+        if (other->spec.team != job.spec.team || other->bound_tasks == 0) continue;
         const bool batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
         for (auto& slot : other->slots) {
             if (slot.state != SlotState::Bound) continue;
@@ -708,15 +708,15 @@
 bool Scheduler::plan_gang(Job& job, const std::vector<Candidate>& candidates,
                           const std::vector<Machine*>& machines) {
     const Micros now = context_.runtime().now();
-    if (job.bound > 0 || job.unbound < job.spec.tasks - job.done)
+    if (job.bound_tasks > 0 || job.unbound_tasks < job.spec.tasks - job.done_tasks)
         return true;  // the old attempt is not gone yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Unbound &&
             (job.slots[i].retry_at > now ||
              shard_state_.has_orphaned_task(job.spec.ref, static_cast<int>(i))))
             return true;
-    if (!quota_allows(job, job.unbound)) {
-        miss_quota(job, job.unbound);
+    if (!quota_allows(job, job.unbound_tasks)) {
+        miss_quota(job, job.unbound_tasks);
         return true;
     }
     std::vector<std::string> zones{""};
@@ -752,7 +752,7 @@
             ++per_zone[m->zone];
             chosen.emplace_back(static_cast<int>(i), m);
         }
-        if (static_cast<int>(chosen.size()) < job.unbound) continue;
+        if (static_cast<int>(chosen.size()) < job.unbound_tasks) continue;
         const std::int64_t attempt = job.next_attempt++;
         for (const auto& [task, m] : chosen) {
             bind(job, task, *m, attempt);
@@ -782,7 +782,8 @@
     const auto& aims = goals(job).wait;
     // Stopping idle work costs next to nothing.
     const bool idle_only = job.rank > PriorityClass::High && !reclaims;
-    const int most = job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.unbound : 1;
+    const int most =
+        job.rank == PriorityClass::Production || !aims.empty() || idle_only ? job.unbound_tasks : 1;
     const bool hurries = !aims.empty() && now - job.waiting_since < aims.front();
     if (preemptions_left_ <= 0 || !quota_allows(job, 1)) return;
     const bool ready_only = waits_for_image(job);
@@ -865,7 +866,7 @@
 /// Whether, with its only task stopped, it would be overdue again: then it goes before all but live work,
 /// comes back to the same room first, and neither runs.
 bool Scheduler::comes_back_first(const Job& job) const {
-    if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
+    if (job.bound_tasks > 1 || job.done_tasks > 0 || job.backing_off) return false;
     const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.begin_within;
 }
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -57,19 +57,19 @@
     if (machine.token_seen < token(machine)) request_dispatch(machine);
 }
 
-void ShardOwner::on_machine_gone(const std::string& name, const char* why) {
+void ShardOwner::on_machine_gone(const std::string& name, const char* reason) {
     // A block record stops listing a machine once the cloud has confirmed its deletion, or when the machine
     // was transferred to another shard while it was empty. So every task that a job's record still binds to
     // the machine is gone.
     auto it = shard_state_.machines.find(name);
     if (it == shard_state_.machines.end()) return;
-    terminate_all_attempts(*it->second, why);
+    terminate_all_attempts(*it->second, reason);
     shard_state_.machines.erase(it);
 }
 
-void ShardOwner::terminate_all_attempts(Machine& machine, const char* why) {
+void ShardOwner::terminate_all_attempts(Machine& machine, const char* reason) {
     if (!machine.tasks.empty())
-        spdlog::info("machine {}: {} tasks are gone: {}", machine.name, machine.tasks.size(), why);
+        spdlog::info("machine {}: {} tasks are gone: {}", machine.name, machine.tasks.size(), reason);
     const auto tasks = machine.tasks;
     for (const auto& task : tasks) on_attempt_terminated(*task.job, task.task, 0);
     shard_state_.forget_orphaned_tasks(machine);
@@ -95,7 +95,7 @@
     return context_.settings().report_every * 5 / 2 + kSecond;
 }
 
-void ShardOwner::drain(const std::string& machine, bool on) {
+void ShardOwner::set_draining(const std::string& machine, bool on) {
     auto it = shard_state_.machines.find(machine);
     if (it == shard_state_.machines.end() || it->second->draining == on) return;
     it->second->draining = on;
@@ -169,7 +169,8 @@
 void ShardOwner::activate() {
     active_ = true;
     for (auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.kind == JobKind::Gang && job->unbound > 0 && job->bound > 0) stop_incomplete_gang(*job);
+        if (job->spec.kind == JobKind::Gang && job->unbound_tasks > 0 && job->bound_tasks > 0)
+            stop_incomplete_gang(*job);
     std::size_t bound = 0;
     for (const auto& [name, machine] : shard_state_.machines) bound += machine->tasks.size();
     const Micros now = context_.runtime().now();
@@ -232,7 +233,7 @@
     }
     if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& entry) {
             const Job& job = *entry.second;
-            return job.stage == Stage::Queued && job.dependencies_met && job.unbound > 0 &&
+            return job.stage == Stage::Queued && job.dependencies_met && job.unbound_tasks > 0 &&
                    (!job.backing_off || now >= job.next_try_at);
         }))
         plan_due_ = true;
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -71,7 +71,7 @@
     virtual std::vector<Order> stops_for_finished_jobs(const Report& report) const = 0;
     /// Returns true if it is known for each reported task that may run whether its job is over. Otherwise
     /// starts to read the missing records.
-    virtual bool knows_jobs_of(const Report& report) = 0;
+    virtual bool knows_outcomes_of(const Report& report) = 0;
     virtual permission::Counters& permission_counters() = 0;
 
     enum class MachineEdit { RaiseToken, Retire, RetireNow };
@@ -91,7 +91,7 @@
 
     // Loading order: machines, then jobs, then the parts of the jobs, then activate().
     void on_machine(const Block& block, const Block::Machine& entry);
-    void on_machine_gone(const std::string& name, const char* why);
+    void on_machine_gone(const std::string& name, const char* reason);
     void on_job(const std::string& ref, RecordLocation location, const Json& value, Revision mod_revision);
     /// Sets the revision of a record that exists under c/job/ in addition to the job's record under
     /// c/active/.
@@ -124,14 +124,14 @@
     // For the autoscaler and for other shards.
     const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return shard_state_.machines; }
     const std::map<std::string, std::unique_ptr<Job>>& jobs() const { return shard_state_.jobs; }
-    void retire(const std::string& machine, const char* why);
+    void retire(const std::string& machine, const char* reason);
     /// Returns for how long no message of the machine has arrived.
     Micros silent_for(const Machine& machine) const;
     /// Returns for how long the machine has not reported, or has not shown that it receives messages.
     Micros unreachable_for(const Machine& machine) const;
     /// Returns the limit of `unreachable_for` above which no task is bound to a machine.
     Micros unreachable_limit() const;
-    void drain(const std::string& machine, bool on);
+    void set_draining(const std::string& machine, bool on);
     /// Returns true if all tasks on the machine belong to array jobs that may use spot machines. Those tasks
     /// end before long, and could have run elsewhere.
     bool runs_only_spot_arrays(const Machine& machine) const;
@@ -139,7 +139,9 @@
     /// Returns the capacity that waiting jobs need, if some have waited for a while.
     std::optional<peer::CapacityRequest> capacity_request() const;
     /// Returns, by team, the resources of tasks that wait for a larger share of the team's limit.
-    const std::map<std::string, Resources>& short_of_quota() const { return scheduler_.short_of_quota(); }
+    const std::map<std::string, Resources>& missing_quota_by_team() const {
+        return scheduler_.short_of_quota();
+    }
     /// Picks idle machines on which such tasks fit, for another shard. Nothing is bound to them any more
     /// unless withdraw_offer() is called.
     std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& request);
@@ -213,7 +215,7 @@
     Micros handle_task_failure(Machine& machine, Job& job, Slot& slot);
     void on_first_success(Job& job);
     static void record_failure(Machine& machine, const Job& job, Micros now);
-    void terminate_all_attempts(Machine& machine, const char* why);
+    void terminate_all_attempts(Machine& machine, const char* reason);
     static bool can_still_start(const Machine& machine, const Slot& slot, const AttemptKey& key);
     static bool has_unsettled_launch(const Machine& machine, const AttemptKey& key);
     recovery::StoredTask stored_task(const Job* job, const Slot* slot, const Machine& machine,
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -38,8 +38,8 @@
     slot.state = SlotState::Binding;
     slot.attempt = attempt;
     slot.machine = &machine;
-    --job.unbound;
-    ++job.bound;
+    --job.unbound_tasks;
+    ++job.bound_tasks;
     auto& part = job.part_of(task);
     ++part.pending_binds;
     part.bytes += binding_bytes(machine);
@@ -66,8 +66,8 @@
     slot.state = SlotState::Unbound;
     job.first_unbound = std::min(job.first_unbound, static_cast<std::size_t>(task));
     slot.seen = slot.inherited = slot.launch_sent = slot.stop_requested = false;
-    --job.bound;
-    ++job.unbound;
+    --job.bound_tasks;
+    ++job.unbound_tasks;
 }
 
 void ShardState::add_orphaned_task(Machine& machine, const ReportedTask& task) {
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -116,8 +116,8 @@
     EXPECT_EQ(owner->machines().size(), 5u);
     ASSERT_TRUE(owner->jobs().count("req-000006"));
     const Job& wide = *owner->jobs().at("req-000006");
-    EXPECT_EQ(wide.done, 64);
-    EXPECT_EQ(wide.bound, 10) << "in doubt until their machines are heard";
+    EXPECT_EQ(wide.done_tasks, 64);
+    EXPECT_EQ(wide.bound_tasks, 10) << "in doubt until their machines are heard";
     EXPECT_EQ(wide.tasks_per_part, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -149,7 +149,7 @@
              simulator.run(20 * kMillisecond);
      },
      do_nothing},
-    {"new machine in a block",
+    {"lease",
      {"c/block/"},
      false,
      do_nothing,
