--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -126,7 +126,7 @@
 
 /// Takes only the session and the token from a message that arrives while the jobs are still being read. Its
 /// tasks can't be told from orphaned ones yet and must not be stopped as such.
-void ShardOwner::register_incarnation(Machine& machine, const Report& report, bool is_report) {
+void ShardOwner::record_session_and_token(Machine& machine, const Report& report, bool is_report) {
     if (report.session < machine.session) return;
     if (report.session > machine.session) {
         machine.seq = 0;
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// For this long after a /do was answered a duplicate of it may arrive. Until then a worker keeps the result
-// of a task that the /do launched, so that the duplicate can't start the task again.
+// A duplicate of a /do may arrive for this long after the /do was answered. Until then a worker is not told
+// to clear the result of a task that the /do launched, so that the duplicate can't start the task again.
 constexpr Micros kDuplicateWindow = 10 * kSecond;
 // How many ended attempts of a machine may wait for a higher token before they are cleared: its reports have
 // room for that many.
@@ -55,7 +55,7 @@
     if (active_)
         apply_heartbeat(machine, report, true);
     else
-        register_incarnation(machine, report, true);
+        record_session_and_token(machine, report, true);
     ReportResponse response{token(machine), {}, !machine.is_relay_only()};
     // Until all jobs are read, which a store outage may delay for long, the answer stops at least the tasks
     // whose jobs are known to be over, so that the renewed lease does not keep them running.
@@ -273,7 +273,7 @@
         if (active_)
             apply_heartbeat(target, *report, false);
         else
-            register_incarnation(target, *report, false);
+            record_session_and_token(target, *report, false);
         // If another call is necessary, it is delayed: its answer may be of no use for a while.
         if (reply.status == 409 || target.seq == 0 || target.token_seen < token(target))
             target.next_direct_call_at = context_.runtime().now() + 100 * kMillisecond;
--- a/src/shard/reconciliation.cpp
+++ b/src/shard/reconciliation.cpp
@@ -37,7 +37,8 @@
     return observed.is_present ? reconcile_reported(stored, observed) : reconcile_absent(stored, proof);
 }
 
-bool is_newer_message(const MessageOrder& message, const MessageOrder& last, std::uint64_t min_session) {
+bool is_newer_message(const MessagePosition& message, const MessagePosition& last,
+                      std::uint64_t min_session) {
     if (message.session < min_session) return false;
     return std::tuple(message.session, message.seq) > std::tuple(last.session, last.seq);
 }
--- a/src/shard/reconciliation.hpp
+++ b/src/shard/reconciliation.hpp
@@ -57,12 +57,12 @@
 const char* name_of(ReconcileAction action);
 
 /// The position of a message among all messages of its worker.
-struct MessageOrder {
+struct MessagePosition {
     std::uint64_t session = 0;
     std::uint64_t seq = 0;
 };
 /// Returns true if a message is newer than the last one that was applied and its session is not proven to
 /// have ended.
-bool is_newer_message(const MessageOrder& message, const MessageOrder& last, std::uint64_t min_session);
+bool is_newer_message(const MessagePosition& message, const MessagePosition& last, std::uint64_t min_session);
 
 }  // namespace cottonway::recovery
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -154,7 +154,7 @@
         Milli idle_ordinary = 0;
         Milli idle_spot = 0;
     };
-    /// Transfers waiting jobs that have never been bound to another shard, as many as fit into `room`.
+    /// Transfers to another shard waiting jobs of which no task was ever bound, as many as fit into `room`.
     void transfer_jobs(const std::string& to, RemoteCapacity room);
     /// Returns the part of the team's quota share that is neither used nor needed by waiting jobs.
     Resources spare_quota(const std::string& team) const;
@@ -205,7 +205,7 @@
     bool are_leases_expired_since(const Machine& machine, Micros last) const;
     bool has_received_answer(const Machine& machine, const Report& report) const;
 
-    void register_incarnation(Machine& machine, const Report& report, bool is_report);
+    void record_session_and_token(Machine& machine, const Report& report, bool is_report);
     void mark_suspect(Machine& machine);
     void apply_heartbeat(Machine& machine, const Report& report, bool is_report);
     void handle_absent_task(Machine& machine, Job& job, int task, const Report& report, bool is_report);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -203,11 +203,11 @@
 RC_GTEST_PROP(ReconciliationProperties, OvertakenMessagesAreIgnored, ()) {
     // A message counts only if it is newer than all that arrived before it. So in the end the newest message
     // determines what is known, in whatever order they arrive.
-    std::vector<MessageOrder> messages;
+    std::vector<MessagePosition> messages;
     const int n = *rc::gen::inRange(1, 12);
     for (int i = 0; i < n; ++i)
         messages.push_back({*rc::gen::inRange<std::uint64_t>(1, 4), *rc::gen::inRange<std::uint64_t>(1, 50)});
-    MessageOrder last{};
+    MessagePosition last{};
     for (const auto& m : messages)
         if (is_newer_message(m, last, 0)) last = m;
     for (const auto& m : messages) RC_ASSERT(!is_newer_message(m, last, 0));
