--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -136,8 +136,8 @@
 struct OtherJobs {
     const char* name;
     bool through_feed;  // otherwise by a full read of the store
-    std::set<int>
-        old_nodes;  // nodes of the previous version; while there are any, final records are read as well
+    /// Nodes of the previous version. While there are any, final records are read as well.
+    std::set<int> old_nodes;
 };
 const std::vector<OtherJobs> kWaysToReceive{{"by change feed", true, {}},
                                             {"by full read", false, {}},
@@ -227,8 +227,8 @@
 
 // Guards against a next holder that still reads the shard's jobs and answers heartbeats without the stop.
 TEST(CancelledBeforeManyFinishedJobs, IsStoppedByANextHolderThatIsStillLoading) {
-    const OtherJobs& other_jobs =
-        kWaysToReceive.front();  // with the other ways the next holder is ready too soon
+    // With the other ways the next holder has finished loading too soon.
+    const OtherJobs& other_jobs = kWaysToReceive.front();
     for (const std::uint64_t seed : {4, 5, 6}) {
         CancelledService service(seed, other_jobs.old_nodes);
         Simulator& simulator = service.simulator;
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -15,35 +15,38 @@
 
 /// Asks every controller for a job, and submits it again, ten times a second. No answer may be older than an
 /// answer that had been received before the request, and no controller may deny what a user was told before.
-class ConsistencyChecker {
+class JobAnswerChecker {
   public:
-    ConsistencyChecker(Simulator& simulator, JobSpec spec, Micros span)
-        : w_(simulator), spec_(std::move(spec)) {
-        for (Micros t = 0; t < span; t += 100 * kMillisecond)
-            simulator.at(simulator.now() + t, [this] {
-                for (int i = 0; i < w_.node_count(); ++i) ask(i);
+    JobAnswerChecker(Simulator& simulator, JobSpec spec, Micros span)
+        : simulator_(simulator), spec_(std::move(spec)) {
+        for (Micros offset = 0; offset < span; offset += 100 * kMillisecond)
+            simulator.at(simulator.now() + offset, [this] {
+                for (int i = 0; i < simulator_.node_count(); ++i) check_node(i);
             });
     }
 
   private:
-    void ask(int node) {
-        if (!w_.node(node)) return;
-        const auto check_answer = [this, node, known_stage = reported_stage_](const ApiResponse& r) {
-            if (r.status == 400 || r.status == 422) w_.broken.push_back("forgotten: a repeat was refused");
-            if (r.status != 200 && r.status != 201 && r.status != 404) return;
-            const std::string stage = wire::text(r.body, "stage").value_or("");
-            const int stage_number = r.status == 404 ? 0 : stage == "done" || stage == "cancelled" ? 2 : 1;
+    void check_node(int node) {
+        if (!simulator_.node(node)) return;
+        const auto check_answer = [this, node, known_stage = reported_stage_](const ApiResponse& response) {
+            if (response.status == 400 || response.status == 422)
+                simulator_.broken.push_back("forgotten: a repeat was refused");
+            if (response.status != 200 && response.status != 201 && response.status != 404) return;
+            const std::string stage = wire::text(response.body, "stage").value_or("");
+            const int stage_number = response.status == 404                    ? 0
+                                     : stage == "done" || stage == "cancelled" ? 2
+                                                                               : 1;
             if (stage_number < known_stage)
-                w_.broken.push_back("went_back: " + spec_.ref + " is " + (stage_number ? stage : "unknown") +
-                                    " at " + host(node));
+                simulator_.broken.push_back("went_back: " + spec_.ref + " is " +
+                                            (stage_number ? stage : "unknown") + " at " + host(node));
             reported_stage_ = std::max(reported_stage_, stage_number);
         };
-        w_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
+        simulator_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
         if (reported_stage_ == 0) return;  // the simulator's user submits the job first
-        w_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false},
-                              check_answer);
+        simulator_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false},
+                                      check_answer);
     }
-    Simulator& w_;
+    Simulator& simulator_;
     JobSpec spec_;
     int reported_stage_ = 0;  // 1: accepted, 2: over
 };
@@ -239,7 +242,7 @@
         simulator->run(2 * kSecond);
         change_case.before(*simulator);
         for (const auto& key : change_case.lost) simulator->late_next(key, 0);
-        ConsistencyChecker checker(*simulator, watched_job(*simulator), 6 * kSecond);
+        JobAnswerChecker checker(*simulator, watched_job(*simulator), 6 * kSecond);
         change_case.act(*simulator);
         simulator->run(12 * kSecond);
         simulator->heal_all();
