--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -182,7 +182,7 @@
     }
 }
 
-TEST(RestartWithFaults, StoreThatIsDownLosesAnswersOrRefusesANodeLosesNothing) {
+TEST(RestartWithFaults, StoreOutageLostAnswersOrRefusedNodeLoseNothing) {
     for (int kind = 0; kind < 3; ++kind) {
         auto simulator = simulator_with_several_shards(20 + static_cast<std::uint64_t>(kind));
         submit_varied_jobs(*simulator);
@@ -220,7 +220,7 @@
     EXPECT_RULES(*longer);
 }
 
-TEST(RestartWithFaults, TasksOfDeadMachinesMoveWhileHungMachinesAreWaitedFor) {
+TEST(RestartWithFaults, LiveMachinesAreUsedAtOnceWhileOthersAreDeadOrHang) {
     auto simulator = simulator_with_several_shards(40);
     simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
     simulator->run(3 * kSecond);
