--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -191,7 +191,7 @@
         if (slot.state != SlotState::Bound || (slot.seen && !slot.stop_requested)) continue;
         if (job->stage == Stage::Cancelled) return 0;
         urgency = std::min(urgency, job->rank == PriorityClass::Production ? 1
-                                    : job->due_ms != INT64_MAX             ? 2
+                                    : job->deadline_ms != INT64_MAX        ? 2
                                                                            : 3);
     }
     return urgency;
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -25,11 +25,11 @@
 /// work left by the time waited, here the older goes first.
 Json ShardOwner::queue_position(const Job& job) const {
     auto key = [&](const Job& j) {
-        return std::tuple(j.rank, !j.within_guarantee, j.due_ms, j.eligible_since_ms, j.serial);
+        return std::tuple(j.rank, !j.within_guarantee, j.deadline_ms, j.eligible_since_ms, j.serial);
     };
     std::size_t all = 0, before = 0, before_of_team = 0;
     for (const auto& [ref, other] : shard_state_.jobs) {
-        if (other->stage != Stage::Queued || !other->dependencies_met || other->unbound_tasks == 0) continue;
+        if (other->stage != Stage::Queued || !other->dependencies_done || other->unbound_tasks == 0) continue;
         ++all;
         if (!(key(*other) < key(job))) continue;
         ++before;
@@ -84,7 +84,7 @@
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
     if (job.unbound_tasks == 0) return {"nothing of it waits"};
-    if (!job.dependencies_met) return {"jobs that it needs are not done"};
+    if (!job.dependencies_done) return {"jobs that it needs are not done"};
     if (job.transferring) why.push_back("it is being given to another domain");
     if (job.on_admitted) why.push_back("its record is not stored yet");
     if (job.backing_off)
@@ -149,7 +149,7 @@
 Json ShardOwner::waiting_by_tier() const {
     std::map<policy::Tier, std::pair<int, int>> sums;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || !job->dependencies_met || job->unbound_tasks == 0) continue;
+        if (job->stage != Stage::Queued || !job->dependencies_done || job->unbound_tasks == 0) continue;
         auto& sum = sums[tier(*job)];
         ++sum.first;
         sum.second += job->unbound_tasks;
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -59,14 +59,14 @@
     std::int64_t submitted_ms = 0;
     /// False while the job waits for jobs that it depends on. Until then it has no slots and is not
     /// scheduled.
-    bool dependencies_met = true;
+    bool dependencies_done = true;
     bool has_dependencies = false;         // it depended on other jobs when it was submitted
     bool has_dependents = false;           // other jobs wait for this one
     bool cancelled_by_dependency = false;  // cancelled because a job it depends on was cancelled
     std::int64_t eligible_since_ms = 0;    // its submission, or the end of the last job it depends on
     /// Its own rank, or the higher one of a job that depends on it.
     PriorityClass rank = PriorityClass::Normal;
-    std::int64_t due_ms = INT64_MAX;
+    std::int64_t deadline_ms = INT64_MAX;
     std::vector<Slot> slots;
     std::int64_t next_attempt = 1;
     int unbound_tasks = 0, bound_tasks = 0,
@@ -121,8 +121,9 @@
     /// Returns the number of tasks that wait for room. Returns 0 for a job in backoff and for best-effort
     /// work, which uses leftover room: neither may attract machines or quota, or keep other jobs away.
     int waiting_tasks() const {
-        return stage == Stage::Queued && dependencies_met && !backing_off && !is_best_effort() ? unbound_tasks
-                                                                                               : 0;
+        return stage == Stage::Queued && dependencies_done && !backing_off && !is_best_effort()
+                   ? unbound_tasks
+                   : 0;
     }
     /// Returns true if the job only uses room that is left over. A job of low priority within its team's
     /// guarantee is not best-effort, so it need not wait for other teams.
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -109,7 +109,7 @@
 }
 
 std::unique_ptr<Job> ShardOwner::create_job(JobSpec spec, std::int64_t submitted_ms,
-                                            std::optional<std::int64_t> met_ms,
+                                            std::optional<std::int64_t> dependencies_done_ms,
                                             const DependencyStatus& dependency_status) {
     auto job = std::make_unique<Job>();
     job->spec = std::move(spec);
@@ -117,12 +117,12 @@
     job->submitted_ms = submitted_ms;
     job->waiting_since = context_.runtime().now();
     job->unbound_tasks = job->spec.tasks;
-    job->eligible_since_ms = met_ms.value_or(submitted_ms);
-    job->has_dependencies = met_ms || !job->spec.needs.empty();
+    job->eligible_since_ms = dependencies_done_ms.value_or(submitted_ms);
+    job->has_dependencies = dependencies_done_ms || !job->spec.needs.empty();
     job->rank = job->spec.rank;
-    job->dependencies_met = job->spec.needs.empty();
+    job->dependencies_done = job->spec.needs.empty();
     apply_dependency_status(*job, dependency_status);
-    if (job->dependencies_met) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
+    if (job->dependencies_done) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
     return job;
 }
 
@@ -162,20 +162,20 @@
 void ShardOwner::apply_dependency_status(Job& job, const DependencyStatus& dependency_status) {
     job.has_dependents = dependency_status.needed;
     job.cancelled_by_dependency = dependency_status.cancelled_by_dependency;
-    job.due_ms = dependency_status.due_ms;
+    job.deadline_ms = dependency_status.due_ms;
     if (job.spec.deadline)
-        job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
+        job.deadline_ms = std::min(job.deadline_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
     set_rank(job, std::min(job.spec.rank, dependency_status.rank));
     if (dependency_status.since_ms > 0)
         job.eligible_since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
-    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.dependencies_met)
-        on_dependencies_met(job);
+    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.dependencies_done)
+        on_dependencies_done(job);
 }
 
 /// All jobs that this one depends on are done, which is final. From here on it is scheduled like any other
 /// job, and its record only keeps the time when it became eligible.
-void ShardOwner::on_dependencies_met(Job& job) {
-    job.dependencies_met = true;
+void ShardOwner::on_dependencies_done(Job& job) {
+    job.dependencies_done = true;
     job.spec.needs.clear();
     job.slots.resize(static_cast<std::size_t>(job.spec.tasks));
     job.waiting_since = context_.runtime().now();
@@ -317,7 +317,7 @@
         }
         record["d"] = wire::job_value(job.spec);
         record["at"] = job.submitted_ms;
-        if (job.has_dependencies && job.dependencies_met) record["go"] = job.eligible_since_ms;
+        if (job.has_dependencies && job.dependencies_done) record["go"] = job.eligible_since_ms;
         record["ps"] = job.tasks_per_part;
         record["fd"] = job.done_tasks;
         record["fr"] = job.bound_tasks;
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -69,7 +69,7 @@
     }
     std::map<std::string, Resources> waiting;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->rank == PriorityClass::Production && job->dependencies_met)
+        if (job->rank == PriorityClass::Production && job->dependencies_done)
             d.production += job->spec.request.cores * (job->unbound_tasks + job->bound_tasks);
         if (job->waiting_tasks() == 0) continue;
         d.waiting += capacity.occupied_by(job->spec) * job->unbound_tasks;
@@ -168,7 +168,8 @@
         if (job.stage != Stage::Queued || job.next_attempt != 1 || job.unbound_tasks != job.spec.tasks)
             continue;
         if (part.in_flight || part.reloading || part.mod_revision == 0) continue;
-        if (!shard_state_.machines.empty() && (!job.dependencies_met || now - job.waiting_since < kWantAfter))
+        if (!shard_state_.machines.empty() &&
+            (!job.dependencies_done || now - job.waiting_since < kWantAfter))
             continue;
         const Milli need = capacity.occupied_by(job.spec) * job.spec.tasks;
         // What fills a machine finds no room on two that are half free.
@@ -230,7 +231,7 @@
     const Resources unused = unused_quota(team);
     std::optional<Resources> least;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->spec.team != team || job->stage != Stage::Queued || !job->dependencies_met ||
+        if (job->spec.team != team || job->stage != Stage::Queued || !job->dependencies_done ||
             job->backing_off)
             continue;
         if (job->unbound_tasks == 0 || lacks_room(*job, context_.runtime().now())) continue;
@@ -245,7 +246,7 @@
 Json ShardOwner::status() const {
     int waiting = 0, running = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->dependencies_met) waiting += job->unbound_tasks;
+        if (job->dependencies_done) waiting += job->unbound_tasks;
         running += job->bound_tasks;
     }
     Json machines = Json::array();
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -28,7 +28,7 @@
 }
 
 bool waits(const Job& job) {
-    return job.stage == Stage::Queued && job.dependencies_met && !job.backing_off && !job.transferring;
+    return job.stage == Stage::Queued && job.dependencies_done && !job.backing_off && !job.transferring;
 }
 }  // namespace
 
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -237,7 +237,8 @@
         return;
     shapes_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->dependencies_met) shapes_->add(job->spec.request.gpus, job->unbound_tasks, job->bound_tasks);
+        if (job->dependencies_done)
+            shapes_->add(job->spec.request.gpus, job->unbound_tasks, job->bound_tasks);
 }
 
 /// Whether it takes room on machines that are being emptied once it finds none elsewhere: urgent work at
@@ -348,7 +349,7 @@
     q.rank = job.rank;
     q.within_guarantee = job.within_guarantee;
     q.late = can_wait(job);
-    q.due_ms = job.due_ms;
+    q.due_ms = job.deadline_ms;
     // The least work left goes first, so that one wide array does not hold up many small jobs; waiting makes
     // up for size, so that none waits for ever.
     const auto left = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
@@ -386,7 +387,7 @@
         if (job->stage != Stage::Queued || job->transferring || job->unbound_tasks == 0) continue;
         // The gate: every bind comes from here, and nothing of a job starts before all that it needs are
         // done.
-        if (!job->dependencies_met) continue;
+        if (!job->dependencies_done) continue;
         if (job->backing_off && (now < job->next_try_at || job->bound_tasks > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
         if (job->is_best_effort() && (!idle_turn || now < job->next_best_effort_turn)) continue;
@@ -772,7 +773,7 @@
     // Stopping work that cannot save itself throws it away. Services may always do that; others only when
     // their deadline is near, or when a guarantee has been waited for.
     const std::int64_t now_ms = context_.runtime().wall_ms();
-    const bool late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
+    const bool late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.deadline_ms;
     const bool may_waste = job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && late);
     const bool reclaims = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
     // Work of normal rank makes room only where idle work is.
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -233,7 +233,7 @@
     }
     if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& entry) {
             const Job& job = *entry.second;
-            return job.stage == Stage::Queued && job.dependencies_met && job.unbound_tasks > 0 &&
+            return job.stage == Stage::Queued && job.dependencies_done && job.unbound_tasks > 0 &&
                    (!job.backing_off || now >= job.next_try_at);
         }))
         plan_due_ = true;
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -223,14 +223,14 @@
     void handle_listed_task(Machine& machine, Job& job, Slot& slot, Phase phase);
     int dispatch_urgency(const Machine& machine) const;
 
-    /// Creates the in-memory state of a job. `met_ms` is when its dependencies were met, if the record has
-    /// it.
+    /// Creates the in-memory state of a job. `dependencies_done_ms` is when its dependencies were met, if the
+    /// record has it.
     std::unique_ptr<Job> create_job(JobSpec spec, std::int64_t submitted_ms,
-                                    std::optional<std::int64_t> met_ms,
+                                    std::optional<std::int64_t> dependencies_done_ms,
                                     const DependencyStatus& dependency_status);
     static void divide_into_parts(Job& job, std::size_t tasks_per_part);
     void apply_dependency_status(Job& job, const DependencyStatus& dependency_status);
-    void on_dependencies_met(Job& job);
+    void on_dependencies_done(Job& job);
     void set_rank(Job& job, PriorityClass rank);
     void mark_done(Job& job, int task);
     void set_unbound(Job& job, Slot& slot);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -263,8 +263,8 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, LostAnswers, testing::ValuesIn(kChangeCases), [](const auto& info) {
-    std::string name = info.param.change;
+INSTANTIATE_TEST_SUITE_P(Kinds, LostAnswers, testing::ValuesIn(kChangeCases), [](const auto& test_case) {
+    std::string name = test_case.param.change;
     std::erase_if(name, [](char c) { return !std::isalnum(static_cast<unsigned char>(c)); });
     return name;
 });
