--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -1,4 +1,5 @@
-// Attempts at tasks, from the bind until they are proven gone, and the doubt in between.
+// ShardOwner: attempts at tasks, from the bind until they are proven gone, and the reconciliation of workers'
+// messages with them.
 
 #include <algorithm>
 #include <utility>
@@ -11,14 +12,14 @@
 
 namespace {
 
-constexpr Micros kWorkerPatience = 4 * kSecond;  // for an answer to its report
-constexpr Micros kProven = 5 * kSecond;          // a task that has run for this long can run
+constexpr Micros kWorkerAnswerTimeout = 4 * kSecond;  // how long a worker waits for the answer to its report
+constexpr Micros kProvenRunTime = 5 * kSecond;  // a task that has run for this long proves its job runnable
 
 using recovery::ReconcileAction;
 
 }  // namespace
 
-void ShardOwner::set_idle(Job& job, Slot& slot) {
+void ShardOwner::set_unbound(Job& job, Slot& slot) {
     shard_state_.release(job, slot, context_.runtime().listened());
     plan_due_ = true;
 }
@@ -26,61 +27,64 @@
 void ShardOwner::on_attempt_terminated(Job& job, int task, Micros retry_in) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
-    // What is proven gone from a machine that can't be heard is written down, bound elsewhere or not: a next
-    // holder would have to wait for the former one's authority and a lease to prove it once more.
-    const bool durable = slot.state == SlotState::Bound && unreachable_for(*slot.machine) > patience();
-    set_idle(job, slot);
-    if (durable) touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    // The end of an attempt on an unreachable machine is stored even if the task isn't bound elsewhere.
+    // Otherwise the next holder would have to wait for the authority of this one and for a lease to end
+    // before it could prove the same again.
+    const bool stores_end =
+        slot.state == SlotState::Bound && unreachable_for(*slot.machine) > unreachable_limit();
+    set_unbound(job, slot);
+    if (stores_end) mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
     const Micros now = context_.runtime().now();
-    if (job.stage == Stage::Cancelled && job.bound == 0) cancellations_.gone(job.spec.ref, now);
+    if (job.stage == Stage::Cancelled && job.bound_tasks == 0) cancellations_.finish(job.spec.ref, now);
     slot.retry_at = now + retry_in;
-    if (job.idle == 1) job.waiting_since = now;
-    dirty_.insert(job.spec.ref);
+    if (job.unbound_tasks == 1) job.waiting_since = now;
+    dirty_jobs_.insert(job.spec.ref);
     flush_due_ = true;
     if (job.gang_done)
         mark_done(job, task);
     else if (job.spec.kind == JobKind::Gang)
-        settle_gang(job);
+        stop_incomplete_gang(job);
     context_.wake();
 }
 
 void ShardOwner::mark_done(Job& job, int task) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state == SlotState::Done || slot.state == SlotState::DonePending) return;
-    if (slot.state != SlotState::Idle) set_idle(job, slot);
-    --job.idle;
-    ++job.done;
+    if (slot.state != SlotState::Unbound) set_unbound(job, slot);
+    --job.unbound_tasks;
+    ++job.done_tasks;
     slot.state = SlotState::DonePending;
-    touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
 }
 
 void ShardOwner::stop(Slot& slot, Micros grace) {
-    if (slot.stop && grace >= slot.grace) return;
-    slot.stop = true;
+    if (slot.stop_requested && grace >= slot.grace) return;
+    slot.stop_requested = true;
     slot.grace = grace;
-    slot.stop_sent = 0;
+    slot.stop_sent_at = 0;
     if (slot.machine) request_dispatch(*slot.machine);
 }
 
 void ShardOwner::cancel(Job& job) {
     if (job.stage != Stage::Cancelled)
-        spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound);
+        spdlog::info("job {}: cancelled, {} tasks to stop", job.spec.ref, job.bound_tasks);
     job.stage = Stage::Cancelled;
-    if (job.bound > 0) cancellations_.began(job.spec.ref, context_.runtime().now());
+    if (job.bound_tasks > 0) cancellations_.start(job.spec.ref, context_.runtime().now());
     for (std::size_t i = 0; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
         if (slot.state == SlotState::Binding)
-            on_attempt_terminated(job, static_cast<int>(i), 0);  // never durable, so never launched
+            // The binding was never durable, so the task was never launched.
+            on_attempt_terminated(job, static_cast<int>(i), 0);
         else if (slot.state == SlotState::Bound)
             stop(slot, 0);
     }
-    dirty_.insert(job.spec.ref);
+    dirty_jobs_.insert(job.spec.ref);
     context_.wake();
 }
 
-/// A gang that lost a task, or is being stopped, ends as a whole before it starts again.
-void ShardOwner::settle_gang(Job& job) {
-    if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound == 0) return;
+/// Stops the rest of a gang that lost a task or is being stopped: it ends as a whole before it starts again.
+void ShardOwner::stop_incomplete_gang(Job& job) {
+    if (job.stage != Stage::Queued || job.gang_stopping || job.gang_done || job.bound_tasks == 0) return;
     job.gang_stopping = true;
     for (auto& slot : job.slots)
         if (slot.state == SlotState::Binding || slot.state == SlotState::Bound) stop(slot, 0);
@@ -89,215 +93,234 @@
     job.gang_stopping = false;
 }
 
-/// A worker tells of a task's result, whether the task is still bound there or not.
-void ShardOwner::completed(Job& job, int task) {
+/// Handles a worker's report that a task is done, whether or not the task is still bound to that worker.
+void ShardOwner::handle_task_result(Job& job, int task) {
     mark_done(job, task);
     if (job.spec.kind != JobKind::Gang) return;
-    // A gang completes together: if one task is done, all of them are. On a machine that is silent they still
-    // count until they are proven gone.
+    // A gang completes as a whole: if one task is done, all of them are. Those on silent machines still use
+    // resources until they are proven gone.
     job.gang_done = true;
     for (std::size_t i = 0; i < job.slots.size(); ++i)
-        if (job.slots[i].state == SlotState::Idle) mark_done(job, static_cast<int>(i));
+        if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
 }
 
-void ShardOwner::exited(Machine& m, Job& job, int task, ExitCause cause) {
+void ShardOwner::handle_exited_task(Machine& machine, Job& job, int task, ExitCause cause) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const Micros now = context_.runtime().now();
     if (cause == ExitCause::Done && job.spec.kind != JobKind::Service) {
         on_first_success(job);
-        spdlog::debug("task {}/{}: done on {}", job.spec.ref, task, m.name);
-        completed(job, task);
+        spdlog::debug("task {}/{}: done on {}", job.spec.ref, task, machine.name);
+        handle_task_result(job, task);
         return;
     }
-    Micros retry = 0;
+    Micros retry_in = 0;
     if (cause == ExitCause::Error) {
-        retry = failed(m, job, slot);
+        retry_in = handle_task_failure(machine, job, slot);
     } else if (cause == ExitCause::NoRoom || cause == ExitCause::Busy || cause == ExitCause::Unknown) {
-        retry = kSecond;
-        if (cause == ExitCause::NoRoom) m.avoid_until = now + 2 * kSecond;
-        spdlog::info("task {}/{}: start refused on {}", job.spec.ref, task, m.name);
+        retry_in = kSecond;
+        if (cause == ExitCause::NoRoom) machine.avoid_until = now + 2 * kSecond;
+        spdlog::info("task {}/{}: the worker on {} refused to start it", job.spec.ref, task, machine.name);
     }
-    on_attempt_terminated(job, task, retry);
+    on_attempt_terminated(job, task, retry_in);
 }
 
-/// A message that arrives while the jobs are still being read: its tasks can't be told from strays yet, and
-/// must not be stopped as such. Only the session and the token count.
-void ShardOwner::register_incarnation(Machine& m, const Report& r, bool is_report) {
-    if (r.session < m.session) return;
-    if (r.session > m.session) {
-        m.seq = 0;
-        m.session_since = context_.runtime().now();
+/// Takes only the session and the token from a message that arrives while the jobs are still being read. Its
+/// tasks can't be told from orphaned ones yet and must not be stopped as such.
+void ShardOwner::record_session_and_token(Machine& machine, const Report& report, bool is_report) {
+    if (report.session < machine.session) return;
+    if (report.session > machine.session) {
+        machine.seq = 0;
+        machine.session_since = context_.runtime().now();
     }
-    m.session = r.session;
-    m.token_seen = std::max(m.token_seen, r.token);
-    m.last_heartbeat = m.heartbeat_before_load = context_.runtime().now();
-    m.last_heartbeat_listening = context_.runtime().listened();
-    if (is_report) m.report_listened = m.last_heartbeat_listening;
+    machine.session = report.session;
+    machine.token_seen = std::max(machine.token_seen, report.token);
+    machine.last_heartbeat = machine.heartbeat_before_load = context_.runtime().now();
+    machine.last_heartbeat_listening = context_.runtime().listened();
+    if (is_report) machine.last_report_listening = machine.last_heartbeat_listening;
 }
 
-/// Whether a report, which is news, tells that the worker has lately had an answer from a controller. Without
-/// one it would have waited for longer before it reports again, and its session ends with its lease.
-bool ShardOwner::hears(const Machine& m, const Report& r) const {
+/// Returns true if a new report proves that the worker has recently received an answer from a controller.
+/// Without an answer it would have waited for longer before it reported again, and its session would have
+/// ended with its lease.
+bool ShardOwner::has_received_answer(const Machine& machine, const Report& report) const {
     const Micros now = context_.runtime().now();
-    if (m.reported == 0 || r.session != m.session) return false;
-    return now - m.reported < kWorkerPatience ||
-           now - m.session_since > with_drift(context_.settings().lease);
+    if (machine.last_report_at == 0 || report.session != machine.session) return false;
+    return now - machine.last_report_at < kWorkerAnswerTimeout ||
+           now - machine.session_since > with_drift(context_.settings().lease);
 }
 
-/// Applies a worker's message; `is_report` tells a report from the answer to a /do.
-void ShardOwner::apply_heartbeat(Machine& m, const Report& r, bool is_report) {
+/// Applies a worker's message. `is_report` is true for a report and false for the answer to a /do.
+void ShardOwner::apply_heartbeat(Machine& machine, const Report& report, bool is_report) {
     const Micros now = context_.runtime().now();
-    if (!recovery::is_news({r.session, r.seq}, {m.session, m.seq}, m.min_session)) return;
-    const bool was_usable = is_usable(m);
-    // That it reports does not tell that it hears us.
-    if (is_report && hears(m, r)) m.suspect = false;
-    if (r.session > m.session) {
-        m.session_since = now;
-        m.unacknowledged_launches
-            .clear();  // /do names the session: what was sent to an earlier one is refused
-        m.launches_in_responses.clear();
-        m.acknowledged_launches.clear();
+    if (!recovery::is_newer_message({report.session, report.seq}, {machine.session, machine.seq},
+                                    machine.min_session))
+        return;
+    const bool was_usable = is_usable(machine);
+    // That reports arrive from the worker does not prove that it receives messages.
+    if (is_report && has_received_answer(machine, report)) machine.suspect = false;
+    if (report.session > machine.session) {
+        machine.session_since = now;
+        // Each /do names the session it is for, so a worker refuses what was sent to an earlier one.
+        machine.unacknowledged_launches.clear();
+        machine.launches_in_responses.clear();
+        machine.acknowledged_launches.clear();
     }
-    m.session = r.session;
-    m.seq = r.seq;
-    m.token_seen = std::max(m.token_seen, r.token);
-    m.last_heartbeat = now;
-    m.last_heartbeat_listening = context_.runtime().listened();
-    if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
-    if (r.notice && !m.notice) {
-        m.notice = true;
-        m.notice_end = now + *r.notice;
-        spdlog::info("machine {}: will be taken in {} s", m.name, *r.notice / kSecond);
-        drain_noticed(m);
+    machine.session = report.session;
+    machine.seq = report.seq;
+    machine.token_seen = std::max(machine.token_seen, report.token);
+    machine.last_heartbeat = now;
+    machine.last_heartbeat_listening = context_.runtime().listened();
+    if (is_report)
+        machine.last_report_at = now, machine.last_report_listening = machine.last_heartbeat_listening;
+    if (report.notice && !machine.interruption_notice) {
+        machine.interruption_notice = true;
+        machine.interruption_at = now + *report.notice;
+        spdlog::info("machine {}: the cloud will interrupt it in {} s", machine.name,
+                     *report.notice / kSecond);
+        stop_before_interruption(machine);
     }
-    std::erase_if(m.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
-    if (is_report) std::erase_if(m.launches_in_responses, [&](const auto& l) { return r.seq > l.second; });
+    std::erase_if(machine.unacknowledged_launches,
+                  [&](const auto& launch) { return report.token > launch.second.token; });
+    if (is_report)
+        std::erase_if(machine.launches_in_responses,
+                      [&](const auto& launch) { return report.seq > launch.second; });
 
-    ++m.messages;
-    startup_.heard(m.name, now);
-    shard_state_.forget_orphaned_tasks(m);
-    m.exited.clear();
-    for (const auto& t : r.tasks) {
-        Job* job = shard_state_.job(t.job);
-        Slot* slot = job && static_cast<std::size_t>(t.task) < job->slots.size()
-                         ? &job->slots[static_cast<std::size_t>(t.task)]
+    ++machine.messages_applied;
+    startup_.record_heartbeat(machine.name, now);
+    shard_state_.forget_orphaned_tasks(machine);
+    machine.exited_tasks.clear();
+    for (const auto& task : report.tasks) {
+        Job* job = shard_state_.job(task.job);
+        Slot* slot = job && static_cast<std::size_t>(task.task) < job->slots.size()
+                         ? &job->slots[static_cast<std::size_t>(task.task)]
                          : nullptr;
-        const bool exited_now = t.phase == Phase::Exited;
-        const auto verdict =
-            recovery::reconcile(stored(job, slot, m, t.attempt), {true, exited_now, t.cause}, {});
-        startup_.reconciled(verdict, slot && slot->foreign && !slot->seen);
-        if (exited_now) m.exited.push_back(t);
+        const bool has_exited = task.phase == Phase::Exited;
+        const auto verdict = recovery::reconcile(stored_task(job, slot, machine, task.attempt),
+                                                 {true, has_exited, task.cause}, {});
+        startup_.record_reconciled(verdict, slot && slot->inherited && !slot->seen);
+        if (has_exited) machine.exited_tasks.push_back(task);
         switch (verdict) {
             case ReconcileAction::Runs:
-                show(m, *job, *slot, t.phase);
+                handle_listed_task(machine, *job, *slot, task.phase);
                 break;
             case ReconcileAction::Ended:
-                show(m, *job, *slot, t.phase);
-                exited(m, *job, t.task, t.cause);
+                handle_listed_task(machine, *job, *slot, task.phase);
+                handle_exited_task(machine, *job, task.task, task.cause);
                 break;
-            case ReconcileAction::Result:
-                completed(*job, t.task);
+            case ReconcileAction::UnboundResult:
+                handle_task_result(*job, task.task);
                 break;
-            case ReconcileAction::Stray:
-                shard_state_.add_orphaned_task(m, t);
+            case ReconcileAction::Orphaned:
+                shard_state_.add_orphaned_task(machine, task);
                 break;
             default:
                 break;
         }
     }
     std::vector<TaskRef> missing;
-    for (const auto& t : m.tasks)
-        if (t.job->slots[static_cast<std::size_t>(t.task)].shown != m.messages) missing.push_back(t);
-    for (const auto& t : missing) absent(m, *t.job, t.task, r, is_report);
-    if (!m.tasks.empty()) m.idle_since = m.last_heartbeat_listening;
-    if (!m.orphaned_tasks.empty()) request_dispatch(m);
-    if (!was_usable && is_usable(m)) plan_due_ = true;
+    for (const auto& task : machine.tasks)
+        if (task.job->slots[static_cast<std::size_t>(task.task)].last_message_listing !=
+            machine.messages_applied)
+            missing.push_back(task);
+    for (const auto& task : missing) handle_absent_task(machine, *task.job, task.task, report, is_report);
+    if (!machine.tasks.empty()) machine.idle_since = machine.last_heartbeat_listening;
+    if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
+    if (!was_usable && is_usable(machine)) plan_due_ = true;
 }
 
-recovery::Stored ShardOwner::stored(const Job* job, const Slot* slot, const Machine& m,
-                                    std::int64_t attempt) const {
-    using State = recovery::Stored::State;
-    recovery::Stored out;
-    if (!job || !slot) return out;
-    const bool here = slot->machine == &m && slot->attempt == attempt;
+recovery::StoredTask ShardOwner::stored_task(const Job* job, const Slot* slot, const Machine& machine,
+                                             std::int64_t attempt) const {
+    using State = recovery::StoredTask::State;
+    recovery::StoredTask stored;
+    if (!job || !slot) return stored;
+    const bool bound_here = slot->machine == &machine && slot->attempt == attempt;
     switch (slot->state) {
-        case SlotState::Idle:
-            out.state = State::Waiting;
+        case SlotState::Unbound:
+            stored.state = State::Waiting;
             break;
         case SlotState::Binding:
-            out.state = here ? State::Binding : State::Elsewhere;
+            stored.state = bound_here ? State::Binding : State::Elsewhere;
             break;
         case SlotState::Bound:
-            out.state = here ? State::Bound : State::Elsewhere;
+            stored.state = bound_here ? State::Bound : State::Elsewhere;
             break;
         case SlotState::DonePending:
         case SlotState::Done:
-            out.state = State::Done;
+            stored.state = State::Done;
             break;
     }
-    out.wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
-    out.seen = slot->seen;
-    out.launched = slot->launch_sent;
-    out.foreign = slot->foreign;
-    out.stopping = slot->stop;
-    return out;
+    stored.result_wanted = job->stage == Stage::Queued && job->spec.kind != JobKind::Service;
+    stored.seen = slot->seen;
+    stored.launched = slot->launch_sent;
+    stored.inherited = slot->inherited;
+    stored.stopping = slot->stop_requested;
+    return stored;
 }
 
-/// A message shows a bound task.
-void ShardOwner::show(Machine& m, Job& job, Slot& slot, Phase phase) {
+/// Handles a bound task that a message of its worker lists.
+void ShardOwner::handle_listed_task(Machine& machine, Job& job, Slot& slot, Phase phase) {
     const Micros now = context_.runtime().now();
-    slot.shown = m.messages;
+    slot.last_message_listing = machine.messages_applied;
     slot.seen = true;
     slot.launch_sent = true;
     if (slot.phase != Phase::Running && phase == Phase::Running) {
-        // What an earlier holder has begun has run for some time, nobody knows for how long.
-        slot.run_since = slot.foreign ? now - job.spec.estimate / 2 : now;
-        spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), m.name);
-        ShardState::remember_image(m, job, true);
+        // It is unknown for how long a task that a former holder launched has been running; half of the
+        // estimate is assumed.
+        slot.running_since = slot.inherited ? now - job.spec.estimate / 2 : now;
+        spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
+        ShardState::remember_image(machine, job, true);
     }
     slot.phase = phase;
-    if (phase == Phase::Running && now - slot.run_since > kProven) on_first_success(job);
+    if (phase == Phase::Running && now - slot.running_since > kProvenRunTime) on_first_success(job);
 }
 
-/// A bound task that a message does not show: gone, not launched yet, or in doubt.
-void ShardOwner::absent(Machine& m, Job& job, int task, const Report& r, bool is_report) {
+/// Handles a bound task that a message of its worker does not list: it is gone, not launched yet, or in
+/// doubt.
+void ShardOwner::handle_absent_task(Machine& machine, Job& job, int task, const Report& report,
+                                    bool is_report) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const AttemptKey key{job.spec.ref, task, slot.attempt};
-    recovery::Proof proof;
-    proof.later_session = slot.launch_session != UINT64_MAX && r.session > slot.launch_session;
-    proof.higher_token = r.token > slot.launch_token;
-    proof.answer_over = slot.launch_by_answer && is_report && r.seq > slot.launch_seq &&
-                        !m.unacknowledged_launches.count(key) && !m.direct_launches.count(key);
-    // A worker takes an answer before its next report. One that does not show our token has taken none of
-    // ours, so whatever the former holder started has ended with the last lease that one can have granted,
-    // or that was granted while reports could not be reconciled yet.
-    if (slot.foreign && is_report && m.token_seen < mod_revision_ &&
-        over_since(m, std::max(former_end_, m.heartbeat_before_load)))
-        proof.later_session = true;
-    proof.may_still_come = may_come(m, key);
-    const auto verdict = recovery::reconcile(stored(&job, &slot, m, slot.attempt), {}, proof);
-    startup_.reconciled(verdict, slot.foreign);
+    recovery::LaunchProof proof;
+    proof.session_ended = slot.launch_session != UINT64_MAX && report.session > slot.launch_session;
+    proof.higher_token_seen = report.token > slot.launch_token;
+    proof.response_superseded = slot.launched_by_response && is_report && report.seq > slot.launch_seq &&
+                                !machine.unacknowledged_launches.count(key) &&
+                                !machine.direct_launches.count(key);
+    // A worker processes the answer to a report before it reports again. One that does not report this
+    // holder's token has processed no answer of this holder. So whatever the former holder launched has ended
+    // with the last lease that the former holder can have granted, or that was granted while reports could
+    // not be reconciled yet.
+    if (slot.inherited && is_report && machine.token_seen < mod_revision_ &&
+        are_leases_expired_since(machine, std::max(former_authority_end_, machine.heartbeat_before_load)))
+        proof.session_ended = true;
+    proof.may_still_arrive = has_unsettled_launch(machine, key);
+    const auto verdict = recovery::reconcile(stored_task(&job, &slot, machine, slot.attempt), {}, proof);
+    startup_.record_reconciled(verdict, slot.inherited);
     if (verdict == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
-    const bool unsent = verdict == ReconcileAction::Unsent && slot.state == SlotState::Bound && !slot.foreign;
-    // Proven not to be there: on a machine that does not hear us it would be launched in vain for ever.
-    if ((verdict == ReconcileAction::LaunchAgain || unsent) && m.suspect && !may_come(m, key)) {
-        spdlog::info("task {}/{}: {} does not hear us, to be placed elsewhere", key.job, task, m.name);
+    const bool not_sent =
+        verdict == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
+    // The task is proven not to run there. A machine that does not receive messages would never start it, so
+    // it is released to be placed elsewhere.
+    if ((verdict == ReconcileAction::Relaunch || not_sent) && machine.suspect &&
+        !has_unsettled_launch(machine, key)) {
+        spdlog::info("task {}/{}: {} does not receive messages, to be placed elsewhere", key.job, task,
+                     machine.name);
         return on_attempt_terminated(job, task, 0);
     }
-    if (verdict != ReconcileAction::LaunchAgain) return;
+    if (verdict != ReconcileAction::Relaunch) return;
     slot.launch_sent = false;
-    request_dispatch(m);
+    request_dispatch(machine);
 }
 
-/// Whether a launch of this attempt that was sent in one way or another is not settled.
-bool ShardOwner::may_come(const Machine& m, const AttemptKey& key) {
-    return m.unacknowledged_launches.count(key) || m.direct_launches.count(key) ||
-           m.launches_in_responses.count(key);
+/// Returns true if a launch of this attempt was sent, directly or in an answer, and its outcome is not known.
+bool ShardOwner::has_unsettled_launch(const Machine& machine, const AttemptKey& key) {
+    return machine.unacknowledged_launches.count(key) || machine.direct_launches.count(key) ||
+           machine.launches_in_responses.count(key);
 }
 
-/// Whether a launch of this attempt may still be executed.
-bool ShardOwner::still_live(const Machine& m, const Slot& slot, const AttemptKey& key) {
-    return slot.launch_sent || may_come(m, key);
+/// Returns true if a launch of this attempt may still be executed.
+bool ShardOwner::can_still_start(const Machine& machine, const Slot& slot, const AttemptKey& key) {
+    return slot.launch_sent || has_unsettled_launch(machine, key);
 }
 
 }  // namespace cottonway
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -26,14 +26,14 @@
 /// Returns the job's position in the queue by the first criteria of the placement order: rank, guarantee,
 /// deadline. Among equals, placement compares the work left to the time waited; here the older job goes
 /// first.
-Json ShardOwner::place_in_queue(const Job& job) const {
+Json ShardOwner::queue_position(const Job& job) const {
     auto order = [&](const Job& queued) {
-        return std::tuple(queued.rank, !queued.within_guarantee, queued.due_ms, queued.since_ms,
+        return std::tuple(queued.rank, !queued.within_guarantee, queued.deadline_ms, queued.eligible_since_ms,
                           queued.serial);
     };
     std::size_t all = 0, before = 0, before_of_team = 0;
     for (const auto& [ref, other] : shard_state_.jobs) {
-        if (other->stage != Stage::Queued || !other->open || other->idle == 0) continue;
+        if (other->stage != Stage::Queued || !other->dependencies_done || other->unbound_tasks == 0) continue;
         ++all;
         if (!(order(*other) < order(job))) continue;
         ++before;
@@ -44,8 +44,8 @@
 
 /// Returns, by zone, how many machines of the shard the job is allowed on, how many of these are usable, and
 /// how many have room for a task of it now.
-Json ShardOwner::room_by_zone(const Job& job) const {
-    const auto tasks_by_zone = job.zones();
+Json ShardOwner::capacity_by_zone(const Job& job) const {
+    const auto tasks_by_zone = job.tasks_by_zone();
     Json zones = Json::object();
     auto zone_entry = [&](const std::string& name) -> Json& {
         if (!zones.contains(name)) {
@@ -72,7 +72,7 @@
 
 /// Returns how many GPUs are free on the machines that the job may use: in total, and on the machine with the
 /// most.
-Json ShardOwner::gpus_for(const Job& job) const {
+Json ShardOwner::gpu_capacity_for(const Job& job) const {
     Milli total_free = 0, most_on_one_machine = 0;
     for (const auto& [name, machine] : shard_state_.machines) {
         if (!is_usable(*machine) || !Scheduler::is_allowed(job, *machine)) continue;
@@ -85,17 +85,17 @@
             {"most_on_one_machine", static_cast<double>(most_on_one_machine) / 1000}};
 }
 
-std::vector<std::string> ShardOwner::reasons(const Job& job, const Json& zones) const {
+std::vector<std::string> ShardOwner::waiting_reasons(const Job& job, const Json& zones) const {
     std::vector<std::string> why;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
-    if (job.idle == 0) return {"nothing of it waits"};
-    if (!job.open) return {"jobs that it needs are not done"};
-    if (job.leaving) why.push_back("it is being given to another domain");
-    if (job.admitting) why.push_back("its record is not stored yet");
+    if (job.unbound_tasks == 0) return {"nothing of it waits"};
+    if (!job.dependencies_done) return {"jobs that it needs are not done"};
+    if (job.transferring) why.push_back("it is being given to another domain");
+    if (job.on_admitted) why.push_back("its record is not stored yet");
     if (job.backing_off)
         why.push_back("it fails everywhere: one task is tried at a time, the next in " +
-                      std::to_string(std::max<Micros>(job.try_after - now, 0) / kMillisecond) + " ms");
+                      std::to_string(std::max<Micros>(job.next_try_at - now, 0) / kMillisecond) + " ms");
     const int tasks_at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
     if (!scheduler_.is_within_quota(job, tasks_at_once)) why.push_back("its team has used up its limit here");
     int machines = 0, usable_machines = 0, with_room = 0, open_zones = 0;
@@ -103,7 +103,8 @@
         machines += entry["machines"].get<int>();
         usable_machines += entry["usable"].get<int>();
         with_room += entry["with_room"].get<int>();
-        open_zones += entry["with_room"].get<int>() > 0 && entry["tasks"].get<int>() < job.zone_cap();
+        open_zones +=
+            entry["with_room"].get<int>() > 0 && entry["tasks"].get<int>() < job.max_tasks_per_zone();
     }
     if (machines == 0)
         why.push_back("no machine of this domain is of a type, zone and kind that it may use");
@@ -116,9 +117,9 @@
     else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
         why.push_back("a gang starts as a whole, and there may not be room for all of it");
     if (job.is_best_effort()) why.push_back("it takes what other work leaves over, in turns");
-    if (job.holding_out) why.push_back("it waits for a machine that has its image");
+    if (job.waiting_for_image) why.push_back("it waits for a machine that has its image");
     const auto waiting_to_retry = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& slot) {
-        return slot.state == SlotState::Idle && slot.retry_at > now;
+        return slot.state == SlotState::Unbound && slot.retry_at > now;
     });
     if (waiting_to_retry > 0)
         why.push_back(std::to_string(waiting_to_retry) + " of its tasks have failed and are tried later");
@@ -138,17 +139,18 @@
         {"tier", policy::name_of(tier(job))},
         {"rank", name_of(job.rank)},
         {"within_guarantee", job.within_guarantee},
-        {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
+        {"tasks", {{"waiting", job.unbound_tasks}, {"bound", job.bound_tasks}, {"done", job.done_tasks}}},
         {"a_task_needs", resources_value(job.spec.request)},
-        {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
-    if (job.idle > 0 && job.waiting_since > 0)
+        {"counts_since_ms_ago",
+         std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0)}};
+    if (job.unbound_tasks > 0 && job.waiting_since > 0)
         explanation["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
-    explanation["queue"] = place_in_queue(job);
-    explanation["limit"] = {{"here", resources_value(context_.share(shard_, job.spec.team))},
-                            {"used", resources_value(shard_state_.used(job.spec.team))}};
-    explanation["zones"] = room_by_zone(job);
-    if (job.spec.request.gpus > 0) explanation["cards"] = gpus_for(job);
-    explanation["why"] = reasons(job, explanation["zones"]);
+    explanation["queue"] = queue_position(job);
+    explanation["limit"] = {{"here", resources_value(context_.quota_share(shard_, job.spec.team))},
+                            {"used", resources_value(shard_state_.team_usage(job.spec.team))}};
+    explanation["zones"] = capacity_by_zone(job);
+    if (job.spec.request.gpus > 0) explanation["cards"] = gpu_capacity_for(job);
+    explanation["why"] = waiting_reasons(job, explanation["zones"]);
     return explanation;
 }
 
@@ -156,10 +158,10 @@
 Json ShardOwner::waiting_by_tier() const {
     std::map<policy::Tier, std::pair<int, int>> counts_by_tier;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || !job->open || job->idle == 0) continue;
+        if (job->stage != Stage::Queued || !job->dependencies_done || job->unbound_tasks == 0) continue;
         auto& counts = counts_by_tier[tier(*job)];
         ++counts.first;
-        counts.second += job->idle;
+        counts.second += job->unbound_tasks;
     }
     Json value = Json::object();
     for (const auto& [tier, counts] : counts_by_tier)
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -72,29 +72,29 @@
         // Best-effort work counts as free, since all other work preempts it.
         (machine->spot ? shard_load.free_spot : shard_load.free_ordinary) +=
             scheduling::available_cores(machine->type->size - machine->reserved, machine->type->size) +
-            machine->idle_work;
+            machine->low_priority_cores;
         if (machine->tasks.empty())
             (machine->spot ? shard_load.idle_spot : shard_load.idle_ordinary) += machine->type->size.cores;
     }
     std::map<std::string, Resources> waiting_by_team;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->rank == PriorityClass::Production && job->open)
-            shard_load.production += job->spec.request.cores * (job->idle + job->bound);
-        if (job->waiting() == 0) continue;
-        shard_load.waiting += capacity.occupied_by(job->spec) * job->idle;
+        if (job->rank == PriorityClass::Production && job->dependencies_done)
+            shard_load.production += job->spec.request.cores * (job->unbound_tasks + job->bound_tasks);
+        if (job->waiting_tasks() == 0) continue;
+        shard_load.waiting += capacity.occupied_by(job->spec) * job->unbound_tasks;
         if (is_long_unschedulable(*job, context_.runtime().now())) continue;
         auto& team_waiting = waiting_by_team[job->spec.team];
-        team_waiting.cores += job->spec.request.cores * job->idle;
-        team_waiting.gpus += job->spec.request.gpus * job->idle;
+        team_waiting.cores += job->spec.request.cores * job->unbound_tasks;
+        team_waiting.gpus += job->spec.request.gpus * job->unbound_tasks;
     }
     for (const auto& team : context_.settings().teams) {
-        shard_load.teams.push_back({team.name, context_.share(shard_, team.name),
-                                    shard_state_.used(team.name), waiting_by_team[team.name]});
+        shard_load.teams.push_back({team.name, context_.quota_share(shard_, team.name),
+                                    shard_state_.team_usage(team.name), waiting_by_team[team.name]});
     }
     return shard_load;
 }
 
-std::optional<peer::CapacityRequest> ShardOwner::want() const {
+std::optional<peer::CapacityRequest> ShardOwner::capacity_request() const {
     if (!active_) return std::nullopt;
     const Micros now = context_.runtime().now();
     // The request is for the job that has waited longest, and stands for the jobs that need the same. Live
@@ -102,7 +102,7 @@
     auto order = [this](const Job& job) { return std::pair(tier(job) != policy::Tier::Live, job.serial); };
     const Job* first_job = nullptr;
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->waiting() > 0 && now - job->waiting_since > kCapacityRequestDelay &&
+        if (job->waiting_tasks() > 0 && now - job->waiting_since > kCapacityRequestDelay &&
             (scheduler_.is_within_quota(*job, 1) || is_long_unschedulable(*job, now)) &&
             (!first_job || order(*job) < order(*first_job)))
             first_job = job.get();
@@ -115,10 +115,10 @@
     if (first_job->spec.zone) request.zone = *first_job->spec.zone;
     // Where the zones that have tasks of the job may take no more, the job needs machines in another zone.
     if (first_job->spec.spread && request.zone.empty()) {
-        auto tasks_by_zone = first_job->zones();
+        auto tasks_by_zone = first_job->tasks_by_zone();
         const bool is_zone_full =
             std::any_of(tasks_by_zone.begin(), tasks_by_zone.end(),
-                        [&](const auto& zone) { return zone.second >= first_job->zone_cap(); });
+                        [&](const auto& zone) { return zone.second >= first_job->max_tasks_per_zone(); });
         if (is_zone_full)
             request.zone =
                 *std::min_element(context_.settings().zones.begin(), context_.settings().zones.end(),
@@ -131,7 +131,7 @@
     const Capacity capacity(shard_state_.machines);
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.spot == first_job->spec.spot && now - job->waiting_since > kCapacityRequestDelay)
-            request.cores += capacity.occupied_by(job->spec) * job->waiting();
+            request.cores += capacity.occupied_by(job->spec) * job->waiting_tasks();
     return request;
 }
 
@@ -141,10 +141,11 @@
     const Micros now = context_.runtime().listened();
     std::vector<Machine*> idle_machines;
     for (auto& [name, machine] : shard_state_.machines) {
-        if (!is_usable(*machine) || !machine->tasks.empty() || !machine->exited.empty() ||
+        if (!is_usable(*machine) || !machine->tasks.empty() || !machine->exited_tasks.empty() ||
             !machine->unacknowledged_launches.empty())
             continue;
-        if (!machine->launches_in_responses.empty() || machine->direct_in_flight || machine->raising)
+        if (!machine->launches_in_responses.empty() || machine->direct_call_in_flight ||
+            machine->raising_token)
             continue;
         if (now - machine->idle_since < kMinIdleBeforeOffer) continue;
         if ((machine->spot && !want.spot) || !want.task.fits(machine->type->size)) continue;
@@ -157,7 +158,7 @@
     Milli offered_cores = 0;
     for (Machine* machine : idle_machines) {
         if (names.size() >= max_offered || offered_cores >= want.cores) break;
-        machine->leaving = true;
+        machine->transferring = true;
         offered_cores += machine->type->size.cores;
         names.push_back(machine->name);
     }
@@ -167,21 +168,23 @@
 void ShardOwner::withdraw_offer(const std::vector<std::string>& machines) {
     for (const auto& name : machines)
         if (auto it = shard_state_.machines.find(name); it != shard_state_.machines.end())
-            it->second->leaving = false;
+            it->second->transferring = false;
     plan_due_ = true;
 }
 
 /// The job's record names the shard, so one change of the record transfers the job. Only jobs that never had
 /// a task bound are transferred: attempts of the others may still be on this shard's machines.
-void ShardOwner::transfer_jobs(const std::string& to, RoomElsewhere room) {
+void ShardOwner::transfer_jobs(const std::string& to, RemoteCapacity room) {
     const Micros now = context_.runtime().now();
     const Capacity capacity(shard_state_.machines);
     for (auto& [ref, job_pointer] : shard_state_.jobs) {
         Job& job = *job_pointer;
         auto& part = job.parts[0];
-        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.idle != job.spec.tasks) continue;
+        if (job.stage != Stage::Queued || job.next_attempt != 1 || job.unbound_tasks != job.spec.tasks)
+            continue;
         if (part.in_flight || part.reloading || part.mod_revision == 0) continue;
-        if (!shard_state_.machines.empty() && (!job.open || now - job.waiting_since < kCapacityRequestDelay))
+        if (!shard_state_.machines.empty() &&
+            (!job.dependencies_done || now - job.waiting_since < kCapacityRequestDelay))
             continue;
         const Milli needed = capacity.occupied_by(job.spec) * job.spec.tasks;
         // A task that fills a machine does not fit on two machines that are half free.
@@ -196,14 +199,14 @@
         room.idle_ordinary -= needed - from_spot;
         if (!context_.store().room(Priority::Normal)) return;
         Change change;
-        change.when = as_known(job);
+        change.when = record_conditions(job);
         change.when.push_back({keys::shard + shard_, mod_revision_});
         Json value = part_value(job, 0, false);
         value["dom"] = to;
-        change.then.push_back({key_of(job, 0), value});
+        change.then.push_back({part_key(job, 0), value});
         change.purpose = "rehome";
         part.in_flight = true;
-        job.leaving = true;
+        job.transferring = true;
         context_.store().commit(std::move(change),
                                 [this, alive = alive_, ref = ref, to](const CommitResult& result) {
                                     if (!*alive) return;
@@ -212,11 +215,12 @@
                                     found->parts[0].in_flight = false;
                                     // After an unknown outcome the change may still be carried out until the
                                     // record changes: no task is bound before.
-                                    found->leaving = result.status == CommitStatus::Unknown;
-                                    if (result.status == CommitStatus::Unavailable) return take_heard(ref);
-                                    if (result.status != CommitStatus::Ok) return reload(ref, 0);
+                                    found->transferring = result.status == CommitStatus::Unknown;
+                                    if (result.status == CommitStatus::Unavailable)
+                                        return apply_cached_record(ref);
+                                    if (result.status != CommitStatus::Ok) return reload_part(ref, 0);
                                     spdlog::info("job {}: transferred to {}", ref, to);
-                                    given_away(*found);
+                                    drop_transferred_job(*found);
                                 });
     }
 }
@@ -225,15 +229,15 @@
     Resources spare = unused_quota(team);
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.team == team && !is_long_unschedulable(*job, context_.runtime().now())) {
-            spare.cores -= job->spec.request.cores * job->waiting();
-            spare.gpus -= job->spec.request.gpus * job->waiting();
+            spare.cores -= job->spec.request.cores * job->waiting_tasks();
+            spare.gpus -= job->spec.request.gpus * job->waiting_tasks();
         }
     return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
 }
 
 Resources ShardOwner::unused_quota(const std::string& team) const {
-    const Resources share = context_.share(shard_, team);
-    const Resources used = shard_state_.used(team);
+    const Resources share = context_.quota_share(shard_, team);
+    const Resources used = shard_state_.team_usage(team);
     // A resource without a limit is not divided among shards, so there is nothing to give.
     auto unused = [](Milli limit, Milli in_use) {
         return limit == kNoLimit ? 0 : std::max<Milli>(limit - in_use, 0);
@@ -241,13 +245,15 @@
     return {unused(share.cores, used.cores), unused(share.gpus, used.gpus), 0};
 }
 
-std::optional<Resources> ShardOwner::short_by(const std::string& team) const {
+std::optional<Resources> ShardOwner::smallest_quota_shortfall(const std::string& team) const {
     const Resources unused = unused_quota(team);
     std::optional<Resources> least_shortfall;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->spec.team != team || job->stage != Stage::Queued || !job->open || job->backing_off) continue;
-        if (job->idle == 0 || is_long_unschedulable(*job, context_.runtime().now())) continue;
-        const Milli tasks_at_once = job->spec.kind == JobKind::Gang ? job->idle : 1;
+        if (job->spec.team != team || job->stage != Stage::Queued || !job->dependencies_done ||
+            job->backing_off)
+            continue;
+        if (job->unbound_tasks == 0 || is_long_unschedulable(*job, context_.runtime().now())) continue;
+        const Milli tasks_at_once = job->spec.kind == JobKind::Gang ? job->unbound_tasks : 1;
         const Resources shortfall{std::max<Milli>(job->spec.request.cores * tasks_at_once - unused.cores, 0),
                                   std::max<Milli>(job->spec.request.gpus * tasks_at_once - unused.gpus, 0),
                                   0};
@@ -261,8 +267,8 @@
 Json ShardOwner::status() const {
     int waiting = 0, bound = 0;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->open) waiting += job->idle;
-        bound += job->bound;
+        if (job->dependencies_done) waiting += job->unbound_tasks;
+        bound += job->bound_tasks;
     }
     Json machines = Json::array();
     for (const auto& [name, machine] : shard_state_.machines)
@@ -283,8 +289,8 @@
             {"tasks_waiting", waiting},
             {"tasks_bound", bound},
             {"machines", machines},
-            {"start", startup_.value()},
-            {"cancellations", cancellations_.value(context_.runtime().now())},
+            {"start", startup_.to_json()},
+            {"cancellations", cancellations_.to_json(context_.runtime().now())},
             {"waiting", waiting_by_tier()}};
 }
 
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -23,11 +23,12 @@
 constexpr Micros kMoveHistoryPeriod = 3600 * kSecond;
 
 bool is_running(const Slot& slot) {
-    return slot.state == SlotState::Bound && slot.seen && slot.phase == Phase::Running && !slot.stop;
+    return slot.state == SlotState::Bound && slot.seen && slot.phase == Phase::Running &&
+           !slot.stop_requested;
 }
 
 bool has_waiting_tasks(const Job& job) {
-    return job.stage == Stage::Queued && job.open && !job.backing_off && !job.leaving;
+    return job.stage == Stage::Queued && job.dependencies_done && !job.backing_off && !job.transferring;
 }
 }  // namespace
 
@@ -41,13 +42,13 @@
         const Slot& slot = job->slots[static_cast<std::size_t>(task)];
         const bool over = slot.state == SlotState::Done || slot.state == SlotState::DonePending;
         return {!over, job->stage == Stage::Cancelled, slot.machine ? slot.machine->name : "", slot.attempt,
-                slot.stop};
+                slot.stop_requested};
     }
     scheduling::JobState job(const std::string& ref) const override {
         const Job* job = rebalancer_.shard_state_.job(ref);
         if (!job) return {};
         return {true, job->stage == Stage::Cancelled, job->spec.kind == JobKind::Service,
-                has_waiting_tasks(*job) ? job->idle : 0};
+                has_waiting_tasks(*job) ? job->unbound_tasks : 0};
     }
     int tasks_on(const std::string& ref, const std::string& machine) const override {
         const Machine* found = rebalancer_.shard_state_.machine(machine);
@@ -144,7 +145,7 @@
     for (const auto& [name, machine] : shard_state_.machines) {
         auto& [has_reporting, has_doubtful] = zones[machine->zone];
         const bool reports_lately =
-            machine->seq > 0 && context_.runtime().listened() - machine->report_listened < max_silence;
+            machine->seq > 0 && context_.runtime().listened() - machine->last_report_listening < max_silence;
         has_reporting = has_reporting || reports_lately;
         has_doubtful = has_doubtful || (!reports_lately && !machine->tasks.empty());
     }
@@ -186,12 +187,12 @@
         job_view.tier = policy.tier(job->spec, job->rank);
         job_view.rank = job->rank;
         job_view.cancelled = job->stage == Stage::Cancelled;
-        job_view.waiting_tasks = has_waiting_tasks(*job) ? job->idle : 0;
-        job_view.bound_tasks = job->bound;
+        job_view.waiting_tasks = has_waiting_tasks(*job) ? job->unbound_tasks : 0;
+        job_view.bound_tasks = job->bound_tasks;
         job_view.waiting_time =
             job_view.waiting_tasks > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
-        job_view.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
-        job_view.tasks_by_zone = job->zones();
+        job_view.age = (context_.runtime().wall_ms() - job->eligible_since_ms) * kMillisecond;
+        job_view.tasks_by_zone = job->tasks_by_zone();
         auto history = move_history_.find(job->spec.ref);
         // An earlier owner may have moved a task of it until this process took the shard.
         job_view.time_since_move =
@@ -223,11 +224,11 @@
                     return planned.move.job == bound_task.job->spec.ref &&
                            planned.move.task == bound_task.task;
                 });
-            if (slot.stop) machine_view.stopping += bound_task.job->spec.request;
+            if (slot.stop_requested) machine_view.stopping += bound_task.job->spec.request;
             machine_view.tasks.push_back(view.tasks.size());
             view.tasks.push_back({job_index.at(bound_task.job), bound_task.task, view.machines.size() - 1,
-                                  is_running(slot), slot.stop, is_moving,
-                                  slot.run_since > 0 ? now - slot.run_since : 0});
+                                  is_running(slot), slot.stop_requested, is_moving,
+                                  slot.running_since > 0 ? now - slot.running_since : 0});
         }
     }
     auto reserve = [&](const std::string& ref, const std::string& machine, int tasks, bool is_reservation) {
@@ -252,7 +253,7 @@
 void Rebalancer::propose_moves() {
     // No move begins while a controller starts or ends, or while it is not known whether the plan is stored.
     const policy::Policy& policy = context_.policy();
-    if (write_in_flight_ || is_outcome_unknown_ || context_.steady_for() < policy.budgets.settle_time) return;
+    if (write_in_flight_ || is_outcome_unknown_ || context_.stable_for() < policy.budgets.settle_time) return;
     const scheduling::ShardView snapshot = view();
     std::vector<Move> moves = scheduling::rebalance(snapshot, policy, context_.settings().zones);
     std::vector<Reservation> reservations;
@@ -273,7 +274,7 @@
 void Rebalancer::execute_plan() {
     const scheduling::MigrationPlan::Actions actions =
         plan_.advance(ShardStateQuery(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
-    if (!is_outcome_unknown_ && context_.steady_for() > 0) stop_moving_tasks(actions.tasks_to_stop);
+    if (!is_outcome_unknown_ && context_.stable_for() > 0) stop_moving_tasks(actions.tasks_to_stop);
     const bool has_obsolete_record = plan_.empty() && record_revision_ != 0;
     if ((!actions.needs_write && !has_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
     if (context_.runtime().now() < write_not_before_ || !context_.store().room(Priority::Deferrable)) return;
@@ -294,9 +295,9 @@
 /// Returns whether a move may begin now; the shard may have changed since the move was planned.
 bool Rebalancer::may_begin(const Move& move, const Job& job) const {
     const Slot& slot = job.slots[static_cast<std::size_t>(move.task)];
-    if (slot.state != SlotState::Bound || slot.stop) return false;
+    if (slot.state != SlotState::Bound || slot.stop_requested) return false;
     const bool is_service = job.spec.kind == JobKind::Service;
-    if (is_service && (job.idle > 0 || !are_other_tasks_running(job, move.task))) return false;
+    if (is_service && (job.unbound_tasks > 0 || !are_other_tasks_running(job, move.task))) return false;
     if (move.reason == MoveReason::Balance && !unstable_zones().empty()) return false;
     if (move.reason == MoveReason::MakeRoom && !context_.policy().is_movable(job.spec)) return false;
     if (move.to.empty()) return !is_service;
@@ -321,7 +322,8 @@
         }
     }
     for (auto& [job, job_moves] : moves_by_job) {
-        if (job->spec.kind == JobKind::Gang && static_cast<int>(job_moves.size()) < job->bound) continue;
+        if (job->spec.kind == JobKind::Gang && static_cast<int>(job_moves.size()) < job->bound_tasks)
+            continue;
         for (const Move* move : job_moves) {
             spdlog::info("task {}/{}: stopped on {} to move to {}{}", move->job, move->task, move->from,
                          move->to.empty() ? "any machine that fits" : move->to,
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -36,7 +36,7 @@
 constexpr int kMaxPreemptionsPerPass = 20;
 }  // namespace
 
-std::map<std::string, int> Job::zones() const {
+std::map<std::string, int> Job::tasks_by_zone() const {
     std::map<std::string, int> count;
     for (const auto& slot : slots)
         if (slot.machine) ++count[slot.machine->zone];
@@ -94,8 +94,8 @@
 void Scheduler::record_quota_shortfall(const Job& job, int tasks) {
     if (is_within_limit(job, tasks)) return;
     auto& shortfall = quota_shortfalls_[job.spec.team];
-    shortfall.cores += job.spec.request.cores * job.idle;
-    shortfall.gpus += job.spec.request.gpus * job.idle;
+    shortfall.cores += job.spec.request.cores * job.unbound_tasks;
+    shortfall.gpus += job.spec.request.gpus * job.unbound_tasks;
 }
 
 bool Scheduler::is_allowed(const Job& job, const Machine& machine) {
@@ -104,21 +104,22 @@
 
 /// Returns what the team would use with `tasks` more tasks of the job.
 Resources Scheduler::usage_with(const Job& job, int tasks) const {
-    Resources usage = shard_state_.used(job.spec.team);
+    Resources usage = shard_state_.team_usage(job.spec.team);
     usage.cores += job.spec.request.cores * tasks;
     usage.gpus += job.spec.request.gpus * tasks;
     return usage;
 }
 
 bool Scheduler::is_within_limit(const Job& job, int tasks) const {
-    const Resources share = context_.share(shard_, job.spec.team);
+    const Resources share = context_.quota_share(shard_, job.spec.team);
     const Resources usage = usage_with(job, tasks);
     return usage.cores <= share.cores && usage.gpus <= share.gpus;
 }
 
 bool Scheduler::is_within_quota(const Job& job, int tasks) const {
     const Resources usage = usage_with(job, tasks);
-    return usage.cores <= job.most.cores && usage.gpus <= job.most.gpus && is_within_limit(job, tasks);
+    return usage.cores <= job.usage_limit.cores && usage.gpus <= job.usage_limit.gpus &&
+           is_within_limit(job, tasks);
 }
 
 /// Returns whether the current pass has already found no machine for a task that needs at most as much under
@@ -211,17 +212,17 @@
     for (const Machine* machine : usable_machines_) {
         if (spot_machine_count_ > 0 && !machine->spot) continue;
         total += machine->type->size.cores;
-        used += machine->reserved.cores - machine->idle_work;
-        best_effort += machine->idle_work;
+        used += machine->reserved.cores - machine->low_priority_cores;
+        best_effort += machine->low_priority_cores;
     }
     // Waiting tasks count as used as far as their team's limit lets them start; the others take no cores.
     std::map<std::string, Milli> waiting_cores;
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.spot || spot_machine_count_ == 0)
-            waiting_cores[job->spec.team] += job->spec.request.cores * job->waiting();
+            waiting_cores[job->spec.team] += job->spec.request.cores * job->waiting_tasks();
     for (const auto& [team, cores] : waiting_cores)
-        used +=
-            std::clamp<Milli>(context_.share(shard_, team).cores - shard_state_.used(team).cores, 0, cores);
+        used += std::clamp<Milli>(
+            context_.quota_share(shard_, team).cores - shard_state_.team_usage(team).cores, 0, cores);
     const auto elapsed = static_cast<double>(peak_updated_at_ > 0 ? now - peak_updated_at_ : 0);
     peak_updated_at_ = now;
     peak_used_cores_ =
@@ -235,7 +236,7 @@
 bool Scheduler::can_wait(const Job& job) const {
     const auto& finish_objectives = objectives(job).finished;
     if (finish_objectives.empty()) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     const Micros needed = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
     if (age + needed <= finish_objectives.front()) return false;
     return finish_objectives.size() == 1 || age + needed < finish_objectives.back() * 3 / 4;
@@ -245,7 +246,7 @@
 /// on, until a task of it has run elsewhere; and an ordinary machine for best-effort work that may use spot
 /// machines, as jobs that may not use those could wait for it.
 bool Scheduler::avoids(const Job& job, const Machine& machine) const {
-    if (job.failed_on.count(machine.name)) return true;
+    if (job.failed_machines.count(machine.name)) return true;
     return job.is_best_effort() && job.spec.spot && !machine.spot && spot_machine_count_ > 0;
 }
 
@@ -258,7 +259,8 @@
         return;
     gpu_demand_.emplace();
     for (const auto& [ref, job] : shard_state_.jobs)
-        if (job->open) gpu_demand_->add(job->spec.request.gpus, job->idle, job->bound);
+        if (job->dependencies_done)
+            gpu_demand_->add(job->spec.request.gpus, job->unbound_tasks, job->bound_tasks);
 }
 
 /// Returns whether the job takes machines that are being drained once it finds no other: urgent work at once,
@@ -278,7 +280,7 @@
     candidates.reserve(usable_machines_.size());
     machines.reserve(usable_machines_.size());
     for (Machine* machine : group == MachineGroup::Draining ? draining_machines_ : usable_machines_) {
-        if (group != MachineGroup::Draining && machine->out_of_reach() != (group == MachineGroup::Relayed))
+        if (group != MachineGroup::Draining && machine->is_relay_only() != (group == MachineGroup::Relayed))
             continue;
         if (!is_allowed(job, *machine) || avoids(job, *machine)) continue;
         Candidate candidate;
@@ -373,7 +375,8 @@
 
 scheduling::QueuedJob Scheduler::queued_job(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
-    const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
+    const std::int64_t age_ms =
+        std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0);
     const JobSpec& spec = job.spec;
     scheduling::QueuedJob queued;
     queued.index = index;
@@ -382,36 +385,37 @@
     queued.rank = job.rank;
     queued.within_guarantee = job.within_guarantee;
     queued.can_wait = can_wait(job);
-    queued.deadline_ms = job.due_ms;
+    queued.deadline_ms = job.deadline_ms;
     // The job with the least work left goes first, so that one wide array does not delay many small jobs.
     // Waiting makes up for size, so that no job starves.
-    const auto work_left = static_cast<double>(job.idle + job.bound) *
+    const auto work_left = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
                            static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
                            static_cast<double>(std::max<Micros>(spec.estimate, kSecond)) / 1e6;
     queued.remaining_work = work_left / static_cast<double>(age_ms + 10'000);
     queued.age = age_ms * kMillisecond;
     // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
     // is overdue.
-    queued.has_started = job.bound > 0 || job.backing_off || (job.done > 0 && !job.is_best_effort());
+    queued.has_started =
+        job.bound_tasks > 0 || job.backing_off || (job.done_tasks > 0 && !job.is_best_effort());
     queued.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoomPeriod;
     auto resources_of = [&spec](int tasks) {
         return Resources{spec.request.cores * tasks, spec.request.gpus * tasks, 0};
     };
-    queued.waiting_request = resources_of(job.idle);
-    queued.next_start_request = resources_of(spec.kind == JobKind::Gang ? job.idle : 1);
+    queued.waiting_request = resources_of(job.unbound_tasks);
+    queued.next_start_request = resources_of(spec.kind == JobKind::Gang ? job.unbound_tasks : 1);
     return queued;
 }
 
 std::map<std::string, scheduling::TeamUsage> Scheduler::usage_by_team() const {
     std::map<std::string, scheduling::TeamUsage> teams;
     for (const auto& [ref, job] : shard_state_.jobs) {
-        if (job->bound == 0) continue;
+        if (job->bound_tasks == 0) continue;
         auto& used = teams[job->spec.team].used_by_tier[tier(*job)];
-        used.cores += job->spec.request.cores * job->bound;
-        used.gpus += job->spec.request.gpus * job->bound;
+        used.cores += job->spec.request.cores * job->bound_tasks;
+        used.gpus += job->spec.request.gpus * job->bound_tasks;
     }
     for (const auto& team : context_.settings().teams)
-        teams[team.name].limit = context_.share(shard_, team.name);
+        teams[team.name].limit = context_.quota_share(shard_, team.name);
     return teams;
 }
 
@@ -420,13 +424,13 @@
     const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
     for (auto& [ref, job] : shard_state_.jobs) {
-        if (job->stage != Stage::Queued || job->leaving || job->idle == 0) continue;
+        if (job->stage != Stage::Queued || job->transferring || job->unbound_tasks == 0) continue;
         // The dependency gate: every bind comes from here, so no task of a job starts before all jobs that it
         // depends on are done.
-        if (!job->open) continue;
-        if (job->backing_off && (now < job->try_after || job->bound > 0)) continue;
+        if (!job->dependencies_done) continue;
+        if (job->backing_off && (now < job->next_try_at || job->bound_tasks > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
-        if (job->is_best_effort() && (!is_best_effort_turn || now < job->idle_turn)) continue;
+        if (job->is_best_effort() && (!is_best_effort_turn || now < job->next_best_effort_turn)) continue;
         waiting.push_back(job.get());
     }
     return waiting;
@@ -461,7 +465,7 @@
     update_zone_cores();
     has_bound_low_priority_ =
         std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& entry) {
-            return entry.second->rank == PriorityClass::Low && entry.second->bound > 0;
+            return entry.second->rank == PriorityClass::Low && entry.second->bound_tasks > 0;
         });
     quota_shortfalls_.clear();
     claimed_.clear();
@@ -470,15 +474,16 @@
     if (may_preempt) last_preemption_pass_at_ = now;
     for (const auto& entry : scheduling::queue_order(queue, usage_by_team(), context_.policy().priority)) {
         Job& job = *waiting[entry.index];
-        if (job.idle == 0) continue;  // an earlier entry, for being overdue, has placed all of its tasks
-        job.most = {entry.max_team_cores, entry.max_team_gpus, 0};
+        if (job.unbound_tasks == 0)
+            continue;  // an earlier entry, for being overdue, has placed all of its tasks
+        job.usage_limit = {entry.max_team_cores, entry.max_team_gpus, 0};
         job.overdue = entry.overdue;
         const bool placed = place_job(job);
         if (!placed && !job.overdue && may_preempt && !job.backing_off &&
             (now - job.waiting_since > kPreemptionDelay || job.rank == PriorityClass::Production))
             preempt(job);
-        if (may_preempt && tier(job) == policy::Tier::Live && job.idle > 0 && !is_within_limit(job, 1) &&
-            now - job.waiting_since > kLimitPreemptionDelay)
+        if (may_preempt && tier(job) == policy::Tier::Live && job.unbound_tasks > 0 &&
+            !is_within_limit(job, 1) && now - job.waiting_since > kLimitPreemptionDelay)
             preempt_within_team_limit(job);
     }
     usable_machines_.clear();
@@ -487,15 +492,15 @@
 /// Live work goes before the batch work of its own team inside their limit as well: stops as much of that
 /// batch work as one more live task needs, the least loss first.
 void Scheduler::preempt_within_team_limit(const Job& job) {
-    const Resources share = context_.share(shard_, job.spec.team);
+    const Resources share = context_.quota_share(shard_, job.spec.team);
     Resources excess = usage_with(job, 1) - share;
     std::vector<Victim> victims;
     for (auto& [ref, other] : shard_state_.jobs) {
-        if (other->spec.team != job.spec.team || other->bound == 0) continue;
+        if (other->spec.team != job.spec.team || other->bound_tasks == 0) continue;
         const bool is_batch = other->rank > job.rank && other->spec.kind == JobKind::Array;
         for (auto& slot : other->slots) {
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop)
+            if (slot.stop_requested)
                 excess -= other->spec.request;  // is stopping already
             else if (is_batch)
                 victims.push_back(evaluate_victim(slot, *other, false));
@@ -520,7 +525,7 @@
 /// meet.
 bool Scheduler::stop_misses_objective(const Job& job, Micros ran) const {
     const auto& finish_objectives = objectives(job).finished;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(finish_objectives.begin(), finish_objectives.end(), [&](Micros objective) {
         return age + left <= objective && age + left + kRestartDelay > objective;
@@ -652,8 +657,9 @@
     }
     std::vector<Machine*> machines;
     std::vector<Candidate> candidates = candidates_for(job, MachineGroup::Direct, machines);
-    if (candidates.empty() && !job.failed_on.empty()) {  // a machine where it failed is better than none
-        job.failed_on.clear();
+    if (candidates.empty() &&
+        !job.failed_machines.empty()) {  // a machine where it failed is better than none
+        job.failed_machines.clear();
         candidates = candidates_for(job, MachineGroup::Direct, machines);
     }
     auto add_candidates = [&](MachineGroup group) {
@@ -665,11 +671,11 @@
         return place_gang(job, candidates, machines) ||
                (may_use_draining_machines(job) && add_candidates(MachineGroup::Draining) &&
                 place_gang(job, candidates, machines));
-    if (job.is_best_effort() && !job.overdue) job.idle_turn = now + best_effort_interval(job);
+    if (job.is_best_effort() && !job.overdue) job.next_best_effort_turn = now + best_effort_interval(job);
 
-    std::map<std::string, int> tasks_by_zone = job.zones();
+    std::map<std::string, int> tasks_by_zone = job.tasks_by_zone();
     const ZoneConstraints constraints = zone_constraints(job);
-    const int zone_cap = job.zone_cap();
+    const int max_tasks_per_zone = job.max_tasks_per_zone();
     const bool depends_on_zone =
         job.spec.spread || job.spec.one_zone || job.spec.kind == JobKind::Service || must_leave_reserve(job);
     std::vector<const Candidate*> eligible;
@@ -681,14 +687,14 @@
     bool all_placed = true;
     bool tried_relayed = false, tried_draining = !may_use_draining_machines(job);
     const bool includes_draining = !tried_draining;
-    const bool image_ready_only = job.holding_out = waits_for_image(job);
+    const bool image_ready_only = job.waiting_for_image = waits_for_image(job);
     const bool values_in_pieces = context_.store().uses_pieces();
-    while (job.first_idle < job.slots.size() && job.slots[job.first_idle].state != SlotState::Idle)
-        ++job.first_idle;
-    for (std::size_t i = job.first_idle; i < job.slots.size(); ++i) {
+    while (job.first_unbound < job.slots.size() && job.slots[job.first_unbound].state != SlotState::Unbound)
+        ++job.first_unbound;
+    for (std::size_t i = job.first_unbound; i < job.slots.size(); ++i) {
         Slot& slot = job.slots[i];
-        if (slot.state != SlotState::Idle) continue;
-        if (slot.retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))) {
+        if (slot.state != SlotState::Unbound) continue;
+        if (slot.retry_at > now || shard_state_.has_orphaned_task(job.spec.ref, static_cast<int>(i))) {
             all_placed = all_placed && slot.retry_at > now;
             continue;
         }
@@ -700,8 +706,8 @@
             continue;
         // Unless values are stored in pieces, a stored part must not grow beyond the size of one value. The
         // following parts still have room.
-        if (!values_in_pieces && job.part_of(static_cast<int>(i)).is_full(job.part_tasks)) {
-            i = (i / job.part_tasks + 1) * job.part_tasks - 1;
+        if (!values_in_pieces && job.part_of(static_cast<int>(i)).is_full(job.tasks_per_part)) {
+            i = (i / job.tasks_per_part + 1) * job.tasks_per_part - 1;
             continue;
         }
         if (!is_within_quota(job, 1)) {  // no lack of machines, so preemption would not help
@@ -726,7 +732,7 @@
                     for (auto& candidate : candidates) {
                         auto tasks = tasks_by_zone.find(machines[candidate.index]->zone);
                         const int tasks_in_zone = tasks == tasks_by_zone.end() ? 0 : tasks->second;
-                        if (tasks_in_zone >= zone_cap) continue;
+                        if (tasks_in_zone >= max_tasks_per_zone) continue;
                         if (job.spec.one_zone && !tasks_by_zone.empty() && tasks_in_zone == 0) continue;
                         if (!leaves_reserve(job, machines[candidate.index]->zone)) continue;
                         // The replicas of a service are spread over zones even if the job does not ask for
@@ -777,14 +783,15 @@
 bool Scheduler::place_gang(Job& job, const std::vector<Candidate>& candidates,
                            const std::vector<Machine*>& machines) {
     const Micros now = context_.runtime().now();
-    if (job.bound > 0 || job.idle < job.spec.tasks - job.done)
+    if (job.bound_tasks > 0 || job.unbound_tasks < job.spec.tasks - job.done_tasks)
         return true;  // the previous attempt is not proven gone yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
-        if (job.slots[i].state == SlotState::Idle &&
-            (job.slots[i].retry_at > now || shard_state_.orphaned_tasks(job.spec.ref, static_cast<int>(i))))
+        if (job.slots[i].state == SlotState::Unbound &&
+            (job.slots[i].retry_at > now ||
+             shard_state_.has_orphaned_task(job.spec.ref, static_cast<int>(i))))
             return true;
-    if (!is_within_quota(job, job.idle)) {
-        record_quota_shortfall(job, job.idle);
+    if (!is_within_quota(job, job.unbound_tasks)) {
+        record_quota_shortfall(job, job.unbound_tasks);
         return true;
     }
     std::vector<std::string> zones{""};
@@ -801,7 +808,7 @@
         std::map<std::string, int> tasks_by_zone;
         std::vector<std::pair<int, Machine*>> chosen;
         for (std::size_t i = 0; i < job.slots.size(); ++i) {
-            if (job.slots[i].state != SlotState::Idle) continue;
+            if (job.slots[i].state != SlotState::Unbound) continue;
             std::vector<std::string> zones_with_room;
             if (constraints.rule)
                 zones_with_room = find_zones_with_room(job, trial, machines, std::numeric_limits<int>::max());
@@ -824,7 +831,7 @@
             ++tasks_by_zone[machine->zone];
             chosen.emplace_back(static_cast<int>(i), machine);
         }
-        if (static_cast<int>(chosen.size()) < job.idle) continue;
+        if (static_cast<int>(chosen.size()) < job.unbound_tasks) continue;
         const std::int64_t attempt = job.next_attempt++;
         for (const auto& [task, machine] : chosen) {
             bind(job, task, *machine, attempt);
@@ -844,7 +851,7 @@
     // Stopping work that cannot save its progress discards that work. Jobs of production rank may always do
     // that; others only when their deadline is near, or to reclaim a guarantee that they have waited for.
     const std::int64_t now_ms = context_.runtime().wall_ms();
-    const bool is_late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
+    const bool is_late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.deadline_ms;
     const bool may_discard_work =
         job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && is_late);
     const bool reclaims_guarantee = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
@@ -856,8 +863,9 @@
     const auto& wait_objectives = objectives(job).wait;
     // Stopping work of low rank costs next to nothing.
     const bool low_rank_only = job.rank > PriorityClass::High && !reclaims_guarantee;
-    const int max_tasks =
-        job.rank == PriorityClass::Production || !wait_objectives.empty() || low_rank_only ? job.idle : 1;
+    const int max_tasks = job.rank == PriorityClass::Production || !wait_objectives.empty() || low_rank_only
+                              ? job.unbound_tasks
+                              : 1;
     const bool stop_at_once = !wait_objectives.empty() && now - job.waiting_since < wait_objectives.front();
     if (preemptions_left_ <= 0 || !is_within_quota(job, 1)) return;
     const bool image_ready_only = waits_for_image(job);
@@ -866,7 +874,7 @@
         job.image_wait_over = true;
         return;
     }
-    std::map<std::string, int> tasks_by_zone = job.zones();
+    std::map<std::string, int> tasks_by_zone = job.tasks_by_zone();
     const ZoneConstraints constraints = zone_constraints(job);
     // Zones in which resources may be freed. A zone where nothing can be freed is dropped, and the zone rule
     // is relaxed accordingly.
@@ -934,7 +942,7 @@
 /// wait.
 Scheduler::Victim Scheduler::evaluate_victim(Slot& slot, Job& job, bool stop_at_once) const {
     const Micros now = context_.runtime().now();
-    const Micros ran = slot.run_since ? now - slot.run_since : 0;
+    const Micros ran = slot.running_since ? now - slot.running_since : 0;
     const Micros save_time = job.spec.save + kSecond;
     const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
     const bool saves = job.spec.checkpoint > 0 && !stop_at_once && unsaved > save_time;
@@ -948,8 +956,8 @@
 /// Returns whether the job would be overdue again once its only task is stopped: then it would go before all
 /// work but live work and return to the same machine first, so that neither job makes progress.
 bool Scheduler::would_be_overdue_again(const Job& job) const {
-    if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    if (job.bound_tasks > 1 || job.done_tasks > 0 || job.backing_off) return false;
+    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.overdue_after;
 }
 
@@ -967,7 +975,7 @@
     for (const auto& [other, task] : machine.tasks) {
         Slot& slot = other->slots[static_cast<std::size_t>(task)];
         if (slot.state != SlotState::Bound) continue;
-        if (slot.stop) {
+        if (slot.stop_requested) {
             available += other->spec.request;  // is stopping already
             continue;
         }
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Micros kPlanEvery = 20 * kMillisecond;
-/// How long a launch may go without an answer until its machine's token is raised.
-constexpr Micros kUnanswered = 3 * kSecond;
+constexpr Micros kPlanningInterval = 20 * kMillisecond;
+/// A machine's token is raised when a launch sent to it has had no answer for this long.
+constexpr Micros kLaunchAnswerTimeout = 3 * kSecond;
 
 }  // namespace
 
@@ -21,16 +21,16 @@
     : context_(context),
       shard_(std::move(shard)),
       mod_revision_(mod_revision),
-      former_end_(former_authority_end),
-      taken_at_(context.runtime().now()),
+      former_authority_end_(former_authority_end),
+      acquired_at_(context.runtime().now()),
       scheduler_(context, shard_, shard_state_, *this),
       rebalancer_(context, shard_, mod_revision, shard_state_, *this) {}
 
 ShardOwner::~ShardOwner() {
     *alive_ = false;
-    // What of these is durable is in the store; whoever asked looks there.
+    // If a record became durable all the same, whoever submitted the job finds it in the store.
     for (auto& [ref, job] : shard_state_.jobs)
-        if (job->admitting) job->admitting({CommitStatus::Unknown, 0, {}});
+        if (job->on_admitted) job->on_admitted({CommitStatus::Unknown, 0, {}});
 }
 
 // ---------------------------------------------------------------- machines
@@ -41,96 +41,103 @@
         owned = std::make_unique<Machine>();
         owned->name = entry.name;
         owned->known_since = context_.runtime().now();
-        owned->last_heartbeat_listening = owned->report_listened = owned->idle_since =
+        owned->last_heartbeat_listening = owned->last_report_listening = owned->idle_since =
             context_.runtime().listened();
         owned->relinquishments.resize(context_.settings().peers.size());
     }
-    Machine& m = *owned;
-    m.block = block.id;
-    m.type_name = block.type;
-    m.zone = block.zone;
-    m.spot = block.spot;
-    if (!entry.addr.empty()) m.addr = entry.addr;
-    m.retired = entry.retired;
-    m.token = std::max<std::uint64_t>(m.token, entry.token);
-    m.type = context_.machine_type(block.type);
-    if (m.token_seen < token(m)) request_dispatch(m);
+    Machine& machine = *owned;
+    machine.block = block.id;
+    machine.type_name = block.type;
+    machine.zone = block.zone;
+    machine.spot = block.spot;
+    if (!entry.addr.empty()) machine.addr = entry.addr;
+    machine.retired = entry.retired;
+    machine.token = std::max<std::uint64_t>(machine.token, entry.token);
+    machine.type = context_.machine_type(block.type);
+    if (machine.token_seen < token(machine)) request_dispatch(machine);
 }
 
-void ShardOwner::on_machine_gone(const std::string& name, const char* why) {
-    // A record stops listing a machine once the cloud has confirmed its deletion, or when it has been given
-    // to another shard while it was empty: whatever a job's record still lists there is gone.
+void ShardOwner::on_machine_gone(const std::string& name, const char* reason) {
+    // A block record stops listing a machine once the cloud has confirmed its deletion, or when the machine
+    // was transferred to another shard while it was empty. So every task that a job's record still binds to
+    // the machine is gone.
     auto it = shard_state_.machines.find(name);
     if (it == shard_state_.machines.end()) return;
-    void_machine(*it->second, why);
+    terminate_all_attempts(*it->second, reason);
     shard_state_.machines.erase(it);
 }
 
-void ShardOwner::void_machine(Machine& m, const char* why) {
-    if (!m.tasks.empty()) spdlog::info("machine {}: {} tasks are gone: {}", m.name, m.tasks.size(), why);
-    const auto tasks = m.tasks;
-    for (const auto& t : tasks) on_attempt_terminated(*t.job, t.task, 0);
-    shard_state_.forget_orphaned_tasks(m);
-    m.exited.clear();
-    m.unacknowledged_launches.clear();
-    m.launches_in_responses.clear();
-    m.acknowledged_launches.clear();
+void ShardOwner::terminate_all_attempts(Machine& machine, const char* reason) {
+    if (!machine.tasks.empty())
+        spdlog::info("machine {}: {} tasks are gone: {}", machine.name, machine.tasks.size(), reason);
+    const auto tasks = machine.tasks;
+    for (const auto& task : tasks) on_attempt_terminated(*task.job, task.task, 0);
+    shard_state_.forget_orphaned_tasks(machine);
+    machine.exited_tasks.clear();
+    machine.unacknowledged_launches.clear();
+    machine.launches_in_responses.clear();
+    machine.acknowledged_launches.clear();
 }
 
-Micros ShardOwner::silent_for(const Machine& m) const {
-    return context_.runtime().listened() - m.last_heartbeat_listening;
+Micros ShardOwner::silent_for(const Machine& machine) const {
+    return context_.runtime().listened() - machine.last_heartbeat_listening;
 }
 
-/// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
-/// calls shows only the latter.
-Micros ShardOwner::unreachable_for(const Machine& m) const {
+/// A worker is usable while it reports, which renews its lease, and receives orders. Its answers to direct
+/// calls only prove the latter.
+Micros ShardOwner::unreachable_for(const Machine& machine) const {
     const Micros listened = context_.runtime().listened();
-    return std::max(listened - m.report_listened, m.suspect ? listened - m.suspect_since : 0);
+    return std::max(listened - machine.last_report_listening,
+                    machine.suspect ? listened - machine.suspect_since : 0);
 }
 
-Micros ShardOwner::patience() const {
+Micros ShardOwner::unreachable_limit() const {
     return context_.settings().report_every * 5 / 2 + kSecond;
 }
 
-void ShardOwner::drain(const std::string& machine, bool on) {
+void ShardOwner::set_draining(const std::string& machine, bool on) {
     auto it = shard_state_.machines.find(machine);
     if (it == shard_state_.machines.end() || it->second->draining == on) return;
     it->second->draining = on;
     plan_due_ = true;
-    spdlog::info("machine {}: {}", machine, on ? "surplus, nothing new is bound to it" : "needed again");
+    spdlog::info("machine {}: {}", machine,
+                 on ? "surplus, no new tasks are bound to it" : "needed again, tasks may be bound to it");
 }
 
-bool ShardOwner::passing(const Machine& m) const {
-    return std::all_of(m.tasks.begin(), m.tasks.end(), [](const TaskRef& t) {
-        return t.job->spec.kind == JobKind::Array && t.job->spec.spot;
+bool ShardOwner::runs_only_spot_arrays(const Machine& machine) const {
+    return std::all_of(machine.tasks.begin(), machine.tasks.end(), [](const TaskRef& task) {
+        return task.job->spec.kind == JobKind::Array && task.job->spec.spot;
     });
 }
 
-bool ShardOwner::bindable(const Machine& m) const {
+bool ShardOwner::is_bindable(const Machine& machine) const {
     const Micros now = context_.runtime().now();
-    return m.type && m.seq > 0 && m.token_seen >= token(m) && !m.retired && !m.retiring && !m.leaving &&
-           !m.notice && !m.suspect && now >= m.avoid_until && m.orphaned_tasks.empty() &&
-           unreachable_for(m) < patience();
+    return machine.type && machine.seq > 0 && machine.token_seen >= token(machine) && !machine.retired &&
+           !machine.retiring && !machine.transferring && !machine.interruption_notice && !machine.suspect &&
+           now >= machine.avoid_until && machine.orphaned_tasks.empty() &&
+           unreachable_for(machine) < unreachable_limit();
 }
 
-/// Whether every lease that the worker may hold has run out: what we granted, what a former holder may have
-/// granted as long as the worker has not shown our token, and what other controllers may have renewed on our
-/// behalf. Of the last only their promise tells, or that they can't have been entitled any more.
-bool ShardOwner::lease_over(const Machine& m) const {
-    // A report that we answered renews the lease from when it was sent, which was before it was heard.
-    Micros last = std::max(m.last_heartbeat, m.known_since);
-    if (m.token_seen < mod_revision_) last = std::max(last, former_end_);
-    return over_since(m, last);
+/// Returns true if every lease that the worker may hold has expired: leases that this holder granted, leases
+/// that a former holder may have granted while the worker has not reported this holder's token, and renewals
+/// by other controllers on the holder's behalf. The latter are excluded only by a controller's promise not to
+/// renew, or once that controller can no longer be entitled to.
+bool ShardOwner::is_lease_expired(const Machine& machine) const {
+    // An answered report renews the lease from the time when it was sent, which was before it arrived here.
+    Micros last = std::max(machine.last_heartbeat, machine.known_since);
+    if (machine.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
+    return are_leases_expired_since(machine, last);
 }
 
-/// The same, where the shard's holders can have granted none since `last`.
-bool ShardOwner::over_since(const Machine& m, Micros last) const {
+/// Returns true if every lease that the worker may hold has expired, given that no holder of the shard has
+/// granted one after `last`.
+bool ShardOwner::are_leases_expired_since(const Machine& machine, Micros last) const {
     const Micros now = context_.runtime().now();
     if (now <= last + with_drift(context_.settings().lease)) return false;
-    for (std::size_t peer = 0; peer < m.relinquishments.size(); ++peer) {
-        if (m.relinquishments[peer].until > now)
-            last = std::max(last, m.relinquishments[peer].renewed);
-        else if (auto ended = context_.peer_ended(peer))
+    for (std::size_t peer = 0; peer < machine.relinquishments.size(); ++peer) {
+        if (machine.relinquishments[peer].until > now)
+            last = std::max(last, machine.relinquishments[peer].last_renewal_at);
+        else if (auto ended = context_.peer_authority_end(peer))
             last = std::max(last, *ended);
         else
             return false;
@@ -141,11 +148,12 @@
 std::vector<std::string> ShardOwner::machines_to_relinquish(std::size_t peer) const {
     std::vector<std::string> names;
     const Micros now = context_.runtime().now();
-    const Micros half = context_.settings().lease / 2;
-    for (const auto& [name, m] : shard_state_.machines) {
-        const bool unheard =
-            silent_for(*m) > half || (m->token_seen < mod_revision_ && now - taken_at_ > half);
-        if (unheard && !m->is_idle() && m->relinquishments[peer].until < now + context_.settings().lease)
+    const Micros half_lease = context_.settings().lease / 2;
+    for (const auto& [name, machine] : shard_state_.machines) {
+        const bool is_silent = silent_for(*machine) > half_lease ||
+                               (machine->token_seen < mod_revision_ && now - acquired_at_ > half_lease);
+        if (is_silent && !machine->is_idle() &&
+            machine->relinquishments[peer].until < now + context_.settings().lease)
             names.push_back(name);
     }
     return names;
@@ -156,17 +164,18 @@
     if (it != shard_state_.machines.end()) it->second->relinquishments[peer] = promise;
 }
 
-// ---------------------------------------------------------------- the pass over everything
+// ---------------------------------------------------------------- periodic work
 
 void ShardOwner::activate() {
     active_ = true;
     for (auto& [ref, job] : shard_state_.jobs)
-        if (job->spec.kind == JobKind::Gang && job->idle > 0 && job->bound > 0) settle_gang(*job);
+        if (job->spec.kind == JobKind::Gang && job->unbound_tasks > 0 && job->bound_tasks > 0)
+            stop_incomplete_gang(*job);
     std::size_t bound = 0;
-    for (const auto& [name, m] : shard_state_.machines) bound += m->tasks.size();
+    for (const auto& [name, machine] : shard_state_.machines) bound += machine->tasks.size();
     const Micros now = context_.runtime().now();
     rebalancer_.load_stored_plan();
-    startup_.began(now, now - taken_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
+    startup_.start(now, now - acquired_at_, shard_state_.jobs.size(), shard_state_.machines.size(), bound);
     spdlog::info("domain {}: active with {} jobs and {} machines, token {}", shard_, shard_state_.jobs.size(),
                  shard_state_.machines.size(), mod_revision_);
 }
@@ -174,82 +183,85 @@
 void ShardOwner::tick() {
     const Micros now = context_.runtime().now();
     for (auto& [name, owned] : shard_state_.machines) {
-        Machine& m = *owned;
-        if (!m.type) m.type = context_.machine_type(m.type_name);
-        if (m.token_seen < token(m) || (active_ && m.seq == 0)) request_dispatch(m);
+        Machine& machine = *owned;
+        if (!machine.type) machine.type = context_.machine_type(machine.type_name);
+        if (machine.token_seen < token(machine) || (active_ && machine.seq == 0)) request_dispatch(machine);
         if (!active_) continue;
-        if (!m.orphaned_tasks.empty()) request_dispatch(m);
-        // Where the worker is not heard its session ends by itself, unless another controller keeps it alive
-        // on our behalf: then a launch of a job that has been cancelled since could arrive at any time.
-        const bool heard = silent_for(m) < 2 * context_.settings().report_every;
-        const bool raises = std::any_of(
-            m.unacknowledged_launches.begin(), m.unacknowledged_launches.end(), [&](const auto& t) {
-                return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
-                       (heard || !wanted(t.first.job));
+        if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
+        // The session of a silent worker ends by itself, unless another controller renews its lease on this
+        // holder's behalf. In that case an unanswered launch could arrive at any time, even if its job has
+        // been cancelled since, so the token is raised for jobs that are no longer queued as well.
+        const bool heard = silent_for(machine) < 2 * context_.settings().report_every;
+        const bool needs_new_token = std::any_of(
+            machine.unacknowledged_launches.begin(), machine.unacknowledged_launches.end(),
+            [&](const auto& launch) {
+                return now - launch.second.since > kLaunchAnswerTimeout &&
+                       launch.second.token >= token(machine) && (heard || !is_job_queued(launch.first.job));
             });
-        if (raises) raise(m);
-        if (m.is_idle()) continue;
-        if (lease_over(m)) {
-            void_machine(m, "its lease is over");
-            m.min_session = m.session + 1;
+        if (needs_new_token) raise_token(machine);
+        if (machine.is_idle()) continue;
+        if (is_lease_expired(machine)) {
+            terminate_all_attempts(machine, "its lease is over");
+            machine.min_session = machine.session + 1;
             continue;
         }
-        // Tasks to be stopped whose launch was never sent, or can no longer arrive; and what is to be sent.
-        std::vector<TaskRef> dead;
-        for (const auto& t : m.tasks) {
-            const Slot& slot = t.job->slots[static_cast<std::size_t>(t.task)];
+        // Finds the tasks to be stopped whose launch was never sent or can no longer arrive.
+        std::vector<TaskRef> never_started;
+        for (const auto& task : machine.tasks) {
+            const Slot& slot = task.job->slots[static_cast<std::size_t>(task.task)];
             if (slot.state != SlotState::Bound) continue;
-            if (slot.stop || !slot.seen) request_dispatch(m);
-            // What is left of a gang that is done is never launched, since its others are not bound any more.
-            if ((slot.stop || t.job->gang_done) && !slot.seen && !slot.foreign &&
-                !still_live(m, slot, {t.job->spec.ref, t.task, slot.attempt}))
-                dead.push_back(t);
+            if (slot.stop_requested || !slot.seen) request_dispatch(machine);
+            // The remaining tasks of a gang that is done are never launched, since its other tasks are no
+            // longer bound.
+            if ((slot.stop_requested || task.job->gang_done) && !slot.seen && !slot.inherited &&
+                !can_still_start(machine, slot, {task.job->spec.ref, task.task, slot.attempt}))
+                never_started.push_back(task);
         }
-        for (const auto& t : dead) on_attempt_terminated(*t.job, t.task, 0);
-        if (m.notice && now <= m.notice_end) drain_noticed(m);
+        for (const auto& task : never_started) on_attempt_terminated(*task.job, task.task, 0);
+        if (machine.interruption_notice && now <= machine.interruption_at) stop_before_interruption(machine);
     }
     flush_due_ = true;
-    for (const auto& job : cancellations_.overdue(now, context_.settings().cancel / 2))
+    for (const auto& job : cancellations_.take_overdue(now, context_.settings().cancel / 2))
         spdlog::warn("event=cancellation_unfinished job={} domain={} token={} for_ms={}", job, shard_,
                      mod_revision_, context_.settings().cancel / 2 / kMillisecond);
-    if (const std::string line = startup_.line(now); !line.empty())
+    if (const std::string line = startup_.take_log_line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
         drop_stale_records();
-        move_out_of_history();
+        migrate_legacy_record();
         rebalancer_.tick();
     }
-    if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& j) {
-            const Job& job = *j.second;
-            return job.stage == Stage::Queued && job.open && job.idle > 0 &&
-                   (!job.backing_off || now >= job.try_after);
+    if (std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [now](const auto& entry) {
+            const Job& job = *entry.second;
+            return job.stage == Stage::Queued && job.dependencies_done && job.unbound_tasks > 0 &&
+                   (!job.backing_off || now >= job.next_try_at);
         }))
         plan_due_ = true;
-    work();
+    run_pending_work();
 }
 
 void ShardOwner::plan() {
     const Micros now = context_.runtime().now();
-    startup_.waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
-                                 [](const auto& j) { return j.second->waiting() > 0; }),
-                     now);
+    startup_.record_waiting(std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(),
+                                        [](const auto& entry) { return entry.second->waiting_tasks() > 0; }),
+                            now);
     scheduler_.run_pass();
 }
 
 void ShardOwner::on_task_bound(Job& job, int task) {
-    startup_.bound(context_.runtime().now());
-    touch(job, static_cast<std::size_t>(task) / job.part_tasks);
+    startup_.record_bind(context_.runtime().now());
+    mark_part_dirty(job, static_cast<std::size_t>(task) / job.tasks_per_part);
 }
 
-void ShardOwner::work() {
+void ShardOwner::run_pending_work() {
     const Micros now = context_.runtime().now();
     if (active_ && plan_due_) {
-        if (now - planned_at_ >= kPlanEvery) {
+        if (now - last_planned_at_ >= kPlanningInterval) {
             plan_due_ = false;
-            planned_at_ = now;
+            last_planned_at_ = now;
             plan();
         } else {
-            context_.runtime().after(planned_at_ + kPlanEvery - now, [this, alive = alive_] {
+            context_.runtime().after(last_planned_at_ + kPlanningInterval - now, [this, alive = alive_] {
                 if (*alive) context_.wake();
             });
         }
@@ -258,19 +270,20 @@
     send_orders();
 }
 
-/// On a machine that will be taken, work that can save itself is stopped in time, and so is what will hardly
-/// be done before: it starts elsewhere now, instead of being in doubt once the machine is silent.
-void ShardOwner::drain_noticed(Machine& m) {
+/// Stops tasks on a machine that the cloud is about to interrupt: tasks that can save their state, early
+/// enough to do so, and tasks that will hardly finish before. They start elsewhere now, instead of being in
+/// doubt once the machine is silent.
+void ShardOwner::stop_before_interruption(Machine& machine) {
     const Micros now = context_.runtime().now();
-    const Micros left = std::max<Micros>(m.notice_end - now, 0);
-    const auto tasks = m.tasks;
+    const Micros left = std::max<Micros>(machine.interruption_at - now, 0);
+    const auto tasks = machine.tasks;
     for (const auto& [job, task] : tasks) {
         Slot& slot = job->slots[static_cast<std::size_t>(task)];
-        if (slot.state != SlotState::Bound || slot.stop) continue;
-        const Micros ran = slot.run_since > 0 ? now - slot.run_since : 0;
+        if (slot.state != SlotState::Bound || slot.stop_requested) continue;
+        const Micros ran = slot.running_since > 0 ? now - slot.running_since : 0;
         if (job->spec.kind == JobKind::Gang) {
-            for (auto& s : job->slots)
-                if (s.state == SlotState::Bound) stop(s, job->spec.save + kSecond);
+            for (auto& gang_slot : job->slots)
+                if (gang_slot.state == SlotState::Bound) stop(gang_slot, job->spec.save + kSecond);
         } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint > 0) {
             stop(slot, job->spec.save + kSecond);
         } else if (job->spec.estimate * 4 / 5 - ran > left) {
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxImages = 64;
-constexpr std::size_t kBindingBytes = 14;  // of a binding besides the machine's name
+constexpr std::size_t kMaxImagesPerMachine = 64;
+constexpr std::size_t kBindingOverheadBytes = 14;  // size of a stored binding without the machine's name
 
-std::size_t binding_bytes(const Machine& m) {
-    return m.name.size() + kBindingBytes;
+std::size_t binding_bytes(const Machine& machine) {
+    return machine.name.size() + kBindingOverheadBytes;
 }
 
 }  // namespace
@@ -25,87 +25,90 @@
     return it == jobs.end() ? nullptr : it->second.get();
 }
 
-Resources ShardState::used(const std::string& team) const {
+Resources ShardState::team_usage(const std::string& team) const {
     auto it = usage_.find(team);
     return it == usage_.end() ? Resources{} : it->second;
 }
 
-void ShardState::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
+void ShardState::bind(Job& job, int task, Machine& machine, std::int64_t attempt) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     const int errors = slot.errors;
     slot = Slot{};
     slot.errors = errors;
     slot.state = SlotState::Binding;
     slot.attempt = attempt;
-    slot.machine = &m;
-    --job.idle;
-    ++job.bound;
+    slot.machine = &machine;
+    --job.unbound_tasks;
+    ++job.bound_tasks;
     auto& part = job.part_of(task);
-    ++part.binding;
-    part.bytes += binding_bytes(m);
-    m.reserved += job.spec.request;
-    if (job.rank == PriorityClass::Low) m.idle_work += job.spec.request.cores;
-    m.tasks.insert({&job, task});
+    ++part.pending_binds;
+    part.bytes += binding_bytes(machine);
+    machine.reserved += job.spec.request;
+    if (job.rank == PriorityClass::Low) machine.low_priority_cores += job.spec.request.cores;
+    machine.tasks.insert({&job, task});
     usage_[job.spec.team] += job.spec.request;
-    remember_image(m, job, false);
+    remember_image(machine, job, false);
 }
 
 void ShardState::release(Job& job, Slot& slot, Micros listened) {
-    Machine& m = *slot.machine;
+    Machine& machine = *slot.machine;
     const auto task = static_cast<int>(&slot - job.slots.data());
     auto& part = job.part_of(task);
-    if (slot.state == SlotState::Binding) --part.binding;
-    part.bytes -= binding_bytes(m);
-    m.reserved -= job.spec.request;
-    if (job.rank == PriorityClass::Low) m.idle_work -= job.spec.request.cores;
-    m.tasks.erase({&job, task});
-    forget_fetch(m, job);
-    if (m.tasks.empty()) m.idle_since = listened;
+    if (slot.state == SlotState::Binding) --part.pending_binds;
+    part.bytes -= binding_bytes(machine);
+    machine.reserved -= job.spec.request;
+    if (job.rank == PriorityClass::Low) machine.low_priority_cores -= job.spec.request.cores;
+    machine.tasks.erase({&job, task});
+    forget_unused_fetch(machine, job);
+    if (machine.tasks.empty()) machine.idle_since = listened;
     usage_[job.spec.team] -= job.spec.request;
     slot.machine = nullptr;
-    slot.state = SlotState::Idle;
-    job.first_idle = std::min(job.first_idle, static_cast<std::size_t>(task));
-    slot.seen = slot.foreign = slot.launch_sent = slot.stop = false;
-    --job.bound;
-    ++job.idle;
+    slot.state = SlotState::Unbound;
+    job.first_unbound = std::min(job.first_unbound, static_cast<std::size_t>(task));
+    slot.seen = slot.inherited = slot.launch_sent = slot.stop_requested = false;
+    --job.bound_tasks;
+    ++job.unbound_tasks;
 }
 
-void ShardState::add_orphaned_task(Machine& m, const ReportedTask& t) {
-    m.orphaned_tasks.push_back(t);
-    ++orphaned_task_counts_[{t.job, t.task}];
+void ShardState::add_orphaned_task(Machine& machine, const ReportedTask& task) {
+    machine.orphaned_tasks.push_back(task);
+    ++orphaned_task_counts_[{task.job, task.task}];
 }
 
-void ShardState::forget_orphaned_tasks(Machine& m) {
-    for (const auto& s : m.orphaned_tasks)
-        if (--orphaned_task_counts_[{s.job, s.task}] <= 0) orphaned_task_counts_.erase({s.job, s.task});
-    m.orphaned_tasks.clear();
+void ShardState::forget_orphaned_tasks(Machine& machine) {
+    for (const auto& orphan : machine.orphaned_tasks)
+        if (--orphaned_task_counts_[{orphan.job, orphan.task}] <= 0)
+            orphaned_task_counts_.erase({orphan.job, orphan.task});
+    machine.orphaned_tasks.clear();
 }
 
-void ShardState::remember_image(Machine& m, const Job& job, bool ready) {
-    auto known = std::find_if(m.images.begin(), m.images.end(),
-                              [&](const Machine::Image& i) { return i.name == job.spec.image; });
-    if (known != m.images.end()) {
+void ShardState::remember_image(Machine& machine, const Job& job, bool ready) {
+    auto known = std::find_if(machine.images.begin(), machine.images.end(),
+                              [&](const Machine::Image& image) { return image.name == job.spec.image; });
+    if (known != machine.images.end()) {
         known->ready = known->ready || ready;
-        std::rotate(known, known + 1, m.images.end());
+        std::rotate(known, known + 1, machine.images.end());
     } else {
-        m.images.push_back({job.spec.image, job.spec.image_gb, ready});
+        machine.images.push_back({job.spec.image, job.spec.image_gb, ready});
     }
     Milli total = 0;
-    for (const auto& i : m.images) total += i.gb;
-    while (m.images.size() > 1 && (m.images.size() > kMaxImages || (m.type && total > m.type->cache_gb))) {
-        total -= m.images.front().gb;
-        m.images.erase(m.images.begin());
+    for (const auto& image : machine.images) total += image.gb;
+    while (machine.images.size() > 1 && (machine.images.size() > kMaxImagesPerMachine ||
+                                         (machine.type && total > machine.type->cache_gb))) {
+        total -= machine.images.front().gb;
+        machine.images.erase(machine.images.begin());
     }
 }
 
-/// A fetch is given up once no task waits for it any more.
-void ShardState::forget_fetch(Machine& m, const Job& job) {
-    const bool waited_for = std::any_of(m.tasks.begin(), m.tasks.end(), [&](const TaskRef& t) {
-        return t.job->spec.image == job.spec.image;
-    });
-    if (!waited_for)
-        std::erase_if(m.images,
-                      [&](const Machine::Image& i) { return !i.ready && i.name == job.spec.image; });
+/// Forgets a fetch that no task on the machine needs any more: the worker gives it up.
+void ShardState::forget_unused_fetch(Machine& machine, const Job& job) {
+    const bool still_needed =
+        std::any_of(machine.tasks.begin(), machine.tasks.end(),
+                    [&](const TaskRef& task) { return task.job->spec.image == job.spec.image; });
+    if (!still_needed)
+        std::erase_if(machine.images, [&](const Machine::Image& image) {
+            return !image.ready && image.name == job.spec.image;
+        });
 }
 
 }  // namespace cottonway
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -124,7 +124,7 @@
                  ->jobs()
                  .at(move.job)
                  ->slots[static_cast<std::size_t>(move.task)]
-                 .stop;
+                 .stop_requested;
          }},
         {"after the task is gone, before it starts",
          [](RebalancedService& service) {
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -51,7 +51,7 @@
         for (int node = 0; node < simulator.node_count(); ++node) {
             if (!simulator.owner_at(node)) continue;
             auto job = simulator.owner_at(node)->jobs().find(kServiceRef);
-            if (job != simulator.owner_at(node)->jobs().end()) return job->second->zones();
+            if (job != simulator.owner_at(node)->jobs().end()) return job->second->tasks_by_zone();
         }
         return {};
     }
