--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -84,14 +84,15 @@
     if (holding_since_ == 0) holding_since_ = now;
     const bool reclaims = now - reclaimed_at_ > kReclaimEvery;
     if (reclaims) reclaimed_at_ = now;
-    for (const auto& [name, owner] : assignment_.all()) {
+    for (const auto& [name, owner] : assignment_.owners()) {
         if (!owner || !owner->active()) continue;
         if (reclaims) drain(*owner);
         reclaim(*owner, reclaims);
     }
-    if (!election_.leading()) {
+    if (!election_.is_leader()) {
         was_leading_ = false;
-        if (const auto told = peers_.balance(); told.term > 0) counted_ = {told.ordinary, told.total, now};
+        if (const auto told = peers_.fleet_balance(); told.term > 0)
+            counted_ = {told.ordinary, told.total, now};
         return;
     }
     if (!was_leading_) {
@@ -143,14 +144,14 @@
     const bool sent = call(std::move(c), std::min(1.0, settings_.cloud_rps / 4), [this](const Reply& r) {
         listing_ = false;
         auto page = r.status == 200 ? wire::parse_machines(r.body) : std::nullopt;
-        if (!page || !election_.leading()) return;
+        if (!page || !election_.is_leader()) return;
         for (const auto& m : page->machines) on_listed(m);
         if (page->more && !page->machines.empty()) return list(page->machines.back().name);
         list_complete();
     });
     if (!sent)
         runtime_.after(200 * kMillisecond, [this, since] {
-            if (!since.empty() && election_.leading()) return list(since);
+            if (!since.empty() && election_.is_leader()) return list(since);
             listing_ = false;
         });
 }
@@ -158,7 +159,7 @@
 void Autoscaler::on_listed(const CloudMachine& m) {
     const Micros now = runtime_.now();
     listing_now_.insert(m.name);
-    if (machine_allocator_.returned(m.name)) return;  // the list is late
+    if (machine_allocator_.is_returned(m.name)) return;  // the list is late
     first_listed_.try_emplace(m.name, now);
     const bool leased = cache_.blocks.of(m.name) != nullptr;
     if (m.state == CloudState::Failed) {
@@ -255,7 +256,7 @@
     peak_ordinary_.update(demand.ordinary, passed, kForget);
     const Micros half_life = has_cost_objective(s) ? kForget : kForgetWithoutCostObjective;
     peak_unlimited_ordinary_.update(demand.unlimited_ordinary, passed, half_life);
-    peak_unlimited_flexible_.update(demand.unlimited_flexible, passed, half_life);
+    peak_unlimited_flexible_.update(demand.unlimited_spot_eligible, passed, half_life);
     // A new leader does not know the peaks before its term: where nothing but demand limits the fleet, it
     // takes what is there for wanted, until the list can tell of all of it.
     if (now - leading_since_ < listed_by() && demand.limit == 0) {
@@ -263,7 +264,7 @@
         peak_unlimited_flexible_.update(unmargined(spot, kMargin), passed, half_life);
     }
     const double weight = passed > 0 ? std::exp(-passed / static_cast<double>(kAverage)) : 0;
-    mean_flexible_ = mean_flexible_ * weight + static_cast<double>(demand.flexible) * (1 - weight);
+    mean_flexible_ = mean_flexible_ * weight + static_cast<double>(demand.spot_eligible) * (1 - weight);
     // Spot machines are cheap: all that the teams may use. Ordinary ones: what work needs that may not use
     // spot, whose peak is forgotten slowly since it must not wait for a machine to boot; and what spot
     // machines don't cover of the rest. That can wait a little, and a burst is over before machines are up,
@@ -293,7 +294,7 @@
 
 /// What is too much in all, by the shard's part of the machines.
 Autoscaler::Surplus Autoscaler::surplus_of(const ShardOwner& owner) const {
-    const auto balance = peers_.balance();
+    const auto balance = peers_.fleet_balance();
     if (balance.term == 0 || balance.total <= 0) return {};
     const double part =
         static_cast<double>(cache_.capacity_of(owner.shard())) / static_cast<double>(balance.total);
@@ -374,7 +375,7 @@
         deleting_ = false;
         if (r.status != 200) return;
         for (const auto& name : names) {
-            machine_allocator_.left(name);
+            machine_allocator_.on_machine_gone(name);
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
@@ -382,7 +383,7 @@
         }
         std::erase_if(forgetting_, [&](const std::string& n) { return !cache_.blocks.of(n); });
         // Gone with everything on them, so the records that kept their tasks in doubt may forget them.
-        machine_allocator_.forget(names);
+        machine_allocator_.remove_from_blocks(names);
         spdlog::info("returned {} machines, {} first", names.size(), names.front());
     });
 }
@@ -434,7 +435,7 @@
             job.open && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
         if (!waits || job.since_ms > by || team == teams.end() ||
-            !allocation::rents_machines(*team->second, job.rank) ||
+            !allocation::should_rent_for(*team->second, job.rank) ||
             (first && first->since_ms <= job.since_ms))
             continue;
         const Json* spec = wire::find(job.record, "d");
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -32,8 +32,8 @@
     Json status() const;
     Micros leading_since() const { return leading_since_; }
     /// Machines that the cloud has listed, as far as the leader has read.
-    std::size_t known() const { return first_listed_.size(); }
-    const peer::FleetBalance& balance() const { return balance_; }
+    std::size_t listed_machine_count() const { return first_listed_.size(); }
+    const peer::FleetBalance& fleet_balance() const { return balance_; }
 
   private:
     struct Rental {
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -38,7 +38,7 @@
     const Micros now = runtime_.now();
     if (now - asked_ < kAskEvery || cache_.membership.shards().size() < 2) return;
     asked_ = now;
-    for (const auto& [name, o] : assignment_.all()) {
+    for (const auto& [name, o] : assignment_.owners()) {
         if (!o || !o->active()) continue;
         if (o->machines().empty() && !o->jobs().empty()) {
             transfer_all_jobs(*o);
@@ -52,7 +52,7 @@
 /// A shard without machines passes its jobs on.
 void CapacityBroker::transfer_all_jobs(ShardOwner& o) {
     std::string to;
-    for (const auto& t : machine_allocator_.targets())
+    for (const auto& t : machine_allocator_.target_shards())
         if (t != o.shard() && cache_.capacity_of(t) > 0 &&
             (to.empty() || cache_.capacity_of(t) > cache_.capacity_of(to)))
             to = t;
@@ -69,7 +69,7 @@
     std::optional<std::size_t> best;
     Milli most = 0;
     for (std::size_t i = 0; i < peers_.count(); ++i) {
-        const peer::State* state = peers_.fresh(i);
+        const peer::State* state = peers_.fresh_state(i);
         if (!state) continue;
         for (const auto& d : state->shards) {
             const ShardRecord* held = cache_.membership.shard(d.shard);
@@ -93,20 +93,20 @@
         return;
     }
     // Another shard that is held here.
-    for (const auto& [other, from] : assignment_.all())
+    for (const auto& [other, from] : assignment_.owners())
         if (from && other != o.shard() && from->active() && !from->want())
-            return machine_allocator_.give(*from, want, [](const peer::Grant&) {});
+            return machine_allocator_.transfer_idle_machines(*from, want, [](const peer::Grant&) {});
 }
 
 /// What other shards have of a team's limit and don't use.
 Resources CapacityBroker::unused_elsewhere(const std::string& shard, const std::string& team) const {
     Resources sum;
     for (std::size_t i = 0; i < peers_.count(); ++i)
-        if (const peer::State* state = peers_.fresh(i))
+        if (const peer::State* state = peers_.fresh_state(i))
             for (const auto& d : state->shards)
                 for (const auto& t : d.teams)
                     if (t.team == team && d.shard != shard) sum += unused(t);
-    for (const auto& [other, o] : assignment_.all())
+    for (const auto& [other, o] : assignment_.owners())
         if (o && other != shard && o->active()) sum += o->unused_quota(team);
     return sum;
 }
@@ -140,7 +140,7 @@
     ShardOwner* local = nullptr;
     Milli most = 0;
     for (std::size_t i = 0; i < peers_.count(); ++i) {
-        const peer::State* state = peers_.fresh(i);
+        const peer::State* state = peers_.fresh_state(i);
         if (!state || sharing_with_[i]) continue;
         for (const auto& d : state->shards)
             for (const auto& t : d.teams)
@@ -149,7 +149,7 @@
                     best = i;
                 }
     }
-    for (const auto& [other, from] : assignment_.all())
+    for (const auto& [other, from] : assignment_.owners())
         if (from && other != o.shard() && from->active())
             if (const Resources s = (*from.*ours_has)(team); s.cores + s.gpus > most) {
                 most = s.cores + s.gpus;
@@ -170,7 +170,7 @@
                           std::function<void(peer::Grant)> done) {
     Resources of = from.spare_quota(want.team);
     if (of.cores + of.gpus <= 0 && yields(from, want)) of = from.unused_quota(want.team);
-    quota_allocator_.give(from, want, of, std::move(done));
+    quota_allocator_.transfer_quota(from, want, of, std::move(done));
 }
 
 /// Of ours, the shard with the most idle machines gives.
@@ -178,7 +178,7 @@
                                     std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
     Milli most = 0;
-    for (const auto& [name, o] : assignment_.all()) {
+    for (const auto& [name, o] : assignment_.owners()) {
         if (!o || name == want.shard || !o->active()) continue;
         const auto load = o->load();
         if (load.waiting > 0) continue;
@@ -188,13 +188,13 @@
         }
     }
     if (!from) return done({});
-    machine_allocator_.give(*from, want, std::move(done));
+    machine_allocator_.transfer_idle_machines(*from, want, std::move(done));
 }
 
 void CapacityBroker::grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
     std::pair<Milli, Milli> most;  // to spare, and what no task can use
-    for (const auto& [name, o] : assignment_.all()) {
+    for (const auto& [name, o] : assignment_.owners()) {
         if (!o || name == want.shard || !o->active()) continue;
         const Resources spare = o->spare_quota(want.team);
         const Resources unused = yields(*o, want) ? o->unused_quota(want.team) : Resources{};
--- a/src/allocation/demand.cpp
+++ b/src/allocation/demand.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-bool rents_machines(const Team& team, PriorityClass rank) {
+bool should_rent_for(const Team& team, PriorityClass rank) {
     return team.guarantee.cores > 0 || rank != PriorityClass::Low;
 }
 
@@ -68,7 +68,7 @@
 void DemandEstimator::add(const LiveJob& job) {
     auto team = teams_.find(job.team);
     if (job.cancelled || !job.open || team == teams_.end()) return;
-    if (!rents_machines(*team->second.team, job.rank)) return;
+    if (!should_rent_for(*team->second.team, job.rank)) return;
     const MachineType* type = cheapest_type(job);
     if (!type) return;
     // A job in crash-loop backoff is probed with one task at a time.
@@ -81,20 +81,20 @@
     // What waits behind other work needs less than a machine for each of its own: it takes turns.
     const int running = std::min(job.running, tasks);
     const Resources waiting = times(job.request, tasks - running);
-    requests.flexible += times(job.request, running);
-    requests.flexible += {waiting.cores / 2, waiting.gpus / 2, waiting.ram / 2};
+    requests.spot_eligible += times(job.request, running);
+    requests.spot_eligible += {waiting.cores / 2, waiting.gpus / 2, waiting.ram / 2};
     requests.flexible_in_full += times(job.request, tasks);
 }
 
 void DemandEstimator::add_team(const TeamRequests& requests, Demand& demand) {
     const Resources& limit = requests.team->limit;
     Resources ordinary_sum, flexible_sum;
-    Milli ordinary = 0, flexible = 0, flexible_in_full = 0;
+    Milli ordinary = 0, spot_eligible = 0, flexible_in_full = 0;
     for (const auto& [type, sums] : requests.by_type) {
         ordinary_sum += sums.ordinary;
-        flexible_sum += sums.flexible;
+        flexible_sum += sums.spot_eligible;
         ordinary += scheduling::occupied_cores(sums.ordinary, type->size);
-        flexible += scheduling::occupied_cores(sums.flexible, type->size);
+        spot_eligible += scheduling::occupied_cores(sums.spot_eligible, type->size);
         flexible_in_full += scheduling::occupied_cores(sums.flexible_in_full, type->size);
     }
     // What a team may not run at once needs no machines at once.
@@ -102,10 +102,10 @@
                          std::max<Milli>(limit.gpus - ordinary_sum.gpus, 0), 0};
     const Milli first = scaled(ordinary, admitted_part(ordinary_sum, limit));
     demand.ordinary += first;
-    demand.flexible += scaled(flexible, admitted_part(flexible_sum, left));
+    demand.spot_eligible += scaled(spot_eligible, admitted_part(flexible_sum, left));
     if (limit.cores < kNoLimit) return;
     demand.unlimited_ordinary += first;
-    demand.unlimited_flexible += flexible_in_full;
+    demand.unlimited_spot_eligible += flexible_in_full;
 }
 
 Demand DemandEstimator::total() const {
--- a/src/allocation/demand.hpp
+++ b/src/allocation/demand.hpp
@@ -15,16 +15,16 @@
 
 /// Whether machines are rented for a team's jobs of a priority class: always for a team with a guarantee; for
 /// any other team unless the work is best-effort, which takes what is left over.
-bool rents_machines(const Team& team, PriorityClass rank);
+bool should_rent_for(const Team& team, PriorityClass rank);
 
 /// What the unfinished jobs of all teams need, in thousandths of a core of whole machines.
 struct Demand {
     Milli ordinary = 0;  // of work that may not run on spot machines, within the teams' limits
     /// Of work that may; what waits counts half, since it takes turns with other work.
-    Milli flexible = 0;
+    Milli spot_eligible = 0;
     /// Parts of the two that belong to teams without a limit; here all that waits counts in full.
     Milli unlimited_ordinary = 0;
-    Milli unlimited_flexible = 0;
+    Milli unlimited_spot_eligible = 0;
     /// The sum of the limits of the teams that have one.
     Milli limit = 0;
 };
@@ -52,7 +52,7 @@
   private:
     struct Requests {
         Resources ordinary;
-        Resources flexible;
+        Resources spot_eligible;
         Resources flexible_in_full;
     };
     struct TeamRequests {
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -77,7 +77,7 @@
     const ShardOwner* o = assignment_.find(next.shard);
     if (o)
         change.when.push_back({keys::shard + next.shard, o->mod_revision()});
-    else if (election_.leading())
+    else if (election_.is_leader())
         change.when.push_back({keys::leader, election_.term()});
     else
         return finish(std::exchange(edits.waiting, {}), false);
@@ -109,8 +109,8 @@
     });
 }
 
-void MachineAllocator::edit(const std::string& shard, const std::string& machine,
-                            ShardContext::MachineEdit edit, std::function<void(bool)> done) {
+void MachineAllocator::edit_machine(const std::string& shard, const std::string& machine,
+                                    ShardContext::MachineEdit edit, std::function<void(bool)> done) {
     const Block* block = cache_.blocks.of(machine);
     const ShardOwner* o = assignment_.find(shard);
     if (!block || block->shard != shard || !o) return runtime_.after(0, [done] { done(false); });
@@ -138,7 +138,7 @@
         edit_block(block->id, {retire_in(machine), nullptr}, kReturnPatience);
 }
 
-void MachineAllocator::forget(const std::vector<std::string>& machines) {
+void MachineAllocator::remove_from_blocks(const std::vector<std::string>& machines) {
     std::map<std::string, std::vector<std::string>> by_block;
     for (const auto& name : machines)
         if (const Block* block = cache_.blocks.of(name)) by_block[block->id].push_back(name);
@@ -229,20 +229,20 @@
     for (auto& done : u.mapped().done) runtime_.after(0, std::move(done));
 }
 
-void MachineAllocator::left(const std::string& machine) {
+void MachineAllocator::on_machine_gone(const std::string& machine) {
     forget_unallocated(machine);
     returned_.put(machine, {});
     if (returned_.size() > kMaxReturned) returned_.erase(std::string(returned_.oldest().first));
 }
 
-bool MachineAllocator::spread_out() const {
+bool MachineAllocator::spreads_machines() const {
     const std::size_t machines =
-        std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.known());
+        std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.listed_machine_count());
     const double reports = static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
     return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_share;
 }
 
-std::vector<std::string> MachineAllocator::targets() const {
+std::vector<std::string> MachineAllocator::target_shards() const {
     std::vector<std::string> targets;
     std::string largest, ours;
     Milli most = 0;
@@ -255,14 +255,14 @@
             largest = name;
         }
     }
-    if (spread_out()) return targets;
+    if (spreads_machines()) return targets;
     if (!largest.empty()) return {largest};
     return ours.empty() ? std::vector<std::string>{} : std::vector{ours};
 }
 
 void MachineAllocator::allocate_blocks() {
     const Micros now = runtime_.now();
-    if (!election_.leading()) {
+    if (!election_.is_leader()) {
         while (!unallocated_.empty()) forget_unallocated(std::string(unallocated_.begin()->first));
         return;
     }
@@ -277,7 +277,7 @@
     std::map<Shape, std::vector<std::string>> fresh;
     for (const auto& [name, u] : unallocated_)
         if (!u.in_flight) fresh[{u.type, u.zone, u.spot}].push_back(name);
-    const auto shards = targets();
+    const auto shards = target_shards();
     if (fresh.empty() || shards.empty()) return;
     // Cores that each shard has by zone and kind, and machines by shape.
     std::map<std::tuple<std::string, std::string, bool>, Milli> cores;
@@ -300,7 +300,7 @@
         average += capacity[shard] / static_cast<Milli>(shards.size());
         if (const ShardOwner* o = assignment_.find(shard); o && o->active())
             waiting[shard] = o->load().waiting;
-        else if (const auto* told = peers_.load_of(shard))
+        else if (const auto* told = peers_.shard_load(shard))
             waiting[shard] = told->waiting;
     }
     const std::size_t most = block_size();
@@ -374,12 +374,12 @@
             return;
         }
         feed_.after_next_refresh([this, block, machines, term, unsent](bool) {
-            const bool still = election_.leading() && election_.term() == term;
+            const bool still = election_.is_leader() && election_.term() == term;
             if (unsent && still) return lease_block(block, machines);
             for (const auto& name : machines) forget_unallocated(name);
             if (!still || cache_.blocks.find(block.id)) return;  // carried out after all
             spdlog::info("block {}: whether it was leased is not known: a new term begins", block.id);
-            election_.close_term(term);
+            election_.abandon_term(term);
         });
     });
 }
@@ -388,8 +388,8 @@
 
 /// Gives idle machines to a shard with waiting tasks: they leave their block and make up a new one, in one
 /// change. Only the holder does this, and only with machines that nothing is on, so nothing is in doubt.
-void MachineAllocator::give(ShardOwner& from, const peer::CapacityRequest& want,
-                            std::function<void(peer::Grant)> done) {
+void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
+                                              std::function<void(peer::Grant)> done) {
     const ShardRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !to || to->mod_revision != want.mod_revision || want.shard == from.shard() ||
         !store_.room(Priority::Normal))
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -37,29 +37,30 @@
                   std::function<void()> done);
     bool is_allocating(const std::string& machine) const { return unallocated_.count(machine) > 0; }
     /// A block lists it. Whoever waits for that is told, also where our own change got no answer.
-    void leased(const std::string& machine) {
+    void on_machine_leased(const std::string& machine) {
         forget_unallocated(machine);
         returned_.erase(machine);
     }
     /// No block lists it any more, or none ever has: the cloud has confirmed that it is deleted.
-    void left(const std::string& machine);
+    void on_machine_gone(const std::string& machine);
     /// Whether the machine is known to be gone for good. What still tells of it, a late report or a list, is
     /// old: leased again it would count as room until its silence is noticed.
-    bool returned(const std::string& machine) const { return returned_.find(machine) != nullptr; }
+    bool is_returned(const std::string& machine) const { return returned_.find(machine) != nullptr; }
     /// Whether the machines are to be spread over the shards of all controllers. One owner of everything
     /// places best, as long as it can keep up with the workers' reports.
-    bool spread_out() const;
-    std::vector<std::string> targets() const;
+    bool spreads_machines() const;
+    std::vector<std::string> target_shards() const;
 
     /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
-    void edit(const std::string& shard, const std::string& machine, ShardContext::MachineEdit edit,
-              std::function<void(bool)> done);
+    void edit_machine(const std::string& shard, const std::string& machine, ShardContext::MachineEdit edit,
+                      std::function<void(bool)> done);
     /// Marks a machine as to be returned, whoever holds it.
     void retire(const std::string& machine);
     /// Takes deleted machines out of their records.
-    void forget(const std::vector<std::string>& machines);
+    void remove_from_blocks(const std::vector<std::string>& machines);
     /// Gives idle machines to a shard with waiting tasks.
-    void give(ShardOwner& from, const peer::CapacityRequest& want, std::function<void(peer::Grant)> done);
+    void transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
+                                std::function<void(peer::Grant)> done);
 
     // Called ten times a second.
     void allocate_blocks();
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void QuotaAllocator::allocate_initial_quota() {
-    if (!election_.leading() || sharing_first_ || cache_.blocks.all().empty() ||
+    if (!election_.is_leader() || sharing_first_ || cache_.blocks.all().empty() ||
         feed_.confirmed_ago() > kSecond)
         return;
     Change change;
@@ -24,7 +24,7 @@
     std::vector<std::pair<std::string, QuotaAllocation>> next;
     const auto& stored = cache_.shares.all();
     if (stored.empty()) {
-        auto targets = machine_allocator_.targets();
+        auto targets = machine_allocator_.target_shards();
         if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
         if (targets.empty()) return;
         const auto n = static_cast<Milli>(targets.size());
@@ -75,15 +75,15 @@
         const bool unknown = r.status == CommitStatus::Unknown;
         feed_.after_next_refresh([this, term, unknown](bool) {
             sharing_first_ = false;
-            if (unknown && cache_.shares.all().empty()) election_.close_term(term);
+            if (unknown && cache_.shares.all().empty()) election_.abandon_term(term);
         });
     });
 }
 
 /// Without an answer the same change is tried until it is clear whether it was made: meanwhile neither side
 /// counts on it.
-void QuotaAllocator::give(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
-                          std::function<void(peer::Grant)> done) {
+void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
+                                    std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
     QuotaCache& book = cache_.shares;
     const auto* ours = book.find(shard);
--- a/src/allocation/quota_allocator.hpp
+++ b/src/allocation/quota_allocator.hpp
@@ -27,8 +27,8 @@
     /// have raised a limit by. Everything else is a transfer, which leaves the sum as it is.
     void allocate_initial_quota();
     /// Gives another shard a part of what this one can spare of a team's limit.
-    void give(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
-              std::function<void(peer::Grant)> done);
+    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
+                        std::function<void(peer::Grant)> done);
 
   private:
     Runtime& runtime_;
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -80,15 +80,15 @@
 /// A machine in no block: the leader leases it once it has answered a call. Its report may be all that is
 /// left of it, and a process that has started since does not know that it was returned.
 void HeartbeatRouter::unknown_machine(const Report& r, ApiResponder respond) {
-    if (!election_.leading()) {
-        const std::string& leader = election_.leader();
+    if (!election_.is_leader()) {
+        const std::string& leader = election_.leader_node();
         if (leader != settings_.node && cache_.membership.alive(leader))
             return respond({421, wire::redirect(leader)});
         return respond(unavailable());
     }
     const bool asks =
         !machine_allocator_.is_allocating(r.machine) && !r.addr.empty() && probing_.size() < kMaxProbes;
-    if (!lease_is_valid() || machine_allocator_.returned(r.machine) || !asks ||
+    if (!lease_is_valid() || machine_allocator_.is_returned(r.machine) || !asks ||
         !probing_.insert(r.machine).second)
         return respond(unavailable());
     Call call;
@@ -101,7 +101,7 @@
         probing_.erase(r.machine);
         const auto shown = reply.status == 200 ? wire::parse_report(reply.body) : std::nullopt;
         const bool there = shown && shown->machine == r.machine;
-        if (!there || !election_.leading() || !lease_is_valid() || cache_.blocks.of(r.machine))
+        if (!there || !election_.is_leader() || !lease_is_valid() || cache_.blocks.of(r.machine))
             return respond(unavailable());
         lease(r, respond);
     });
@@ -137,11 +137,11 @@
         return respond(unavailable());
     proxied.session = r.session;
     proxied.seq = r.seq;
-    const auto peer = peers_.named(d->holder);
+    const auto peer = peers_.index_of(d->holder);
     if (!peer) return respond(unavailable());
     if (!cache_.membership.alive(d->holder)) return renew_on_behalf(r, block, respond);
     // Where we can't reach the holder either, another try would only cost the worker its lease.
-    if (!peers_.reachable(*peer)) return renew_on_behalf(r, block, respond);
+    if (!peers_.is_reachable(*peer)) return renew_on_behalf(r, block, respond);
     // Where the lease leaves no time to find that out, the report is passed on first; the holder tells
     // whether it reaches the worker itself.
     const bool back = proxied.sent_on > 0 && now - proxied.sent_on < kBack;
@@ -211,14 +211,14 @@
     const Block::Machine* machine = block.find(r.machine);
     const auto proxied = proxied_workers_.find(r.machine);
     permission::ProxyEvidence evidence;
-    evidence.member = membership_lease_.announced() && cache_.membership.alive(settings_.node);
+    evidence.member = membership_lease_.is_registered() && cache_.membership.alive(settings_.node);
     evidence.store_read_valid = lease_is_valid();
     evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
     // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
     evidence.former_promises_over = now - started_ > kForgotten * with_drift(settings_.lease);
     evidence.relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
     evidence.machine_listed = machine && !machine->retired;
-    evidence.jobs_known = history_.knows_jobs_of(r);
+    evidence.jobs_known = history_.knows_outcomes_of(r);
     evidence.token = token;
     evidence.token_seen = r.token;
     return permission::renewal_on_behalf(evidence);
@@ -239,7 +239,7 @@
     const Micros now = runtime_.now();
     if (now - relinquish_requested_at_ < kRelinquishInterval) return;
     relinquish_requested_at_ = now;
-    for (const auto& [name, o] : assignment_.all()) {
+    for (const auto& [name, o] : assignment_.owners()) {
         if (!o || !o->active()) continue;
         for (std::size_t i = 0; i < peers_.count(); ++i) {
             if (in_flight_[i] > 0 || !cache_.membership.alive(settings_.peers[i].name)) continue;
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -295,7 +295,8 @@
     if (!feed_.loaded() || cache_.types.empty()) return false;
     if (feed_.confirmed_ago() < kUnserved) return true;
     for (std::size_t i = 0; i < peers_.count(); ++i)
-        if (const auto* told = peers_.told(i, kUnserved); told && told->state.confirmed_age < kUnserved / 2)
+        if (const auto* told = peers_.recent_status(i, kUnserved);
+            told && told->state.confirmed_age < kUnserved / 2)
             return false;
     return true;
 }
@@ -312,10 +313,12 @@
     if (cache_.stray(ref)) return done(false, std::nullopt);
     // Its final record may stand where nobody reads at a start.
     if (view && cache_.jobs.unproven(ref))
-        return history_.prove({ref}, false, [this, ref, done = std::move(done)](bool known) mutable {
-            if (!known || cache_.jobs.unproven(ref)) return done(false, std::nullopt);
-            check(ref, std::move(done));
-        });
+        return history_.verify_unfinished({ref}, false,
+                                          [this, ref, done = std::move(done)](bool known) mutable {
+                                              if (!known || cache_.jobs.unproven(ref))
+                                                  return done(false, std::nullopt);
+                                              check(ref, std::move(done));
+                                          });
     if (view) {
         // The next look at the store proves that what is known then is current, also of the jobs before it.
         feed_.after_next_refresh([this, ref, done = std::move(done)](bool ok) {
@@ -384,7 +387,7 @@
         std::optional<peer::ShardLoad> load;
         if (const ShardOwner* o = assignment_.find(name)) {
             if (o->active()) load = o->load();
-        } else if (const auto* told = peers_.load_of(name)) {
+        } else if (const auto* told = peers_.shard_load(name)) {
             load = *told;
         }
         Milli room = 0, of = capacity;
@@ -394,7 +397,7 @@
         } else if (load) {
             room = load->free_ordinary + (spec.spot ? load->free_spot : 0) - load->waiting;
         }
-        if (!assignment_.find(name)) room -= peers_.sent_to(name);
+        if (!assignment_.find(name)) room -= peers_.cores_sent_to(name);
         double share = static_cast<double>(room) / static_cast<double>(of) +
                        (d.holder == settings_.node ? kOursFirst : 0.0);
         // Urgent work goes where its image has been lately, if there is room for all of it.
@@ -407,7 +410,7 @@
         best_room = share;
     }
     if (best.empty() && !all.empty()) return all[runtime_.random()() % all.size()];
-    if (!best.empty()) peers_.sent(best, need);
+    if (!best.empty()) peers_.add_cores_sent(best, need);
     return best;
 }
 
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -11,7 +11,8 @@
 constexpr std::size_t kMaxReading = 8;
 }  // namespace
 
-void JobArchiver::prove(const std::vector<std::string>& refs, bool drop, std::function<void(bool)> done) {
+void JobArchiver::verify_unfinished(const std::vector<std::string>& refs, bool drop,
+                                    std::function<void(bool)> done) {
     struct Asked {
         std::size_t missing = 0;
         bool known = true;
@@ -66,7 +67,7 @@
     for (const auto& ref : lost) read_outcome(ref, reading_lost_);
 }
 
-bool JobArchiver::knows_jobs_of(const Report& report) {
+bool JobArchiver::knows_outcomes_of(const Report& report) {
     const auto unknown = cache_.jobs.unknown_jobs(report);
     for (const auto& ref : unknown)
         if (feed_.loaded() && read_outcome(ref, reading_unknown_))
@@ -98,7 +99,7 @@
     const auto refs = cache_.jobs.needed_unproven();
     if (refs.empty()) return;
     proving_ = true;
-    prove(refs, false, [this](bool) { proving_ = false; });
+    verify_unfinished(refs, false, [this](bool) { proving_ = false; });
 }
 
 void JobArchiver::drop_stale_records() {
@@ -112,7 +113,7 @@
 /// The leader closes history to records of old form first: nobody admits one any more, since that rests on
 /// this record not being there. A look after that which shows none left tells that there is none, for good.
 void JobArchiver::set_apart() {
-    if (writing_ || cache_.history_apart() || !election_.leading() ||
+    if (writing_ || cache_.history_apart() || !election_.is_leader() ||
         !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
         return;
     using State = StateCache::History;
--- a/src/cluster/job_archiver.hpp
+++ b/src/cluster/job_archiver.hpp
@@ -27,10 +27,11 @@
     /// Finds out which of these live jobs are over: their final records are taken in, the others are proven
     /// to go on. `drop`: what is left over of those that are over is dropped in a quiet moment; by the holder
     /// of their shard. Calls back with whether everything is known now.
-    void prove(const std::vector<std::string>& refs, bool drop, std::function<void(bool known)> done);
+    void verify_unfinished(const std::vector<std::string>& refs, bool drop,
+                           std::function<void(bool known)> done);
     /// Whether it is known of each task that may run by a report if its job is over. What is not is read, so
     /// that it is known soon.
-    bool knows_jobs_of(const Report& report);
+    bool knows_outcomes_of(const Report& report);
     /// Called ten times a second.
     void tick();
 
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -9,9 +9,9 @@
 constexpr Micros kStoreTypesEvery = 30 * kSecond;
 }  // namespace
 
-void LeaderElection::rebalance_shards() {
+void LeaderElection::campaign() {
     const Micros now = runtime_.now();
-    if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty() || taking_) return;
+    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty() || taking_) return;
     if (feed_.confirmed_ago() > 2 * kSecond) return;
     const ShardRecord& leader = cache_.membership.leader();
     if (leader.mod_revision != 0 && leader.holder == settings_.node) {
@@ -51,9 +51,9 @@
     });
 }
 
-void LeaderElection::store_types() {
+void LeaderElection::store_machine_types() {
     const MachineTypeCatalog& types = cache_.types;
-    if (!leading() || storing_types_ || types.answer().is_null() ||
+    if (!is_leader() || storing_types_ || types.answer().is_null() ||
         runtime_.now() - types_stored_at_ < kStoreTypesEvery)
         return;
     types_stored_at_ = runtime_.now();
--- a/src/cluster/leader_election.hpp
+++ b/src/cluster/leader_election.hpp
@@ -20,24 +20,24 @@
           membership_lease_(membership_lease) {}
 
     /// Takes the lead where nobody has it.
-    void rebalance_shards();
+    void campaign();
     /// Whether this process leads, and knows all that the former leader has done.
-    bool leading() const {
+    bool is_leader() const {
         return ready_ && led_mark_ != 0 && led_mark_ == cache_.membership.leader().mod_revision;
     }
     /// Whether it may also deal with the cloud by what it knows. One that is cut off from the store does not
     /// hear that another leads, so it rents and deletes only within its authority.
-    bool term_is_valid() const { return leading() && has_valid_lease(feed_.confirmed_ago(), settings_); }
+    bool term_is_valid() const { return is_leader() && has_valid_lease(feed_.confirmed_ago(), settings_); }
     Revision term() const { return cache_.membership.leader().mod_revision; }
-    const std::string& leader() const { return cache_.membership.leader().holder; }
+    const std::string& leader_node() const { return cache_.membership.leader().holder; }
     /// Takes the lead anew: whatever of this term is still on its way to the store fails on the leader's
     /// mark.
-    void close_term(Revision term) {
+    void abandon_term(Revision term) {
         if (led_mark_ == term) led_mark_ = 0;
     }
     /// Keeps the machine types in the store as well, so that controllers that start while the cloud is out of
     /// reach need not wait for it to take their shards back.
-    void store_types();
+    void store_machine_types();
 
   private:
     void lead();
--- a/src/cluster/membership_lease.hpp
+++ b/src/cluster/membership_lease.hpp
@@ -10,7 +10,7 @@
     MembershipLease(Runtime& runtime, StoreClient& store, const Settings& settings, StateCache& cache)
         : runtime_(runtime), store_(store), settings_(settings), cache_(cache) {}
     void join();
-    bool announced() const { return announced_; }
+    bool is_registered() const { return announced_; }
 
   private:
     void announce();
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -23,30 +23,30 @@
       autoscaler_(fleet),
       peers_(settings.peers.size()) {}
 
-std::optional<std::size_t> PeerDirectory::named(const std::string& node) const {
+std::optional<std::size_t> PeerDirectory::index_of(const std::string& node) const {
     for (std::size_t i = 0; i < settings_.peers.size(); ++i)
         if (settings_.peers[i].name == node) return i;
     return std::nullopt;
 }
 
-bool PeerDirectory::reachable(std::size_t peer) const {
+bool PeerDirectory::is_reachable(std::size_t peer) const {
     const auto& p = peers_[peer];
     return p.heard > 0 && runtime_.listened() - p.heard < kReachable;
 }
 
-const PeerDirectory::PeerStatus* PeerDirectory::told(std::size_t peer, Micros within) const {
+const PeerDirectory::PeerStatus* PeerDirectory::recent_status(std::size_t peer, Micros within) const {
     const auto& t = peers_[peer].told;
     return t && runtime_.now() - t->at < within ? &*t : nullptr;
 }
 
-const peer::State* PeerDirectory::fresh(std::size_t peer) const {
-    const PeerStatus* t = told(peer, kFresh + 1);
+const peer::State* PeerDirectory::fresh_state(std::size_t peer) const {
+    const PeerStatus* t = recent_status(peer, kFresh + 1);
     return t ? &t->state : nullptr;
 }
 
-const peer::ShardLoad* PeerDirectory::load_of(const std::string& shard) const {
+const peer::ShardLoad* PeerDirectory::shard_load(const std::string& shard) const {
     for (std::size_t i = 0; i < peers_.size(); ++i) {
-        const peer::State* state = fresh(i);
+        const peer::State* state = fresh_state(i);
         if (!state) continue;
         for (const auto& d : state->shards)
             if (d.shard == shard) return &d;
@@ -54,15 +54,15 @@
     return nullptr;
 }
 
-peer::FleetBalance PeerDirectory::balance() const {
-    if (election_.leading()) return autoscaler_.balance();
+peer::FleetBalance PeerDirectory::fleet_balance() const {
+    if (election_.is_leader()) return autoscaler_.fleet_balance();
     for (std::size_t i = 0; i < peers_.size(); ++i)
-        if (const peer::State* state = fresh(i); state && state->balance.term == election_.term())
+        if (const peer::State* state = fresh_state(i); state && state->balance.term == election_.term())
             return state->balance;
     return {};
 }
 
-Milli PeerDirectory::sent_to(const std::string& shard) const {
+Milli PeerDirectory::cores_sent_to(const std::string& shard) const {
     auto it = sent_to_.find(shard);
     return it == sent_to_.end() ? 0 : it->second;
 }
@@ -87,14 +87,14 @@
     peer::State s;
     s.node = settings_.node;
     s.confirmed_age = feed_.confirmed_ago();
-    if (election_.leading()) s.balance = autoscaler_.balance();
-    for (const auto& [name, o] : assignment_.all())
+    if (election_.is_leader()) s.balance = autoscaler_.fleet_balance();
+    for (const auto& [name, o] : assignment_.owners())
         if (o && o->active()) s.shards.push_back(o->load());
     return s;
 }
 
-void PeerDirectory::heard(const peer::State& state) {
-    const auto peer = named(state.node);
+void PeerDirectory::on_state(const peer::State& state) {
+    const auto peer = index_of(state.node);
     if (!peer) return;
     for (const auto& d : state.shards) sent_to_.erase(d.shard);
     peers_[*peer].told = PeerStatus{state, runtime_.now()};
@@ -111,12 +111,12 @@
         auto& p = peers_[i];
         // One of the two asks; the other one does where that is not heard of.
         const bool theirs = settings_.peers[i].name < settings_.node;
-        if (p.asking || (theirs && told(i, 2 * kGossipEvery))) continue;
+        if (p.asking || (theirs && recent_status(i, 2 * kGossipEvery))) continue;
         p.asking = true;
         if (packed.empty()) packed = peer::pack(own_state());
         call(i, packed, kTimeout, [this, i](const Reply& r) {
             peers_[i].asking = false;
-            if (auto state = peer::unpack<peer::State>(r.bytes)) heard(*state);
+            if (auto state = peer::unpack<peer::State>(r.bytes)) on_state(*state);
         });
     }
 }
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -27,23 +27,23 @@
     /// Tells the others how things are here, and hears the same of them.
     void gossip();
     peer::State own_state() const;
-    void heard(const peer::State& state);
+    void on_state(const peer::State& state);
     void call(std::size_t peer, std::string bytes, Micros timeout, std::function<void(const Reply&)> done);
 
     std::size_t count() const { return peers_.size(); }
-    std::optional<std::size_t> named(const std::string& node) const;
+    std::optional<std::size_t> index_of(const std::string& node) const;
     /// Whether it has been heard a short while ago.
-    bool reachable(std::size_t peer) const;
+    bool is_reachable(std::size_t peer) const;
     /// What it told last; nothing if that is older than `within`.
-    const PeerStatus* told(std::size_t peer, Micros within) const;
+    const PeerStatus* recent_status(std::size_t peer, Micros within) const;
     /// The same, while it is of use.
-    const peer::State* fresh(std::size_t peer) const;
-    const peer::ShardLoad* load_of(const std::string& shard) const;
+    const peer::State* fresh_state(std::size_t peer) const;
+    const peer::ShardLoad* shard_load(const std::string& shard) const;
     /// The balance that the leader last told, or our own.
-    peer::FleetBalance balance() const;
+    peer::FleetBalance fleet_balance() const;
     /// Cores of jobs given to a shard since its holder last told of it.
-    void sent(const std::string& shard, Milli cores) { sent_to_[shard] += cores; }
-    Milli sent_to(const std::string& shard) const;
+    void add_cores_sent(const std::string& shard, Milli cores) { sent_to_[shard] += cores; }
+    Milli cores_sent_to(const std::string& shard) const;
 
   private:
     struct Peer {
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -80,7 +80,7 @@
         runtime_.now() + pause_ / 2 + static_cast<Micros>(runtime_.random()() % 1000) * pause_ / 1000;
 }
 
-void PolicyPublisher::changed() const {
+void PolicyPublisher::log_policy_in_force() const {
     const policy::Policy& p = cache_.policies.in_force();
     if (p.revision > 0)
         spdlog::info("policy: revision {} is in force", p.revision);
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -26,7 +26,7 @@
     /// Called ten times a second.
     void tick();
     /// The policy in force has changed.
-    void changed() const;
+    void log_policy_in_force() const;
     Json status() const;
 
   private:
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -32,22 +32,22 @@
         if (owner) owner->work();
 }
 
-void ShardAssignment::end() {
+void ShardAssignment::shut_down() {
     retired_.clear();
     owners_.clear();
 }
 
-void ShardAssignment::rebalance_shards() {
+void ShardAssignment::acquire_shards() {
     const Micros now = context_.runtime().now();
     const std::string& self = context_.settings().node;
-    if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty()) return;
+    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty()) return;
     if (feed_.confirmed_ago() > 2 * kSecond) return;  // what is known may be old
     if (!cache_.membership.shard(self) && !acquiring_.count(self)) return acquire(self, true);
     recovery::FailoverState s;
     s.self = self;
     s.now = now;
     // As long as any other end takes to be noticed.
-    s.come_back = context_.settings().ops.live_ttl;
+    s.holder_grace = context_.settings().ops.live_ttl;
     for (const auto& node : cache_.membership.alive()) s.alive[node] = cache_.machines_at(node);
     s.alive.try_emplace(self, 0);
     std::vector<std::string> ours;
@@ -64,11 +64,11 @@
             const auto& o =
                 ownerless_.try_emplace(name, Orphaned{now, !cache_.membership.ever_heard(d.holder)})
                     .first->second;
-            s.orphans.push_back({name, cache_.machines_in(name), o.since, o.before_us});
+            s.orphans.push_back({name, cache_.machines_in(name), o.since, o.predates_process});
         }
     }
-    for (const auto& name : recovery::shards_to_take(s)) {
-        if (ownerless_.at(name).before_us) taken_at_start_[name] = now;
+    for (const auto& name : recovery::shards_to_acquire(s)) {
+        if (ownerless_.at(name).predates_process) taken_at_start_[name] = now;
         ours.push_back(name);
     }
     for (const auto& name : ours) acquire(name, false);
@@ -126,7 +126,7 @@
     for (const auto& [ref, job] : cache_.jobs.live())
         if (job.shard == name && cache_.jobs.unproven(ref)) refs.push_back(ref);
     if (refs.empty()) return begin(name, mod_revision);
-    history_.prove(refs, true, [this, name, mod_revision](bool known) {
+    history_.verify_unfinished(refs, true, [this, name, mod_revision](bool known) {
         const ShardOwner* o = find(name);
         if (!o || o->mod_revision() != mod_revision) return;
         if (known) return prove_jobs(name, mod_revision);
@@ -148,7 +148,7 @@
     context_.wake();
 }
 
-void ShardAssignment::on_shard(const std::string& name) {
+void ShardAssignment::on_shard_record(const std::string& name) {
     ownerless_.erase(name);
     const ShardOwner* o = find(name);
     const ShardRecord& held = cache_.membership.shards().at(name);
@@ -172,14 +172,14 @@
 void ShardAssignment::transfer_shards() {
     const Micros now = context_.runtime().now();
     if (now - handed_over_at_ < kHandOverEvery || feed_.confirmed_ago() > kSecond ||
-        !machine_allocator_.spread_out())
+        !machine_allocator_.spreads_machines())
         return;
     const std::string& self = context_.settings().node;
-    std::vector<recovery::Holding> held;
+    std::vector<recovery::HeldShard> held;
     for (const auto& [name, o] : owners_) {
         auto taken = taken_at_start_.find(name);
-        const bool at_start = taken != taken_at_start_.end() && now - taken->second < kAtStart;
-        if (o) held.push_back({name, o->machines().size(), o->active(), at_start});
+        const bool acquired_at_start = taken != taken_at_start_.end() && now - taken->second < kAtStart;
+        if (o) held.push_back({name, o->machines().size(), o->active(), acquired_at_start});
     }
     if (held.size() < 2) return;
     std::vector<recovery::Receiver> receivers;
--- a/src/cluster/shard_assignment.hpp
+++ b/src/cluster/shard_assignment.hpp
@@ -29,21 +29,21 @@
           history_(history) {}
 
     /// Takes our own shard, and those whose holder has ended when it is our turn.
-    void rebalance_shards();
+    void acquire_shards();
     /// A node that holds several shards with machines gives some to nodes that hold none, once those have
     /// been alive for a while.
     void transfer_shards();
     /// Somebody else holds the shard, or may: from here on nothing is decided in it.
     void release_shard(const std::string& shard);
     /// News of who holds a shard.
-    void on_shard(const std::string& name);
+    void on_shard_record(const std::string& name);
 
     void tick();
     void work();
     /// The process ends: whoever waits for an owner is told, while everything else is still there.
-    void end();
+    void shut_down();
     ShardOwner* find(const std::string& shard) const;
-    const std::map<std::string, std::unique_ptr<ShardOwner>>& all() const { return owners_; }
+    const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return owners_; }
 
   private:
     void acquire(const std::string& name, bool create);
@@ -63,7 +63,7 @@
     std::set<std::string> acquiring_;
     struct Orphaned {
         Micros since = 0;
-        bool before_us = false;
+        bool predates_process = false;
     };
     std::map<std::string, Orphaned> ownerless_;
     std::map<std::string, Micros> taken_at_start_;  // shards of holders that had gone before us
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -45,7 +45,7 @@
       job_service_(runtime, store_, settings_, feed_, cache_, assignment_, peers_, history_) {}
 
 Controller::~Controller() {
-    assignment_.end();
+    assignment_.shut_down();
 }
 
 void Controller::start() {
@@ -71,15 +71,15 @@
     late_ = tick_due_ > 0 ? std::max<Micros>(now - tick_due_, 0) : 0;
     tick_due_ = now + kTick;
     feed_.tick();
-    assignment_.rebalance_shards();
-    election_.rebalance_shards();
+    assignment_.acquire_shards();
+    election_.campaign();
     assignment_.transfer_shards();
     peers_.gossip();
     heartbeat_router_.request_relinquishments();
     capacity_broker_.tick();
     machine_allocator_.allocate_blocks();
     quota_allocator_.allocate_initial_quota();
-    election_.store_types();
+    election_.store_machine_types();
     announce_format();
     policies_.tick();
     cache_.jobs.dependency_graph().weigh();
@@ -103,7 +103,7 @@
     for (const auto& [purpose, n] : store_.sent()) line += " " + purpose + " " + std::to_string(n);
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
-                 feed_.confirmed_ago() / kMillisecond, feed_.store_revision(), election_.leader(),
+                 feed_.confirmed_ago() / kMillisecond, feed_.store_revision(), election_.leader_node(),
                  election_.term(), decisions_.line());
 }
 
@@ -144,23 +144,23 @@
 
 void Controller::on_job(const std::string& ref, RecordLocation place, const Json& value,
                         Revision mod_revision) {
-    for (const auto& [name, owner] : assignment_.all())
+    for (const auto& [name, owner] : assignment_.owners())
         if (owner && owner->active()) owner->on_job(ref, place, value, mod_revision);
 }
 
 void Controller::on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) {
-    for (const auto& [name, owner] : assignment_.all())
+    for (const auto& [name, owner] : assignment_.owners())
         if (owner && owner->active()) owner->on_part(ref, part, value, mod_revision);
 }
 
 void Controller::on_dependency_status(const std::string& ref) {
-    for (const auto& [name, owner] : assignment_.all())
+    for (const auto& [name, owner] : assignment_.owners())
         if (owner && owner->active()) owner->reconsider(ref);
 }
 
 void Controller::on_machine(const Block& block, const Block::Machine& machine) {
-    machine_allocator_.leased(machine.name);
-    for (const auto& [shard, owner] : assignment_.all()) {
+    machine_allocator_.on_machine_leased(machine.name);
+    for (const auto& [shard, owner] : assignment_.owners()) {
         if (!owner) continue;
         if (shard == block.shard)
             owner->on_machine(block, machine);
@@ -171,8 +171,8 @@
 
 void Controller::on_machine_left(const std::string& machine) {
     heartbeat_router_.forget(machine);
-    machine_allocator_.left(machine);
-    for (const auto& [shard, owner] : assignment_.all())
+    machine_allocator_.on_machine_gone(machine);
+    for (const auto& [shard, owner] : assignment_.owners())
         if (owner) owner->on_machine_gone(machine, "it is deleted, or given away empty");
 }
 
@@ -183,8 +183,8 @@
 }
 
 void Controller::on_policy() {
-    policies_.changed();
-    for (const auto& [name, owner] : assignment_.all())
+    policies_.log_policy_in_force();
+    for (const auto& [name, owner] : assignment_.owners())
         if (owner) owner->on_policy();
     wake();
 }
@@ -225,7 +225,7 @@
 /// is.
 void Controller::sweep_pieces() {
     const Micros now = runtime_.now();
-    if (!election_.leading() || store_.chunk_store().size() == 0 || now - swept_at_ < kSweepEvery) return;
+    if (!election_.is_leader() || store_.chunk_store().size() == 0 || now - swept_at_ < kSweepEvery) return;
     if (!store_.room(Priority::Deferrable)) return;
     swept_at_ = now;
     std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
@@ -308,7 +308,7 @@
         case peer::Kind::State: {
             auto m = peer::unpack<peer::State>(bytes);
             if (!m) return nothing();
-            peers_.heard(*m);
+            peers_.on_state(*m);
             return respond(peer::pack(peers_.own_state()));
         }
         case peer::Kind::Relinquish: {
@@ -391,7 +391,7 @@
                                 {"share", stored ? shares_value(stored->shares) : Json::object()}});
     }
     v["held"] = Json::array();
-    for (const auto& [name, o] : assignment_.all())
+    for (const auto& [name, o] : assignment_.owners())
         if (o) v["held"].push_back(o->status());
     const DependencyGraph& dependency_graph = cache_.jobs.dependency_graph();
     v["waiting"] = Json::object();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -35,8 +35,8 @@
 
     const StateCache& cache() const { return cache_; }
     /// Whether this process leads, as far as it knows.
-    bool leads() const { return election_.leading(); }
-    const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return assignment_.all(); }
+    bool leads() const { return election_.is_leader(); }
+    const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return assignment_.owners(); }
     ShardOwner* owner(const std::string& shard) const { return assignment_.find(shard); }
 
     // ShardContext.
@@ -72,10 +72,10 @@
     std::vector<Order> stops_for_finished_jobs(const Report& report) const override {
         return cache_.jobs.stops_for_finished_jobs(report);
     }
-    bool knows_jobs_of(const Report& report) override { return history_.knows_jobs_of(report); }
+    bool knows_jobs_of(const Report& report) override { return history_.knows_outcomes_of(report); }
     void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                       std::function<void(bool)> done) override {
-        machine_allocator_.edit(shard, machine, edit, std::move(done));
+        machine_allocator_.edit_machine(shard, machine, edit, std::move(done));
     }
 
     // StateCache::Listener.
@@ -85,7 +85,7 @@
     void on_dependency_status(const std::string& ref) override;
     void on_machine(const Block& block, const Block::Machine& machine) override;
     void on_machine_left(const std::string& machine) override;
-    void on_shard(const std::string& name) override { assignment_.on_shard(name); }
+    void on_shard(const std::string& name) override { assignment_.on_shard_record(name); }
     void on_format() override;
     void on_policy() override;
     void on_news() override { wake(); }
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -71,21 +71,21 @@
     job.running = 4;
     const Demand demand = demand_of({unlimited("captions")}, {job});
     EXPECT_EQ(demand.ordinary, 0);
-    EXPECT_EQ(demand.flexible, (4 * 8 + 6 * 8 / 2) * kCore);
-    EXPECT_EQ(demand.unlimited_flexible, 80 * kCore);
+    EXPECT_EQ(demand.spot_eligible, (4 * 8 + 6 * 8 / 2) * kCore);
+    EXPECT_EQ(demand.unlimited_spot_eligible, 80 * kCore);
 }
 
 TEST(Demand, OfBestEffortWorkIsNothingForATeamWithoutAGuarantee) {
     LiveJob job = live_job("guests", {4 * kCore, 0, 0}, 100, true);
     for (const PriorityClass rank : {PriorityClass::Production, PriorityClass::High, PriorityClass::Normal}) {
         job.rank = rank;
-        EXPECT_GT(demand_of({unlimited("guests")}, {job}).flexible, 0);
+        EXPECT_GT(demand_of({unlimited("guests")}, {job}).spot_eligible, 0);
     }
     job.rank = PriorityClass::Low;
-    EXPECT_EQ(demand_of({unlimited("guests")}, {job}).flexible, 0);
-    EXPECT_EQ(demand_of({unlimited("guests")}, {job}).unlimited_flexible, 0);
+    EXPECT_EQ(demand_of({unlimited("guests")}, {job}).spot_eligible, 0);
+    EXPECT_EQ(demand_of({unlimited("guests")}, {job}).unlimited_spot_eligible, 0);
     const Team guaranteed{"guests", {4 * kCore, 0, 0}, {kNoLimit, kNoLimit, 0}};
-    EXPECT_GT(demand_of({guaranteed}, {job}).flexible, 0);
+    EXPECT_GT(demand_of({guaranteed}, {job}).spot_eligible, 0);
 }
 
 TEST(Demand, StaysWithinATeamsLimitOfCoresAndOfGpus) {
@@ -93,7 +93,7 @@
     const Demand cores = demand_of(
         {by_cores}, {live_job("red", {4 * kCore, 0, 0}, 4), live_job("red", {4 * kCore, 0, 0}, 9, true)});
     EXPECT_EQ(cores.ordinary, 16 * kCore);
-    EXPECT_EQ(cores.flexible, 4 * kCore);
+    EXPECT_EQ(cores.spot_eligible, 4 * kCore);
     EXPECT_EQ(cores.limit, 20 * kCore);
     const Team by_gpus{"red", {8 * kCore, 0, 0}, {kNoLimit, 4 * kCore, 0}};
     EXPECT_EQ(demand_of({by_gpus}, {live_job("red", {kCore, kCore, 0}, 8)}).ordinary, 32 * kCore);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -34,7 +34,7 @@
     std::map<std::string, std::size_t> load = s.alive;
     for (const auto& [node, machines] : s.alive) {
         s.self = node;
-        for (const auto& d : shards_to_take(s)) {
+        for (const auto& d : shards_to_acquire(s)) {
             ++taken[d];
             for (const auto& o : s.orphans)
                 if (o.shard == d) load[node] += o.machines;
@@ -53,18 +53,18 @@
     FailoverState s;
     s.alive = some_nodes();
     s.self = s.alive.begin()->first;
-    s.come_back = *rc::gen::inRange<Micros>(0, 5 * kSecond);
+    s.holder_grace = *rc::gen::inRange<Micros>(0, 5 * kSecond);
     s.now = *rc::gen::inRange<Micros>(0, 10 * kSecond);
     const Micros since = *rc::gen::inRange<Micros>(0, 10 * kSecond);
     s.orphans.push_back({"d", 10, since, true});
-    if (s.now - since < s.come_back) RC_ASSERT(shards_to_take(s).empty());
+    if (s.now - since < s.holder_grace) RC_ASSERT(shards_to_acquire(s).empty());
     // And it is never left for good.
-    s.now = since + s.come_back + static_cast<Micros>(s.alive.size()) * kSecond;
-    RC_ASSERT(shards_to_take(s).size() == 1u);
+    s.now = since + s.holder_grace + static_cast<Micros>(s.alive.size()) * kSecond;
+    RC_ASSERT(shards_to_acquire(s).size() == 1u);
 }
 
 RC_GTEST_PROP(DividingAlways, WhatIsHandedOverLeavesOneAndGoesToEachOnce, ()) {
-    std::vector<Holding> held;
+    std::vector<HeldShard> held;
     const int n = *rc::gen::inRange(0, 8), m = *rc::gen::inRange(0, 8);
     for (int i = 0; i < n; ++i)
         held.push_back({"n" + std::to_string(i), *rc::gen::inRange<std::size_t>(0, 3), true,
@@ -79,7 +79,7 @@
         RC_ASSERT(nodes.insert(node).second);
     }
     const auto with_machines =
-        std::count_if(held.begin(), held.end(), [](const Holding& h) { return h.machines > 0; });
+        std::count_if(held.begin(), held.end(), [](const HeldShard& h) { return h.machines > 0; });
     RC_ASSERT(static_cast<std::ptrdiff_t>(moves.size()) < std::max<std::ptrdiff_t>(with_machines, 1));
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -14,18 +14,18 @@
 #define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
 using recovery::FailoverState;
-using recovery::Holding;
-using recovery::Orphan;
+using recovery::HeldShard;
+using recovery::OrphanedShard;
 using recovery::Receiver;
 using Moves = std::vector<std::pair<std::string, std::string>>;
 
 TEST(Dividing, OneOrphanGoesToWhoeverHasTheFewestMachines) {
     FailoverState s{"a", {{"a", 10}, {"b", 20}, {"c", 30}}, {{"d", 5, 0, false}}, 0, 0};
-    EXPECT_EQ(recovery::shards_to_take(s), std::vector<std::string>{"d"});
+    EXPECT_EQ(recovery::shards_to_acquire(s), std::vector<std::string>{"d"});
     s.self = "b";
-    EXPECT_TRUE(recovery::shards_to_take(s).empty());
+    EXPECT_TRUE(recovery::shards_to_acquire(s).empty());
     s.now = 400 * kMillisecond;  // it is still there, so "a" does not come to it
-    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
+    EXPECT_EQ(recovery::shards_to_acquire(s).size(), 1u);
 }
 
 TEST(Dividing, SeveralOrphansAreDividedEvenly) {
@@ -34,7 +34,7 @@
     std::set<std::string> all;
     for (const char* self : {"a", "b"}) {
         s.self = self;
-        const auto mine = recovery::shards_to_take(s);
+        const auto mine = recovery::shards_to_acquire(s);
         EXPECT_EQ(mine.size(), 2u) << self;
         all.insert(mine.begin(), mine.end());
     }
@@ -43,13 +43,13 @@
 
 TEST(Dividing, WhatWasThereBeforeUsIsLeftToItsHolderForAWhile) {
     FailoverState s{"a", {{"a", 0}}, {{"b", 100, kSecond, true}}, kSecond, 2 * kSecond};
-    EXPECT_TRUE(recovery::shards_to_take(s).empty());
+    EXPECT_TRUE(recovery::shards_to_acquire(s).empty());
     s.now = 3 * kSecond;
-    EXPECT_EQ(recovery::shards_to_take(s).size(), 1u);
+    EXPECT_EQ(recovery::shards_to_acquire(s).size(), 1u);
 }
 
 TEST(Dividing, OwnDomainsGoBackAllInOneStep) {
-    const std::vector<Holding> held{
+    const std::vector<HeldShard> held{
         {"a", 10, true, false}, {"b", 30, true, true}, {"c", 20, true, true}, {"d", 5, true, true}};
     const std::vector<Receiver> back{{"c", kSecond}, {"b", kSecond}};
     EXPECT_EQ(recovery::shards_to_transfer("a", held, back), (Moves{{"c", "c"}, {"b", "b"}}));
@@ -57,7 +57,7 @@
     EXPECT_EQ(recovery::shards_to_transfer("a", held, {{"x", kSecond}, {"y", kSecond / 2}}),
               (Moves{{"d", "x"}}));
     auto later = held;
-    for (auto& h : later) h.at_start = false;
+    for (auto& h : later) h.acquired_at_start = false;
     EXPECT_TRUE(recovery::shards_to_transfer("a", later, back).empty()) << "those have to settle";
     EXPECT_EQ(recovery::shards_to_transfer("a", {{"a", 10, true, false}}, back), Moves{})
         << "the last one stays";
