--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -7,68 +7,71 @@
 namespace cottonway::recovery {
 
 namespace {
-constexpr Micros kStep = 400 * kMillisecond;  // between the turns of those who could take a shard
-constexpr Micros kComeBack =
-    1'500 * kMillisecond;  // starts of all lie within 0.8 s of one another (measured)
-constexpr Micros kSettled = 4 * kSecond;
-constexpr Micros kSettledAtStart = kSecond;
+constexpr Micros kAcquireStagger = 400 * kMillisecond;  // delay between the nodes that could acquire a shard
+constexpr Micros kHolderRestartTime =
+    1'500 * kMillisecond;  // nodes that start together start within 0.8 s of one another
+constexpr Micros kReceiverMinAlive = 4 * kSecond;
+constexpr Micros kReceiverMinAliveAtStart = kSecond;
 }  // namespace
 
-std::vector<std::string> shards_to_acquire(const FailoverState& s) {
-    auto orphans = s.orphans;
+std::vector<std::string> shards_to_acquire(const FailoverState& state) {
+    auto orphans = state.orphans;
     std::sort(orphans.begin(), orphans.end(), [](const OrphanedShard& a, const OrphanedShard& b) {
         return std::tuple(b.machines, a.shard) < std::tuple(a.machines, b.shard);
     });
-    auto load = s.alive;
-    std::vector<std::string> mine;
-    for (const auto& o : orphans) {
-        auto weight = [&](const std::string& node) {
-            return std::tuple(load[node], std::hash<std::string>{}(o.shard + "@" + node), node);
+    auto load = state.alive;
+    std::vector<std::string> acquired;
+    for (const auto& orphan : orphans) {
+        auto order_key = [&](const std::string& node) {
+            return std::tuple(load[node], std::hash<std::string>{}(orphan.shard + "@" + node), node);
         };
-        const auto ours = weight(s.self);
-        std::size_t turn = 0;
-        std::string first = s.self;
-        for (const auto& [node, machines] : s.alive) {
-            turn += weight(node) < ours;
-            if (weight(node) < weight(first)) first = node;
+        const auto own_key = order_key(state.self);
+        std::size_t rank = 0;
+        std::string first = state.self;
+        for (const auto& [node, machines] : state.alive) {
+            rank += order_key(node) < own_key;
+            if (order_key(node) < order_key(first)) first = node;
         }
-        load[first] += std::max<std::size_t>(o.machines, 1);
-        const Micros patience = (o.predates_process ? s.holder_grace : 0) + static_cast<Micros>(turn) * kStep;
-        if (s.now - o.since >= patience) mine.push_back(o.shard);
+        load[first] += std::max<std::size_t>(orphan.machines, 1);
+        const Micros delay =
+            (orphan.predates_process ? state.holder_grace : 0) + static_cast<Micros>(rank) * kAcquireStagger;
+        if (state.now - orphan.since >= delay) acquired.push_back(orphan.shard);
     }
-    return mine;
+    return acquired;
 }
 
 std::vector<std::pair<std::string, std::string>> shards_to_transfer(const std::string& self,
                                                                     std::vector<HeldShard> held,
                                                                     std::vector<Receiver> receivers) {
-    std::erase_if(held, [](const HeldShard& h) { return h.machines == 0; });
+    std::erase_if(held, [](const HeldShard& shard) { return shard.machines == 0; });
     if (held.size() < 2 ||
-        std::any_of(held.begin(), held.end(), [](const HeldShard& h) { return !h.active; }))
+        std::any_of(held.begin(), held.end(), [](const HeldShard& shard) { return !shard.active; }))
         return {};
-    // Our own one stays for as long as there is another.
+    // This node's own shard comes last, so it is kept while there is any other.
     std::sort(held.begin(), held.end(), [&](const HeldShard& a, const HeldShard& b) {
         return std::tuple(a.shard == self, a.machines, a.shard) <
                std::tuple(b.shard == self, b.machines, b.shard);
     });
-    std::vector<std::pair<std::string, std::string>> out;
-    auto give = [&](std::vector<HeldShard>::iterator h, std::vector<Receiver>::iterator r) {
-        out.emplace_back(h->shard, r->node);
-        held.erase(h);
-        return receivers.erase(r);
+    std::vector<std::pair<std::string, std::string>> transfers;
+    auto transfer = [&](std::vector<HeldShard>::iterator shard, std::vector<Receiver>::iterator receiver) {
+        transfers.emplace_back(shard->shard, receiver->node);
+        held.erase(shard);
+        return receivers.erase(receiver);
     };
-    for (auto r = receivers.begin(); r != receivers.end() && held.size() > 1;) {
-        auto own =
-            std::find_if(held.begin(), held.end(), [&](const HeldShard& h) { return h.shard == r->node; });
+    for (auto receiver = receivers.begin(); receiver != receivers.end() && held.size() > 1;) {
+        auto own = std::find_if(held.begin(), held.end(),
+                                [&](const HeldShard& shard) { return shard.shard == receiver->node; });
         const bool ready =
-            own != held.end() && r->alive_for >= (own->acquired_at_start ? kSettledAtStart : kSettled);
-        r = ready ? give(own, r) : std::next(r);
+            own != held.end() &&
+            receiver->alive_for >= (own->acquired_at_start ? kReceiverMinAliveAtStart : kReceiverMinAlive);
+        receiver = ready ? transfer(own, receiver) : std::next(receiver);
     }
-    for (auto r = receivers.begin(); r != receivers.end() && held.size() > 1;) {
-        const bool ready = r->alive_for >= (held.front().acquired_at_start ? kSettledAtStart : kSettled);
-        r = ready ? give(held.begin(), r) : std::next(r);
+    for (auto receiver = receivers.begin(); receiver != receivers.end() && held.size() > 1;) {
+        const bool ready = receiver->alive_for >=
+                           (held.front().acquired_at_start ? kReceiverMinAliveAtStart : kReceiverMinAlive);
+        receiver = ready ? transfer(held.begin(), receiver) : std::next(receiver);
     }
-    return out;
+    return transfers;
 }
 
 }  // namespace cottonway::recovery
--- a/src/cluster/failover.hpp
+++ b/src/cluster/failover.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Who takes which shard whose holder has ended, and what goes back to whom afterwards. Pure functions of
-// what a node knows, so every node that knows the same comes to the same result; where they don't, the
-// compare-and-set on the shard's record lets one win.
+// Decides which node acquires which shard of a failed holder, and which shards are transferred to other nodes
+// afterwards. Pure functions of what a node knows, so nodes with the same knowledge come to the same result;
+// where their knowledge differs, the compare-and-set on the shard's record lets one of them win.
 
 #include <cstddef>
 #include <map>
@@ -17,43 +17,43 @@
 struct OrphanedShard {
     std::string shard;
     std::size_t machines = 0;
-    Micros since = 0;  // when it was noticed, by this process's steady clock
-    /// Its holder was gone already when this process read the store for the first time. So all may have gone
-    /// down together, and the holder may be starting just like we are.
+    Micros since = 0;  // when this process noticed it, by its steady clock
+    /// True if the holder was not alive when this process first read the store. All nodes may have gone down
+    /// together then, and the holder may be restarting as well.
     bool predates_process = false;
 };
 
 struct FailoverState {
     std::string self;
-    std::map<std::string, std::size_t> alive;  // nodes, with the machines of their shards; self among them
+    std::map<std::string, std::size_t> alive;  // live nodes, self included: machines in their shards
     std::vector<OrphanedShard> orphans;
     Micros now = 0;
-    Micros holder_grace = 0;  // how long a holder that had gone before us is waited for
+    Micros holder_grace = 0;  // how long an orphan that predates the process is left to its holder
 };
 
-/// What this node takes now. Each orphan goes to the node that has the fewest machines, those of the orphans
-/// before it counted in; the next one in line takes it 0.4 s later if it is still there. One that was there
-/// before us is first left to its holder, which may be about to start as well, and to those that have been
-/// here for longer.
-std::vector<std::string> shards_to_acquire(const FailoverState& s);
+/// Returns the shards that this node acquires now. Each orphan goes to the node with the fewest machines,
+/// counting the machines of the orphans before it; the next node in order acquires it 0.4 s later if it is
+/// still orphaned. An orphan that predates this process is first left to its holder, which may be restarting
+/// as well, and to the nodes that have been running for longer.
+std::vector<std::string> shards_to_acquire(const FailoverState& state);
 
-/// A shard held here.
+/// A shard that this node holds.
 struct HeldShard {
     std::string shard;
     std::size_t machines = 0;
     bool active = false;
-    bool acquired_at_start = false;  // taken a short while ago, of a holder that had gone before us
+    bool acquired_at_start = false;  // acquired recently, and orphaned before this process started
 };
 
-/// A node that is alive and has no machines.
+/// A live node without machines.
 struct Receiver {
     std::string node;
     Micros alive_for = 0;
 };
 
-/// Which shards go to which nodes, all in one step: their own ones first, then the smallest, as long as one
-/// with machines stays here. A node must have been alive for 4 s, or for 1 s to get back what was taken at
-/// our start.
+/// Returns the shards to transfer, each with the node that receives it, for one transaction: first the
+/// receivers' own shards, then the smallest ones, as long as one shard with machines stays here. A receiver
+/// must have been alive for 4 s, or for 1 s to get back a shard that was acquired at this node's start.
 std::vector<std::pair<std::string, std::string>> shards_to_transfer(const std::string& self,
                                                                     std::vector<HeldShard> held,
                                                                     std::vector<Receiver> receivers);
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -5,17 +5,17 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kLeadStep = 300 * kMillisecond;  // between the turns of those who could lead
-constexpr Micros kStoreTypesEvery = 30 * kSecond;
+constexpr Micros kCandidateStagger = 300 * kMillisecond;  // delay between candidates, by rank
+constexpr Micros kStoreMachineTypesInterval = 30 * kSecond;
 }  // namespace
 
 void LeaderElection::campaign() {
     const Micros now = runtime_.now();
-    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty() || taking_) return;
+    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty() || claiming_) return;
     if (feed_.confirmed_ago() > 2 * kSecond) return;
     const ShardRecord& leader = cache_.membership.leader();
     if (leader.mod_revision != 0 && leader.holder == settings_.node) {
-        if (led_mark_ != leader.mod_revision) lead();
+        if (claimed_term_ != leader.mod_revision) claim_leadership();
         return;
     }
     if (leader.mod_revision != 0 && cache_.membership.alive(leader.holder)) {
@@ -23,49 +23,50 @@
         return;
     }
     if (leaderless_since_ == 0) leaderless_since_ = now;
-    const auto turn = static_cast<Micros>(cache_.rank_among_alive("leader"));
-    if (now - leaderless_since_ >= turn * kLeadStep) lead();
+    const auto rank = static_cast<Micros>(cache_.rank_among_alive("leader"));
+    if (now - leaderless_since_ >= rank * kCandidateStagger) claim_leadership();
 }
 
-void LeaderElection::lead() {
-    taking_ = true;
-    ready_ = false;
+void LeaderElection::claim_leadership() {
+    claiming_ = true;
+    caught_up_ = false;
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::leader, term()});
     change.then.push_back({keys::leader, Json{{"node", settings_.node}}});
-    store_.commit(std::move(change), [this](const CommitResult& r) {
-        const bool ok = r.status == CommitStatus::Ok;
-        if (ok && r.revision > term()) cache_.membership.set_leader({settings_.node, r.revision});
-        if (ok) led_mark_ = r.revision;
-        // Only what a look begun by now tells includes all that the former leader has done.
-        feed_.after_next_refresh([this, ok, mod_revision = r.revision](bool looked) {
-            taking_ = false;
+    store_.commit(std::move(change), [this](const CommitResult& result) {
+        const bool ok = result.status == CommitStatus::Ok;
+        if (ok && result.revision > term()) cache_.membership.set_leader({settings_.node, result.revision});
+        if (ok) claimed_term_ = result.revision;
+        // Only a refresh that begins after this commit is certain to include every write of the former
+        // leader.
+        feed_.after_next_refresh([this, ok, mod_revision = result.revision](bool refreshed) {
+            claiming_ = false;
             leaderless_since_ = 0;
             if (!ok) return;
-            if (!looked) led_mark_ = 0;  // taken once more
-            if (!looked || term() != mod_revision) return;
-            ready_ = true;
-            spdlog::info("node {} leads, term {}", settings_.node, mod_revision);
+            if (!refreshed) claimed_term_ = 0;  // campaign() then claims leadership again
+            if (!refreshed || term() != mod_revision) return;
+            caught_up_ = true;
+            spdlog::info("node {} is the leader, term {}", settings_.node, mod_revision);
         });
     });
 }
 
 void LeaderElection::store_machine_types() {
     const MachineTypeCatalog& types = cache_.types;
-    if (!is_leader() || storing_types_ || types.answer().is_null() ||
-        runtime_.now() - types_stored_at_ < kStoreTypesEvery)
+    if (!is_leader() || storing_machine_types_ || types.answer().is_null() ||
+        runtime_.now() - machine_types_stored_at_ < kStoreMachineTypesInterval)
         return;
-    types_stored_at_ = runtime_.now();
+    machine_types_stored_at_ = runtime_.now();
     if (!types.outdated()) return;
-    storing_types_ = true;
+    storing_machine_types_ = true;
     Change change;
     change.when = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
     change.then.push_back({keys::types, types.answer()});
-    store_.commit(std::move(change), [this](const CommitResult& r) {
-        // One that the store does not take is not tried again.
-        if (r.status != CommitStatus::Rejected)
-            feed_.after_next_refresh([this](bool) { storing_types_ = false; });
+    store_.commit(std::move(change), [this](const CommitResult& result) {
+        // storing_machine_types_ stays set after a rejection, so a rejected write is not retried.
+        if (result.status != CommitStatus::Rejected)
+            feed_.after_next_refresh([this](bool) { storing_machine_types_ = false; });
     });
 }
 
--- a/src/cluster/leader_election.hpp
+++ b/src/cluster/leader_election.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Who leads: the leader leases blocks of machines and deals with the cloud. One stored value names it; its
-// mark is the term.
+// Leader election. The leader leases blocks of machines to shards and rents and returns machines at the
+// cloud. One record in the store names the leader; the modification revision of that record is the term.
 
 #include "cache/state_cache.hpp"
 #include "cluster/membership_lease.hpp"
@@ -19,28 +19,29 @@
           cache_(cache),
           membership_lease_(membership_lease) {}
 
-    /// Takes the lead where nobody has it.
+    /// Claims leadership if no live node holds it and it is this node's turn. Called ten times a second.
     void campaign();
-    /// Whether this process leads, and knows all that the former leader has done.
+    /// Returns true if this process is the leader and has read every write of the former leader.
     bool is_leader() const {
-        return ready_ && led_mark_ != 0 && led_mark_ == cache_.membership.leader().mod_revision;
+        return caught_up_ && claimed_term_ != 0 && claimed_term_ == cache_.membership.leader().mod_revision;
     }
-    /// Whether it may also deal with the cloud by what it knows. One that is cut off from the store does not
-    /// hear that another leads, so it rents and deletes only within its authority.
+    /// Returns true if the leader may also rent and delete machines. A leader that is cut off from the store
+    /// does not learn that another node has taken over, so it calls the cloud only while its last
+    /// confirmation by the store is recent enough (see lease_validity.hpp).
     bool term_is_valid() const { return is_leader() && has_valid_lease(feed_.confirmed_ago(), settings_); }
     Revision term() const { return cache_.membership.leader().mod_revision; }
     const std::string& leader_node() const { return cache_.membership.leader().holder; }
-    /// Takes the lead anew: whatever of this term is still on its way to the store fails on the leader's
-    /// mark.
+    /// Makes this node claim leadership again under a new term: every write of the old term that is still in
+    /// flight then fails its condition on the leader record.
     void abandon_term(Revision term) {
-        if (led_mark_ == term) led_mark_ = 0;
+        if (claimed_term_ == term) claimed_term_ = 0;
     }
-    /// Keeps the machine types in the store as well, so that controllers that start while the cloud is out of
-    /// reach need not wait for it to take their shards back.
+    /// Copies the machine types from the cloud into the store, so that controllers that start while the cloud
+    /// is unreachable can acquire their shards without it.
     void store_machine_types();
 
   private:
-    void lead();
+    void claim_leadership();
 
     Runtime& runtime_;
     StoreClient& store_;
@@ -48,12 +49,12 @@
     ChangeFeed& feed_;
     StateCache& cache_;
     const MembershipLease& membership_lease_;
-    Revision led_mark_ = 0;  // of the leadership that this process took, 0: none
-    bool ready_ = false;
-    bool taking_ = false;
+    Revision claimed_term_ = 0;  // the last term that this process has claimed, 0: none
+    bool caught_up_ = false;     // every write of the former leader has been read
+    bool claiming_ = false;      // a claim is in flight
     Micros leaderless_since_ = 0;
-    bool storing_types_ = false;
-    Micros types_stored_at_ = -kSecond * 60;
+    bool storing_machine_types_ = false;
+    Micros machine_types_stored_at_ = -kSecond * 60;
 };
 
 }  // namespace cottonway
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -3,45 +3,47 @@
 namespace cottonway {
 
 void MembershipLease::join() {
-    announced_ = false;
-    store_.grant(settings_.ops.live_ttl, [this](std::uint64_t lease) {
-        if (lease == 0) {
+    registered_ = false;
+    store_.grant(settings_.ops.live_ttl, [this](std::uint64_t lease_id) {
+        if (lease_id == 0) {
             runtime_.after(400 * kMillisecond, [this] { join(); });
             return;
         }
-        lease_ = lease;
-        put(0);
+        lease_id_ = lease_id;
+        put_key(0);
     });
 }
 
-/// On the mark of what stands there: carried out late, a put of a former process, or an earlier one of ours,
-/// would attach the key to a lease that nobody renews, and take it along when that ends.
-void MembershipLease::announce() {
-    store_.read(keys::live + settings_.node, [this](const ReadResult& r) {
-        if (r.ok) return put(r.found ? r.mod_revision : 0);
-        runtime_.after(300 * kMillisecond, [this] { announce(); });
+/// Reads the current revision of the key and writes the key on the condition that it is unchanged. An
+/// unconditional write of a former process, or an earlier one of this process, that the store executes late
+/// would attach the key to a lease that is no longer renewed, and the key would be deleted when that lease
+/// expires.
+void MembershipLease::read_and_put_key() {
+    store_.read(keys::live + settings_.node, [this](const ReadResult& result) {
+        if (result.ok) return put_key(result.found ? result.mod_revision : 0);
+        runtime_.after(300 * kMillisecond, [this] { read_and_put_key(); });
     });
 }
 
-void MembershipLease::put(Revision mod_revision) {
+void MembershipLease::put_key(Revision mod_revision) {
     Change change;
     change.when.push_back({keys::live + settings_.node, mod_revision});
-    change.then.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_});
+    change.then.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_id_});
     change.priority = Priority::Urgent;
-    store_.commit(std::move(change), [this](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) {
-            announced_ = true;
+    store_.commit(std::move(change), [this](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok) {
+            registered_ = true;
             cache_.membership.take_live(settings_.node, true, runtime_.now());
             return renew();
         }
-        if (r.status == CommitStatus::Conflict) return announce();
+        if (result.status == CommitStatus::Conflict) return read_and_put_key();
         runtime_.after(300 * kMillisecond, [this] { join(); });
     });
 }
 
 void MembershipLease::renew() {
     runtime_.after(settings_.ops.live_ttl / 3, [this] {
-        store_.extend(lease_, [this](int status) {
+        store_.extend(lease_id_, [this](int status) {
             if (status == 404) return join();
             renew();
         });
--- a/src/cluster/membership_lease.hpp
+++ b/src/cluster/membership_lease.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// This node's key at the store, attached to a lease: its removal is how the others suspect that it has ended.
+// Registers this node in the store under a key that is attached to a lease and renewed. When the lease
+// expires the store deletes the key, and the other nodes suspect that this node has failed.
 
 #include "cache/state_cache.hpp"
 
@@ -9,20 +10,22 @@
   public:
     MembershipLease(Runtime& runtime, StoreClient& store, const Settings& settings, StateCache& cache)
         : runtime_(runtime), store_(store), settings_(settings), cache_(cache) {}
+    /// Acquires a lease, writes the node's key with it, and keeps renewing the lease.
     void join();
-    bool is_registered() const { return announced_; }
+    bool is_registered() const { return registered_; }
 
   private:
-    void announce();
-    void put(Revision mod_revision);
+    void read_and_put_key();
+    /// Writes the key if its current revision is `mod_revision` (0: the key does not exist).
+    void put_key(Revision mod_revision);
     void renew();
 
     Runtime& runtime_;
     StoreClient& store_;
     const Settings& settings_;
     StateCache& cache_;
-    std::uint64_t lease_ = 0;
-    bool announced_ = false;
+    std::uint64_t lease_id_ = 0;
+    bool registered_ = false;
 };
 
 }  // namespace cottonway
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -11,8 +11,9 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kHandOverEvery = 4 * kSecond;
-constexpr Micros kAtStart = 10 * kSecond;  // what was taken at our start is given back sooner for this long
+constexpr Micros kTransferInterval = 4 * kSecond;
+// How long shards acquired at startup may be transferred back after a shorter wait.
+constexpr Micros kStartupWindow = 10 * kSecond;
 }  // namespace
 
 ShardOwner* ShardAssignment::find(const std::string& shard) const {
@@ -21,19 +22,19 @@
 }
 
 void ShardAssignment::tick() {
-    retired_.clear();
+    released_owners_.clear();
     for (auto& [name, owner] : owners_)
         if (owner) owner->tick();
 }
 
 void ShardAssignment::work() {
-    retired_.clear();
+    released_owners_.clear();
     for (auto& [name, owner] : owners_)
         if (owner) owner->work();
 }
 
 void ShardAssignment::shut_down() {
-    retired_.clear();
+    released_owners_.clear();
     owners_.clear();
 }
 
@@ -41,37 +42,38 @@
     const Micros now = context_.runtime().now();
     const std::string& self = context_.settings().node;
     if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty()) return;
-    if (feed_.confirmed_ago() > 2 * kSecond) return;  // what is known may be old
+    if (feed_.confirmed_ago() > 2 * kSecond) return;  // the cached state may be stale
     if (!cache_.membership.shard(self) && !acquiring_.count(self)) return acquire(self, true);
-    recovery::FailoverState s;
-    s.self = self;
-    s.now = now;
-    // As long as any other end takes to be noticed.
-    s.holder_grace = context_.settings().ops.live_ttl;
-    for (const auto& node : cache_.membership.alive()) s.alive[node] = cache_.machines_at(node);
-    s.alive.try_emplace(self, 0);
-    std::vector<std::string> ours;
-    for (const auto& [name, d] : cache_.membership.shards()) {
+    recovery::FailoverState state;
+    state.self = self;
+    state.now = now;
+    // A holder that may be restarting gets as long as it takes to notice that a node has failed.
+    state.holder_grace = context_.settings().ops.live_ttl;
+    for (const auto& node : cache_.membership.alive()) state.alive[node] = cache_.machines_at(node);
+    state.alive.try_emplace(self, 0);
+    std::vector<std::string> to_acquire;
+    for (const auto& [name, record] : cache_.membership.shards()) {
         if (find(name)) continue;
         if (acquiring_.count(name)) {
-            s.alive[self] += cache_.machines_in(name);
-        } else if (d.holder == self) {
-            // A new process knows that its own former one is dead and takes its shards back at once.
-            ours.push_back(name);
-        } else if (cache_.membership.alive(d.holder)) {
-            ownerless_.erase(name);
+            state.alive[self] += cache_.machines_in(name);
+        } else if (record.holder == self) {
+            // This node's former process is dead, so its shards are acquired at once.
+            to_acquire.push_back(name);
+        } else if (cache_.membership.alive(record.holder)) {
+            orphaned_shards_.erase(name);
         } else {
-            const auto& o =
-                ownerless_.try_emplace(name, Orphaned{now, !cache_.membership.ever_heard(d.holder)})
+            const auto& orphan =
+                orphaned_shards_
+                    .try_emplace(name, OrphanState{now, !cache_.membership.ever_heard(record.holder)})
                     .first->second;
-            s.orphans.push_back({name, cache_.machines_in(name), o.since, o.predates_process});
+            state.orphans.push_back({name, cache_.machines_in(name), orphan.since, orphan.predates_process});
         }
     }
-    for (const auto& name : recovery::shards_to_acquire(s)) {
-        if (ownerless_.at(name).predates_process) taken_at_start_[name] = now;
-        ours.push_back(name);
+    for (const auto& name : recovery::shards_to_acquire(state)) {
+        if (orphaned_shards_.at(name).predates_process) acquired_at_start_[name] = now;
+        to_acquire.push_back(name);
     }
-    for (const auto& name : ours) acquire(name, false);
+    for (const auto& name : to_acquire) acquire(name, false);
 }
 
 void ShardAssignment::acquire(const std::string& name, bool create) {
@@ -82,126 +84,130 @@
     change.priority = Priority::Urgent;
     change.when.push_back({keys::shard + name, before.mod_revision});
     change.then.push_back({keys::shard + name, Json{{"holder", self}}});
-    context_.store().commit(std::move(change), [this, name, before, self, create](const CommitResult& r) {
-        if (r.status != CommitStatus::Ok) {
-            // The news tells who holds it, and whether our change was carried out after all.
-            feed_.after_next_refresh([this, name](bool) { acquiring_.erase(name); });
-            return;
-        }
-        acquiring_.erase(name);
-        spdlog::info("domain {}: acquired from {}, token {}", name,
-                     before.holder.empty() ? "nobody" : before.holder, r.revision);
-        if (const ShardRecord* d = cache_.membership.shard(name); d && d->mod_revision > r.revision)
-            return;  // lost again
-        cache_.membership.set_shard(name, {self, r.revision});
-        // Whoever held it before may still answer workers that we can't reach. That the record names this
-        // node tells nothing: it may have been handed over by another, or been taken from another just now
-        // by our own former process.
-        const Micros former_end = context_.runtime().now() + (create ? 0 : authority(context_.settings()));
-        auto& held = owners_[name];
-        if (held) retired_.push_back(std::move(held));
-        held = std::make_unique<ShardOwner>(context_, name, r.revision, former_end);
-        for (const auto& [id, block] : cache_.blocks.all())
-            if (block.shard == name)
-                for (const auto& m : block.machines) held->on_machine(block, m);
-        // From here on nobody else binds in this shard, so what the next look tells is complete.
-        activate(name, r.revision);
-        context_.wake();
-    });
+    context_.store().commit(
+        std::move(change), [this, name, before, self, create](const CommitResult& result) {
+            if (result.status != CommitStatus::Ok) {
+                // The next refresh shows who holds the shard, and whether this write was executed after all.
+                feed_.after_next_refresh([this, name](bool) { acquiring_.erase(name); });
+                return;
+            }
+            acquiring_.erase(name);
+            spdlog::info("domain {}: acquired from {}, token {}", name,
+                         before.holder.empty() ? "nobody" : before.holder, result.revision);
+            if (const ShardRecord* record = cache_.membership.shard(name);
+                record && record->mod_revision > result.revision)
+                return;  // lost again
+            cache_.membership.set_shard(name, {self, result.revision});
+            // The former holder may go on answering workers that this node can't reach. This also holds if
+            // the former record names this node: another holder may have transferred the shard to it, or this
+            // node's own former process may have taken it from another holder just before.
+            const Micros former_authority_end =
+                context_.runtime().now() + (create ? 0 : authority(context_.settings()));
+            auto& owner = owners_[name];
+            if (owner) released_owners_.push_back(std::move(owner));
+            owner = std::make_unique<ShardOwner>(context_, name, result.revision, former_authority_end);
+            for (const auto& [id, block] : cache_.blocks.all())
+                if (block.shard == name)
+                    for (const auto& machine : block.machines) owner->on_machine(block, machine);
+            // No other node can bind tasks in this shard from now on, so the next refresh is complete.
+            refresh_and_load(name, result.revision);
+            context_.wake();
+        });
 }
 
-void ShardAssignment::activate(const std::string& name, Revision mod_revision) {
+void ShardAssignment::refresh_and_load(const std::string& name, Revision mod_revision) {
     feed_.after_next_refresh([this, name, mod_revision](bool ok) {
-        const ShardOwner* o = find(name);
-        if (!o || o->mod_revision() != mod_revision) return;
-        if (!ok) return activate(name, mod_revision);
-        prove_jobs(name, mod_revision);
+        const ShardOwner* owner = find(name);
+        if (!owner || owner->mod_revision() != mod_revision) return;
+        if (!ok) return refresh_and_load(name, mod_revision);
+        verify_jobs(name, mod_revision);
     });
 }
 
-/// What was read under c/active/ may be over: its final record stands elsewhere. Taken for a job that goes
-/// on, it would run once more.
-void ShardAssignment::prove_jobs(const std::string& name, Revision mod_revision) {
+/// Verifies that the shard's jobs are unfinished before they are loaded. A record under c/active/ may belong
+/// to a job that is finished, since the final record is stored under another key. Loaded as an unfinished
+/// job, it would run again.
+void ShardAssignment::verify_jobs(const std::string& name, Revision mod_revision) {
     std::vector<std::string> refs;
     for (const auto& [ref, job] : cache_.jobs.live())
         if (job.shard == name && cache_.jobs.unproven(ref)) refs.push_back(ref);
-    if (refs.empty()) return begin(name, mod_revision);
-    history_.verify_unfinished(refs, true, [this, name, mod_revision](bool known) {
-        const ShardOwner* o = find(name);
-        if (!o || o->mod_revision() != mod_revision) return;
-        if (known) return prove_jobs(name, mod_revision);
+    if (refs.empty()) return load_and_activate(name, mod_revision);
+    job_archiver_.verify_unfinished(refs, true, [this, name, mod_revision](bool known) {
+        const ShardOwner* owner = find(name);
+        if (!owner || owner->mod_revision() != mod_revision) return;
+        if (known) return verify_jobs(name, mod_revision);
         context_.runtime().after(100 * kMillisecond,
-                                 [this, name, mod_revision] { activate(name, mod_revision); });
+                                 [this, name, mod_revision] { refresh_and_load(name, mod_revision); });
     });
 }
 
-void ShardAssignment::begin(const std::string& name, Revision mod_revision) {
-    ShardOwner* o = find(name);
-    if (!o || o->mod_revision() != mod_revision) return;
+void ShardAssignment::load_and_activate(const std::string& name, Revision mod_revision) {
+    ShardOwner* owner = find(name);
+    if (!owner || owner->mod_revision() != mod_revision) return;
     for (const auto& [ref, job] : cache_.jobs.live()) {
         if (job.shard != name) continue;
-        o->on_job(ref, job.place, job.record, job.mod_revision);
-        o->on_legacy_revision(ref, job.legacy_revision);
-        for (const auto& [part, value] : job.parts) o->on_part(ref, part, value.first, value.second);
+        owner->on_job(ref, job.place, job.record, job.mod_revision);
+        owner->on_legacy_revision(ref, job.legacy_revision);
+        for (const auto& [part, value] : job.parts) owner->on_part(ref, part, value.first, value.second);
     }
-    o->activate();
+    owner->activate();
     context_.wake();
 }
 
 void ShardAssignment::on_shard_record(const std::string& name) {
-    ownerless_.erase(name);
-    const ShardOwner* o = find(name);
-    const ShardRecord& held = cache_.membership.shards().at(name);
-    if (!o || held.mod_revision <= o->mod_revision()) return;
-    spdlog::info("domain {} is held by {} now", name, held.holder);
+    orphaned_shards_.erase(name);
+    const ShardOwner* owner = find(name);
+    const ShardRecord& record = cache_.membership.shards().at(name);
+    if (!owner || record.mod_revision <= owner->mod_revision()) return;
+    spdlog::info("domain {} is held by {} now", name, record.holder);
     release_shard(name);
 }
 
 void ShardAssignment::release_shard(const std::string& shard) {
     auto it = owners_.find(shard);
     if (it == owners_.end() || !it->second) return;
-    spdlog::info("domain {}: given up", shard);
-    retired_.push_back(std::move(it->second));
+    spdlog::info("domain {}: released", shard);
+    released_owners_.push_back(std::move(it->second));
     owners_.erase(it);
-    context_.store().read(keys::shard + shard, [this, shard](const ReadResult& r) {
-        if (r.ok && r.found) cache_.take(keys::shard + shard, &r.value, r.mod_revision);
+    context_.store().read(keys::shard + shard, [this, shard](const ReadResult& result) {
+        if (result.ok && result.found) cache_.take(keys::shard + shard, &result.value, result.mod_revision);
     });
     context_.wake();
 }
 
 void ShardAssignment::transfer_shards() {
     const Micros now = context_.runtime().now();
-    if (now - handed_over_at_ < kHandOverEvery || feed_.confirmed_ago() > kSecond ||
+    if (now - transferred_at_ < kTransferInterval || feed_.confirmed_ago() > kSecond ||
         !machine_allocator_.spreads_machines())
         return;
     const std::string& self = context_.settings().node;
     std::vector<recovery::HeldShard> held;
-    for (const auto& [name, o] : owners_) {
-        auto taken = taken_at_start_.find(name);
-        const bool acquired_at_start = taken != taken_at_start_.end() && now - taken->second < kAtStart;
-        if (o) held.push_back({name, o->machines().size(), o->active(), acquired_at_start});
+    for (const auto& [name, owner] : owners_) {
+        auto acquired = acquired_at_start_.find(name);
+        const bool recently = acquired != acquired_at_start_.end() && now - acquired->second < kStartupWindow;
+        if (owner) held.push_back({name, owner->machines().size(), owner->active(), recently});
     }
     if (held.size() < 2) return;
     std::vector<recovery::Receiver> receivers;
     for (const auto& node : cache_.membership.alive())
         if (node != self && cache_.machines_at(node) == 0)
             receivers.push_back({node, now - cache_.membership.alive_since(node)});
-    auto moves = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
-    if (moves.empty()) return;
-    if (moves.size() > context_.settings().txn_ops) moves.resize(context_.settings().txn_ops);
-    handed_over_at_ = now;
+    auto transfers = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
+    if (transfers.empty()) return;
+    if (transfers.size() > context_.settings().txn_ops) transfers.resize(context_.settings().txn_ops);
+    transferred_at_ = now;
     Change change;
     change.priority = Priority::Urgent;
     std::vector<std::pair<std::string, Json>> writes;
-    for (const auto& [name, node] : moves) {
+    for (const auto& [name, node] : transfers) {
         spdlog::info("domain {}: handed over to {}", name, node);
         change.when.push_back({keys::shard + name, find(name)->mod_revision()});
         writes.emplace_back(keys::shard + name, Json{{"holder", node}});
         change.then.push_back({writes.back().first, writes.back().second});
     }
-    context_.store().commit(std::move(change), [this, writes](const CommitResult& r) {
-        if (r.status != CommitStatus::Ok) return;
-        for (const auto& [key, record] : writes) cache_.take(key, &record, r.revision);
+    context_.store().commit(std::move(change), [this, writes](const CommitResult& result) {
+        if (result.status != CommitStatus::Ok) return;
+        for (const auto& [key, record] : writes) cache_.take(key, &record, result.revision);
     });
 }
 
--- a/src/cluster/shard_assignment.hpp
+++ b/src/cluster/shard_assignment.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The shards that this node holds: taking them, giving them up, and handing them on.
+// The shards that this node holds: acquires, releases and transfers them.
 
 #include <map>
 #include <memory>
@@ -20,54 +20,57 @@
   public:
     ShardAssignment(ShardContext& context, ChangeFeed& feed, StateCache& cache,
                     const MembershipLease& membership_lease, const MachineAllocator& machine_allocator,
-                    JobArchiver& history)
+                    JobArchiver& job_archiver)
         : context_(context),
           feed_(feed),
           cache_(cache),
           membership_lease_(membership_lease),
           machine_allocator_(machine_allocator),
-          history_(history) {}
+          job_archiver_(job_archiver) {}
 
-    /// Takes our own shard, and those whose holder has ended when it is our turn.
+    /// Acquires this node's own shard, and the shards of failed holders when it is this node's turn.
     void acquire_shards();
-    /// A node that holds several shards with machines gives some to nodes that hold none, once those have
-    /// been alive for a while.
+    /// Transfers shards from a node that holds several with machines to nodes that hold none, once those
+    /// nodes have been alive for a while.
     void transfer_shards();
-    /// Somebody else holds the shard, or may: from here on nothing is decided in it.
+    /// Stops deciding anything in the shard, because another node holds it or may hold it.
     void release_shard(const std::string& shard);
-    /// News of who holds a shard.
+    /// Called when the record of the shard's holder has changed.
     void on_shard_record(const std::string& name);
 
     void tick();
     void work();
-    /// The process ends: whoever waits for an owner is told, while everything else is still there.
+    /// Destroys all owners when the process ends, so that callers that wait for an owner are answered while
+    /// everything else still exists.
     void shut_down();
+    /// Returns the owner of a shard that this node holds, nullptr for other shards.
     ShardOwner* find(const std::string& shard) const;
     const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return owners_; }
 
   private:
     void acquire(const std::string& name, bool create);
-    void activate(const std::string& name, Revision mod_revision);
-    void prove_jobs(const std::string& name, Revision mod_revision);
-    void begin(const std::string& name, Revision mod_revision);
+    void refresh_and_load(const std::string& name, Revision mod_revision);
+    void verify_jobs(const std::string& name, Revision mod_revision);
+    void load_and_activate(const std::string& name, Revision mod_revision);
 
     ShardContext& context_;
     ChangeFeed& feed_;
     StateCache& cache_;
     const MembershipLease& membership_lease_;
     const MachineAllocator& machine_allocator_;
-    JobArchiver& history_;
+    JobArchiver& job_archiver_;
     std::map<std::string, std::unique_ptr<ShardOwner>> owners_;
-    std::vector<std::unique_ptr<ShardOwner>>
-        retired_;  // destroyed by the next step, not in the middle of a call
+    // Destroyed by the next tick() or work(), since an owner may be released in the middle of its own call.
+    std::vector<std::unique_ptr<ShardOwner>> released_owners_;
     std::set<std::string> acquiring_;
-    struct Orphaned {
+    struct OrphanState {
         Micros since = 0;
-        bool predates_process = false;
+        bool predates_process = false;  // see recovery::OrphanedShard
     };
-    std::map<std::string, Orphaned> ownerless_;
-    std::map<std::string, Micros> taken_at_start_;  // shards of holders that had gone before us
-    Micros handed_over_at_ = 0;
+    std::map<std::string, OrphanState> orphaned_shards_;
+    // When shards were acquired whose holder had failed before this process started.
+    std::map<std::string, Micros> acquired_at_start_;
+    Micros transferred_at_ = 0;
 };
 
 }  // namespace cottonway
