--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -8,46 +8,50 @@
 namespace cottonway {
 
 namespace {
-constexpr std::size_t kMaxReading = 8;
+constexpr std::size_t kMaxOutcomeReads = 8;
 }  // namespace
 
-void JobArchiver::verify_unfinished(const std::vector<std::string>& refs, bool drop,
+void JobArchiver::verify_unfinished(const std::vector<std::string>& refs, bool delete_stale,
                                     std::function<void(bool)> done) {
-    struct Asked {
-        std::size_t missing = 0;
-        bool known = true;
+    struct Verification {
+        std::size_t outstanding = 0;
+        bool all_known = true;
         std::function<void(bool)> done;
     };
-    auto asked = std::make_shared<Asked>(Asked{refs.size(), true, std::move(done)});
-    if (refs.empty()) return runtime_.after(0, [asked] { asked->done(true); });
-    auto one = [asked](bool known) {
-        asked->known = asked->known && known;
-        if (--asked->missing == 0) asked->done(asked->known);
+    auto verification = std::make_shared<Verification>(Verification{refs.size(), true, std::move(done)});
+    if (refs.empty()) return runtime_.after(0, [verification] { verification->done(true); });
+    auto on_job_verified = [verification](bool known) {
+        verification->all_known = verification->all_known && known;
+        if (--verification->outstanding == 0) verification->done(verification->all_known);
     };
     for (const auto& ref : refs) {
         const LiveJob* job = cache_.jobs.find(ref);
         const Revision legacy_revision = job ? job->legacy_revision : 0;
-        // Many of these make one request, and none is a change.
+        // Comparisons without writes: many of them fit into one request, and none counts as a change.
         Change compare;
         compare.when.push_back({keys::job + ref, legacy_revision});
-        store_.commit(std::move(compare), [this, ref, legacy_revision, drop, one](const CommitResult& r) {
-            if (r.status == CommitStatus::Conflict) return read_final(ref, drop, one);
-            if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
-            one(r.status == CommitStatus::Ok);
+        store_.commit(std::move(compare), [this, ref, legacy_revision, delete_stale,
+                                           on_job_verified](const CommitResult& result) {
+            if (result.status == CommitStatus::Conflict)
+                return read_final_record(ref, delete_stale, on_job_verified);
+            if (result.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
+            on_job_verified(result.status == CommitStatus::Ok);
         });
     }
 }
 
-void JobArchiver::read_final(const std::string& ref, bool drop, std::function<void(bool)> done) {
-    store_.read(keys::job + ref, [this, ref, drop, done = std::move(done)](const ReadResult& r) {
+void JobArchiver::read_final_record(const std::string& ref, bool delete_stale,
+                                    std::function<void(bool)> done) {
+    store_.read(keys::job + ref, [this, ref, delete_stale, done = std::move(done)](const ReadResult& result) {
         const LiveJob* job = cache_.jobs.find(ref);
-        if (!r.ok || !job) return done(r.ok);
-        if (r.found && !wire::find(r.value, "d")) {
-            if (drop && job->place == RecordLocation::Active)
+        if (!result.ok || !job) return done(result.ok);
+        if (result.found && !wire::find(result.value, "d")) {
+            if (delete_stale && job->place == RecordLocation::Active)
                 stale_records_.push_back({keys::active + ref, job->mod_revision});
-            cache_.take(keys::job + ref, &r.value, r.mod_revision);
+            cache_.take(keys::job + ref, &result.value, result.mod_revision);
         } else if (job->place == RecordLocation::Active) {
-            cache_.jobs.prove(ref, r.mod_revision);  // of old form, and late: it counts for nothing
+            // A record of the old format that was written late does not count.
+            cache_.jobs.prove(ref, result.mod_revision);
         }
         done(true);
     });
@@ -55,14 +59,15 @@
 
 void JobArchiver::tick() {
     if (!feed_.loaded()) return;
-    look_for_lost();
-    prove_needed();
-    drop_stale_records();
-    set_apart();
+    read_lost_jobs();
+    verify_needed_jobs();
+    delete_stale_records();
+    separate_history();
 }
 
-/// Their records under c/active/ are gone, and what became of them was not in the news.
-void JobArchiver::look_for_lost() {
+/// Reads the outcome of jobs whose records under c/active/ are gone without the change feed having delivered
+/// their final records.
+void JobArchiver::read_lost_jobs() {
     const std::set<std::string> lost = cache_.jobs.lost();
     for (const auto& ref : lost) read_outcome(ref, reading_lost_);
 }
@@ -75,74 +80,77 @@
     return unknown.empty();
 }
 
-/// What became of a job whose record is not under c/active/, or not known to be there.
+/// Reads the outcome of a job whose record is not under c/active/, or not known to be there.
 bool JobArchiver::read_outcome(const std::string& ref, std::set<std::string>& reading) {
-    if (reading.size() >= kMaxReading || !reading.insert(ref).second) return false;
-    store_.read(keys::job + ref, [this, ref, &reading](const ReadResult& r) {
-        const bool final = r.ok && r.found && !wire::find(r.value, "d");
-        if (final) cache_.take(keys::job + ref, &r.value, r.mod_revision);
-        // One that goes on and is not known yet will be in the news.
-        if (final || !r.ok || !cache_.jobs.find(ref))
+    if (reading.size() >= kMaxOutcomeReads || !reading.insert(ref).second) return false;
+    store_.read(keys::job + ref, [this, ref, &reading](const ReadResult& result) {
+        const bool final = result.ok && result.found && !wire::find(result.value, "d");
+        if (final) cache_.take(keys::job + ref, &result.value, result.mod_revision);
+        // The change feed will deliver an unfinished job that is not known yet.
+        if (final || !result.ok || !cache_.jobs.find(ref))
             return runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
-        // It may have been admitted while everything was read.
-        store_.read(keys::active + ref, [this, ref, &reading](const ReadResult& a) {
-            if (a.ok && a.found) cache_.take(keys::active + ref, &a.value, a.mod_revision);
+        // The job may have been admitted while all records were being read.
+        store_.read(keys::active + ref, [this, ref, &reading](const ReadResult& active) {
+            if (active.ok && active.found)
+                cache_.take(keys::active + ref, &active.value, active.mod_revision);
             runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
         });
     });
     return true;
 }
 
-/// The gates of others rest on these.
-void JobArchiver::prove_needed() {
-    if (proving_) return;
+/// Verifies jobs that other jobs depend on: the gates of those jobs open or stay shut by their outcome.
+void JobArchiver::verify_needed_jobs() {
+    if (verifying_) return;
     const auto refs = cache_.jobs.needed_unproven();
     if (refs.empty()) return;
-    proving_ = true;
-    verify_unfinished(refs, false, [this](bool) { proving_ = false; });
+    verifying_ = true;
+    verify_unfinished(refs, false, [this](bool) { verifying_ = false; });
 }
 
-void JobArchiver::drop_stale_records() {
+void JobArchiver::delete_stale_records() {
     while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
-        const Condition left = stale_records_.back();
+        const Condition stale = stale_records_.back();
         stale_records_.pop_back();
-        store_.commit(JobCache::dropped(left), [](const CommitResult&) {});
+        store_.commit(JobCache::dropped(stale), [](const CommitResult&) {});
     }
 }
 
-/// The leader closes history to records of old form first: nobody admits one any more, since that rests on
-/// this record not being there. A look after that which shows none left tells that there is none, for good.
-void JobArchiver::set_apart() {
-    if (writing_ || cache_.history_apart() || !election_.is_leader() ||
+/// Advances the history record towards State::Apart. The leader first closes history to records of the old
+/// format: admitting one is conditional on the history record not existing, so none is admitted any more. If
+/// a refresh begun after that shows no such record, none can exist, and history is marked as apart for good.
+void JobArchiver::separate_history() {
+    if (writing_history_ || cache_.history_apart() || !election_.is_leader() ||
         !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
         return;
     using State = StateCache::History;
     const Revision mod_revision = cache_.history_mark();
     State next = State::Closed;
     if (cache_.history_closed()) {
-        if (closed_seen_ != mod_revision) {
-            writing_ = true;
+        if (refreshed_since_closing_ != mod_revision) {
+            writing_history_ = true;
             return feed_.after_next_refresh([this, mod_revision](bool ok) {
-                writing_ = false;
-                if (ok) closed_seen_ = mod_revision;
+                writing_history_ = false;
+                if (ok) refreshed_since_closing_ = mod_revision;
             });
         }
         if (cache_.jobs.in_old_form() > 0) return;
         next = State::Apart;
     }
-    writing_ = true;
+    writing_history_ = true;
     const Json value = StateCache::history_value(next);
     Change change;
     change.when = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
     change.then.push_back({keys::history, value});
     change.purpose = "history";
-    store_.commit(std::move(change), [this, value, next](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) {
-            cache_.take(keys::history, &value, r.revision);
-            spdlog::info("history is {}", next == State::Apart ? "apart: a start reads live jobs only"
-                                                               : "closed to records of old form");
+    store_.commit(std::move(change), [this, value, next](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok) {
+            cache_.take(keys::history, &value, result.revision);
+            spdlog::info("history is {}", next == State::Apart
+                                              ? "apart: a starting controller reads unfinished jobs only"
+                                              : "closed to records of the old format");
         }
-        feed_.after_next_refresh([this](bool) { writing_ = false; });
+        feed_.after_next_refresh([this](bool) { writing_history_ = false; });
     });
 }
 
--- a/src/cluster/job_archiver.hpp
+++ b/src/cluster/job_archiver.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// Keeps what is over out of the way (docs/history.md). Final records are not read at a start, so of a job
-// that was read under c/active/ it has to be proven that it is not over; what is left over of those that are
-// is dropped; and once no record of old form is left, the leader says so for good.
+// Separates finished jobs from unfinished ones (docs/history.md). A starting controller does not read the
+// final records of jobs, so a job that it has read under c/active/ must be verified to be unfinished, and the
+// records under c/active/ that finished jobs leave behind are deleted. Once no record of the old format is
+// left, the leader records this permanently.
 
 #include <functional>
 #include <set>
@@ -24,25 +25,27 @@
           cache_(cache),
           election_(election) {}
 
-    /// Finds out which of these live jobs are over: their final records are taken in, the others are proven
-    /// to go on. `drop`: what is left over of those that are over is dropped in a quiet moment; by the holder
-    /// of their shard. Calls back with whether everything is known now.
-    void verify_unfinished(const std::vector<std::string>& refs, bool drop,
+    /// Finds out which of these live jobs are finished: reads the final records of those into the cache and
+    /// marks the others as verified. With `delete_stale`, which only the holder of their shard passes, the
+    /// records under c/active/ of finished jobs are deleted when the store has capacity to spare. Calls back
+    /// with true if the outcome of every job is known now.
+    void verify_unfinished(const std::vector<std::string>& refs, bool delete_stale,
                            std::function<void(bool known)> done);
-    /// Whether it is known of each task that may run by a report if its job is over. What is not is read, so
-    /// that it is known soon.
+    /// Returns true if, for each task in the report that may be running, it is known whether its job is
+    /// finished. Starts to read the records of the other jobs, so that a later report can be answered.
     bool knows_outcomes_of(const Report& report);
     /// Called ten times a second.
     void tick();
 
   private:
-    void look_for_lost();
-    /// Begins to read what became of a job; false: that is under way, or too much else is.
+    void read_lost_jobs();
+    /// Starts to read the outcome of a job. Returns false if a read of it, or too many other reads, are under
+    /// way.
     bool read_outcome(const std::string& ref, std::set<std::string>& reading);
-    void prove_needed();
-    void drop_stale_records();
-    void set_apart();
-    void read_final(const std::string& ref, bool drop, std::function<void(bool known)> done);
+    void verify_needed_jobs();
+    void delete_stale_records();
+    void separate_history();
+    void read_final_record(const std::string& ref, bool delete_stale, std::function<void(bool known)> done);
 
     Runtime& runtime_;
     StoreClient& store_;
@@ -53,9 +56,10 @@
     std::set<std::string> reading_lost_;
     std::set<std::string> reading_unknown_;  // jobs of reported tasks
     std::vector<Condition> stale_records_;
-    bool proving_ = false;
-    bool writing_ = false;
-    Revision closed_seen_ = 0;  // the closing that a look was begun and taken in after
+    bool verifying_ = false;
+    bool writing_history_ = false;
+    // The revision of the history record that closed it, once a refresh begun after that has been applied.
+    Revision refreshed_since_closing_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -5,22 +5,22 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kGossipEvery = 500 * kMillisecond;
-constexpr Micros kFresh = 2 * kSecond;  // what a peer has told is of use for this long
-constexpr Micros kReachable = 1'500 * kMillisecond;
-constexpr Micros kTimeout = 800 * kMillisecond;
+constexpr Micros kGossipInterval = 500 * kMillisecond;
+constexpr Micros kStateMaxAge = 2 * kSecond;  // an older state of a peer is not acted on
+constexpr Micros kReachableWindow = 1'500 * kMillisecond;
+constexpr Micros kGossipTimeout = 800 * kMillisecond;
 }  // namespace
 
 PeerDirectory::PeerDirectory(Runtime& runtime, const Settings& settings, const ChangeFeed& feed,
                              StateCache& cache, const ShardAssignment& assignment,
-                             const LeaderElection& election, const Autoscaler& fleet)
+                             const LeaderElection& election, const Autoscaler& autoscaler)
     : runtime_(runtime),
       settings_(settings),
       feed_(feed),
       cache_(cache),
       assignment_(assignment),
       election_(election),
-      autoscaler_(fleet),
+      autoscaler_(autoscaler),
       peers_(settings.peers.size()) {}
 
 std::optional<std::size_t> PeerDirectory::index_of(const std::string& node) const {
@@ -30,26 +30,26 @@
 }
 
 bool PeerDirectory::is_reachable(std::size_t peer) const {
-    const auto& p = peers_[peer];
-    return p.heard > 0 && runtime_.listened() - p.heard < kReachable;
+    const auto& entry = peers_[peer];
+    return entry.last_heard > 0 && runtime_.listened() - entry.last_heard < kReachableWindow;
 }
 
-const PeerDirectory::PeerStatus* PeerDirectory::recent_status(std::size_t peer, Micros within) const {
-    const auto& t = peers_[peer].told;
-    return t && runtime_.now() - t->at < within ? &*t : nullptr;
+const PeerDirectory::PeerStatus* PeerDirectory::recent_status(std::size_t peer, Micros max_age) const {
+    const auto& status = peers_[peer].status;
+    return status && runtime_.now() - status->received_at < max_age ? &*status : nullptr;
 }
 
 const peer::State* PeerDirectory::fresh_state(std::size_t peer) const {
-    const PeerStatus* t = recent_status(peer, kFresh + 1);
-    return t ? &t->state : nullptr;
+    const PeerStatus* status = recent_status(peer, kStateMaxAge + 1);
+    return status ? &status->state : nullptr;
 }
 
 const peer::ShardLoad* PeerDirectory::shard_load(const std::string& shard) const {
     for (std::size_t i = 0; i < peers_.size(); ++i) {
         const peer::State* state = fresh_state(i);
         if (!state) continue;
-        for (const auto& d : state->shards)
-            if (d.shard == shard) return &d;
+        for (const auto& load : state->shards)
+            if (load.shard == shard) return &load;
     }
     return nullptr;
 }
@@ -63,60 +63,61 @@
 }
 
 Milli PeerDirectory::cores_sent_to(const std::string& shard) const {
-    auto it = sent_to_.find(shard);
-    return it == sent_to_.end() ? 0 : it->second;
+    auto it = cores_sent_.find(shard);
+    return it == cores_sent_.end() ? 0 : it->second;
 }
 
 void PeerDirectory::call(std::size_t peer, std::string bytes, Micros timeout,
                          std::function<void(const Reply&)> done) {
-    const Endpoint& at = settings_.peers[peer].addr;
+    const Endpoint& endpoint = settings_.peers[peer].addr;
     Call call;
     call.target = Target::Peer;
-    call.addr = at.host + ":" + std::to_string(at.port);
+    call.addr = endpoint.host + ":" + std::to_string(endpoint.port);
     call.method = "POST";
     call.path = "/peer";
     call.bytes = std::move(bytes);
     call.timeout = timeout;
-    runtime_.call(std::move(call), [this, peer, done = std::move(done)](const Reply& r) {
-        if (r.status == 200) peers_[peer].heard = runtime_.listened();
-        done(r);
+    runtime_.call(std::move(call), [this, peer, done = std::move(done)](const Reply& reply) {
+        if (reply.status == 200) peers_[peer].last_heard = runtime_.listened();
+        done(reply);
     });
 }
 
 peer::State PeerDirectory::own_state() const {
-    peer::State s;
-    s.node = settings_.node;
-    s.confirmed_age = feed_.confirmed_ago();
-    if (election_.is_leader()) s.balance = autoscaler_.fleet_balance();
-    for (const auto& [name, o] : assignment_.owners())
-        if (o && o->active()) s.shards.push_back(o->load());
-    return s;
+    peer::State state;
+    state.node = settings_.node;
+    state.confirmed_age = feed_.confirmed_ago();
+    if (election_.is_leader()) state.balance = autoscaler_.fleet_balance();
+    for (const auto& [name, owner] : assignment_.owners())
+        if (owner && owner->active()) state.shards.push_back(owner->load());
+    return state;
 }
 
 void PeerDirectory::on_state(const peer::State& state) {
     const auto peer = index_of(state.node);
     if (!peer) return;
-    for (const auto& d : state.shards) sent_to_.erase(d.shard);
-    peers_[*peer].told = PeerStatus{state, runtime_.now()};
-    peers_[*peer].heard = runtime_.listened();
+    for (const auto& load : state.shards) cores_sent_.erase(load.shard);
+    peers_[*peer].status = PeerStatus{state, runtime_.now()};
+    peers_[*peer].last_heard = runtime_.listened();
     cache_.membership.heard(state.node);
 }
 
 void PeerDirectory::gossip() {
     const Micros now = runtime_.now();
-    if (!feed_.loaded() || now - gossiped_ < kGossipEvery) return;
-    gossiped_ = now;
+    if (!feed_.loaded() || now - gossiped_at_ < kGossipInterval) return;
+    gossiped_at_ = now;
     std::string packed;
     for (std::size_t i = 0; i < peers_.size(); ++i) {
-        auto& p = peers_[i];
-        // One of the two asks; the other one does where that is not heard of.
-        const bool theirs = settings_.peers[i].name < settings_.node;
-        if (p.asking || (theirs && recent_status(i, 2 * kGossipEvery))) continue;
-        p.asking = true;
+        auto& peer = peers_[i];
+        // Of each pair of nodes the one with the smaller name sends the requests; the other one sends its own
+        // only while it receives none.
+        const bool peer_initiates = settings_.peers[i].name < settings_.node;
+        if (peer.request_in_flight || (peer_initiates && recent_status(i, 2 * kGossipInterval))) continue;
+        peer.request_in_flight = true;
         if (packed.empty()) packed = peer::pack(own_state());
-        call(i, packed, kTimeout, [this, i](const Reply& r) {
-            peers_[i].asking = false;
-            if (auto state = peer::unpack<peer::State>(r.bytes)) on_state(*state);
+        call(i, packed, kGossipTimeout, [this, i](const Reply& reply) {
+            peers_[i].request_in_flight = false;
+            if (auto state = peer::unpack<peer::State>(reply.bytes)) on_state(*state);
         });
     }
 }
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -7,103 +7,104 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kFirstPause = 500 * kMillisecond;
-constexpr Micros kLongestPause = 30 * kSecond;
+constexpr Micros kInitialBackoff = 500 * kMillisecond;
+constexpr Micros kMaxBackoff = 30 * kSecond;
 }  // namespace
 
 void PolicyPublisher::set_file(policy::Policy file) {
     if (file_ && *file_ == file) return;
     file_ = std::move(file);
-    told_ = {};
-    pause_ = not_before_ = 0;
+    last_logged_ = {};
+    backoff_ = retry_at_ = 0;
 }
 
-PolicyPublisher::DependencyStatus PolicyPublisher::standing() const {
-    const PolicyCache& book = cache_.policies;
-    if (!file_) return DependencyStatus::None;
-    if (file_->revision != book.revision())
-        return file_->revision > book.revision() ? DependencyStatus::Newer : DependencyStatus::Older;
-    return !book.damaged() && *file_ == book.in_force() ? DependencyStatus::Stored
-                                                        : DependencyStatus::Differs;
+PolicyPublisher::FileStatus PolicyPublisher::file_status() const {
+    const PolicyCache& stored = cache_.policies;
+    if (!file_) return FileStatus::None;
+    if (file_->revision != stored.revision())
+        return file_->revision > stored.revision() ? FileStatus::Newer : FileStatus::Older;
+    return !stored.damaged() && *file_ == stored.in_force() ? FileStatus::Stored : FileStatus::Differs;
 }
 
 void PolicyPublisher::tick() {
     if (!feed_.loaded() || writing_) return;
-    const DependencyStatus is = standing();
-    if (is == DependencyStatus::Newer) return publish();
-    tell(is);
+    const FileStatus status = file_status();
+    if (status == FileStatus::Newer) return publish();
+    log_file_status(status);
 }
 
-/// Once about each record.
-void PolicyPublisher::tell(DependencyStatus is) {
-    const std::pair about(file_ ? file_->revision : 0, cache_.policies.mod_revision());
-    if (about == std::exchange(told_, about)) return;
-    if (is == DependencyStatus::Older)
+/// Logs the status once for each pair of file and record.
+void PolicyPublisher::log_file_status(FileStatus status) {
+    const std::pair current(file_ ? file_->revision : 0, cache_.policies.mod_revision());
+    if (current == std::exchange(last_logged_, current)) return;
+    if (status == FileStatus::Older)
         spdlog::info("policy: this node's file has revision {}, the stored one {} is followed",
                      file_->revision, cache_.policies.revision());
-    if (is == DependencyStatus::Differs)
+    if (status == FileStatus::Differs)
         spdlog::error(
-            "policy: this node's file differs from the stored one though both have revision {}: the "
-            "stored one stays; raise the revision of the file that shall count",
+            "policy: this node's file and the stored policy differ but both have revision {}: the stored "
+            "policy stays in force; raise the revision in the file that is to take effect",
             file_->revision);
 }
 
 void PolicyPublisher::publish() {
     const Micros now = runtime_.now();
-    if (now < not_before_ || !store_.room(Priority::Normal)) return;
+    if (now < retry_at_ || !store_.room(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
     if (chunks::stored_size(value) > settings_.value_bytes && !cache_.formats.common(format::kPipelines)) {
-        spdlog::info("policy: larger than a value, which not all controllers read yet: it waits");
-        return later();
+        spdlog::info(
+            "policy: too large for a single value, and not all controllers can read chunked values yet: "
+            "publishing is postponed");
+        return schedule_retry();
     }
     writing_ = true;
     Change change;
     change.when.push_back({keys::policy, cache_.policies.mod_revision()});
     change.then.push_back({keys::policy, value});
     change.purpose = "policy";
-    store_.commit(std::move(change), [this, value, revision = file_->revision](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) {
-            pause_ = 0;
+    store_.commit(std::move(change), [this, value, revision = file_->revision](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok) {
+            backoff_ = 0;
             writing_ = false;
             spdlog::info("policy: revision {} of this node's file is stored", revision);
-            return cache_.take(keys::policy, &value, r.revision);
+            return cache_.take(keys::policy, &value, result.revision);
         }
-        // What stands there now, a write of ours without an answer included, is in the news.
-        later();
+        // The next refresh shows the stored record, including an unanswered write of this node.
+        schedule_retry();
         feed_.after_next_refresh([this](bool) { writing_ = false; });
     });
 }
 
-void PolicyPublisher::later() {
-    pause_ = std::clamp(pause_ * 2, kFirstPause, kLongestPause);
-    not_before_ =
-        runtime_.now() + pause_ / 2 + static_cast<Micros>(runtime_.random()() % 1000) * pause_ / 1000;
+void PolicyPublisher::schedule_retry() {
+    backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, kMaxBackoff);
+    retry_at_ =
+        runtime_.now() + backoff_ / 2 + static_cast<Micros>(runtime_.random()() % 1000) * backoff_ / 1000;
 }
 
 void PolicyPublisher::log_policy_in_force() const {
-    const policy::Policy& p = cache_.policies.in_force();
-    if (p.revision > 0)
-        spdlog::info("policy: revision {} is in force", p.revision);
+    const policy::Policy& in_force = cache_.policies.in_force();
+    if (in_force.revision > 0)
+        spdlog::info("policy: revision {} is in force", in_force.revision);
     else
         spdlog::info("policy: the default is in force");
 }
 
 Json PolicyPublisher::status() const {
-    const PolicyCache& book = cache_.policies;
-    Json v{{"revision", book.in_force().revision},
-           {"value", policy::describe(book.in_force())},
-           {"stored", book.revision()},
-           {"damaged", book.damaged()}};
+    const PolicyCache& stored = cache_.policies;
+    Json value{{"revision", stored.in_force().revision},
+               {"value", policy::describe(stored.in_force())},
+               {"stored", stored.revision()},
+               {"damaged", stored.damaged()}};
     if (file_) {
-        const DependencyStatus is = standing();
-        v["file"] = {{"revision", file_->revision},
-                     {"in_force", is == DependencyStatus::Stored},
-                     {"standing", is == DependencyStatus::Stored  ? "stored"
-                                  : is == DependencyStatus::Newer ? "newer"
-                                  : is == DependencyStatus::Older ? "older"
-                                                                  : "differs"}};
+        const FileStatus status = file_status();
+        value["file"] = {{"revision", file_->revision},
+                         {"in_force", status == FileStatus::Stored},
+                         {"standing", status == FileStatus::Stored  ? "stored"
+                                      : status == FileStatus::Newer ? "newer"
+                                      : status == FileStatus::Older ? "older"
+                                                                    : "differs"}};
     }
-    return v;
+    return value;
 }
 
 }  // namespace cottonway
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Publishes the policy of this node's operators' file: it is put into the store if its revision is higher
-// than that of the record, on the record's mark, so that of any number of files the highest revision stays.
-// What all controllers go by is in the replica alone.
+// Publishes the policy of the operators' file on this node: writes it to the store if its revision is higher
+// than the stored one, on the condition that the record is unchanged. So the highest revision wins, however
+// many nodes have a file. All controllers follow the stored policy alone, as cached in StateCache.
 
 #include <optional>
 #include <utility>
@@ -21,20 +21,21 @@
           cache_(cache),
           file_(settings.ops.policy) {}
 
-    /// The file as it is now; settings give the one at the start.
+    /// Sets the current content of the file. At startup it comes from the settings.
     void set_file(policy::Policy file);
     /// Called ten times a second.
     void tick();
-    /// The policy in force has changed.
+    /// Called when another policy is in force.
     void log_policy_in_force() const;
     Json status() const;
 
   private:
-    enum class DependencyStatus { None, Newer, Stored, Older, Differs };
-    DependencyStatus standing() const;
-    void tell(DependencyStatus standing);
+    /// How the file compares with the stored policy.
+    enum class FileStatus { None, Newer, Stored, Older, Differs };
+    FileStatus file_status() const;
+    void log_file_status(FileStatus status);
     void publish();
-    void later();
+    void schedule_retry();
 
     Runtime& runtime_;
     StoreClient& store_;
@@ -43,9 +44,10 @@
     StateCache& cache_;
     std::optional<policy::Policy> file_;
     bool writing_ = false;
-    Micros not_before_ = 0;
-    Micros pause_ = 0;
-    std::pair<std::uint64_t, Revision> told_;  // what was last said: of which file, about which record
+    Micros retry_at_ = 0;
+    Micros backoff_ = 0;
+    // The revision of the file and of the stored record that were last logged.
+    std::pair<std::uint64_t, Revision> last_logged_;
 };
 
 }  // namespace cottonway
