--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -11,122 +11,128 @@
 
 namespace {
 
-constexpr Micros kLeaseEvery = 300 * kMillisecond;
-constexpr Micros kLeadPause = 800 * kMillisecond;  // gather what is there before the first blocks are leased
-constexpr std::size_t kMachineBytes = 56;          // of a machine in a record, with some room to grow
-constexpr double kMostOfAverage = 1.5;  // of the shards' cores, that waiting tasks may gather at one
-constexpr double kOwnZone = 3;          // times as many machines of the holder's own zone
-// Reports a second, per core that a controller may use, beyond which one controller had better not hold all
-// machines: a report costs a few tenths of a millisecond with all that follows from it, and most of the share
-// must be left for bursts, users and the loss of others.
-constexpr double kReportsPerCore = 400;
-constexpr Micros kReturnPatience = 1'500 * kMillisecond;  // of returns, so that one change does for many
-constexpr Micros kForgetPatience = 500 * kMillisecond;    // what was on them is in doubt until then
-constexpr Micros kReturnLatest = 20 * kSecond;
-constexpr Micros kRetry = 300 * kMillisecond;
-constexpr Micros kSplitEvery = kSecond;
-constexpr std::size_t kMaxReturned = 10'000;
+constexpr Micros kAllocateInterval = 300 * kMillisecond;
+// How long a new leader collects machines before it leases the first blocks, so that blocks get large.
+constexpr Micros kNewLeaderDelay = 800 * kMillisecond;
+constexpr std::size_t kMachineRecordBytes = 56;  // of one machine in a block record, with room to grow
+// A shard with waiting tasks is preferred only while it has fewer cores than this multiple of the average.
+constexpr double kMaxOfAverageCores = 1.5;
+// A shard gets this many times as many spot machines of its holder's own zone as other shards do.
+constexpr double kOwnZoneWeight = 3;
+// Reports a second, per core that a controller may use, beyond which no single controller should hold all
+// machines: a report costs a few tenths of a millisecond including everything that it triggers, and most of
+// the processor time must be left for bursts, users and taking over after failures.
+constexpr double kMaxReportsPerCore = 400;
+constexpr Micros kRetireMaxDelay = 1'500 * kMillisecond;  // so that one change retires many machines
+// Shorter than for retiring, since the tasks of deleted machines are in doubt until their entries are
+// removed.
+constexpr Micros kRemoveMaxDelay = 500 * kMillisecond;
+constexpr Micros kMaxDeferral = 20 * kSecond;  // then an edit is committed with normal priority
+constexpr Micros kRetryDelay = 300 * kMillisecond;
+constexpr Micros kSplitInterval = kSecond;
+constexpr std::size_t kMaxReturnedNames = 10'000;
 
 std::function<bool(Block&)> retire_in(const std::string& machine) {
-    return [machine](Block& b) {
-        Block::Machine* m = b.find(machine);
-        return m && !std::exchange(m->retired, true);
+    return [machine](Block& record) {
+        Block::Machine* entry = record.find(machine);
+        return entry && !std::exchange(entry->retired, true);
     };
 }
 
 }  // namespace
 
-// ---------------------------------------------------------------- rewriting
+// ---------------------------------------------------------------- editing blocks
 
-/// Changes to one record are gathered, so that many machines cost one put. A change is repeated on the record
-/// as it is until it has been made or has nothing left to do: a late execution of an earlier try fails on the
-/// mark, or has made the change.
-void MachineAllocator::edit_block(const std::string& id, Edit edit, Micros patience) {
-    Edits& edits = edits_[id];
-    const Micros by = runtime_.now() + patience;
-    if (edits.waiting.empty()) edits.since = runtime_.now();
-    if (edits.waiting.empty() || by < edits.due) edits.due = by;
-    edits.urgent = patience < kReturnPatience || (edits.urgent && !edits.waiting.empty());
-    edits.waiting.push_back(std::move(edit));
+/// Queues an edit. The edits of one record are batched, so that edits of many machines cost one write. An
+/// edit is applied to the current record again and again until it is committed or has nothing left to change:
+/// if the store executes an earlier attempt late, that attempt fails its condition on the revision, or has
+/// already made the change.
+void MachineAllocator::edit_block(const std::string& id, Edit edit, Micros max_delay) {
+    BlockEdits& edits = edits_[id];
+    const Micros deadline = runtime_.now() + max_delay;
+    if (edits.queued.empty()) edits.first_queued_at = runtime_.now();
+    if (edits.queued.empty() || deadline < edits.due) edits.due = deadline;
+    edits.urgent = max_delay < kRetireMaxDelay || (edits.urgent && !edits.queued.empty());
+    edits.queued.push_back(std::move(edit));
 }
 
 void MachineAllocator::flush_edits() {
     for (auto it = edits_.begin(); it != edits_.end();) {
-        if (!it->second.in_flight && it->second.waiting.empty()) {
+        if (!it->second.in_flight && it->second.queued.empty()) {
             it = edits_.erase(it);
             continue;
         }
-        if (!it->second.in_flight && runtime_.now() >= std::max(it->second.not_before, it->second.due))
+        if (!it->second.in_flight && runtime_.now() >= std::max(it->second.retry_at, it->second.due))
             flush(it->first, it->second);
         ++it;
     }
 }
 
-void MachineAllocator::flush(const std::string& id, Edits& edits) {
-    auto finish = [](std::vector<Edit> list, bool ok) {
-        for (auto& e : list)
-            if (e.done) e.done(ok);
+void MachineAllocator::flush(const std::string& id, BlockEdits& edits) {
+    auto finish = [](std::vector<Edit> finished, bool ok) {
+        for (auto& edit : finished)
+            if (edit.done) edit.done(ok);
     };
     const Block* block = cache_.blocks.find(id);
-    if (!block) return finish(std::exchange(edits.waiting, {}), true);
+    if (!block) return finish(std::exchange(edits.queued, {}), true);
     Block next = *block;
     bool changed = false;
-    for (const auto& e : edits.waiting) changed = e.change(next) || changed;
-    if (!changed) return finish(std::exchange(edits.waiting, {}), true);
+    for (const auto& edit : edits.queued) changed = edit.change(next) || changed;
+    if (!changed) return finish(std::exchange(edits.queued, {}), true);
     Change change;
-    const ShardOwner* o = assignment_.find(next.shard);
-    if (o)
-        change.when.push_back({keys::shard + next.shard, o->mod_revision()});
+    const ShardOwner* owner = assignment_.find(next.shard);
+    if (owner)
+        change.when.push_back({keys::shard + next.shard, owner->mod_revision()});
     else if (election_.is_leader())
         change.when.push_back({keys::leader, election_.term()});
     else
-        return finish(std::exchange(edits.waiting, {}), false);
-    // Returns can wait for quiet moments, though not for ever.
-    const bool waits = !edits.urgent && runtime_.now() - edits.since < kReturnLatest;
-    change.priority = waits ? Priority::Deferrable : Priority::Normal;
+        return finish(std::exchange(edits.queued, {}), false);
+    // Retiring a machine may wait until the store has capacity to spare, but not for ever.
+    const bool deferrable = !edits.urgent && runtime_.now() - edits.first_queued_at < kMaxDeferral;
+    change.priority = deferrable ? Priority::Deferrable : Priority::Normal;
     if (!store_.room(change.priority)) return;
     change.when.push_back({keys::block + id, next.mod_revision});
     const Json value = next.machines.empty() ? Json() : next.value();
     change.then.push_back({keys::block + id, value});
     change.purpose = "block";
     edits.in_flight = true;
-    store_.commit(std::move(change), [this, id, value, finish, list = std::exchange(edits.waiting, {})](
-                                         const CommitResult& r) mutable {
-        if (r.status == CommitStatus::Ok) {
+    store_.commit(std::move(change), [this, id, value, finish, committed = std::exchange(edits.queued, {})](
+                                         const CommitResult& result) mutable {
+        if (result.status == CommitStatus::Ok) {
             edits_[id].in_flight = false;
-            cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
-            return finish(std::move(list), true);
+            cache_.take(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
+            return finish(std::move(committed), true);
         }
-        const Micros pause = r.status == CommitStatus::Rejected ? kRefused : kRetry;
-        auto again = [this, id, pause, list = std::move(list)](bool) mutable {
-            Edits& e = edits_[id];
-            e.in_flight = false;
-            e.not_before = runtime_.now() + pause;
-            e.waiting.insert(e.waiting.begin(), std::make_move_iterator(list.begin()),
-                             std::make_move_iterator(list.end()));
+        const Micros delay = result.status == CommitStatus::Rejected ? kRefused : kRetryDelay;
+        auto requeue = [this, id, delay, committed = std::move(committed)](bool) mutable {
+            BlockEdits& pending = edits_[id];
+            pending.in_flight = false;
+            pending.retry_at = runtime_.now() + delay;
+            pending.queued.insert(pending.queued.begin(), std::make_move_iterator(committed.begin()),
+                                  std::make_move_iterator(committed.end()));
         };
-        feed_.after_next_refresh(std::move(again));
+        feed_.after_next_refresh(std::move(requeue));
     });
 }
 
 void MachineAllocator::edit_machine(const std::string& shard, const std::string& machine,
                                     ShardContext::MachineEdit edit, std::function<void(bool)> done) {
     const Block* block = cache_.blocks.of(machine);
-    const ShardOwner* o = assignment_.find(shard);
-    if (!block || block->shard != shard || !o) return runtime_.after(0, [done] { done(false); });
+    const ShardOwner* owner = assignment_.find(shard);
+    if (!block || block->shard != shard || !owner) return runtime_.after(0, [done] { done(false); });
     if (edit == ShardContext::MachineEdit::RetireNow)
         return edit_block(block->id, {retire_in(machine), std::move(done)}, 0);
     if (edit == ShardContext::MachineEdit::Retire)
-        return edit_block(block->id, {retire_in(machine), std::move(done)}, kReturnPatience);
-    // Its own next mark is higher than every token that anyone holds now.
-    Revision above = o->mod_revision();
-    for (const auto& m : block->machines)
-        if (m.name == machine) above = std::max(above, m.token);
+        return edit_block(block->id, {retire_in(machine), std::move(done)}, kRetireMaxDelay);
+    // The revision of the next commit becomes the token. It is higher than any token in use now.
+    Revision highest_token = owner->mod_revision();
+    for (const auto& entry : block->machines)
+        if (entry.name == machine) highest_token = std::max(highest_token, entry.token);
     edit_block(block->id,
-               {[machine, above](Block& b) {
-                    Block::Machine* m = b.find(machine);
-                    if (!m || m->token > above) return false;
-                    m->raise = true;
+               {[machine, highest_token](Block& record) {
+                    Block::Machine* entry = record.find(machine);
+                    if (!entry || entry->token > highest_token) return false;
+                    entry->raise = true;
                     return true;
                 },
                 std::move(done)},
@@ -135,7 +141,7 @@
 
 void MachineAllocator::retire(const std::string& machine) {
     if (const Block* block = cache_.blocks.of(machine))
-        edit_block(block->id, {retire_in(machine), nullptr}, kReturnPatience);
+        edit_block(block->id, {retire_in(machine), nullptr}, kRetireMaxDelay);
 }
 
 void MachineAllocator::remove_from_blocks(const std::vector<std::string>& machines) {
@@ -144,38 +150,39 @@
         if (const Block* block = cache_.blocks.of(name)) by_block[block->id].push_back(name);
     for (auto& [id, names] : by_block)
         edit_block(id,
-                   {[names](Block& b) {
-                        return std::erase_if(b.machines, [&](const Block::Machine& m) {
-                                   return std::find(names.begin(), names.end(), m.name) != names.end();
+                   {[names](Block& record) {
+                        return std::erase_if(record.machines, [&](const Block::Machine& entry) {
+                                   return std::find(names.begin(), names.end(), entry.name) != names.end();
                                }) > 0;
                     },
                     nullptr},
-                   kForgetPatience);
+                   kRemoveMaxDelay);
 }
 
-/// How many machines a record has room for.
-std::size_t MachineAllocator::block_size() const {
-    return std::max<std::size_t>(settings_.value_bytes * 17 / 20 / kMachineBytes, 1);
+/// Returns how many machines fit into a block record.
+std::size_t MachineAllocator::max_block_machines() const {
+    return std::max<std::size_t>(settings_.value_bytes * 17 / 20 / kMachineRecordBytes, 1);
 }
 
-/// Into several records, in one change; each machine keeps its token, so nothing is disturbed. What does not
-/// fit into one change is split once more later.
-void MachineAllocator::split(const Block& block, const ShardOwner& o) {
+/// Splits a block into several records in one transaction. Each machine keeps its token, so its tasks are not
+/// affected. If not all parts fit into one transaction, the block is split again later.
+void MachineAllocator::split(const Block& block, const ShardOwner& owner) {
     Block rest = block;
     std::vector<Block> parts;
-    while (rest.machines.size() > block_size() && parts.size() + 1 < settings_.txn_ops) {
+    while (rest.machines.size() > max_block_machines() && parts.size() + 1 < settings_.txn_ops) {
         Block part = block;
-        part.id = next_id(o.mod_revision());
-        const auto from = rest.machines.end() - static_cast<std::ptrdiff_t>(block_size());
+        part.id = next_block_id(owner.mod_revision());
+        const auto from = rest.machines.end() - static_cast<std::ptrdiff_t>(max_block_machines());
         part.machines.assign(from, rest.machines.end());
         rest.machines.erase(from, rest.machines.end());
         parts.push_back(std::move(part));
     }
     Change change;
     change.priority = Priority::Deferrable;
-    change.when = {{keys::shard + block.shard, o.mod_revision()},
+    change.when = {{keys::shard + block.shard, owner.mod_revision()},
                    {keys::block + block.id, block.mod_revision}};
-    // The new ones first: a machine that is in another block already has not left when the old one loses it.
+    // The new records come first: a machine that another block lists already does not count as gone when its
+    // old block no longer lists it.
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
         change.when.push_back({keys::block + part.id, 0});
@@ -184,30 +191,33 @@
     writes.emplace_back(block.id, rest.value());
     for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
     change.purpose = "split";
-    edits_[block.id].in_flight = true;  // nothing else rewrites it meanwhile
+    edits_[block.id].in_flight = true;  // keeps edits of the record waiting until the split is known
     spdlog::info("block {}: {} machines, split into {}", block.id, block.machines.size(), writes.size());
     for (const auto& part : parts)
-        for (const auto& m : part.machines) cache_.blocks.split_begins(m.name, part.id);
+        for (const auto& entry : part.machines) cache_.blocks.split_begins(entry.name, part.id);
     commit_until_known(runtime_, store_, feed_, std::move(change),
-                       [this, id = block.id, writes, parts](const CommitResult& r) {
-                           if (auto e = edits_.find(id); e != edits_.end()) e->second.in_flight = false;
-                           if (r.status == CommitStatus::Ok)
-                               for (const auto& [at, value] : writes)
-                                   cache_.take(keys::block + at, &value, r.revision);
+                       [this, id = block.id, writes, parts](const CommitResult& result) {
+                           if (auto edits = edits_.find(id); edits != edits_.end())
+                               edits->second.in_flight = false;
+                           if (result.status == CommitStatus::Ok)
+                               for (const auto& [block_id, value] : writes)
+                                   cache_.take(keys::block + block_id, &value, result.revision);
                            for (const auto& part : parts)
-                               for (const auto& m : part.machines) cache_.blocks.split_ends(m.name, part.id);
+                               for (const auto& entry : part.machines)
+                                   cache_.blocks.split_ends(entry.name, part.id);
                        });
 }
 
 void MachineAllocator::split_blocks() {
     const Micros now = runtime_.now();
-    if (!cache_.formats.common(format::kPipelines) || now - split_at_ < kSplitEvery ||
+    if (!cache_.formats.common(format::kPipelines) || now - split_at_ < kSplitInterval ||
         !store_.room(Priority::Deferrable))
         return;
     split_at_ = now;
     for (const auto& [id, block] : cache_.blocks.all()) {
-        const ShardOwner* o = assignment_.find(block.shard);
-        if (o && !edits_.count(id) && block.machines.size() > block_size()) return split(block, *o);
+        const ShardOwner* owner = assignment_.find(block.shard);
+        if (owner && !edits_.count(id) && block.machines.size() > max_block_machines())
+            return split(block, *owner);
     }
 }
 
@@ -216,144 +226,153 @@
 void MachineAllocator::allocate(const Block::Machine& machine, const std::string& type,
                                 const std::string& zone, bool spot, std::function<void()> done) {
     auto [it, added] = unallocated_.try_emplace(machine.name);
-    UnallocatedMachine& u = it->second;
-    if (added) u = {machine, type, zone, spot, false, {}};
-    if (u.machine.addr.empty()) u.machine.addr = machine.addr;
-    if (done) u.done.push_back(std::move(done));
+    UnallocatedMachine& unallocated = it->second;
+    if (added) unallocated = {machine, type, zone, spot, false, {}};
+    if (unallocated.machine.addr.empty()) unallocated.machine.addr = machine.addr;
+    if (done) unallocated.callbacks.push_back(std::move(done));
 }
 
-void MachineAllocator::forget_unallocated(const std::string& machine) {
-    auto u = unallocated_.extract(machine);
-    if (!u) return;
-    // Once all that the news tells has been taken in.
-    for (auto& done : u.mapped().done) runtime_.after(0, std::move(done));
+void MachineAllocator::drop_unallocated(const std::string& machine) {
+    auto unallocated = unallocated_.extract(machine);
+    if (!unallocated) return;
+    // The callbacks run after all changes that the feed has just delivered are applied.
+    for (auto& done : unallocated.mapped().callbacks) runtime_.after(0, std::move(done));
 }
 
 void MachineAllocator::on_machine_gone(const std::string& machine) {
-    forget_unallocated(machine);
+    drop_unallocated(machine);
     returned_.put(machine, {});
-    if (returned_.size() > kMaxReturned) returned_.erase(std::string(returned_.oldest().first));
+    if (returned_.size() > kMaxReturnedNames) returned_.erase(std::string(returned_.oldest().first));
 }
 
 bool MachineAllocator::spreads_machines() const {
     const std::size_t machines =
         std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.listed_machine_count());
-    const double reports = static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
-    return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_share;
+    const double reports_per_second =
+        static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
+    return peers_.count() > 0 && reports_per_second > kMaxReportsPerCore * settings_.cpu_share;
 }
 
 std::vector<std::string> MachineAllocator::target_shards() const {
     std::vector<std::string> targets;
-    std::string largest, ours;
-    Milli most = 0;
-    for (const auto& [name, d] : cache_.membership.shards()) {
-        if (!cache_.membership.alive(d.holder)) continue;
+    std::string largest, own;
+    Milli largest_cores = 0;
+    for (const auto& [name, record] : cache_.membership.shards()) {
+        if (!cache_.membership.alive(record.holder)) continue;
         targets.push_back(name);
-        if (d.holder == settings_.node && (ours.empty() || name == settings_.node)) ours = name;
-        if (const Milli cores = cache_.capacity_of(name); cores > most) {
-            most = cores;
+        if (record.holder == settings_.node && (own.empty() || name == settings_.node)) own = name;
+        if (const Milli cores = cache_.capacity_of(name); cores > largest_cores) {
+            largest_cores = cores;
             largest = name;
         }
     }
     if (spreads_machines()) return targets;
     if (!largest.empty()) return {largest};
-    return ours.empty() ? std::vector<std::string>{} : std::vector{ours};
+    return own.empty() ? std::vector<std::string>{} : std::vector{own};
 }
 
 void MachineAllocator::allocate_blocks() {
     const Micros now = runtime_.now();
     if (!election_.is_leader()) {
-        while (!unallocated_.empty()) forget_unallocated(std::string(unallocated_.begin()->first));
+        while (!unallocated_.empty()) drop_unallocated(std::string(unallocated_.begin()->first));
         return;
     }
-    if (unallocated_.empty() || now - allocated_at_ < kLeaseEvery) return;
-    if (now - autoscaler_.leading_since() < kLeadPause || !store_.room(Priority::Normal)) return;
+    if (unallocated_.empty() || now - allocated_at_ < kAllocateInterval) return;
+    if (now - autoscaler_.leading_since() < kNewLeaderDelay || !store_.room(Priority::Normal)) return;
     allocated_at_ = now;
     struct Shape {
         std::string type, zone;
         bool spot;
         auto operator<=>(const Shape&) const = default;
     };
-    std::map<Shape, std::vector<std::string>> fresh;
-    for (const auto& [name, u] : unallocated_)
-        if (!u.in_flight) fresh[{u.type, u.zone, u.spot}].push_back(name);
+    std::map<Shape, std::vector<std::string>> machines_by_shape;
+    for (const auto& [name, unallocated] : unallocated_)
+        if (!unallocated.in_flight)
+            machines_by_shape[{unallocated.type, unallocated.zone, unallocated.spot}].push_back(name);
     const auto shards = target_shards();
-    if (fresh.empty() || shards.empty()) return;
-    // Cores that each shard has by zone and kind, and machines by shape.
-    std::map<std::tuple<std::string, std::string, bool>, Milli> cores;
-    std::map<std::pair<std::string, Shape>, std::size_t> have;
-    auto size_of = [&](const std::string& type) {
-        const MachineType* t = cache_.types.find(type);
-        return t ? t->size.cores : Milli{1000};
+    if (machines_by_shape.empty() || shards.empty()) return;
+    // Each shard's cores by zone and kind (spot or not), and its machines by shape.
+    std::map<std::tuple<std::string, std::string, bool>, Milli> shard_cores;
+    std::map<std::pair<std::string, Shape>, std::size_t> shard_machines;
+    auto cores_of_type = [&](const std::string& type) {
+        const MachineType* machine_type = cache_.types.find(type);
+        return machine_type ? machine_type->size.cores : Milli{1000};
     };
-    for (const auto& [id, b] : cache_.blocks.all()) {
-        have[{b.shard, {b.type, b.zone, b.spot}}] += b.machines.size();
-        cores[{b.shard, b.zone, b.spot}] += size_of(b.type) * static_cast<Milli>(b.machines.size());
+    for (const auto& [id, block] : cache_.blocks.all()) {
+        shard_machines[{block.shard, {block.type, block.zone, block.spot}}] += block.machines.size();
+        shard_cores[{block.shard, block.zone, block.spot}] +=
+            cores_of_type(block.type) * static_cast<Milli>(block.machines.size());
     }
-    // Toward owners with waiting tasks, as long as that does not gather everything at one: machines that go
-    // elsewhere first are moved one by one later, at two changes and more each.
+    // Machines go to owners with waiting tasks, as long as no shard becomes much larger than the average:
+    // machines that first go elsewhere are transferred one by one later, at two or more changes each.
     std::map<std::string, Milli> waiting;
     std::map<std::string, Milli> capacity;
     Milli average = 0;
     for (const auto& shard : shards) {
         capacity[shard] = cache_.capacity_of(shard);
         average += capacity[shard] / static_cast<Milli>(shards.size());
-        if (const ShardOwner* o = assignment_.find(shard); o && o->active())
-            waiting[shard] = o->load().waiting;
-        else if (const auto* told = peers_.shard_load(shard))
-            waiting[shard] = told->waiting;
+        if (const ShardOwner* owner = assignment_.find(shard); owner && owner->active())
+            waiting[shard] = owner->load().waiting;
+        else if (const auto* peer_load = peers_.shard_load(shard))
+            waiting[shard] = peer_load->waiting;
     }
-    const std::size_t most = block_size();
-    for (const auto& [shape, names] : fresh) {
-        // Evenly over the shards; of spot machines more to those whose holder is in their zone: where zones
-        // can't reach each other, these go on as if nothing had happened. Ordinary ones hold the services,
-        // which are spread over zones, so every shard needs them in all zones.
-        auto load = [&, s = shape](const std::string& shard) {
-            const bool own =
-                s.spot && settings_.zone_of(cache_.membership.shards().at(shard).holder) == s.zone;
-            const double part = own ? kOwnZone : 1.0;
+    const std::size_t max_machines = max_block_machines();
+    for (const auto& [shape, names] : machines_by_shape) {
+        // Machines are distributed evenly over the shards, but a shard gets more of the spot machines in its
+        // holder's own zone: if the zones are cut off from each other, those machines keep working
+        // undisturbed. Ordinary machines run the services, which are spread over zones, so every shard needs
+        // them in all zones.
+        auto allocation_order = [&, machine_shape = shape](const std::string& shard) {
+            const bool own_zone =
+                machine_shape.spot &&
+                settings_.zone_of(cache_.membership.shards().at(shard).holder) == machine_shape.zone;
+            const double weight = own_zone ? kOwnZoneWeight : 1.0;
             const bool wanted = waiting[shard] > 0 && static_cast<double>(capacity[shard]) <
-                                                          static_cast<double>(average) * kMostOfAverage;
-            return std::tuple(!wanted, static_cast<double>(cores[{shard, s.zone, s.spot}]) / part,
-                              static_cast<double>(have[{shard, s}]) / part, shard);
+                                                          static_cast<double>(average) * kMaxOfAverageCores;
+            return std::tuple(
+                !wanted,
+                static_cast<double>(shard_cores[{shard, machine_shape.zone, machine_shape.spot}]) / weight,
+                static_cast<double>(shard_machines[{shard, machine_shape}]) / weight, shard);
         };
-        std::map<std::string, std::vector<std::string>> shares;
+        std::map<std::string, std::vector<std::string>> names_by_shard;
         for (const auto& name : names) {
-            const std::string to =
-                *std::min_element(shards.begin(), shards.end(),
-                                  [&](const auto& a, const auto& b) { return load(a) < load(b); });
-            ++have[{to, shape}];
-            waiting[to] -= size_of(shape.type);
-            capacity[to] += size_of(shape.type);
-            cores[{to, shape.zone, shape.spot}] += size_of(shape.type);
-            shares[to].push_back(name);
+            const std::string target = *std::min_element(
+                shards.begin(), shards.end(),
+                [&](const auto& a, const auto& b) { return allocation_order(a) < allocation_order(b); });
+            ++shard_machines[{target, shape}];
+            waiting[target] -= cores_of_type(shape.type);
+            capacity[target] += cores_of_type(shape.type);
+            shard_cores[{target, shape.zone, shape.spot}] += cores_of_type(shape.type);
+            names_by_shard[target].push_back(name);
         }
-        for (auto& [shard, list] : shares) {
-            for (std::size_t i = 0; i < list.size(); i += most) {
-                const std::vector<std::string> chunk(
-                    list.begin() + static_cast<std::ptrdiff_t>(i),
-                    list.begin() + static_cast<std::ptrdiff_t>(std::min(list.size(), i + most)));
+        for (auto& [shard, shard_names] : names_by_shard) {
+            for (std::size_t i = 0; i < shard_names.size(); i += max_machines) {
+                const std::vector<std::string> block_names(
+                    shard_names.begin() + static_cast<std::ptrdiff_t>(i),
+                    shard_names.begin() +
+                        static_cast<std::ptrdiff_t>(std::min(shard_names.size(), i + max_machines)));
                 Block block;
-                block.id = next_id(election_.term());
+                block.id = next_block_id(election_.term());
                 block.shard = shard;
                 block.type = shape.type;
                 block.zone = shape.zone;
                 block.spot = shape.spot;
-                for (const auto& name : chunk) {
-                    auto& u = unallocated_.at(name);
-                    u.in_flight = true;
-                    block.machines.push_back(u.machine);
+                for (const auto& name : block_names) {
+                    auto& unallocated = unallocated_.at(name);
+                    unallocated.in_flight = true;
+                    block.machines.push_back(unallocated.machine);
                 }
-                lease_block(std::move(block), chunk);
+                lease_block(std::move(block), block_names);
             }
         }
     }
 }
 
-/// Creates a block. One without an answer may still be carried out, also after its machines were leased once
-/// more and have moved on: it would take them back from whoever has them. That its key must not exist does
-/// not refuse it, since emptied blocks are dropped. So no machine is leased a second time in a term: the
-/// leader takes a new one first, and what was sent before fails on its record.
+/// Creates a block. A write without an answer may still be executed later, after its machines were leased
+/// again and transferred to another shard: it would then take them away from their holder. The condition that
+/// the block's key does not exist does not prevent this, since empty blocks are deleted. So no machine is
+/// leased twice in one term: the leader first starts a new term, and the earlier write then fails its
+/// condition on the leader record.
 void MachineAllocator::lease_block(Block block, std::vector<std::string> machines) {
     const Revision term = election_.term();
     Change change;
@@ -362,70 +381,74 @@
     const Json value = block.value();
     change.then.push_back({keys::block + block.id, value});
     change.purpose = "lease";
-    store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) {
+    store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok) {
             spdlog::info("block {}: {} {} machines in {}{} leased to {}", block.id, machines.size(),
                          block.type, block.zone, block.spot ? ", spot," : "", block.shard);
-            return cache_.take(keys::block + block.id, &value, r.revision);
+            return cache_.take(keys::block + block.id, &value, result.revision);
         }
-        const bool unsent = r.status == CommitStatus::Unavailable;
-        if (!unsent && r.status != CommitStatus::Unknown) {
-            for (const auto& name : machines) forget_unallocated(name);  // they come up again
+        const bool not_executed = result.status == CommitStatus::Unavailable;
+        if (!not_executed && result.status != CommitStatus::Unknown) {
+            // A later report or list queues them again.
+            for (const auto& name : machines) drop_unallocated(name);
             return;
         }
-        feed_.after_next_refresh([this, block, machines, term, unsent](bool) {
-            const bool still = election_.is_leader() && election_.term() == term;
-            if (unsent && still) return lease_block(block, machines);
-            for (const auto& name : machines) forget_unallocated(name);
-            if (!still || cache_.blocks.find(block.id)) return;  // carried out after all
-            spdlog::info("block {}: whether it was leased is not known: a new term begins", block.id);
+        feed_.after_next_refresh([this, block, machines, term, not_executed](bool) {
+            const bool same_term = election_.is_leader() && election_.term() == term;
+            if (not_executed && same_term) return lease_block(block, machines);
+            for (const auto& name : machines) drop_unallocated(name);
+            if (!same_term || cache_.blocks.find(block.id)) return;  // the write was executed after all
+            spdlog::info("block {}: it is unknown whether the lease was committed; starting a new term",
+                         block.id);
             election_.abandon_term(term);
         });
     });
 }
 
-// ---------------------------------------------------------------- moving machines
+// ---------------------------------------------------------------- transferring machines
 
-/// Gives idle machines to a shard with waiting tasks: they leave their block and make up a new one, in one
-/// change. Only the holder does this, and only with machines that nothing is on, so nothing is in doubt.
+/// Transfers idle machines to a shard with waiting tasks: in one transaction they leave their blocks and form
+/// a new one. Only the holder does this, and only with machines without tasks, so no task becomes doubtful.
 void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
                                               std::function<void(peer::Grant)> done) {
-    const ShardRecord* to = cache_.membership.shard(want.shard);
-    if (!from.active() || !to || to->mod_revision != want.mod_revision || want.shard == from.shard() ||
-        !store_.room(Priority::Normal))
+    const ShardRecord* receiver = cache_.membership.shard(want.shard);
+    if (!from.active() || !receiver || receiver->mod_revision != want.mod_revision ||
+        want.shard == from.shard() || !store_.room(Priority::Normal))
         return done({});
     std::vector<std::string> offered = from.offer_idle_machines(want);
-    // One new record, so of one shape; and as many old ones as a transaction takes.
+    // All machines go into one new record, so they must have the same shape. They are taken from as many
+    // records as fit into a transaction.
     Block next;
     std::map<std::string, Block> sources;
-    std::vector<std::string> kept, moved;
+    std::vector<std::string> kept, transferred;
     for (const auto& name : offered) {
-        const Block* b = cache_.blocks.of(name);
+        const Block* block = cache_.blocks.of(name);
         const bool first = next.type.empty();
-        const bool fits = b && b->shard == from.shard() && !edits_.count(b->id) &&
-                          (first || (b->type == next.type && b->zone == next.zone && b->spot == next.spot)) &&
-                          (sources.count(b->id) || sources.size() + 2 <= settings_.txn_ops) &&
-                          moved.size() < block_size();
+        const bool fits =
+            block && block->shard == from.shard() && !edits_.count(block->id) &&
+            (first || (block->type == next.type && block->zone == next.zone && block->spot == next.spot)) &&
+            (sources.count(block->id) || sources.size() + 2 <= settings_.txn_ops) &&
+            transferred.size() < max_block_machines();
         if (!fits) {
             kept.push_back(name);
             continue;
         }
         if (first) {
-            next.type = b->type;
-            next.zone = b->zone;
-            next.spot = b->spot;
+            next.type = block->type;
+            next.zone = block->zone;
+            next.spot = block->spot;
         }
-        Block& source = sources.try_emplace(b->id, *b).first->second;
-        Block::Machine m = *source.find(name);
-        m.token = 0;  // the mark of this very change: higher than anything we have sent
-        m.retired = false;
-        next.machines.push_back(m);
-        std::erase_if(source.machines, [&](const Block::Machine& x) { return x.name == name; });
-        moved.push_back(name);
+        Block& source = sources.try_emplace(block->id, *block).first->second;
+        Block::Machine entry = *source.find(name);
+        entry.token = 0;  // becomes the revision of this change, which is higher than any token sent so far
+        entry.retired = false;
+        next.machines.push_back(entry);
+        std::erase_if(source.machines, [&](const Block::Machine& listed) { return listed.name == name; });
+        transferred.push_back(name);
     }
     from.withdraw_offer(kept);
-    if (moved.empty()) return done({});
-    next.id = next_id(from.mod_revision());
+    if (transferred.empty()) return done({});
+    next.id = next_block_id(from.mod_revision());
     next.shard = want.shard;
     Change change;
     change.when.push_back({keys::shard + from.shard(), from.mod_revision()});
@@ -434,23 +457,25 @@
     for (auto& [id, source] : sources) {
         change.when.push_back({keys::block + id, source.mod_revision});
         writes.emplace_back(id, source.machines.empty() ? Json() : source.value());
-        edits_[id].in_flight = true;  // nothing else rewrites it meanwhile
+        edits_[id].in_flight = true;  // keeps edits of the record waiting until the transfer is known
     }
     for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
     change.purpose = "move";
-    spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, moved.size(), next.type,
-                 next.zone, from.shard(), want.shard);
+    spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, transferred.size(),
+                 next.type, next.zone, from.shard(), want.shard);
     commit_until_known(
         runtime_, store_, feed_, std::move(change),
-        [this, shard = from.shard(), writes, moved, done = std::move(done)](const CommitResult& r) {
+        [this, shard = from.shard(), writes, transferred,
+         done = std::move(done)](const CommitResult& result) {
             for (const auto& [id, value] : writes)
-                if (auto e = edits_.find(id); e != edits_.end()) e->second.in_flight = false;
-            if (r.status == CommitStatus::Ok)
+                if (auto edits = edits_.find(id); edits != edits_.end()) edits->second.in_flight = false;
+            if (result.status == CommitStatus::Ok)
                 for (const auto& [id, value] : writes)
-                    cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
-            // Whatever is still here stays.
-            if (ShardOwner* o = assignment_.find(shard)) o->withdraw_offer(moved);
-            done({{}, r.status == CommitStatus::Ok ? static_cast<std::uint32_t>(moved.size()) : 0});
+                    cache_.take(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
+            // Machines that were not transferred may be bound to again.
+            if (ShardOwner* owner = assignment_.find(shard)) owner->withdraw_offer(transferred);
+            done(
+                {{}, result.status == CommitStatus::Ok ? static_cast<std::uint32_t>(transferred.size()) : 0});
         });
 }
 
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The records of blocks: leasing machines to shards, rewriting and splitting blocks, and moving idle
-// machines to where they are waited for.
+// Maintains the block records: leases machines to shards, edits and splits blocks, and transfers idle
+// machines to shards whose tasks wait for them.
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
   public:
     MachineAllocator(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
                      StateCache& cache, const ShardAssignment& assignment, LeaderElection& election,
-                     const Autoscaler& fleet, const PeerDirectory& peers)
+                     const Autoscaler& autoscaler, const PeerDirectory& peers)
         : runtime_(runtime),
           store_(store),
           settings_(settings),
@@ -29,57 +29,62 @@
           cache_(cache),
           assignment_(assignment),
           election_(election),
-          autoscaler_(fleet),
+          autoscaler_(autoscaler),
           peers_(peers) {}
 
-    /// Machines that are in no block yet, to be leased soon.
+    /// Queues a machine that is in no block yet to be leased to a shard. Calls back once the machine is
+    /// leased, or is no longer queued for another reason.
     void allocate(const Block::Machine& machine, const std::string& type, const std::string& zone, bool spot,
                   std::function<void()> done);
     bool is_allocating(const std::string& machine) const { return unallocated_.count(machine) > 0; }
-    /// A block lists it. Whoever waits for that is told, also where our own change got no answer.
+    /// Called when a block lists the machine. Runs the callbacks of `allocate`, also if the lease was
+    /// committed without an answer.
     void on_machine_leased(const std::string& machine) {
-        forget_unallocated(machine);
+        drop_unallocated(machine);
         returned_.erase(machine);
     }
-    /// No block lists it any more, or none ever has: the cloud has confirmed that it is deleted.
+    /// Called when no block lists the machine any more, or when the cloud has confirmed that a machine is
+    /// deleted that was in no block.
     void on_machine_gone(const std::string& machine);
-    /// Whether the machine is known to be gone for good. What still tells of it, a late report or a list, is
-    /// old: leased again it would count as room until its silence is noticed.
+    /// Returns true if the machine is known to be gone for good. A report or a list that still names it is
+    /// old: leased again, the machine would count as capacity until its silence is noticed.
     bool is_returned(const std::string& machine) const { return returned_.find(machine) != nullptr; }
-    /// Whether the machines are to be spread over the shards of all controllers. One owner of everything
-    /// places best, as long as it can keep up with the workers' reports.
+    /// Returns true if the machines are to be spread over the shards of all controllers. A single owner of
+    /// all machines makes the best placements, as long as it can process all workers' reports.
     bool spreads_machines() const;
+    /// Returns the shards that machines are leased to.
     std::vector<std::string> target_shards() const;
 
-    /// Rewrites the block record that lists the machine; the outcome arrives as news of the record.
+    /// Edits the block record that lists the machine. The change feed delivers the changed record.
     void edit_machine(const std::string& shard, const std::string& machine, ShardContext::MachineEdit edit,
                       std::function<void(bool)> done);
-    /// Marks a machine as to be returned, whoever holds it.
+    /// Marks a machine as to be returned, whichever node holds its shard.
     void retire(const std::string& machine);
-    /// Takes deleted machines out of their records.
+    /// Removes deleted machines from their block records.
     void remove_from_blocks(const std::vector<std::string>& machines);
-    /// Gives idle machines to a shard with waiting tasks.
+    /// Transfers idle machines to a shard with waiting tasks.
     void transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
                                 std::function<void(peer::Grant)> done);
 
     // Called ten times a second.
     void allocate_blocks();
-    /// Blocks of the time when values could be larger are split, in quiet moments: rewritten in pieces they
-    /// would cost several changes each time.
+    /// Splits blocks from the time when values could be larger, when the store has capacity to spare: stored
+    /// in chunks, such a block would cost several changes at each rewrite.
     void split_blocks();
     void flush_edits();
 
   private:
     struct Edit {
-        std::function<bool(Block&)> change;  // false: nothing to change (any more)
+        std::function<bool(Block&)> change;  // returns false if there is nothing (more) to change
         std::function<void(bool)> done;
     };
-    struct Edits {
-        std::vector<Edit> waiting;
+    /// The edits of one block record that are not committed yet.
+    struct BlockEdits {
+        std::vector<Edit> queued;
         bool in_flight = false;
-        Micros not_before = 0;
+        Micros retry_at = 0;
         Micros due = 0;
-        Micros since = 0;
+        Micros first_queued_at = 0;
         bool urgent = false;
     };
     struct UnallocatedMachine {
@@ -88,17 +93,18 @@
         std::string zone;
         bool spot = false;
         bool in_flight = false;
-        std::vector<std::function<void()>> done;
+        std::vector<std::function<void()>> callbacks;
     };
-    /// `patience`: how long the change may wait for others to the same record.
-    void edit_block(const std::string& id, Edit edit, Micros patience);
-    void flush(const std::string& id, Edits& edits);
-    std::size_t block_size() const;
-    void split(const Block& block, const ShardOwner& o);
+    /// `max_delay`: how long the edit may wait to be committed together with others of the same record.
+    void edit_block(const std::string& id, Edit edit, Micros max_delay);
+    void flush(const std::string& id, BlockEdits& edits);
+    std::size_t max_block_machines() const;
+    void split(const Block& block, const ShardOwner& owner);
     void lease_block(Block block, std::vector<std::string> machines);
-    /// Not to be leased any more, or not now: whoever waits for it looks what stands there.
-    void forget_unallocated(const std::string& machine);
-    std::string next_id(Revision mod_revision) {
+    /// Removes the machine from the queue, for good or for now, and runs its callbacks, which look up whether
+    /// it is leased.
+    void drop_unallocated(const std::string& machine);
+    std::string next_block_id(Revision mod_revision) {
         return std::to_string(mod_revision) + "-" + std::to_string(++block_counter_);
     }
 
@@ -111,9 +117,9 @@
     LeaderElection& election_;
     const Autoscaler& autoscaler_;
     const PeerDirectory& peers_;
-    std::map<std::string, Edits> edits_;
+    std::map<std::string, BlockEdits> edits_;  // by block
     std::map<std::string, UnallocatedMachine> unallocated_;
-    RecencyMap<std::monostate> returned_;  // the latest names
+    RecencyMap<std::monostate> returned_;  // the names of the last machines that were returned
     Micros allocated_at_ = 0;
     Micros split_at_ = 0;
     std::uint64_t block_counter_ = 0;
