--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -6,206 +6,220 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kAskEvery = 250 * kMillisecond;
-constexpr Micros kTimeout = 800 * kMillisecond;
+constexpr Micros kRequestInterval = 250 * kMillisecond;
+constexpr Micros kRequestTimeout = 800 * kMillisecond;
 
-Resources unused(const peer::TeamLoad& t) {
-    auto left = [](Milli share, Milli used) {
+/// Returns the part of a team's quota in a shard that is not in use.
+Resources unused_quota(const peer::TeamLoad& team) {
+    auto unused = [](Milli share, Milli used) {
         return share == kNoLimit ? 0 : std::max<Milli>(share - used, 0);
     };
-    return {left(t.share.cores, t.used.cores), left(t.share.gpus, t.used.gpus), 0};
+    return {unused(team.share.cores, team.used.cores), unused(team.share.gpus, team.used.gpus), 0};
 }
 
-Resources spare(const peer::TeamLoad& t) {
-    const Resources left = unused(t) - t.waiting;
-    return {std::max<Milli>(left.cores, 0), std::max<Milli>(left.gpus, 0), 0};
+/// Returns the part of a team's quota in a shard that is neither in use nor needed by waiting tasks.
+Resources spare_quota(const peer::TeamLoad& team) {
+    const Resources spare = unused_quota(team) - team.waiting;
+    return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
 }
 }  // namespace
 
 CapacityBroker::CapacityBroker(Runtime& runtime, const StateCache& cache, const ShardAssignment& assignment,
-                               MachineAllocator& machine_allocator, QuotaAllocator& sharing,
+                               MachineAllocator& machine_allocator, QuotaAllocator& quota_allocator,
                                PeerDirectory& peers)
     : runtime_(runtime),
       cache_(cache),
       assignment_(assignment),
       machine_allocator_(machine_allocator),
-      quota_allocator_(sharing),
+      quota_allocator_(quota_allocator),
       peers_(peers),
-      wanting_(peers.count()),
-      sharing_with_(peers.count()) {}
+      machine_request_in_flight_(peers.count()),
+      quota_request_in_flight_(peers.count()) {}
 
 void CapacityBroker::tick() {
     const Micros now = runtime_.now();
-    if (now - asked_ < kAskEvery || cache_.membership.shards().size() < 2) return;
-    asked_ = now;
-    for (const auto& [name, o] : assignment_.owners()) {
-        if (!o || !o->active()) continue;
-        if (o->machines().empty() && !o->jobs().empty()) {
-            transfer_all_jobs(*o);
+    if (now - requested_at_ < kRequestInterval || cache_.membership.shards().size() < 2) return;
+    requested_at_ = now;
+    for (const auto& [name, owner] : assignment_.owners()) {
+        if (!owner || !owner->active()) continue;
+        if (owner->machines().empty() && !owner->jobs().empty()) {
+            transfer_all_jobs(*owner);
             continue;
         }
-        if (auto want = o->want()) request_machines(*o, *want);
-        for (const auto& [team, missing] : o->short_of_quota()) request_quota(*o, team, missing);
+        if (auto want = owner->want()) request_machines(*owner, *want);
+        for (const auto& [team, missing] : owner->short_of_quota()) request_quota(*owner, team, missing);
     }
 }
 
-/// A shard without machines passes its jobs on.
-void CapacityBroker::transfer_all_jobs(ShardOwner& o) {
-    std::string to;
-    for (const auto& t : machine_allocator_.target_shards())
-        if (t != o.shard() && cache_.capacity_of(t) > 0 &&
-            (to.empty() || cache_.capacity_of(t) > cache_.capacity_of(to)))
-            to = t;
+/// Transfers all jobs of a shard without machines to the largest target shard.
+void CapacityBroker::transfer_all_jobs(ShardOwner& owner) {
+    std::string largest;
+    for (const auto& target : machine_allocator_.target_shards())
+        if (target != owner.shard() && cache_.capacity_of(target) > 0 &&
+            (largest.empty() || cache_.capacity_of(target) > cache_.capacity_of(largest)))
+            largest = target;
     constexpr Milli kAll = INT64_MAX / 2;
-    if (!to.empty()) o.transfer_jobs(to, {kAll, kAll, kAll, kAll});
+    if (!largest.empty()) owner.transfer_jobs(largest, {kAll, kAll, kAll, kAll});
 }
 
-/// Room elsewhere: the job goes there. Otherwise idle machines come here.
-void CapacityBroker::request_machines(ShardOwner& o, const peer::CapacityRequest& want) {
-    const peer::ShardLoad* roomy = nullptr;
-    auto room = [&](const peer::ShardLoad& d) {
-        return d.free_ordinary + (want.spot ? d.free_spot : 0) - d.waiting;
+/// Transfers waiting jobs to the shard with the most free capacity, and requests idle machines from the peer
+/// that has the most, or else from another shard held by this node.
+void CapacityBroker::request_machines(ShardOwner& owner, const peer::CapacityRequest& want) {
+    const peer::ShardLoad* freest = nullptr;
+    auto free_cores = [&](const peer::ShardLoad& load) {
+        return load.free_ordinary + (want.spot ? load.free_spot : 0) - load.waiting;
     };
-    std::optional<std::size_t> best;
-    Milli most = 0;
+    std::optional<std::size_t> best_peer;
+    Milli most_idle = 0;
     for (std::size_t i = 0; i < peers_.count(); ++i) {
         const peer::State* state = peers_.fresh_state(i);
         if (!state) continue;
-        for (const auto& d : state->shards) {
-            const ShardRecord* held = cache_.membership.shard(d.shard);
-            if (held && held->mod_revision == d.mod_revision && (!roomy || room(d) > room(*roomy)))
-                roomy = &d;
-            const Milli idle = d.idle_ordinary + (want.spot ? d.idle_spot : 0);
-            if (d.waiting == 0 && idle > most && !wanting_[i]) {
-                most = idle;
-                best = i;
+        for (const auto& load : state->shards) {
+            const ShardRecord* record = cache_.membership.shard(load.shard);
+            if (record && record->mod_revision == load.mod_revision &&
+                (!freest || free_cores(load) > free_cores(*freest)))
+                freest = &load;
+            const Milli idle = load.idle_ordinary + (want.spot ? load.idle_spot : 0);
+            if (load.waiting == 0 && idle > most_idle && !machine_request_in_flight_[i]) {
+                most_idle = idle;
+                best_peer = i;
             }
         }
     }
-    // Half of it, since others look at the same.
-    if (roomy && room(*roomy) > 0)
-        o.transfer_jobs(roomy->shard, {std::max<Milli>(roomy->free_ordinary - roomy->waiting, 0) / 2,
-                                       roomy->free_spot / 2, roomy->idle_ordinary / 2, roomy->idle_spot / 2});
-    if (best) {
-        wanting_[*best] = true;
-        peers_.call(*best, peer::pack(want), kTimeout,
-                    [this, i = *best](const Reply&) { wanting_[i] = false; });
+    // Only half of the free capacity is used, since other shards see the same capacity.
+    if (freest && free_cores(*freest) > 0)
+        owner.transfer_jobs(freest->shard,
+                            {std::max<Milli>(freest->free_ordinary - freest->waiting, 0) / 2,
+                             freest->free_spot / 2, freest->idle_ordinary / 2, freest->idle_spot / 2});
+    if (best_peer) {
+        machine_request_in_flight_[*best_peer] = true;
+        peers_.call(*best_peer, peer::pack(want), kRequestTimeout,
+                    [this, i = *best_peer](const Reply&) { machine_request_in_flight_[i] = false; });
         return;
     }
-    // Another shard that is held here.
     for (const auto& [other, from] : assignment_.owners())
-        if (from && other != o.shard() && from->active() && !from->want())
+        if (from && other != owner.shard() && from->active() && !from->want())
             return machine_allocator_.transfer_idle_machines(*from, want, [](const peer::Grant&) {});
 }
 
-/// What other shards have of a team's limit and don't use.
-Resources CapacityBroker::unused_elsewhere(const std::string& shard, const std::string& team) const {
+/// Returns the sum of the unused parts of a team's quota in all other shards.
+Resources CapacityBroker::unused_quota_elsewhere(const std::string& shard, const std::string& team) const {
     Resources sum;
     for (std::size_t i = 0; i < peers_.count(); ++i)
         if (const peer::State* state = peers_.fresh_state(i))
-            for (const auto& d : state->shards)
-                for (const auto& t : d.teams)
-                    if (t.team == team && d.shard != shard) sum += unused(t);
-    for (const auto& [other, o] : assignment_.owners())
-        if (o && other != shard && o->active()) sum += o->unused_quota(team);
+            for (const auto& load : state->shards)
+                for (const auto& team_load : load.teams)
+                    if (team_load.team == team && load.shard != shard) sum += unused_quota(team_load);
+    for (const auto& [other, owner] : assignment_.owners())
+        if (owner && other != shard && owner->active()) sum += owner->unused_quota(team);
     return sum;
 }
 
-/// Whether a shard in which work waits for a larger part of a team's limit gives away what it has of that.
-/// What is too little for a task in each of several shards would be used by none. It gathers where least is
-/// lacking, so it goes to and fro nowhere, and not where all of it would be too little.
-bool CapacityBroker::yields(const ShardOwner& from, const peer::QuotaRequest& want) const {
-    // Where all the pieces would be too little as well, they would only come back.
-    if (!want.amount.fits(unused_elsewhere(want.shard, want.team))) return false;
-    const auto lacks = from.short_by(want.team);
-    if (!lacks || (lacks->cores <= 0 && lacks->gpus <= 0)) return false;  // what waits here will use it
-    if (!lacks->fits(unused_elsewhere(from.shard(), want.team))) return true;
+/// Returns true if a shard whose own tasks wait for more of a team's quota yields its unused part of it. If
+/// several shards each have too little left for one task, none of them can use it. So the unused parts go to
+/// the shard that lacks least, which keeps them from moving back and forth, and only if all of them together
+/// suffice there.
+bool CapacityBroker::should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& want) const {
+    // If all unused parts together don't suffice for the requester, they would only be requested back.
+    if (!want.amount.fits(unused_quota_elsewhere(want.shard, want.team))) return false;
+    const auto lacking = from.short_by(want.team);
+    if (!lacking || (lacking->cores <= 0 && lacking->gpus <= 0)) return false;  // a task here will use it
+    if (!lacking->fits(unused_quota_elsewhere(from.shard(), want.team))) return true;
     return std::tie(want.amount.gpus, want.amount.cores, want.shard) <
-           std::tie(lacks->gpus, lacks->cores, from.shard());
+           std::tie(lacking->gpus, lacking->cores, from.shard());
 }
 
-void CapacityBroker::request_quota(const ShardOwner& o, const std::string& team, const Resources& missing) {
-    const auto lacks = o.short_by(team);
-    if (!lacks || request_quota(o, team, missing, spare, &ShardOwner::spare_quota)) return;
-    if (lacks->cores <= 0 && lacks->gpus <= 0) return;
-    if (lacks->fits(unused_elsewhere(o.shard(), team)))
-        request_quota(o, team, *lacks, unused, &ShardOwner::unused_quota);
+/// Requests spare quota, and if no shard has any, unused quota that other shards' waiting tasks can't use.
+void CapacityBroker::request_quota(const ShardOwner& owner, const std::string& team,
+                                   const Resources& missing) {
+    const auto lacking = owner.short_by(team);
+    if (!lacking || request_quota(owner, team, missing, spare_quota, &ShardOwner::spare_quota)) return;
+    if (lacking->cores <= 0 && lacking->gpus <= 0) return;
+    if (lacking->fits(unused_quota_elsewhere(owner.shard(), team)))
+        request_quota(owner, team, *lacking, unused_quota, &ShardOwner::unused_quota);
 }
 
-/// Of whoever has most by that measure. False if nobody has any.
-bool CapacityBroker::request_quota(const ShardOwner& o, const std::string& team, const Resources& missing,
-                                   Resources (*has)(const peer::TeamLoad&),
-                                   Resources (ShardOwner::*ours_has)(const std::string&) const) {
-    std::optional<std::size_t> best;
-    ShardOwner* local = nullptr;
+/// Requests quota from the holder of the shard that has most by the given measure: `peer_quota` for shards of
+/// peers, `local_quota` for shards held by this node. Returns false if no shard has any.
+bool CapacityBroker::request_quota(const ShardOwner& owner, const std::string& team, const Resources& missing,
+                                   Resources (*peer_quota)(const peer::TeamLoad&),
+                                   Resources (ShardOwner::*local_quota)(const std::string&) const) {
+    std::optional<std::size_t> best_peer;
+    ShardOwner* best_local = nullptr;
     Milli most = 0;
     for (std::size_t i = 0; i < peers_.count(); ++i) {
         const peer::State* state = peers_.fresh_state(i);
-        if (!state || sharing_with_[i]) continue;
-        for (const auto& d : state->shards)
-            for (const auto& t : d.teams)
-                if (const Resources r = has(t); t.team == team && r.cores + r.gpus > most) {
-                    most = r.cores + r.gpus;
-                    best = i;
+        if (!state || quota_request_in_flight_[i]) continue;
+        for (const auto& load : state->shards)
+            for (const auto& team_load : load.teams)
+                if (const Resources quota = peer_quota(team_load);
+                    team_load.team == team && quota.cores + quota.gpus > most) {
+                    most = quota.cores + quota.gpus;
+                    best_peer = i;
                 }
     }
     for (const auto& [other, from] : assignment_.owners())
-        if (from && other != o.shard() && from->active())
-            if (const Resources s = (*from.*ours_has)(team); s.cores + s.gpus > most) {
-                most = s.cores + s.gpus;
-                local = from.get();
+        if (from && other != owner.shard() && from->active())
+            if (const Resources quota = (*from.*local_quota)(team); quota.cores + quota.gpus > most) {
+                most = quota.cores + quota.gpus;
+                best_local = from.get();
             }
-    const peer::QuotaRequest want{o.shard(), o.mod_revision(), team, missing};
-    if (local) {
-        give(*local, want, [](const peer::Grant&) {});
-    } else if (best) {
-        sharing_with_[*best] = true;
-        peers_.call(*best, peer::pack(want), kTimeout,
-                    [this, i = *best](const Reply&) { sharing_with_[i] = false; });
+    const peer::QuotaRequest want{owner.shard(), owner.mod_revision(), team, missing};
+    if (best_local) {
+        transfer_quota(*best_local, want, [](const peer::Grant&) {});
+    } else if (best_peer) {
+        quota_request_in_flight_[*best_peer] = true;
+        peers_.call(*best_peer, peer::pack(want), kRequestTimeout,
+                    [this, i = *best_peer](const Reply&) { quota_request_in_flight_[i] = false; });
     }
-    return local || best;
+    return best_local || best_peer;
 }
 
-void CapacityBroker::give(ShardOwner& from, const peer::QuotaRequest& want,
-                          std::function<void(peer::Grant)> done) {
-    Resources of = from.spare_quota(want.team);
-    if (of.cores + of.gpus <= 0 && yields(from, want)) of = from.unused_quota(want.team);
-    quota_allocator_.transfer_quota(from, want, of, std::move(done));
+/// Transfers spare quota, or if the shard has none and should yield, unused quota.
+void CapacityBroker::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want,
+                                    std::function<void(peer::Grant)> done) {
+    Resources available = from.spare_quota(want.team);
+    if (available.cores + available.gpus <= 0 && should_yield_quota(from, want))
+        available = from.unused_quota(want.team);
+    quota_allocator_.transfer_quota(from, want, available, std::move(done));
 }
 
-/// Of ours, the shard with the most idle machines gives.
+/// Grants machines of the shard with the most idle cores, among those held by this node.
 void CapacityBroker::grant_machines(const peer::CapacityRequest& want,
                                     std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
-    Milli most = 0;
-    for (const auto& [name, o] : assignment_.owners()) {
-        if (!o || name == want.shard || !o->active()) continue;
-        const auto load = o->load();
+    Milli most_idle = 0;
+    for (const auto& [name, owner] : assignment_.owners()) {
+        if (!owner || name == want.shard || !owner->active()) continue;
+        const auto load = owner->load();
         if (load.waiting > 0) continue;
-        if (const Milli idle = load.idle_ordinary + load.idle_spot; idle > most) {
-            most = idle;
-            from = o.get();
+        if (const Milli idle = load.idle_ordinary + load.idle_spot; idle > most_idle) {
+            most_idle = idle;
+            from = owner.get();
         }
     }
     if (!from) return done({});
     machine_allocator_.transfer_idle_machines(*from, want, std::move(done));
 }
 
+/// Grants quota of the shard with the most spare quota, or the most unused quota, among those held by this
+/// node.
 void CapacityBroker::grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
-    std::pair<Milli, Milli> most;  // to spare, and what no task can use
-    for (const auto& [name, o] : assignment_.owners()) {
-        if (!o || name == want.shard || !o->active()) continue;
-        const Resources spare = o->spare_quota(want.team);
-        const Resources unused = yields(*o, want) ? o->unused_quota(want.team) : Resources{};
-        const std::pair has{spare.cores + spare.gpus, unused.cores + unused.gpus};
-        if (has > most) {
-            most = has;
-            from = o.get();
+    std::pair<Milli, Milli> most;  // spare quota, and unused quota that the shard should yield
+    for (const auto& [name, owner] : assignment_.owners()) {
+        if (!owner || name == want.shard || !owner->active()) continue;
+        const Resources spare = owner->spare_quota(want.team);
+        const Resources unused =
+            should_yield_quota(*owner, want) ? owner->unused_quota(want.team) : Resources{};
+        const std::pair available{spare.cores + spare.gpus, unused.cores + unused.gpus};
+        if (available > most) {
+            most = available;
+            from = owner.get();
         }
     }
     if (!from) return done({});
-    give(*from, want, std::move(done));
+    transfer_quota(*from, want, std::move(done));
 }
 
 }  // namespace cottonway
--- a/src/allocation/capacity_broker.hpp
+++ b/src/allocation/capacity_broker.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Machines and shares that waiting tasks need are asked of whoever has the most to spare; and the answers to
-// such questions.
+// Requests machines and quota for waiting tasks from the shards that have most to spare, and answers such
+// requests of other controllers.
 
 #include <functional>
 #include <vector>
@@ -14,22 +14,24 @@
 class CapacityBroker {
   public:
     CapacityBroker(Runtime& runtime, const StateCache& cache, const ShardAssignment& assignment,
-                   MachineAllocator& machine_allocator, QuotaAllocator& sharing, PeerDirectory& peers);
+                   MachineAllocator& machine_allocator, QuotaAllocator& quota_allocator,
+                   PeerDirectory& peers);
     /// Called ten times a second.
     void tick();
     void grant_machines(const peer::CapacityRequest& want, std::function<void(peer::Grant)> done);
     void grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done);
 
   private:
-    void transfer_all_jobs(ShardOwner& o);
-    void request_machines(ShardOwner& o, const peer::CapacityRequest& want);
-    void request_quota(const ShardOwner& o, const std::string& team, const Resources& missing);
-    bool request_quota(const ShardOwner& o, const std::string& team, const Resources& missing,
-                       Resources (*has)(const peer::TeamLoad&),
-                       Resources (ShardOwner::*ours_has)(const std::string&) const);
-    Resources unused_elsewhere(const std::string& shard, const std::string& team) const;
-    bool yields(const ShardOwner& from, const peer::QuotaRequest& want) const;
-    void give(ShardOwner& from, const peer::QuotaRequest& want, std::function<void(peer::Grant)> done);
+    void transfer_all_jobs(ShardOwner& owner);
+    void request_machines(ShardOwner& owner, const peer::CapacityRequest& want);
+    void request_quota(const ShardOwner& owner, const std::string& team, const Resources& missing);
+    bool request_quota(const ShardOwner& owner, const std::string& team, const Resources& missing,
+                       Resources (*peer_quota)(const peer::TeamLoad&),
+                       Resources (ShardOwner::*local_quota)(const std::string&) const);
+    Resources unused_quota_elsewhere(const std::string& shard, const std::string& team) const;
+    bool should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& want) const;
+    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& want,
+                        std::function<void(peer::Grant)> done);
 
     Runtime& runtime_;
     const StateCache& cache_;
@@ -37,9 +39,9 @@
     MachineAllocator& machine_allocator_;
     QuotaAllocator& quota_allocator_;
     PeerDirectory& peers_;
-    std::vector<bool> wanting_;  // by peer: asked for machines
-    std::vector<bool> sharing_with_;
-    Micros asked_ = 0;
+    std::vector<bool> machine_request_in_flight_;  // by peer
+    std::vector<bool> quota_request_in_flight_;    // by peer
+    Micros requested_at_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros kAllocateInterval = 300 * kMillisecond;
-// How long a new leader collects machines before it leases the first blocks, so that blocks get large.
+// How long a new leader collects unallocated machines before it leases the first blocks.
 constexpr Micros kNewLeaderDelay = 800 * kMillisecond;
 constexpr std::size_t kMachineRecordBytes = 56;  // of one machine in a block record, with room to grow
 // A shard with waiting tasks is preferred only while it has fewer cores than this multiple of the average.
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -43,8 +43,8 @@
         drop_unallocated(machine);
         returned_.erase(machine);
     }
-    /// Called when no block lists the machine any more, or when the cloud has confirmed that a machine is
-    /// deleted that was in no block.
+    /// Called when no block lists the machine any more, and when the cloud has confirmed that it is deleted,
+    /// which also covers machines that have never been in a block.
     void on_machine_gone(const std::string& machine);
     /// Returns true if the machine is known to be gone for good. A report or a list that still names it is
     /// old: leased again, the machine would count as capacity until its silence is noticed.
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -8,14 +8,14 @@
 namespace cottonway {
 
 namespace {
-/// What of a limit is stored in shares; what has no limit needs none.
-Milli to_share(Milli limit) {
+/// Returns the amount of a limit that is distributed over shares: none of a resource without a limit.
+Milli distributed_amount(Milli limit) {
     return limit == kNoLimit ? 0 : limit;
 }
 }  // namespace
 
 void QuotaAllocator::allocate_initial_quota() {
-    if (!election_.is_leader() || sharing_first_ || cache_.blocks.all().empty() ||
+    if (!election_.is_leader() || allocating_ || cache_.blocks.all().empty() ||
         feed_.confirmed_ago() > kSecond)
         return;
     Change change;
@@ -27,35 +27,38 @@
         auto targets = machine_allocator_.target_shards();
         if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
         if (targets.empty()) return;
-        const auto n = static_cast<Milli>(targets.size());
+        const auto target_count = static_cast<Milli>(targets.size());
         for (const auto& shard : targets) {
             QuotaAllocation shares;
-            for (const auto& t : settings_.teams)
-                shares[t.name] = {to_share(t.limit.cores) / n, to_share(t.limit.gpus) / n, 0};
+            for (const auto& team : settings_.teams)
+                shares[team.name] = {distributed_amount(team.limit.cores) / target_count,
+                                     distributed_amount(team.limit.gpus) / target_count, 0};
             next.emplace_back(shard, shares);
             change.when.push_back({keys::share + shard, 0});
         }
-        for (const auto& t : settings_.teams) {
-            next.front().second[t.name].cores += to_share(t.limit.cores) % n;
-            next.front().second[t.name].gpus += to_share(t.limit.gpus) % n;
+        for (const auto& team : settings_.teams) {
+            next.front().second[team.name].cores += distributed_amount(team.limit.cores) % target_count;
+            next.front().second[team.name].gpus += distributed_amount(team.limit.gpus) % target_count;
         }
     } else {
         for (const auto& [shard, held] : stored) {
-            const ShardOwner* o = assignment_.find(shard);
-            if (!o || cache_.shares.busy(shard)) continue;
+            const ShardOwner* owner = assignment_.find(shard);
+            if (!owner || cache_.shares.busy(shard)) continue;
             QuotaAllocation shares = held.shares;
-            bool more = false;
-            for (const auto& t : settings_.teams) {
-                const Resources sum = cache_.shares.shared_out(t.name);
-                const Milli cores = to_share(t.limit.cores), gpus = to_share(t.limit.gpus);
+            bool raised = false;
+            for (const auto& team : settings_.teams) {
+                const Resources sum = cache_.shares.shared_out(team.name);
+                const Milli cores = distributed_amount(team.limit.cores),
+                            gpus = distributed_amount(team.limit.gpus);
                 if (cores <= sum.cores && gpus <= sum.gpus) continue;
-                more = true;
-                shares[t.name].cores += std::max<Milli>(cores - sum.cores, 0);
-                shares[t.name].gpus += std::max<Milli>(gpus - sum.gpus, 0);
+                raised = true;
+                shares[team.name].cores += std::max<Milli>(cores - sum.cores, 0);
+                shares[team.name].gpus += std::max<Milli>(gpus - sum.gpus, 0);
             }
-            if (!more) return;
-            // Every other share must be as it was when the sum was taken.
-            for (const auto& [name, s] : stored) change.when.push_back({keys::share + name, s.mod_revision});
+            if (!raised) return;
+            // Conditional on every share, since the sum was computed from all of them.
+            for (const auto& [name, share] : stored)
+                change.when.push_back({keys::share + name, share.mod_revision});
             next.emplace_back(shard, shares);
             break;
         }
@@ -63,67 +66,71 @@
     }
     for (const auto& [shard, shares] : next)
         change.then.push_back({keys::share + shard, shares_value(shares)});
-    sharing_first_ = true;
+    allocating_ = true;
     const Revision term = election_.term();
-    store_.commit(std::move(change), [this, next, term](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok)
+    store_.commit(std::move(change), [this, next, term](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
-                const Json v = shares_value(shares);
-                cache_.take(keys::share + shard, &v, r.revision);
+                const Json value = shares_value(shares);
+                cache_.take(keys::share + shard, &value, result.revision);
             }
-        // Carried out after others were made for other shards, the limits would be shared out twice.
-        const bool unknown = r.status == CommitStatus::Unknown;
+        // If this write were executed after first shares were created for other shards, the limits would be
+        // allocated twice. A new term makes it fail.
+        const bool unknown = result.status == CommitStatus::Unknown;
         feed_.after_next_refresh([this, term, unknown](bool) {
-            sharing_first_ = false;
+            allocating_ = false;
             if (unknown && cache_.shares.all().empty()) election_.abandon_term(term);
         });
     });
 }
 
-/// Without an answer the same change is tried until it is clear whether it was made: meanwhile neither side
-/// counts on it.
+/// A change without an answer is retried until its outcome is known. Until then neither shard counts the
+/// transferred part as its own.
 void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
                                     std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
-    QuotaCache& book = cache_.shares;
-    const auto* ours = book.find(shard);
-    const ShardRecord* to = cache_.membership.shard(want.shard);
-    if (!from.active() || !ours || !to || to->mod_revision != want.mod_revision || want.shard == shard ||
-        book.busy(shard) || book.busy(want.shard))
+    QuotaCache& shares = cache_.shares;
+    const auto* stored_from = shares.find(shard);
+    const ShardRecord* receiver = cache_.membership.shard(want.shard);
+    if (!from.active() || !stored_from || !receiver || receiver->mod_revision != want.mod_revision ||
+        want.shard == shard || shares.busy(shard) || shares.busy(want.shard))
         return done({});
-    auto part = [](Milli left, Milli asked) { return std::min(left, std::max(asked, left / 2)); };
-    const Resources grant{part(spare.cores, std::max<Milli>(want.amount.cores, 0)),
-                          part(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
+    auto granted = [](Milli available, Milli requested) {
+        return std::min(available, std::max(requested, available / 2));
+    };
+    const Resources grant{granted(spare.cores, std::max<Milli>(want.amount.cores, 0)),
+                          granted(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
-    QuotaAllocation less = ours->shares, more;
-    Revision their_mark = 0;
-    if (const auto* theirs = book.find(want.shard)) {
-        more = theirs->shares;
-        their_mark = theirs->mod_revision;
+    QuotaAllocation new_from = stored_from->shares, new_receiver;
+    Revision receiver_revision = 0;
+    if (const auto* stored_receiver = shares.find(want.shard)) {
+        new_receiver = stored_receiver->shares;
+        receiver_revision = stored_receiver->mod_revision;
     }
-    less[want.team] -= grant;
-    more[want.team] += grant;
+    new_from[want.team] -= grant;
+    new_receiver[want.team] += grant;
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::shard + shard, from.mod_revision()});
-    change.when.push_back({keys::share + shard, ours->mod_revision});
-    change.when.push_back({keys::share + want.shard, their_mark});
-    change.then.push_back({keys::share + shard, shares_value(less)});
-    change.then.push_back({keys::share + want.shard, shares_value(more)});
+    change.when.push_back({keys::share + shard, stored_from->mod_revision});
+    change.when.push_back({keys::share + want.shard, receiver_revision});
+    change.then.push_back({keys::share + shard, shares_value(new_from)});
+    change.then.push_back({keys::share + want.shard, shares_value(new_receiver)});
     change.purpose = "share";
-    book.giving(shard, want.shard, want.team, grant);
+    shares.giving(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
-    auto settle = [this, shard, want, grant, less, more, done = std::move(done)](const CommitResult& r) {
-        const bool ok = r.status == CommitStatus::Ok;
+    auto finish = [this, shard, want, grant, new_from, new_receiver,
+                   done = std::move(done)](const CommitResult& result) {
+        const bool ok = result.status == CommitStatus::Ok;
         if (ok) {
-            const Json l = shares_value(less), m = shares_value(more);
-            cache_.take(keys::share + shard, &l, r.revision);
-            cache_.take(keys::share + want.shard, &m, r.revision);
+            const Json from_value = shares_value(new_from), receiver_value = shares_value(new_receiver);
+            cache_.take(keys::share + shard, &from_value, result.revision);
+            cache_.take(keys::share + want.shard, &receiver_value, result.revision);
         }
         cache_.shares.given(shard, want.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
     };
-    commit_until_known(runtime_, store_, feed_, std::move(change), std::move(settle));
+    commit_until_known(runtime_, store_, feed_, std::move(change), std::move(finish));
 }
 
 }  // namespace cottonway
--- a/src/allocation/quota_allocator.hpp
+++ b/src/allocation/quota_allocator.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The records of shares: the first ones, and parts of a team's limit given to shards that wait for them.
+// Maintains the records of each shard's share of the teams' limits (quota): creates the first ones, and
+// transfers parts of a team's limit to shards whose tasks wait for them.
 
 #include <functional>
 
@@ -23,10 +24,11 @@
           election_(election),
           machine_allocator_(machine_allocator) {}
 
-    /// The leader creates the first shares, all in one change, and adds to its own shard's what operators
-    /// have raised a limit by. Everything else is a transfer, which leaves the sum as it is.
+    /// Only on the leader: creates the first shares in one transaction, and when operators raise a limit,
+    /// adds the difference to the share of a shard that it holds. All other changes are transfers, which
+    /// leave the sum as it is. Called ten times a second.
     void allocate_initial_quota();
-    /// Gives another shard a part of what this one can spare of a team's limit.
+    /// Transfers a part of the quota that a shard held by this node can spare to the requesting shard.
     void transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
                         std::function<void(peer::Grant)> done);
 
@@ -39,7 +41,7 @@
     const ShardAssignment& assignment_;
     LeaderElection& election_;
     const MachineAllocator& machine_allocator_;
-    bool sharing_first_ = false;
+    bool allocating_ = false;
 };
 
 }  // namespace cottonway
