--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -14,42 +14,44 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kListEvery = 4 * kSecond;
-constexpr Micros kTypesEvery = 60 * kSecond;
-constexpr Micros kReclaimEvery = 2 * kSecond;
-constexpr std::size_t kMaxDelete = 100;
-constexpr int kMaxAtOnce = 50;
-constexpr std::size_t kMaxRentals = 4;
-// A dead machine is listed as failed before this; one that is only cut off comes back, with its images.
-constexpr Micros kLateBoots = 2;  // times its type's, from when on a machine may never come up
-constexpr Micros kSilent = 90 * kSecond;
-constexpr Micros kForget = 120 * kSecond;  // a peak of demand halves in this time
-// The same for teams without a limit where operators have no objective about cost: a machine that is returned
-// and rented again costs its boot and the fetch of every image.
-constexpr Micros kForgetWithoutCostObjective = 1200 * kSecond;
-constexpr Micros kAverage = 60 * kSecond;
+constexpr Micros kListInterval = 4 * kSecond;
+constexpr Micros kTypesFetchInterval = 60 * kSecond;
+constexpr Micros kRetireIdleInterval = 2 * kSecond;
+constexpr std::size_t kMaxDeletesPerRequest = 100;
+constexpr int kMaxMachinesPerRental = 50;
+constexpr std::size_t kMaxConcurrentRentals = 4;
+constexpr Micros kOverdueBootFactor = 2;  // multiple of its type's boot time after which a machine is overdue
+// How long beyond its lease a machine may be unreachable before it is retired. A dead machine is listed as
+// failed before that; one that is only cut off comes back with its images.
+constexpr Micros kUnreachableGrace = 90 * kSecond;
+constexpr Micros kPeakHalfLife = 120 * kSecond;  // of a peak of demand
+// The same for teams without a limit if operators have set no objective for cost: a machine that is returned
+// and rented again has to boot and to fetch every image.
+constexpr Micros kPeakHalfLifeWithoutCostObjective = 1200 * kSecond;
+constexpr Micros kMeanTimeConstant = 60 * kSecond;
 constexpr double kOrdinaryMargin = 1.1;
-constexpr double kMargin = 1.15;
-constexpr Micros kLeftOutEvery = 2 * kSecond;
-constexpr Micros kLeftOutAfter = 10 * kSecond;
+constexpr double kSpotEligibleMargin = 1.15;
+constexpr Micros kUnschedulableCheckInterval = 2 * kSecond;
+constexpr Micros kUnschedulableMinWait = 10 * kSecond;
 
-/// What a wanted amount was before a margin was put on it.
-Milli unmargined(Milli wanted, double margin) {
+/// Returns the amount from which a wanted amount was computed by adding a margin.
+Milli without_margin(Milli wanted, double margin) {
     return static_cast<Milli>(static_cast<double>(wanted) / margin);
 }
 
 bool has_cost_objective(const Settings& settings) {
-    return std::any_of(settings.objectives.begin(), settings.objectives.end(),
-                       [](const Objective& o) { return o.kind == "useful" || o.kind == "price"; });
+    return std::any_of(
+        settings.objectives.begin(), settings.objectives.end(),
+        [](const Objective& objective) { return objective.kind == "useful" || objective.kind == "price"; });
 }
 
-/// Of a job's tasks, on an empty machine.
-int tasks_on(const Resources& size, const Resources& need) {
-    Milli n = kMaxAtOnce * 1000;
-    if (need.cores > 0) n = std::min(n, size.cores / need.cores);
-    if (need.gpus > 0) n = std::min(n, size.gpus / need.gpus);
-    if (need.ram > 0) n = std::min(n, size.ram / need.ram);
-    return static_cast<int>(n);
+/// Returns how many tasks with this request fit on an empty machine.
+int tasks_per_machine(const Resources& size, const Resources& request) {
+    Milli tasks = kMaxMachinesPerRental * 1000;
+    if (request.cores > 0) tasks = std::min(tasks, size.cores / request.cores);
+    if (request.gpus > 0) tasks = std::min(tasks, size.gpus / request.gpus);
+    if (request.ram > 0) tasks = std::min(tasks, size.ram / request.ram);
+    return static_cast<int>(tasks);
 }
 }  // namespace
 
@@ -65,137 +67,143 @@
       peers_(peers),
       budget_(settings.cloud_rps * 0.8, std::max(1.0, settings.cloud_rps)) {}
 
-/// `reserve` requests are left over for what is more urgent.
-bool Autoscaler::call(Call c, double reserve, ReplyHandler done) {
-    if (runtime_.now() < pause_until_ || budget_.take(runtime_.now(), 1, reserve) > 0) return false;
-    c.target = Target::Cloud;
-    c.timeout = 4 * kSecond;
-    runtime_.call(std::move(c), [this, done = std::move(done)](const Reply& r) {
-        if (r.status == 429 || (r.status == 503 && wire::text(r.body, "error") != "no capacity"))
-            pause_until_ =
+/// Sends a request to the cloud unless the rate budget, less `reserve` requests for more urgent calls, is
+/// used up or the cloud has asked to back off. Returns false if it was not sent.
+bool Autoscaler::call(Call call, double reserve, ReplyHandler done) {
+    if (runtime_.now() < backoff_until_ || budget_.take(runtime_.now(), 1, reserve) > 0) return false;
+    call.target = Target::Cloud;
+    call.timeout = 4 * kSecond;
+    runtime_.call(std::move(call), [this, done = std::move(done)](const Reply& reply) {
+        if (reply.status == 429 || (reply.status == 503 && wire::text(reply.body, "error") != "no capacity"))
+            backoff_until_ =
                 runtime_.now() + kSecond + static_cast<Micros>(runtime_.random()() % 1000) * kMillisecond;
-        done(r);
+        done(reply);
     });
     return true;
 }
 
 void Autoscaler::tick() {
     const Micros now = runtime_.now();
-    if (holding_since_ == 0) holding_since_ = now;
-    const bool reclaims = now - reclaimed_at_ > kReclaimEvery;
-    if (reclaims) reclaimed_at_ = now;
+    if (first_tick_at_ == 0) first_tick_at_ = now;
+    const bool idle_too = now - idle_retired_at_ > kRetireIdleInterval;
+    if (idle_too) idle_retired_at_ = now;
     for (const auto& [name, owner] : assignment_.owners()) {
         if (!owner || !owner->active()) continue;
-        if (reclaims) drain(*owner);
-        reclaim(*owner, reclaims);
+        if (idle_too) drain_surplus(*owner);
+        retire_machines(*owner, idle_too);
     }
     if (!election_.is_leader()) {
         was_leading_ = false;
-        if (const auto told = peers_.fleet_balance(); told.term > 0)
-            counted_ = {told.ordinary, told.total, now};
+        if (const auto balance = peers_.fleet_balance(); balance.term > 0)
+            counted_ = {balance.ordinary, balance.total, now};
         return;
     }
     if (!was_leading_) {
         was_leading_ = true;
         inherited_ = counted_;
         leading_since_ = now;
-        // Rental names hold the mark of the leader's term, which no other term shares, so none is ever used
-        // twice.
+        // Rental names contain the term, which is unique, so no name is ever used twice.
         term_ = election_.term();
         rentals_.clear();
         pending_instances_.clear();
         never_registered_.clear();
         first_listed_.clear();
-        peak_ordinary_ = peak_unlimited_ordinary_ = peak_unlimited_flexible_ = {};
-        mean_flexible_ = 0;
-        weighed_at_ = 0;
+        peak_ordinary_ = peak_unlimited_ordinary_ = peak_unlimited_spot_eligible_ = {};
+        mean_spot_eligible_ = 0;
+        evaluated_at_ = 0;
     }
-    if (!listing_ && now - listed_at_ > kListEvery) {
+    if (!listing_ && now - listed_at_ > kListInterval) {
         listed_at_ = now;
-        listing_now_.clear();
-        list("");
+        current_list_.clear();
+        list_machines("");
     }
-    if (now - types_at_ > kTypesEvery) {
-        types_at_ = now;
-        Call c;
-        c.method = "GET";
-        c.path = "/machine_types";
-        call(std::move(c), 1, [this](const Reply& r) {
-            if (r.status == 200) cache_.learn(r.body);
+    if (now - types_fetched_at_ > kTypesFetchInterval) {
+        types_fetched_at_ = now;
+        Call request;
+        request.method = "GET";
+        request.path = "/machine_types";
+        call(std::move(request), 1, [this](const Reply& reply) {
+            if (reply.status == 200) cache_.learn(reply.body);
         });
     }
     evaluate_demand();
     log_balance();
     if (!election_.term_is_valid()) return;
     for (auto& [name, rental] : rentals_)
-        if (!rental.in_flight && now >= rental.not_before) send(rental);
-    remove();
+        if (!rental.in_flight && now >= rental.retry_at) send_rental(rental);
+    delete_retired();
     rent();
 }
 
-// ---------------------------------------------------------------- what is there
+// ---------------------------------------------------------------- listing machines
 
-void Autoscaler::list(const std::string& since) {
+void Autoscaler::list_machines(const std::string& start_after) {
     listing_ = true;
-    Call c;
-    c.method = "GET";
-    c.path = "/machines?" + (since.empty() ? std::string() : "since=" + since + "&") + "page=500";
-    // Reading the list must not keep rentals and deletions waiting.
-    const bool sent = call(std::move(c), std::min(1.0, settings_.cloud_rps / 4), [this](const Reply& r) {
-        listing_ = false;
-        auto page = r.status == 200 ? wire::parse_machines(r.body) : std::nullopt;
-        if (!page || !election_.is_leader()) return;
-        for (const auto& m : page->machines) on_listed(m);
-        if (page->more && !page->machines.empty()) return list(page->machines.back().name);
-        list_complete();
-    });
+    Call request;
+    request.method = "GET";
+    request.path =
+        "/machines?" + (start_after.empty() ? std::string() : "since=" + start_after + "&") + "page=500";
+    // The reserve keeps reading the list from delaying rentals and deletions.
+    const bool sent =
+        call(std::move(request), std::min(1.0, settings_.cloud_rps / 4), [this](const Reply& reply) {
+            listing_ = false;
+            auto page = reply.status == 200 ? wire::parse_machines(reply.body) : std::nullopt;
+            if (!page || !election_.is_leader()) return;
+            for (const auto& machine : page->machines) on_machine_listed(machine);
+            if (page->more && !page->machines.empty()) return list_machines(page->machines.back().name);
+            on_list_complete();
+        });
     if (!sent)
-        runtime_.after(200 * kMillisecond, [this, since] {
-            if (!since.empty() && election_.is_leader()) return list(since);
+        runtime_.after(200 * kMillisecond, [this, start_after] {
+            if (!start_after.empty() && election_.is_leader()) return list_machines(start_after);
             listing_ = false;
         });
 }
 
-void Autoscaler::on_listed(const CloudMachine& m) {
+void Autoscaler::on_machine_listed(const CloudMachine& machine) {
     const Micros now = runtime_.now();
-    listing_now_.insert(m.name);
-    if (machine_allocator_.is_returned(m.name)) return;  // the list is late
-    first_listed_.try_emplace(m.name, now);
-    const bool leased = cache_.blocks.of(m.name) != nullptr;
-    if (m.state == CloudState::Failed) {
+    current_list_.insert(machine.name);
+    if (machine_allocator_.is_returned(machine.name)) return;  // the list is out of date
+    first_listed_.try_emplace(machine.name, now);
+    const bool leased = cache_.blocks.of(machine.name) != nullptr;
+    if (machine.state == CloudState::Failed) {
         if (leased)
-            retire(m.name, "it has failed");
+            retire(machine.name, "the cloud lists it as failed");
         else
-            never_registered_.emplace(m.name, now);
+            never_registered_.emplace(machine.name, now);
         return;
     }
     if (leased) return;
-    if (!pending_instances_.count(m.name)) {
-        // Rented by another term, or by a request that was carried out late.
-        pending_instances_.emplace(m.name, PendingInstance{m.type, m.zone, m.spot, now - m.age});
-        spdlog::debug("machine {}: in the cloud's list, not leased yet", m.name);
+    if (!pending_instances_.count(machine.name)) {
+        // Rented in another term, or by a request that the cloud executed late.
+        pending_instances_.emplace(
+            machine.name, PendingInstance{machine.type, machine.zone, machine.spot, now - machine.age});
+        spdlog::debug("machine {}: in the cloud's list, not leased yet", machine.name);
     }
-    // Up and with an address: leased at once, so that its first report finds its holder.
-    if (m.state == CloudState::Running && !m.addr.empty() && !never_registered_.count(m.name))
-        machine_allocator_.allocate({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
-    const MachineType* type = cache_.types.find(m.type);
+    // A running machine with an address is leased at once, so that its first report finds its shard's holder.
+    if (machine.state == CloudState::Running && !machine.addr.empty() &&
+        !never_registered_.count(machine.name))
+        machine_allocator_.allocate({machine.name, machine.addr, 0, false, false}, machine.type, machine.zone,
+                                    machine.spot, nullptr);
+    const MachineType* type = cache_.types.find(machine.type);
     const Micros boot = type ? type->boot : 60 * kSecond;
-    // Far beyond its type's time: it will hardly come up, and it is charged all the while.
-    if (m.state == CloudState::Starting && m.age > 3 * boot + 30 * kSecond &&
+    // Far beyond its type's boot time the machine will hardly come up any more, but it is charged for.
+    if (machine.state == CloudState::Starting && machine.age > 3 * boot + 30 * kSecond &&
         now - leading_since_ > 20 * kSecond) {
-        spdlog::info("machine {}: has not come up, to be returned", m.name);
-        never_registered_.emplace(m.name, now);
+        spdlog::info("machine {}: has not finished booting in time, to be returned", machine.name);
+        never_registered_.emplace(machine.name, now);
     }
 }
 
-/// A machine that was listed stays listed until it is gone. A list may be as old as twice its lag, so what
-/// was first listed long before that and is missing now is gone: its deletion, which does no harm, proves it,
-/// and ends the doubt about its tasks much sooner than their lease would.
-void Autoscaler::list_complete() {
+/// Retires machines that are missing from the list. A listed machine stays listed until it is gone, and a
+/// list is at most twice its lag old. So a machine that was first listed long before that and is missing now
+/// is gone. Deleting it is harmless, confirms that it is gone, and so resolves the doubt about its tasks much
+/// sooner than the end of their lease would.
+void Autoscaler::on_list_complete() {
     const Micros now = runtime_.now();
     for (auto it = first_listed_.begin(); it != first_listed_.end();) {
         const std::string& name = it->first;
-        if (listing_now_.count(name) || now - it->second < listed_by()) {
+        if (current_list_.count(name) || now - it->second < max_list_delay()) {
             ++it;
             continue;
         }
@@ -207,25 +215,26 @@
     }
 }
 
-/// By the leader, whoever holds the machine.
-void Autoscaler::retire(const std::string& machine, const char* why) {
+/// Retires a machine from the leader, whichever node holds its shard.
+void Autoscaler::retire(const std::string& machine, const char* reason) {
     const Block* block = cache_.blocks.of(machine);
     if (!block) return;
-    for (const auto& m : block->machines)
-        if (m.name == machine && m.retired) return;
-    if (ShardOwner* owner = assignment_.find(block->shard)) return owner->retire(machine, why);
-    spdlog::info("machine {}: to be returned: {}", machine, why);
+    for (const auto& entry : block->machines)
+        if (entry.name == machine && entry.retired) return;
+    if (ShardOwner* owner = assignment_.find(block->shard)) return owner->retire(machine, reason);
+    spdlog::info("machine {}: to be returned: {}", machine, reason);
     machine_allocator_.retire(machine);
 }
 
-bool Autoscaler::late(const PendingInstance& b, const MachineType& type) const {
-    return runtime_.now() - b.since > kLateBoots * type.boot + settings_.list_lag;
+bool Autoscaler::is_overdue(const PendingInstance& instance, const MachineType& type) const {
+    return runtime_.now() - instance.rented_at > kOverdueBootFactor * type.boot + settings_.list_lag;
 }
 
 void Autoscaler::evaluate_demand() {
     const Micros now = runtime_.now();
-    const Settings& s = settings_;
-    std::erase_if(pending_instances_, [&](const auto& b) { return cache_.blocks.of(b.first) != nullptr; });
+    const Settings& settings = settings_;
+    std::erase_if(pending_instances_,
+                  [&](const auto& entry) { return cache_.blocks.of(entry.first) != nullptr; });
     balance_ = peer::FleetBalance{};
     balance_.term = election_.term();
     auto add = [&](Milli cores, bool spot) {
@@ -234,209 +243,228 @@
     };
     for (const auto& [id, block] : cache_.blocks.all())
         if (const auto* type = cache_.types.find(block.type))
-            for (const auto& m : block.machines)
-                if (!m.retired) add(type->size.cores, block.spot);
-    for (const auto& [name, b] : pending_instances_)
-        if (const auto* type = cache_.types.find(b.type); type && !late(b, *type))
-            add(type->size.cores, b.spot);
-    for (const auto& [name, r] : rentals_)
-        if (const auto* type = cache_.types.find(r.type)) add(type->size.cores * r.count, r.spot);
-    // What the leader before has rented may be neither up nor listed yet: it must not be rented again.
+            for (const auto& entry : block.machines)
+                if (!entry.retired) add(type->size.cores, block.spot);
+    for (const auto& [name, instance] : pending_instances_)
+        if (const auto* type = cache_.types.find(instance.type); type && !is_overdue(instance, *type))
+            add(type->size.cores, instance.spot);
+    for (const auto& [name, rental] : rentals_)
+        if (const auto* type = cache_.types.find(rental.type))
+            add(type->size.cores * rental.count, rental.spot);
+    // Machines that the former leader rented may be neither in a block nor listed yet. Their cores are
+    // counted, so that they are not rented again.
     counted_ = {balance_.ordinary, balance_.total, now};
-    if (inherited_.at > 0 && now - inherited_.at < listed_by()) {
+    if (inherited_.at > 0 && now - inherited_.at < max_list_delay()) {
         balance_.ordinary = std::max(balance_.ordinary, inherited_.ordinary);
         balance_.total = std::max(balance_.total, inherited_.total);
     }
-    allocation::DemandEstimator estimator(s.teams, cache_.types.types());
+    allocation::DemandEstimator estimator(settings.teams, cache_.types.types());
     for (const auto& [ref, job] : cache_.jobs.live()) estimator.add(job);
     const allocation::Demand demand = estimator.total();
     const Milli spot = balance_.total - balance_.ordinary;
-    const auto passed = static_cast<double>(weighed_at_ > 0 ? now - weighed_at_ : 0);
-    weighed_at_ = now;
-    peak_ordinary_.update(demand.ordinary, passed, kForget);
-    const Micros half_life = has_cost_objective(s) ? kForget : kForgetWithoutCostObjective;
-    peak_unlimited_ordinary_.update(demand.unlimited_ordinary, passed, half_life);
-    peak_unlimited_flexible_.update(demand.unlimited_spot_eligible, passed, half_life);
-    // A new leader does not know the peaks before its term: where nothing but demand limits the fleet, it
-    // takes what is there for wanted, until the list can tell of all of it.
-    if (now - leading_since_ < listed_by() && demand.limit == 0) {
-        peak_unlimited_ordinary_.update(unmargined(balance_.ordinary, kOrdinaryMargin), passed, half_life);
-        peak_unlimited_flexible_.update(unmargined(spot, kMargin), passed, half_life);
+    const auto elapsed_us = static_cast<double>(evaluated_at_ > 0 ? now - evaluated_at_ : 0);
+    evaluated_at_ = now;
+    peak_ordinary_.update(demand.ordinary, elapsed_us, kPeakHalfLife);
+    const Micros half_life = has_cost_objective(settings) ? kPeakHalfLife : kPeakHalfLifeWithoutCostObjective;
+    peak_unlimited_ordinary_.update(demand.unlimited_ordinary, elapsed_us, half_life);
+    peak_unlimited_spot_eligible_.update(demand.unlimited_spot_eligible, elapsed_us, half_life);
+    // A new leader does not know the peaks before its term. If only demand bounds the fleet, it treats the
+    // machines that exist as wanted until the list must be complete.
+    if (now - leading_since_ < max_list_delay() && demand.limit == 0) {
+        peak_unlimited_ordinary_.update(without_margin(balance_.ordinary, kOrdinaryMargin), elapsed_us,
+                                        half_life);
+        peak_unlimited_spot_eligible_.update(without_margin(spot, kSpotEligibleMargin), elapsed_us,
+                                             half_life);
     }
-    const double weight = passed > 0 ? std::exp(-passed / static_cast<double>(kAverage)) : 0;
-    mean_flexible_ = mean_flexible_ * weight + static_cast<double>(demand.spot_eligible) * (1 - weight);
-    // Spot machines are cheap: all that the teams may use. Ordinary ones: what work needs that may not use
-    // spot, whose peak is forgotten slowly since it must not wait for a machine to boot; and what spot
-    // machines don't cover of the rest. That can wait a little, and a burst is over before machines are up,
-    // so its average counts. A team without a limit may use all that its work needs, and a margin.
-    const double rest = mean_flexible_ * kMargin - static_cast<double>(spot);
+    const double decay = elapsed_us > 0 ? std::exp(-elapsed_us / static_cast<double>(kMeanTimeConstant)) : 0;
+    mean_spot_eligible_ =
+        mean_spot_eligible_ * decay + static_cast<double>(demand.spot_eligible) * (1 - decay);
+    // Spot machines are cheap, so the total covers everything that the teams' limits allow. Ordinary machines
+    // cover the demand that may not use spot machines, whose peak decays slowly since those tasks must not
+    // wait for a machine to boot, and the spot-eligible demand that spot machines don't cover. The latter can
+    // wait a little, and a burst is over before machines have booted, so its mean counts. For teams without a
+    // limit the total covers all of their demand plus a margin.
+    const double uncovered = mean_spot_eligible_ * kSpotEligibleMargin - static_cast<double>(spot);
     const double unlimited_ordinary = peak_unlimited_ordinary_.value() * kOrdinaryMargin;
-    const double unlimited = unlimited_ordinary + peak_unlimited_flexible_.value() * kMargin;
-    const Milli most = demand.limit + static_cast<Milli>(unlimited);
+    const double unlimited = unlimited_ordinary + peak_unlimited_spot_eligible_.value() * kSpotEligibleMargin;
+    const Milli max_total = demand.limit + static_cast<Milli>(unlimited);
     const double peak = peak_ordinary_.value();
     balance_.wanted_ordinary = std::min(
-        most, static_cast<Milli>(std::max({peak * kOrdinaryMargin, peak + rest, unlimited_ordinary})));
-    balance_.wanted_total = most;
+        max_total,
+        static_cast<Milli>(std::max({peak * kOrdinaryMargin, peak + uncovered, unlimited_ordinary})));
+    balance_.wanted_total = max_total;
 }
 
-/// At most every ten seconds, so that the log shows why machines come and go.
+/// Logs at most every ten seconds why machines are rented and returned.
 void Autoscaler::log_balance() {
     const Micros now = runtime_.now();
     if (now - logged_at_ < 10 * kSecond) return;
     logged_at_ = now;
-    spdlog::info(
-        "fleet: {} of {} cores wanted are there or coming, ordinary {} of {}; {} machines not leased yet",
-        balance_.total / 1000, balance_.wanted_total / 1000, balance_.ordinary / 1000,
-        balance_.wanted_ordinary / 1000, pending_instances_.size());
+    spdlog::info("fleet: {} of {} wanted cores are rented, ordinary {} of {}; {} machines not leased yet",
+                 balance_.total / 1000, balance_.wanted_total / 1000, balance_.ordinary / 1000,
+                 balance_.wanted_ordinary / 1000, pending_instances_.size());
 }
 
-// ---------------------------------------------------------------- returning
+// ---------------------------------------------------------------- returning machines
 
-/// What is too much in all, by the shard's part of the machines.
+/// Returns the shard's part of the fleet's surplus, in proportion to its part of the fleet's cores.
 Autoscaler::Surplus Autoscaler::surplus_of(const ShardOwner& owner) const {
     const auto balance = peers_.fleet_balance();
     if (balance.term == 0 || balance.total <= 0) return {};
-    const double part =
+    const double fraction =
         static_cast<double>(cache_.capacity_of(owner.shard())) / static_cast<double>(balance.total);
-    auto ours = [part](Milli surplus) {
-        return static_cast<Milli>(static_cast<double>(std::max<Milli>(surplus, 0)) * std::min(part, 1.0));
+    auto shard_part = [fraction](Milli surplus) {
+        return static_cast<Milli>(static_cast<double>(std::max<Milli>(surplus, 0)) * std::min(fraction, 1.0));
     };
-    Surplus surplus{ours(balance.ordinary - balance.wanted_ordinary),
-                    ours(balance.total - balance.wanted_total)};
-    // What is of no use now is no reason to return what is, to which its work will have to go.
-    for (const auto& [name, m] : owner.machines()) {
-        if (m->retired || !m->type || owner.unreachable_for(*m) <= owner.patience()) continue;
-        surplus.total -= m->type->size.cores;
-        if (!m->spot) surplus.ordinary -= m->type->size.cores;
+    Surplus surplus{shard_part(balance.ordinary - balance.wanted_ordinary),
+                    shard_part(balance.total - balance.wanted_total)};
+    // Unreachable machines don't count as surplus: their tasks will have to move to machines that are usable.
+    for (const auto& [name, machine] : owner.machines()) {
+        if (machine->retired || !machine->type || owner.unreachable_for(*machine) <= owner.patience())
+            continue;
+        surplus.total -= machine->type->size.cores;
+        if (!machine->spot) surplus.ordinary -= machine->type->size.cores;
     }
     return surplus;
 }
 
-/// Surplus ordinary machines that batch work keeps busy are emptied, the least used ones first.
-void Autoscaler::drain(ShardOwner& owner) {
+/// Drains surplus ordinary machines that run only batch tasks, the least used ones first.
+void Autoscaler::drain_surplus(ShardOwner& owner) {
     Milli surplus = surplus_of(owner).ordinary;
-    std::vector<const Machine*> busy;
-    for (const auto& [name, m] : owner.machines())
-        if (!m->spot && !m->retired && m->type && owner.passing(*m)) busy.push_back(m.get());
-    std::stable_sort(busy.begin(), busy.end(), [](const Machine* a, const Machine* b) {
+    std::vector<const Machine*> candidates;
+    for (const auto& [name, machine] : owner.machines())
+        if (!machine->spot && !machine->retired && machine->type && owner.passing(*machine))
+            candidates.push_back(machine.get());
+    std::stable_sort(candidates.begin(), candidates.end(), [](const Machine* a, const Machine* b) {
         return std::tuple(!a->draining, a->reserved.cores) < std::tuple(!b->draining, b->reserved.cores);
     });
-    const bool settled = runtime_.now() - holding_since_ > settings_.ops.idle_return;
-    for (const Machine* m : busy) {
-        const bool on = settled && surplus >= m->type->size.cores;
-        if (on) surplus -= m->type->size.cores;
-        owner.drain(m->name, on);
+    const bool settled = runtime_.now() - first_tick_at_ > settings_.ops.idle_return;
+    for (const Machine* machine : candidates) {
+        const bool draining = settled && surplus >= machine->type->size.cores;
+        if (draining) surplus -= machine->type->size.cores;
+        owner.drain(machine->name, draining);
     }
 }
 
-void Autoscaler::reclaim(ShardOwner& owner, bool idle_too) {
+/// Retires machines of a shard that are unreachable, reclaimed by the cloud or faulty, and with `idle_too`
+/// surplus machines that have been idle for a while.
+void Autoscaler::retire_machines(ShardOwner& owner, bool idle_too) {
     const Micros now = runtime_.now();
-    const Settings& s = settings_;
+    const Settings& settings = settings_;
     Surplus surplus = idle_too ? surplus_of(owner) : Surplus{};
-    for (const auto& [name, m] : owner.machines()) {
-        if (m->retired || m->retiring || m->leaving) continue;
-        const Micros silent = owner.silent_for(*m);
-        if (m->tasks.empty() && now - holding_since_ > s.lease &&
-            owner.unreachable_for(*m) > s.lease + kSilent) {
-            owner.retire(name, m->suspect ? "it does not hear us" : "it does not report");
-        } else if (m->notice && now > m->notice_end + 2 * kSecond &&
-                   silent > s.report_every * 5 / 4 + kSecond) {
-            owner.retire(name, "it was taken");
-        } else if (m->error_jobs.size() >= 3 && m->tasks.empty()) {
+    for (const auto& [name, machine] : owner.machines()) {
+        if (machine->retired || machine->retiring || machine->leaving) continue;
+        const Micros silent = owner.silent_for(*machine);
+        if (machine->tasks.empty() && now - first_tick_at_ > settings.lease &&
+            owner.unreachable_for(*machine) > settings.lease + kUnreachableGrace) {
+            owner.retire(name, machine->suspect ? "it does not receive answers" : "it does not report");
+        } else if (machine->notice && now > machine->notice_end + 2 * kSecond &&
+                   silent > settings.report_every * 5 / 4 + kSecond) {
+            owner.retire(name, "the cloud has reclaimed it");
+        } else if (machine->error_jobs.size() >= 3 && machine->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
-        } else if (idle_too && m->tasks.empty() && m->type && now - holding_since_ > s.ops.idle_return &&
-                   runtime_.listened() - m->idle_since > s.ops.idle_return) {
-            const Milli cores = m->type->size.cores;
-            Milli& left = m->spot ? surplus.total : surplus.ordinary;
+        } else if (idle_too && machine->tasks.empty() && machine->type &&
+                   now - first_tick_at_ > settings.ops.idle_return &&
+                   runtime_.listened() - machine->idle_since > settings.ops.idle_return) {
+            const Milli cores = machine->type->size.cores;
+            Milli& left = machine->spot ? surplus.total : surplus.ordinary;
             if (left < cores) continue;
             left -= cores;
-            if (!m->spot) surplus.total -= cores;
+            if (!machine->spot) surplus.total -= cores;
             owner.retire(name, "it is idle");
         }
     }
 }
 
-void Autoscaler::remove() {
+/// Deletes retired machines, and machines that never came up, at the cloud.
+void Autoscaler::delete_retired() {
     if (deleting_) return;
     const Micros now = runtime_.now();
     std::vector<std::string> names;
     for (const auto& [id, block] : cache_.blocks.all())
-        for (const auto& m : block.machines)
-            if (m.retired && names.size() < kMaxDelete) names.push_back(m.name);
+        for (const auto& entry : block.machines)
+            if (entry.retired && names.size() < kMaxDeletesPerRequest) names.push_back(entry.name);
     for (const auto& [name, since] : never_registered_)
-        if (names.size() < kMaxDelete && !cache_.blocks.of(name)) names.push_back(name);
-    std::erase_if(names, [&](const std::string& n) { return forgetting_.count(n) > 0; });
-    if (names.empty() || now < pause_until_) return;
-    Call c;
-    c.method = "POST";
-    c.path = "/machines/delete";
-    c.body = wire::delete_request(names);
-    deleting_ = call(std::move(c), 0, [this, names](const Reply& r) {
+        if (names.size() < kMaxDeletesPerRequest && !cache_.blocks.of(name)) names.push_back(name);
+    std::erase_if(names, [&](const std::string& name) { return deleted_in_blocks_.count(name) > 0; });
+    if (names.empty() || now < backoff_until_) return;
+    Call request;
+    request.method = "POST";
+    request.path = "/machines/delete";
+    request.body = wire::delete_request(names);
+    deleting_ = call(std::move(request), 0, [this, names](const Reply& reply) {
         deleting_ = false;
-        if (r.status != 200) return;
+        if (reply.status != 200) return;
         for (const auto& name : names) {
             machine_allocator_.on_machine_gone(name);
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
-            if (cache_.blocks.of(name)) forgetting_.insert(name);
+            if (cache_.blocks.of(name)) deleted_in_blocks_.insert(name);
         }
-        std::erase_if(forgetting_, [&](const std::string& n) { return !cache_.blocks.of(n); });
-        // Gone with everything on them, so the records that kept their tasks in doubt may forget them.
+        std::erase_if(deleted_in_blocks_, [&](const std::string& name) { return !cache_.blocks.of(name); });
+        // Every task on them is gone, so the block records that kept these tasks in doubt can drop the
+        // machines.
         machine_allocator_.remove_from_blocks(names);
-        spdlog::info("returned {} machines, {} first", names.size(), names.front());
+        spdlog::info("returned {} machines, starting with {}", names.size(), names.front());
     });
 }
 
-// ---------------------------------------------------------------- renting
+// ---------------------------------------------------------------- renting machines
 
+/// Returns the shapes that are suitable and not refused or requested just now, the cheapest cores first, and
+/// at the same price the zones with the fewest machines.
 std::vector<Autoscaler::Offer> Autoscaler::offers(
-    const std::function<bool(const MachineType&, const Shape&)>& suits) const {
+    const std::function<bool(const MachineType&, const Shape&)>& is_suitable) const {
     const Micros now = runtime_.now();
-    std::map<std::string, int> per_zone;
+    std::map<std::string, int> machines_per_zone;
     for (const auto& [id, block] : cache_.blocks.all())
-        per_zone[block.zone] += static_cast<int>(block.machines.size());
-    for (const auto& [name, b] : pending_instances_) ++per_zone[b.zone];
-    // The cheapest core first; among equals the zone with the fewest machines.
+        machines_per_zone[block.zone] += static_cast<int>(block.machines.size());
+    for (const auto& [name, instance] : pending_instances_) ++machines_per_zone[instance.zone];
     std::vector<Offer> offers;
-    for (const auto& t : cache_.types.types())
-        for (const auto& zone : t.zones)
+    for (const auto& type : cache_.types.types())
+        for (const auto& zone : type.zones)
             for (const bool spot : {false, true}) {
-                const Shape shape{t.name, zone, spot};
-                if (auto r = refused_until_.find(shape); r != refused_until_.end() && now < r->second)
+                const Shape shape{type.name, zone, spot};
+                if (auto unavailable = unavailable_until_.find(shape);
+                    unavailable != unavailable_until_.end() && now < unavailable->second)
                     continue;
-                const bool asked = std::any_of(rentals_.begin(), rentals_.end(), [&](const auto& r) {
-                    return Shape{r.second.type, r.second.zone, r.second.spot} == shape;
+                const bool requested = std::any_of(rentals_.begin(), rentals_.end(), [&](const auto& rental) {
+                    return Shape{rental.second.type, rental.second.zone, rental.second.spot} == shape;
                 });
-                const double cores = static_cast<double>(t.size.cores) / 1000.0;
-                if (cores <= 0 || asked || !suits(t, shape)) continue;
-                offers.push_back({(spot ? t.spot_price : t.price) / cores, per_zone[zone], shape, t.size});
+                const double cores = static_cast<double>(type.size.cores) / 1000.0;
+                if (cores <= 0 || requested || !is_suitable(type, shape)) continue;
+                offers.push_back({(spot ? type.spot_price : type.price) / cores, machines_per_zone[zone],
+                                  shape, type.size});
             }
     std::sort(offers.begin(), offers.end());
     return offers;
 }
 
-/// The totals say nothing of machines in other zones or of other types than a job asks for. Of the jobs that
-/// could not begin if the fleet were empty, the one that has waited longest: all tasks at once, or an eighth
-/// of an array.
+/// Finds a job that could not start even if the whole fleet were empty, because too few machines are of the
+/// zone and types that it may use; the fleet's totals don't show this. A job needs room for all its tasks at
+/// once, an array for an eighth of them. Of several such jobs, returns the one that has waited longest.
 std::optional<Autoscaler::UnschedulableJob> Autoscaler::find_unschedulable() const {
-    std::map<Shape, int> there;
+    std::map<Shape, int> machine_counts;
     for (const auto& [id, block] : cache_.blocks.all())
-        for (const auto& m : block.machines) there[{block.type, block.zone, block.spot}] += !m.retired;
-    for (const auto& [name, b] : pending_instances_) ++there[{b.type, b.zone, b.spot}];
-    for (const auto& [name, r] : rentals_) there[{r.type, r.zone, r.spot}] += r.count;
+        for (const auto& entry : block.machines)
+            machine_counts[{block.type, block.zone, block.spot}] += !entry.retired;
+    for (const auto& [name, instance] : pending_instances_)
+        ++machine_counts[{instance.type, instance.zone, instance.spot}];
+    for (const auto& [name, rental] : rentals_)
+        machine_counts[{rental.type, rental.zone, rental.spot}] += rental.count;
     std::map<std::string, const Team*> teams;
-    for (const auto& t : settings_.teams) teams[t.name] = &t;
-    const std::int64_t by = runtime_.wall_ms() - kLeftOutAfter / kMillisecond;
-    const LiveJob* first = nullptr;
-    UnschedulableJob out;
+    for (const auto& team : settings_.teams) teams[team.name] = &team;
+    const std::int64_t latest_ms = runtime_.wall_ms() - kUnschedulableMinWait / kMillisecond;
+    const LiveJob* longest_waiting = nullptr;
+    UnschedulableJob unschedulable;
     for (const auto& [ref, job] : cache_.jobs.live()) {
         const bool waits =
             job.open && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
-        if (!waits || job.since_ms > by || team == teams.end() ||
+        if (!waits || job.since_ms > latest_ms || team == teams.end() ||
             !allocation::should_rent_for(*team->second, job.rank) ||
-            (first && first->since_ms <= job.since_ms))
+            (longest_waiting && longest_waiting->since_ms <= job.since_ms))
             continue;
         const Json* spec = wire::find(job.record, "d");
         if (!spec) continue;
@@ -446,110 +474,122 @@
                     std::find(job.types->begin(), job.types->end(), shape.type) != job.types->end());
         };
         const bool array = job.kind == JobKind::Array;
-        int missing = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
+        int missing_tasks = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
         if (job.request.cores > 0)
-            missing = std::min<Milli>(missing, team->second->limit.cores / job.request.cores);
-        for (const auto& [shape, count] : there)
-            if (const auto* t = cache_.types.find(shape.type); t && missing > 0 && may_use(shape))
-                missing -= count * tasks_on(t->size, job.request);
-        if (missing <= 0) continue;
+            missing_tasks = std::min<Milli>(missing_tasks, team->second->limit.cores / job.request.cores);
+        for (const auto& [shape, count] : machine_counts)
+            if (const auto* type = cache_.types.find(shape.type); type && missing_tasks > 0 && may_use(shape))
+                missing_tasks -= count * tasks_per_machine(type->size, job.request);
+        if (missing_tasks <= 0) continue;
         auto parsed = wire::parse_job(*spec).spec;
         if (!parsed) continue;
-        first = &job;
-        out = {std::move(*parsed), missing};
+        longest_waiting = &job;
+        unschedulable = {std::move(*parsed), missing_tasks};
     }
-    return first ? std::optional(std::move(out)) : std::nullopt;
+    return longest_waiting ? std::optional(std::move(unschedulable)) : std::nullopt;
 }
 
 void Autoscaler::rent() {
     const Micros now = runtime_.now();
-    if (now - leading_since_ < 3 * kSecond || now < pause_until_ || rentals_.size() >= kMaxRentals) return;
-    if (now - looked_for_left_out_ > kLeftOutEvery) {
-        looked_for_left_out_ = now;
-        if (const auto left = find_unschedulable()) {
-            const auto found = offers([&](const MachineType& t, const Shape& s) {
-                return scheduling::may_use(left->job, s.type, s.zone, s.spot) &&
-                       left->job.request.fits(t.size);
+    if (now - leading_since_ < 3 * kSecond || now < backoff_until_ ||
+        rentals_.size() >= kMaxConcurrentRentals)
+        return;
+    if (now - unschedulable_checked_at_ > kUnschedulableCheckInterval) {
+        unschedulable_checked_at_ = now;
+        if (const auto unschedulable = find_unschedulable()) {
+            const auto suitable = offers([&](const MachineType& type, const Shape& shape) {
+                return scheduling::may_use(unschedulable->job, shape.type, shape.zone, shape.spot) &&
+                       unschedulable->job.request.fits(type.size);
             });
-            if (!found.empty()) {
-                const Offer& o = found.front();
-                const int each = tasks_on(o.size, left->job.request);
-                spdlog::info("job {}: machines that it may use have no room for it at all", left->job.ref);
-                return order(o.shape, std::clamp((left->tasks + each - 1) / each, 1, kMaxAtOnce));
+            if (!suitable.empty()) {
+                const Offer& offer = suitable.front();
+                const int per_machine = tasks_per_machine(offer.size, unschedulable->job.request);
+                spdlog::info("job {}: does not fit on the machines that it may use, even if they were empty",
+                             unschedulable->job.ref);
+                return start_rental(
+                    offer.shape, std::clamp((unschedulable->missing_tasks + per_machine - 1) / per_machine, 1,
+                                            kMaxMachinesPerRental));
             }
         }
     }
-    // Spot machines are tried first; what they can't cover is what ordinary ones are wanted for.
+    // Spot machines are tried first; wanted_ordinary includes the demand that they can't cover.
     const bool need_ordinary =
         balance_.ordinary < balance_.wanted_ordinary && now - leading_since_ > 6 * kSecond;
     if (!need_ordinary && balance_.total >= balance_.wanted_total) return;
-    const auto found =
+    const auto suitable =
         offers([&](const MachineType&, const Shape& shape) { return shape.spot != need_ordinary; });
-    Milli short_of =
+    Milli missing_cores =
         need_ordinary ? balance_.wanted_ordinary - balance_.ordinary : balance_.wanted_total - balance_.total;
-    for (std::size_t i = 0; i < found.size() && short_of > 0 && rentals_.size() < kMaxRentals; ++i) {
-        // The same price in several zones: the zones share it.
-        const auto alike = std::count_if(found.begin() + static_cast<std::ptrdiff_t>(i), found.end(),
-                                         [&](const Offer& o) { return o.price == found[i].price; });
-        const auto missing = static_cast<int>((short_of + found[i].size.cores - 1) / found[i].size.cores);
+    for (std::size_t i = 0;
+         i < suitable.size() && missing_cores > 0 && rentals_.size() < kMaxConcurrentRentals; ++i) {
+        // The missing machines are divided evenly among the remaining offers of the same price, which are
+        // in different zones.
+        const auto same_price = std::count_if(
+            suitable.begin() + static_cast<std::ptrdiff_t>(i), suitable.end(),
+            [&](const Offer& offer) { return offer.price_per_core == suitable[i].price_per_core; });
+        const auto missing_machines =
+            static_cast<int>((missing_cores + suitable[i].size.cores - 1) / suitable[i].size.cores);
         const int count =
-            std::clamp((missing + static_cast<int>(alike) - 1) / static_cast<int>(alike), 1, kMaxAtOnce);
-        order(found[i].shape, count);
-        short_of -= found[i].size.cores * count;
+            std::clamp((missing_machines + static_cast<int>(same_price) - 1) / static_cast<int>(same_price),
+                       1, kMaxMachinesPerRental);
+        start_rental(suitable[i].shape, count);
+        missing_cores -= suitable[i].size.cores * count;
     }
 }
 
-void Autoscaler::order(const Shape& shape, int count) {
-    Rental r;
-    r.name = "r-" + std::to_string(term_) + "-" + std::to_string(++counter_);
-    r.type = shape.type;
-    r.zone = shape.zone;
-    r.spot = shape.spot;
-    r.count = count;
-    auto& held = rentals_[r.name] = r;
-    send(held);
+void Autoscaler::start_rental(const Shape& shape, int count) {
+    Rental rental;
+    rental.name = "r-" + std::to_string(term_) + "-" + std::to_string(++rental_counter_);
+    rental.type = shape.type;
+    rental.zone = shape.zone;
+    rental.spot = shape.spot;
+    rental.count = count;
+    auto& stored = rentals_[rental.name] = rental;
+    send_rental(stored);
 }
 
-void Autoscaler::send(Rental& rental) {
-    Call c;
-    c.method = "POST";
-    c.path = "/machines";
-    c.body = wire::rent_request(rental.name, rental.type, rental.zone, rental.spot, rental.count);
+void Autoscaler::send_rental(Rental& rental) {
+    Call request;
+    request.method = "POST";
+    request.path = "/machines";
+    request.body = wire::rent_request(rental.name, rental.type, rental.zone, rental.spot, rental.count);
     rental.in_flight = true;
-    const bool sent = call(std::move(c), 0, [this, name = rental.name](const Reply& r) {
+    const bool sent = call(std::move(request), 0, [this, name = rental.name](const Reply& reply) {
         auto it = rentals_.find(name);
         if (it == rentals_.end()) return;
-        Rental& x = it->second;
+        Rental& answered = it->second;
         const Micros now = runtime_.now();
-        const Shape shape{x.type, x.zone, x.spot};
-        x.in_flight = false;
-        auto names = r.status == 200 ? wire::parse_rented(r.body) : std::nullopt;
-        if (names) {
-            spdlog::info("rented {} of {} {} in {}{}", names->size(), x.count, x.type, x.zone,
-                         x.spot ? ", spot" : "");
-            for (const auto& n : *names)
-                if (!cache_.blocks.of(n))
-                    pending_instances_.emplace(n, PendingInstance{x.type, x.zone, x.spot, runtime_.now()});
-            if (static_cast<int>(names->size()) < x.count)
-                refused_until_[shape] = now + 15 * kSecond;
+        const Shape shape{answered.type, answered.zone, answered.spot};
+        answered.in_flight = false;
+        auto machines = reply.status == 200 ? wire::parse_rented(reply.body) : std::nullopt;
+        if (machines) {
+            spdlog::info("rented {} of {} {} in {}{}", machines->size(), answered.count, answered.type,
+                         answered.zone, answered.spot ? ", spot" : "");
+            for (const auto& machine : *machines)
+                if (!cache_.blocks.of(machine))
+                    pending_instances_.emplace(machine, PendingInstance{answered.type, answered.zone,
+                                                                        answered.spot, runtime_.now()});
+            if (static_cast<int>(machines->size()) < answered.count)
+                unavailable_until_[shape] = now + 15 * kSecond;
             else
                 refusals_[shape] = 0;
             rentals_.erase(it);
-        } else if (r.status == 503 && wire::text(r.body, "error") == "no capacity") {
-            const int tries = std::min(++refusals_[shape], 3);
-            refused_until_[shape] = now + (10 * kSecond << tries);
+        } else if (reply.status == 503 && wire::text(reply.body, "error") == "no capacity") {
+            const int refusals = std::min(++refusals_[shape], 3);
+            unavailable_until_[shape] = now + (10 * kSecond << refusals);
             rentals_.erase(it);
-        } else if (r.status == 503 || r.status == 429 || r.status == 400) {
-            if (r.status == 400) refused_until_[shape] = now + 600 * kSecond;
-            rentals_.erase(it);  // not carried out
+        } else if (reply.status == 503 || reply.status == 429 || reply.status == 400) {
+            if (reply.status == 400) unavailable_until_[shape] = now + 600 * kSecond;
+            rentals_.erase(it);  // the cloud has not executed the request
         } else {
-            // Without an answer it may have been carried out: the same name is sent until it is answered.
-            x.not_before = now + 2 * kSecond;
+            // The cloud may have executed a request without an answer, so it is sent again under the same
+            // name until it is answered.
+            answered.retry_at = now + 2 * kSecond;
         }
     });
     if (!sent) {
         rental.in_flight = false;
-        rental.not_before = runtime_.now() + 500 * kMillisecond;
+        rental.retry_at = runtime_.now() + 500 * kMillisecond;
     }
 }
 
