--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -1,5 +1,5 @@
-// Machines rented for a team without a guarantee and a limit, whose work is bound by GPUs, while controllers
-// end and the state service is slow.
+// Autoscaling for a team without a guarantee or a limit whose jobs need mainly GPUs, also while a controller
+// fails and while the state service is slow.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 Settings gpu_site() {
     Settings s = small_site();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.005;  // several shards
+    s.cpu_share = 0.005;  // spreads the machines over several shards
     return s;
 }
 
@@ -23,18 +23,19 @@
     return {"gpu", {16'000, 2'000, 128'000}, 80'000, 1.0, 6.0, 3.0, 15 * kSecond, {"a", "b"}};
 }
 
-/// Six machines with two GPUs each, three controllers, settled.
-std::unique_ptr<Simulator> gpu_world(std::uint64_t seed, int capacity) {
-    auto w = std::make_unique<Simulator>(seed, gpu_site(), std::vector<MachineType>{gpu_type()});
-    for (int i = 0; i < kMachines; ++i) w->add_machine("gpu", i % 2 ? "b" : "a");
-    w->cloud().capacity = capacity;
-    w->start_nodes();
-    w->run(8 * kSecond);
-    return w;
+/// Returns a simulator with six machines of two GPUs each and three controllers, after startup. The cloud can
+/// rent out up to `capacity` machines.
+std::unique_ptr<Simulator> gpu_simulator(std::uint64_t seed, int capacity) {
+    auto simulator = std::make_unique<Simulator>(seed, gpu_site(), std::vector<MachineType>{gpu_type()});
+    for (int i = 0; i < kMachines; ++i) simulator->add_machine("gpu", i % 2 ? "b" : "a");
+    simulator->cloud().capacity = capacity;
+    simulator->start_nodes();
+    simulator->run(8 * kSecond);
+    return simulator;
 }
 
-JobSpec gpu_job(Simulator& w, int number, JobKind kind, int tasks, PriorityClass rank) {
-    JobSpec job = w.job(number, kind, tasks, 5);
+JobSpec gpu_job(Simulator& simulator, int number, JobKind kind, int tasks, PriorityClass rank) {
+    JobSpec job = simulator.job(number, kind, tasks, 5);
     job.team = "captions";
     job.request = {5'000, 1'000, 38'000};
     job.rank = rank;
@@ -42,85 +43,89 @@
     return job;
 }
 
-std::size_t machines(Simulator& w) {
-    return w.machine_names().size();
+std::size_t machine_count(Simulator& simulator) {
+    return simulator.machine_names().size();
 }
 
-/// Twelve GPUs; the services ask for sixteen, a gang for two whole machines.
-void submit_more_than_fits(Simulator& w) {
-    w.submit(gpu_job(w, 1, JobKind::Service, 8, PriorityClass::Production), 0);
-    w.submit(gpu_job(w, 2, JobKind::Service, 8, PriorityClass::Production), 0);
-    JobSpec gang = gpu_job(w, 3, JobKind::Gang, 2, PriorityClass::High);
+/// Submits two services that need 16 GPUs together, and a gang that needs two whole machines; there are 12
+/// GPUs.
+void submit_more_than_fits(Simulator& simulator) {
+    simulator.submit(gpu_job(simulator, 1, JobKind::Service, 8, PriorityClass::Production), 0);
+    simulator.submit(gpu_job(simulator, 2, JobKind::Service, 8, PriorityClass::Production), 0);
+    JobSpec gang = gpu_job(simulator, 3, JobKind::Gang, 2, PriorityClass::High);
     gang.request = {14'000, 2'000, 100'000};
-    w.submit(gang, 20 * kSecond);
+    simulator.submit(gang, 20 * kSecond);
 }
 
-void expect_all_run(Simulator& w) {
-    EXPECT_EQ(w.running("req-000001"), 8) << w.story();
-    EXPECT_EQ(w.running("req-000002"), 8) << w.story();
-    EXPECT_EQ(w.told("req-000003"), "done") << w.story();
-    EXPECT_RULES(w);
+void expect_all_jobs_run(Simulator& simulator) {
+    EXPECT_EQ(simulator.running("req-000001"), 8) << simulator.story();
+    EXPECT_EQ(simulator.running("req-000002"), 8) << simulator.story();
+    EXPECT_EQ(simulator.told("req-000003"), "done") << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
 TEST(Autoscaling, RentsForATeamWithoutGuaranteeAndLimitWhenGpusRunOut) {
-    auto w = gpu_world(71, 40);
-    submit_more_than_fits(*w);
-    w->run(90 * kSecond);
-    EXPECT_GT(machines(*w), static_cast<std::size_t>(kMachines)) << w->story();
-    EXPECT_LT(machines(*w), 20U) << "bounded by what waits\n" << w->story();
-    expect_all_run(*w);
+    auto simulator = gpu_simulator(71, 40);
+    submit_more_than_fits(*simulator);
+    simulator->run(90 * kSecond);
+    EXPECT_GT(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->story();
+    EXPECT_LT(machine_count(*simulator), 20U) << "rents more than the waiting tasks need\n"
+                                              << simulator->story();
+    expect_all_jobs_run(*simulator);
 }
 
 TEST(Autoscaling, RentsNothingForBestEffortWorkOfATeamWithoutAGuarantee) {
-    auto w = gpu_world(72, 40);
-    w->submit(gpu_job(*w, 1, JobKind::Array, 60, PriorityClass::Low), 20 * kSecond);
-    w->run(60 * kSecond);
-    EXPECT_EQ(w->cloud().rentals().size(), 0U) << w->story();
-    EXPECT_RULES(*w);
+    auto simulator = gpu_simulator(72, 40);
+    simulator->submit(gpu_job(*simulator, 1, JobKind::Array, 60, PriorityClass::Low), 20 * kSecond);
+    simulator->run(60 * kSecond);
+    EXPECT_EQ(simulator->cloud().rentals().size(), 0U) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Autoscaling, GoesOnWhenTheLeaderEndsWhileMachinesBoot) {
-    auto w = gpu_world(73, 40);
-    submit_more_than_fits(*w);
-    for (int i = 0; i < 100 && w->cloud().rentals().empty(); ++i) w->run(200 * kMillisecond);
-    ASSERT_FALSE(w->cloud().rentals().empty()) << w->story();
-    w->crash(w->leader(), 3 * kSecond);
-    w->run(100 * kSecond);
-    EXPECT_LT(machines(*w), 24U) << "not rented once more\n" << w->story();
-    expect_all_run(*w);
+TEST(Autoscaling, RentsNoMachineTwiceWhenTheLeaderFailsWhileMachinesBoot) {
+    auto simulator = gpu_simulator(73, 40);
+    submit_more_than_fits(*simulator);
+    for (int i = 0; i < 100 && simulator->cloud().rentals().empty(); ++i) simulator->run(200 * kMillisecond);
+    ASSERT_FALSE(simulator->cloud().rentals().empty()) << simulator->story();
+    simulator->crash(simulator->leader(), 3 * kSecond);
+    simulator->run(100 * kSecond);
+    EXPECT_LT(machine_count(*simulator), 24U) << "the new leader rented machines that were rented already\n"
+                                              << simulator->story();
+    expect_all_jobs_run(*simulator);
 }
 
-TEST(Autoscaling, GoesOnWhileTheStateServiceIsSlow) {
-    auto w = gpu_world(74, 40);
-    w->slow_state = 800 * kMillisecond;
-    submit_more_than_fits(*w);
-    w->run(120 * kSecond);
-    expect_all_run(*w);
+TEST(Autoscaling, RunsAllJobsWhileTheStateServiceIsSlow) {
+    auto simulator = gpu_simulator(74, 40);
+    simulator->slow_state = 800 * kMillisecond;
+    submit_more_than_fits(*simulator);
+    simulator->run(120 * kSecond);
+    expect_all_jobs_run(*simulator);
 }
 
-TEST(Autoscaling, ReturnsNoMachineWhileWaitingWorkFitsIt) {
-    auto w = gpu_world(75, 0);
-    w->settings.ops.idle_return = 5 * kSecond;
+TEST(Autoscaling, ReturnsNoMachineThatWaitingTasksFitOn) {
+    auto simulator = gpu_simulator(75, 0);
+    simulator->settings.ops.idle_return = 5 * kSecond;
     for (int i = 1; i <= 8; ++i)
-        w->submit(gpu_job(*w, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
-    w->run(60 * kSecond);
-    EXPECT_EQ(machines(*w), static_cast<std::size_t>(kMachines)) << w->story();
-    EXPECT_RULES(*w);
+        simulator->submit(gpu_job(*simulator, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
+    simulator->run(60 * kSecond);
+    EXPECT_EQ(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// Cores are left on machines whose GPUs are all taken: no other controller takes them for room.
-TEST(Autoscaling, JobsDoNotMoveToControllersWhoseGpusAreTaken) {
-    auto w = gpu_world(76, 0);
+/// Machines whose GPUs are all taken have free cores left, which must not count as free capacity for jobs
+/// that need GPUs.
+TEST(Autoscaling, TransfersNoJobsToShardsWithoutFreeGpus) {
+    auto simulator = gpu_simulator(76, 0);
     for (int i = 1; i <= 12; ++i)
-        w->submit(gpu_job(*w, i, JobKind::Service, 2, PriorityClass::Production), 0);
-    w->run(40 * kSecond);
-    int moves = 0;
-    for (int i = 0; i < w->node_count(); ++i) {
-        const auto& sent = w->node(i)->store().sent();
-        if (auto it = sent.find("rehome"); it != sent.end()) moves += static_cast<int>(it->second);
+        simulator->submit(gpu_job(*simulator, i, JobKind::Service, 2, PriorityClass::Production), 0);
+    simulator->run(40 * kSecond);
+    int job_transfers = 0;
+    for (int i = 0; i < simulator->node_count(); ++i) {
+        const auto& sent = simulator->node(i)->store().sent();
+        if (auto it = sent.find("rehome"); it != sent.end()) job_transfers += static_cast<int>(it->second);
     }
-    EXPECT_LE(moves, 24) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_LE(job_transfers, 24) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
 }  // namespace
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -1,4 +1,4 @@
-// Machines that are gone stay gone, however many others were returned.
+// A deleted machine must not be leased again, however many other machines were returned after it.
 
 #include <gtest/gtest.h>
 
@@ -9,41 +9,47 @@
 using namespace simulation;
 namespace {
 
-/// So many newer machines that never come up, until the leader has returned them all.
-void return_newer_machines(Simulator& w, int count) {
+/// Rents `count` machines that fail before they come up, and runs until the leader has returned them all.
+void return_newer_machines(Simulator& simulator, int count) {
     for (int i = 0; i < count; ++i) {
-        const std::string name = w.cloud().rent_one("small", "a", false, w.now(), 3'600 * kSecond);
-        w.cloud().machines().at(name).info.state = CloudState::Failed;
+        const std::string name =
+            simulator.cloud().rent_one("small", "a", false, simulator.now(), 3'600 * kSecond);
+        simulator.cloud().machines().at(name).info.state = CloudState::Failed;
     }
-    const auto there = [&] { return w.cloud().machines().size(); };
-    const std::size_t others = there() - static_cast<std::size_t>(count);
-    for (int i = 0; i < 3'000 && there() > others; ++i) w.run(100 * kMillisecond);
-    ASSERT_EQ(there(), others) << w.story();
+    const auto machine_count = [&] { return simulator.cloud().machines().size(); };
+    const std::size_t other_machines = machine_count() - static_cast<std::size_t>(count);
+    for (int i = 0; i < 3'000 && machine_count() > other_machines; ++i) simulator.run(100 * kMillisecond);
+    ASSERT_EQ(machine_count(), other_machines) << simulator.story();
 }
 
-// A machine that was older than the 10,000 returned before it was leased again by a list that was late.
-TEST(ReturnedMachines, AreNotLeasedAgainAfterManyNewerOnes) {
-    constexpr int kRemembered = 10'000;
-    constexpr Micros kLag = 5 * kSecond;
-    for (const int newer : {kRemembered - 1, kRemembered, kRemembered + 1}) {
+// The controller remembers only 10,000 returned machines. A machine that was older than the 10,000 returned
+// before it was not remembered, so a late list of the cloud made the leader lease it again.
+TEST(ReturnedMachines, AreNotLeasedAgainAfterManyNewerMachinesAreReturned) {
+    constexpr int kRememberedNames = 10'000;
+    constexpr Micros kListLag = 5 * kSecond;
+    for (const int newer_machines : {kRememberedNames - 1, kRememberedNames, kRememberedNames + 1}) {
         Settings site = small_site();
-        site.list_lag = kLag;
-        auto w = settled_simulator(5, 4, site);
-        w->submit(w->job(1, JobKind::Service, 12, 2), 0);  // keeps them from being returned
-        w->run(5 * kSecond);
-        const std::string old = *w->machines_of("req-000001").begin();
-        return_newer_machines(*w, newer);
-        ASSERT_EQ(leased(*w)[old], 1);
-        w->cloud().list_lag = kLag;
-        w->run(2 * kLag);
-        w->cancel("req-000001");  // so that it is idle
-        for (int i = 0; i < 600 && leased(*w)[old] > 0; ++i) w->run(100 * kMillisecond);
-        ASSERT_EQ(leased(*w)[old], 0) << w->story();
-        for (Micros late = 0; late < 3 * kLag; late += 100 * kMillisecond) {
-            w->run(100 * kMillisecond);
-            ASSERT_EQ(leased(*w)[old], 0) << newer << " newer ones were returned before\n" << w->story();
+        site.list_lag = kListLag;
+        auto simulator = settled_simulator(5, 4, site);
+        // The service keeps its machines from being returned until it is cancelled.
+        simulator->submit(simulator->job(1, JobKind::Service, 12, 2), 0);
+        simulator->run(5 * kSecond);
+        const std::string old_machine = *simulator->machines_of("req-000001").begin();
+        return_newer_machines(*simulator, newer_machines);
+        ASSERT_EQ(leased(*simulator)[old_machine], 1);
+        simulator->cloud().list_lag = kListLag;
+        simulator->run(2 * kListLag);
+        simulator->cancel("req-000001");  // so that the machine is idle and returned
+        for (int i = 0; i < 600 && leased(*simulator)[old_machine] > 0; ++i)
+            simulator->run(100 * kMillisecond);
+        ASSERT_EQ(leased(*simulator)[old_machine], 0) << simulator->story();
+        for (Micros waited = 0; waited < 3 * kListLag; waited += 100 * kMillisecond) {
+            simulator->run(100 * kMillisecond);
+            ASSERT_EQ(leased(*simulator)[old_machine], 0)
+                << newer_machines << " newer machines were returned before\n"
+                << simulator->story();
         }
-        EXPECT_RULES(*w);
+        EXPECT_RULES(*simulator);
     }
 }
 
