--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -1,5 +1,5 @@
-// Old reports that reach every controller as a new leader begins, or that are held back until one has acted:
-// of earlier sessions and attempts, of machines that are gone, of work that has ended since.
+// Old reports that reach every controller when a new leader takes over, or that are delayed until it has
+// acted: reports of earlier sessions and attempts, of deleted machines, and of tasks that have ended since.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -12,230 +12,248 @@
 using namespace simulation;
 namespace {
 
-/// The leader ends, which holds the machines, or part of them; or all do.
-void end(Simulator& w, bool all) {
-    const int leader = w.leader();
-    for (int i = 0; i < w.node_count(); ++i)
-        if (all || i == leader) w.crash(i, all ? 300 * kMillisecond : 20 * kSecond);
+/// Crashes the leader, which holds all or part of the machines, or with `all` every controller.
+void crash_controllers(Simulator& simulator, bool all) {
+    const int leader = simulator.leader();
+    for (int i = 0; i < simulator.node_count(); ++i)
+        if (all || i == leader) simulator.crash(i, all ? 300 * kMillisecond : 20 * kSecond);
 }
 
-/// A machine is returned, then everybody ends who knows of it; its last report comes again and again.
-TEST(NextLeader, NoGhostIsLeasedWhoeverHasStartedSince) {
+/// A machine is returned, then all controllers, which know that it is gone, restart. Its last report arrives
+/// again and again.
+TEST(LeaderFailover, DeletedMachineIsNotLeasedByAnOldReportAfterARestart) {
     for (const double share : {1.0, 0.001}) {
-        auto w = settled_simulator(41, 6, patient(share));
-        const std::string machine = w->machine_names().back();
-        const Json old = on_its_way(*w, machine);
+        auto simulator = settled_simulator(41, 6, patient(share));
+        const std::string machine = simulator->machine_names().back();
+        const Json old_report = on_its_way(*simulator, machine);
         for (int i = 0; i < 3; ++i)
-            if (w->owner_at(i)) w->owner_at(i)->retire(machine, "the test wants it");
-        w->run(6 * kSecond);
-        ASSERT_EQ(w->worker(machine), nullptr) << w->story();
-        end(*w, true);
+            if (simulator->owner_at(i)) simulator->owner_at(i)->retire(machine, "retired by the test");
+        simulator->run(6 * kSecond);
+        ASSERT_EQ(simulator->worker(machine), nullptr) << simulator->story();
+        crash_controllers(*simulator, true);
         for (int n = 0; n < 100; ++n) {
-            arrives_everywhere(*w, old);
-            w->run(100 * kMillisecond);
-            ASSERT_FALSE(leased(*w, machine)) << w->story();
+            arrives_everywhere(*simulator, old_report);
+            simulator->run(100 * kMillisecond);
+            ASSERT_FALSE(leased(*simulator, machine)) << simulator->story();
         }
-        ASSERT_GE(w->leader(), 0);
-        EXPECT_RULES(*w);
+        ASSERT_GE(simulator->leader(), 0);
+        EXPECT_RULES(*simulator);
     }
 }
 
-/// The copy shows a task that was proven gone there and has been started elsewhere since. Its machine is not
-/// heard any more; when the task is to start again, that copy must not stand in its way for ever.
-TEST(NextLeader, WhatAnOldReportShowsHoldsATaskUpForALeaseAtMost) {
-    auto w = settled_simulator(42, 3, patient());
-    const auto [machine, running] = supersede(*w);
+/// An old report shows a task that has been proven gone from its machine and was started elsewhere since. The
+/// machine no longer reports, so when the task has to be restarted, the old report must not delay it for
+/// ever.
+TEST(LeaderFailover, OldReportDelaysARestartOfItsTaskByAtMostOneLease) {
+    auto simulator = settled_simulator(42, 3, patient());
+    const auto [machine, running] = supersede(*simulator);
     ASSERT_FALSE(testing::Test::HasFailure());
-    cut_from_all(*w, machine);
-    end(*w, false);
-    w->run(w->settings.ops.live_ttl + authority(w->settings));  // what the former holder granted is over soon
-    arrives_everywhere(*w, running);
-    w->kill_machine(*w->machines_of("req-000001").begin());
-    const Micros took = until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
-    EXPECT_LE(took, with_drift(w->settings.lease) + 3 * kSecond) << w->story();
-    EXPECT_RULES(*w);
+    cut_from_all(*simulator, machine);
+    crash_controllers(*simulator, false);
+    // The leases that the former holder granted expire soon after this.
+    simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings));
+    arrives_everywhere(*simulator, running);
+    simulator->kill_machine(*simulator->machines_of("req-000001").begin());
+    const Micros elapsed =
+        until(*simulator, 60 * kSecond, [&] { return simulator->running("req-000001") == 1; });
+    EXPECT_LE(elapsed, with_drift(simulator->settings.lease) + 3 * kSecond) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// A gang is done while its machines are cut off, and nobody hears of it before their leases are over: it
-/// waits to run again. The next holder then hears one of the reports of that time.
-TEST(NextLeader, OneOldResultOfAGangIsTheWholeGangs) {
-    auto w = settled_simulator(43, 2, patient());
-    w->submit(w->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
-    w->run(3 * kSecond);
-    ASSERT_EQ(w->running("req-000001"), 2) << w->story();
-    const auto machines = w->machine_names();
-    for (const auto& m : machines) cut_from_all(*w, m);
-    until(*w, 20 * kSecond, [&] { return w->completed_tasks("req-000001") == 2; });
-    const Json result = on_its_way(*w, machines[0]);
-    w->run(30 * kSecond);
-    end(*w, false);
-    w->run(w->settings.ops.live_ttl + 2 * kSecond);
-    arrives_everywhere(*w, result);
-    for (const auto& m : machines) w->kill_machine(m);  // with all other results
-    for (int i = 0; i < 2; ++i) w->add_machine("small", "a");
-    w->run(30 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    EXPECT_LE(w->starts("req-000001"), 4) << w->story();
-    EXPECT_RULES(*w);
+/// A gang finishes while its machines are cut off, and no controller learns this before their leases expire:
+/// the gang waits to run again. The next holder then receives one of the old reports that show it finished.
+TEST(LeaderFailover, OneOldResultOfAGangCompletesTheGang) {
+    auto simulator = settled_simulator(43, 2, patient());
+    simulator->submit(simulator->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
+    simulator->run(3 * kSecond);
+    ASSERT_EQ(simulator->running("req-000001"), 2) << simulator->story();
+    const auto machines = simulator->machine_names();
+    for (const auto& m : machines) cut_from_all(*simulator, m);
+    until(*simulator, 20 * kSecond, [&] { return simulator->completed_tasks("req-000001") == 2; });
+    const Json result_report = on_its_way(*simulator, machines[0]);
+    simulator->run(30 * kSecond);
+    crash_controllers(*simulator, false);
+    simulator->run(simulator->settings.ops.live_ttl + 2 * kSecond);
+    arrives_everywhere(*simulator, result_report);
+    for (const auto& m : machines) simulator->kill_machine(m);  // along with all other results of the gang
+    for (int i = 0; i < 2; ++i) simulator->add_machine("small", "a");
+    simulator->run(30 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+    EXPECT_LE(simulator->starts("req-000001"), 4) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// Every report of before is kept for the next leader, and part of the later ones arrives late as well, while
-/// jobs end, are cancelled and start, and a machine is returned. The next holder begins 2 s to two leases and
-/// more afterwards; as nothing that it holds is lost, nothing starts again.
-TEST(NextLeader, KeptReportsChangeNothing) {
+/// Every report sent before the failover is delayed until the next leader is active, and some later ones
+/// arrive late as well, while jobs end, are cancelled and start, and a machine is returned. The next holder
+/// takes over 2 s to more than two leases later. Since no task is lost, none may start again.
+TEST(LeaderFailover, DelayedReportsChangeNothing) {
     for (const bool all : {false, true})
         for (const double share : {1.0, 0.001})
-            for (const Micros late : {2, 13, 30}) {
-                auto w = settled_simulator(44 + static_cast<std::uint64_t>(late), 6, patient(share));
+            for (const Micros delay_s : {2, 13, 30}) {
+                auto simulator =
+                    settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6, patient(share));
                 const auto story = [&] {
-                    return fmt::format("all {} share {} late {}\n", all, share, late) + w->story();
+                    return fmt::format("all {} share {} delay_s {}\n", all, share, delay_s) +
+                           simulator->story();
                 };
-                w->submit(w->job(1, JobKind::Service, 2), 0);
-                w->submit(w->job(2, JobKind::Service, 2), 0);
-                w->submit(w->job(3, JobKind::Array, 4), 8 * kSecond);
-                w->submit(w->job(4, JobKind::Gang, 2, 4), 60 * kSecond);
-                w->reports_for_next = 1;
-                w->late_reports = 0.3;
-                w->run(4 * kSecond);
-                w->cancel("req-000002");
-                w->run(late * kSecond);
-                w->reports_for_next = 0;
-                w->remember_running();
-                const auto kept = w->reports_kept();
-                end(*w, all);
-                until(*w, 10 * kSecond, [&] { return w->reports_kept() == 0; });
-                ASSERT_GT(kept, 0u);
-                w->submit(w->job(5, JobKind::Array, 4), 3 * kSecond);
-                w->run(8 * kSecond);
-                EXPECT_EQ(w->reports_kept(), 0u) << story();
-                EXPECT_EQ(w->started_again(), 0u) << story();
-                EXPECT_EQ(w->running("req-000001"), 2) << story();
-                w->run(60 * kSecond);
+                simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+                simulator->submit(simulator->job(2, JobKind::Service, 2), 0);
+                simulator->submit(simulator->job(3, JobKind::Array, 4), 8 * kSecond);
+                simulator->submit(simulator->job(4, JobKind::Gang, 2, 4), 60 * kSecond);
+                simulator->reports_for_next = 1;
+                simulator->late_reports = 0.3;
+                simulator->run(4 * kSecond);
+                simulator->cancel("req-000002");
+                simulator->run(delay_s * kSecond);
+                simulator->reports_for_next = 0;
+                simulator->remember_running();
+                const auto delayed_reports = simulator->reports_kept();
+                crash_controllers(*simulator, all);
+                until(*simulator, 10 * kSecond, [&] { return simulator->reports_kept() == 0; });
+                ASSERT_GT(delayed_reports, 0u);
+                simulator->submit(simulator->job(5, JobKind::Array, 4), 3 * kSecond);
+                simulator->run(8 * kSecond);
+                EXPECT_EQ(simulator->reports_kept(), 0u) << story();
+                EXPECT_EQ(simulator->started_again(), 0u) << story();
+                EXPECT_EQ(simulator->running("req-000001"), 2) << story();
+                simulator->run(60 * kSecond);
                 for (const char* ref : {"req-000003", "req-000004", "req-000005"})
-                    EXPECT_EQ(w->told(ref), "done") << ref << story();
-                EXPECT_EQ(w->told("req-000002"), "cancelled");
-                EXPECT_EQ(w->running("req-000002"), 0);
-                EXPECT_EQ(w->starts("req-000003"), 4) << story();
-                EXPECT_RULES(*w);
+                    EXPECT_EQ(simulator->told(ref), "done") << ref << story();
+                EXPECT_EQ(simulator->told("req-000002"), "cancelled");
+                EXPECT_EQ(simulator->running("req-000002"), 0);
+                EXPECT_EQ(simulator->starts("req-000003"), 4) << story();
+                EXPECT_RULES(*simulator);
             }
 }
 
-/// Copies of different age, each newer than the one before, go on arriving at a new holder after their
-/// machine was cut off. None can be told from a report of now, so the doubt lasts until a lease after the
-/// last of them.
-TEST(NextLeader, DoubtEndsALeaseAfterTheLastCopy) {
-    for (const Micros last : {2, 12, 24}) {
-        auto w = settled_simulator(45, 4, patient());
-        w->submit(w->job(1, JobKind::Service, 1), 0);
-        w->run(10 * kSecond);
-        const std::string machine = *w->machines_of("req-000001").begin();
+/// Copies of old reports, each newer than the one before, keep arriving at a new holder after their machine
+/// was cut off. They can't be told from current reports, so the task counts as running until one lease after
+/// the last of them.
+TEST(LeaderFailover, TaskRestartsOneLeaseAfterTheLastReportCopy) {
+    for (const Micros last_copy_s : {2, 12, 24}) {
+        auto simulator = settled_simulator(45, 4, patient());
+        simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+        simulator->run(10 * kSecond);
+        const std::string machine = *simulator->machines_of("req-000001").begin();
         std::vector<Json> copies;
-        for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*w, machine));
-        cut_from_all(*w, machine);
-        const Micros from = w->now();
-        end(*w, false);
+        for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*simulator, machine));
+        cut_from_all(*simulator, machine);
+        const Micros cut_at = simulator->now();
+        crash_controllers(*simulator, false);
         for (std::size_t i = 0; i < copies.size(); ++i)
-            w->at(from + last * kSecond * static_cast<Micros>(i + 1) / 6,
-                  [&w, report = copies[i]] { arrives_everywhere(*w, report); });
-        until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
-        const Micros took =
-            w->now() - from + until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
-        const Micros former = w->settings.ops.live_ttl + kSecond + authority(w->settings);
-        EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.lease) + 2 * kSecond)
-            << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
-        EXPECT_RULES(*w);
+            simulator->at(cut_at + last_copy_s * kSecond * static_cast<Micros>(i + 1) / 6,
+                          [&simulator, report = copies[i]] { arrives_everywhere(*simulator, report); });
+        until(*simulator, 90 * kSecond,
+              [&] { return simulator->machines_of("req-000001").count(machine) == 0; });
+        const Micros elapsed = simulator->now() - cut_at + until(*simulator, 90 * kSecond, [&] {
+                                   return simulator->running("req-000001") == 1;
+                               });
+        const Micros former_holder_bound =
+            simulator->settings.ops.live_ttl + kSecond + authority(simulator->settings);
+        EXPECT_LE(elapsed, std::max(former_holder_bound, last_copy_s * kSecond) +
+                               with_drift(simulator->settings.lease) + 2 * kSecond)
+            << simulator->story();
+        EXPECT_EQ(simulator->starts("req-000001"), 2) << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-/// A machine with a long task can't be reached, or does not hear what it is answered, while the leader ends:
-/// for less than a lease the task goes on; for longer it begins once more elsewhere, and only there.
-TEST(NextLeader, LongTasksOnMachinesThatCantBeReachedOrDontHear) {
+/// A machine with a long task is cut off, or does not receive answers, while the leader fails. For less than
+/// a lease the task continues there; for longer it is restarted elsewhere, and runs only there.
+TEST(LeaderFailover, TaskRestartsElsewhereOnlyIfItsMachineIsCutOffForLongerThanALease) {
     for (const bool deaf : {false, true})
-        for (const Micros span : {4, 50}) {
-            auto w = settled_simulator(47, 4, patient());
-            const auto story = [&] { return fmt::format("deaf {} span {}\n", deaf, span) + w->story(); };
-            w->submit(w->job(1, JobKind::Array, 1, 4), 90 * kSecond);
-            w->submit(w->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
-            w->run(3 * kSecond);
-            const std::string machine = *w->machines_of("req-000001").begin();
+        for (const Micros outage_s : {4, 50}) {
+            auto simulator = settled_simulator(47, 4, patient());
+            const auto story = [&] {
+                return fmt::format("deaf {} outage_s {}\n", deaf, outage_s) + simulator->story();
+            };
+            simulator->submit(simulator->job(1, JobKind::Array, 1, 4), 90 * kSecond);
+            simulator->submit(simulator->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
+            simulator->run(3 * kSecond);
+            const std::string machine = *simulator->machines_of("req-000001").begin();
             if (deaf)
-                w->deafen(machine, true);
+                simulator->deafen(machine, true);
             else
-                cut_from_all(*w, machine);
-            w->run(kSecond);
-            end(*w, false);
-            w->run(span * kSecond);
-            EXPECT_EQ(w->running("req-000001"), 1) << story();
-            EXPECT_EQ(w->machines_of("req-000001").count(machine), span < 12 ? 1u : 0u) << story();
-            w->deafen(machine, false);
-            w->heal_all();
-            w->run(120 * kSecond);
-            EXPECT_EQ(w->told("req-000001"), "done") << story();
-            EXPECT_EQ(w->told("req-000002"), "done") << story();
-            EXPECT_EQ(w->starts("req-000001"), span < 12 ? 1 : 2) << story();
-            w->submit(w->job(3, JobKind::Array, 4, 5), 2 * kSecond);  // one for each machine
-            w->run(8 * kSecond);
-            EXPECT_EQ(w->told("req-000003"), "done") << story();
-            EXPECT_RULES(*w);
+                cut_from_all(*simulator, machine);
+            simulator->run(kSecond);
+            crash_controllers(*simulator, false);
+            simulator->run(outage_s * kSecond);
+            EXPECT_EQ(simulator->running("req-000001"), 1) << story();
+            EXPECT_EQ(simulator->machines_of("req-000001").count(machine), outage_s < 12 ? 1u : 0u)
+                << story();
+            simulator->deafen(machine, false);
+            simulator->heal_all();
+            simulator->run(120 * kSecond);
+            EXPECT_EQ(simulator->told("req-000001"), "done") << story();
+            EXPECT_EQ(simulator->told("req-000002"), "done") << story();
+            EXPECT_EQ(simulator->starts("req-000001"), outage_s < 12 ? 1 : 2) << story();
+            // One task for each machine.
+            simulator->submit(simulator->job(3, JobKind::Array, 4, 5), 2 * kSecond);
+            simulator->run(8 * kSecond);
+            EXPECT_EQ(simulator->told("req-000003"), "done") << story();
+            EXPECT_RULES(*simulator);
         }
 }
 
-/// What a holder has proven by time alone its successor need not prove again, though nothing could take its
-/// place.
-TEST(NextLeader, WhatIsProvenGoneStaysProven) {
-    auto w = settled_simulator(48, 1, patient());
-    const std::string machine = w->machine_names().front();
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(3 * kSecond);
-    cut_from_all(*w, machine);
-    w->run(40 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0);
-    end(*w, false);
-    w->run(w->settings.ops.live_ttl + kSecond);
-    w->add_machine("small", "b");
-    w->run(8 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+/// A holder proves by the passing of time that a task is gone, while there is no other machine to restart it
+/// on. Its successor need not wait for that proof again.
+TEST(LeaderFailover, TaskProvenGoneIsNotWaitedForAgain) {
+    auto simulator = settled_simulator(48, 1, patient());
+    const std::string machine = simulator->machine_names().front();
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(3 * kSecond);
+    cut_from_all(*simulator, machine);
+    simulator->run(40 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 0);
+    crash_controllers(*simulator, false);
+    simulator->run(simulator->settings.ops.live_ttl + kSecond);
+    simulator->add_machine("small", "b");
+    simulator->run(8 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// Machines that nobody hears are no reason to return idle ones, which are where their work has to go.
-TEST(NextLeader, RoomIsKeptForWhatIsInDoubt) {
-    auto w = settled_simulator(45, 4);
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(10 * kSecond);
-    cut_from_all(*w, *w->machines_of("req-000001").begin());
-    end(*w, false);
-    w->run(w->settings.ops.live_ttl + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+/// Unreachable machines must not make idle ones surplus, since their tasks have to be restarted on these.
+TEST(LeaderFailover, IdleMachinesAreKeptWhileTasksAreInDoubt) {
+    auto simulator = settled_simulator(45, 4);
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(10 * kSecond);
+    cut_from_all(*simulator, *simulator->machines_of("req-000001").begin());
+    crash_controllers(*simulator, false);
+    simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings) +
+                   with_drift(simulator->settings.lease) + 5 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// A lease that is renewed on a holder's behalf for a report that its worker gave up counts once, whatever
-/// copies follow: the end of the leader has every controller stand in.
-TEST(NextLeader, CopiesAtOthersRenewADoubtOnce) {
-    for (const Micros last : {6, 24}) {
-        auto w = settled_simulator(46, 4, patient());
-        w->submit(w->job(1, JobKind::Service, 1), 0);
-        w->run(30 * kSecond);
-        const std::string machine = *w->machines_of("req-000001").begin();
-        const int holder = w->holder();
-        const Json old = on_its_way(*w, machine);
-        cut_from_all(*w, machine);
-        const Micros from = w->now();
+/// While the holder can't be reached, every other controller renews leases on its behalf. A report that its
+/// worker has given up on renews the lease once, whatever copies of it follow.
+TEST(LeaderFailover, ReportCopiesAtOtherControllersRenewALeaseOnce) {
+    for (const Micros last_copy_s : {6, 24}) {
+        auto simulator = settled_simulator(46, 4, patient());
+        simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+        simulator->run(30 * kSecond);
+        const std::string machine = *simulator->machines_of("req-000001").begin();
+        const int holder = simulator->holder();
+        const Json old_report = on_its_way(*simulator, machine);
+        cut_from_all(*simulator, machine);
+        const Micros cut_at = simulator->now();
         for (int i = 0; i < 3; ++i)
-            if (i != holder) w->cut(host(holder), host(i));
-        for (Micros at = 0; at < last; ++at) {
-            for (int i = 0; i < 3; ++i) arrives(*w, i, old);
-            w->run(kSecond);
+            if (i != holder) simulator->cut(host(holder), host(i));
+        for (Micros second = 0; second < last_copy_s; ++second) {
+            for (int i = 0; i < 3; ++i) arrives(*simulator, i, old_report);
+            simulator->run(kSecond);
         }
         for (int i = 0; i < 3; ++i)
-            if (i != holder) w->heal(host(holder), host(i));
-        until(*w, 90 * kSecond,
-              [&] { return w->running("req-000001") == 1 && !w->machines_of("req-000001").count(machine); });
-        EXPECT_LE(w->now() - from, std::max(last * kSecond, with_drift(w->settings.lease)) + 4 * kSecond)
-            << w->story();
-        EXPECT_RULES(*w);
+            if (i != holder) simulator->heal(host(holder), host(i));
+        until(*simulator, 90 * kSecond, [&] {
+            return simulator->running("req-000001") == 1 &&
+                   !simulator->machines_of("req-000001").count(machine);
+        });
+        EXPECT_LE(simulator->now() - cut_at,
+                  std::max(last_copy_s * kSecond, with_drift(simulator->settings.lease)) + 4 * kSecond)
+            << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -1,6 +1,6 @@
-// The state service answers slowly, or refuses the leader alone and then everybody for longer than
-// `cancel_s`, while users cancel and ask: jobs that others need, gangs half started, admissions under way,
-// jobs that end at that moment.
+// The state service answers slowly, or refuses requests of the leader alone and then of every controller for
+// longer than `cancel_s`, while users cancel and poll jobs: jobs that others depend on, partly started gangs,
+// jobs that are being admitted, and jobs that end at that moment.
 
 #include <gtest/gtest.h>
 
@@ -11,108 +11,117 @@
 using namespace simulation;
 namespace {
 
-constexpr int kLong = 10, kService = 11, kGang = 12, kNeeded = 13, kWaits = 14, kEnds = 15, kAdmitted = 16;
+constexpr int kLongJob = 10, kServiceJob = 11, kGangJob = 12, kNeededJob = 13, kDependentJob = 14,
+              kEndingJob = 15, kAdmittedJob = 16;
 
 std::string ref(int number) {
     return "req-0000" + std::to_string(number);
 }
 
-/// Relative to the moment at which the leader alone is refused.
-struct Row {
+/// One case. Times are relative to the moment at which the state service starts to refuse the leader.
+struct Case {
     const char* name;
-    Micros cancelled;        // when users call off all that they call off
-    Micros out = kSecond;    // when the service is out for everybody
-    Micros slow = 0;         // its answers, from two seconds before
-    Micros hang = 0;         // of the machines of what is called off
-    bool to_leader = false;  // users reach only the leader
+    Micros cancelled_at;          // when users cancel the jobs
+    Micros outage_at = kSecond;   // when the service goes down for every controller
+    Micros answer_delay = 0;      // the delay of its answers, from two seconds before the moment on
+    Micros hang_time = 0;         // for how long half the machines of the cancelled jobs hang
+    bool through_leader = false;  // users can reach the leader only
 };
 
-void PrintTo(const Row& row, std::ostream* out) {
-    *out << row.name;
+void PrintTo(const Case& test_case, std::ostream* out) {
+    *out << test_case.name;
 }
 
-const std::vector<Row> kRows{
-    {"just before", -30 * kMillisecond},
-    {"just before, slow answers", -600 * kMillisecond, kSecond, 900 * kMillisecond},
-    {"at that moment", 0},
-    {"at that moment, hung machines", 0, kSecond, 0, 20 * kSecond},
-    {"at that moment, through the leader", 0, kSecond, 0, 0, true},
-    {"in between", 500 * kMillisecond},
-    {"in between, slow answers", 500 * kMillisecond, 3 * kSecond, 900 * kMillisecond, 8 * kSecond},
-    {"as the service goes", 990 * kMillisecond},
-    {"while it is out", 10 * kSecond},
-    {"with a new leader", 8 * kSecond, 9 * kSecond},
-    {"with a new leader that is reading, slow answers", 6 * kSecond, 7 * kSecond, 500 * kMillisecond},
+const std::vector<Case> kCases{
+    {"cancel just before", -30 * kMillisecond},
+    {"cancel just before, slow answers", -600 * kMillisecond, kSecond, 900 * kMillisecond},
+    {"cancel at the refusal", 0},
+    {"cancel at the refusal, hung machines", 0, kSecond, 0, 20 * kSecond},
+    {"cancel at the refusal, through the leader", 0, kSecond, 0, 0, true},
+    {"cancel between refusal and outage", 500 * kMillisecond},
+    {"cancel between refusal and outage, slow answers", 500 * kMillisecond, 3 * kSecond, 900 * kMillisecond,
+     8 * kSecond},
+    {"cancel just before the outage", 990 * kMillisecond},
+    {"cancel during the outage", 10 * kSecond},
+    {"cancel with a new leader", 8 * kSecond, 9 * kSecond},
+    {"cancel with a new leader that is still reading, slow answers", 6 * kSecond, 7 * kSecond,
+     500 * kMillisecond},
 };
 
-class RefusedLeader : public testing::TestWithParam<Row> {};
+class RefusedLeader : public testing::TestWithParam<Case> {};
 
-TEST_P(RefusedLeader, EndsNoJobLateAndForgetsNone) {
-    const Row& row = GetParam();
+TEST_P(RefusedLeader, CancelledJobsEndInTimeAndNoJobIsLost) {
+    const Case& test_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         Settings site = small_site();
-        if (seed == 2) site.cpu_share = 0.001;  // several shards
-        auto w = settled_simulator(seed, 5, site);
-        const int leader = w->leader();
-        w->poll_rate = 4;
-        w->submit(w->job(kLong, JobKind::Array, 4), 90 * kSecond);
-        w->submit(w->job(kService, JobKind::Service, 3), 0);
-        w->submit(w->job(kNeeded, JobKind::Array, 2), 60 * kSecond);
-        w->run(kSecond);
-        JobSpec waits = w->job(kWaits, JobKind::Array, 2);
-        waits.needs = {ref(kNeeded)};
-        w->submit(waits, 2 * kSecond);
-        w->run(2 * kSecond);
-        const Micros moment = w->now() + 4 * kSecond;
-        w->at(moment - 2 * kSecond, [&] { w->slow_state = row.slow; });
-        // Ends, starts and admissions on their way at that moment.
-        w->at(moment - 3 * kSecond,
-              [&] { w->submit(w->job(kEnds, JobKind::Array, 3), 2700 * kMillisecond, 0); });
-        w->at(moment - 300 * kMillisecond, [&] {
-            JobSpec gang = w->job(kGang, JobKind::Gang, 3, 2);
-            w->submit(gang, 60 * kSecond, kSecond);
+        if (seed == 2) site.cpu_share = 0.001;  // spreads the machines over several shards
+        auto simulator = settled_simulator(seed, 5, site);
+        const int leader = simulator->leader();
+        simulator->poll_rate = 4;
+        simulator->submit(simulator->job(kLongJob, JobKind::Array, 4), 90 * kSecond);
+        simulator->submit(simulator->job(kServiceJob, JobKind::Service, 3), 0);
+        simulator->submit(simulator->job(kNeededJob, JobKind::Array, 2), 60 * kSecond);
+        simulator->run(kSecond);
+        JobSpec dependent = simulator->job(kDependentJob, JobKind::Array, 2);
+        dependent.needs = {ref(kNeededJob)};
+        simulator->submit(dependent, 2 * kSecond);
+        simulator->run(2 * kSecond);
+        const Micros refused_at = simulator->now() + 4 * kSecond;
+        simulator->at(refused_at - 2 * kSecond, [&] { simulator->slow_state = test_case.answer_delay; });
+        // Tasks that end, tasks that start and admissions that are in flight at that moment.
+        simulator->at(refused_at - 3 * kSecond, [&] {
+            simulator->submit(simulator->job(kEndingJob, JobKind::Array, 3), 2700 * kMillisecond, 0);
         });
-        w->at(moment - 10 * kMillisecond,
-              [&] { w->submit(w->job(kAdmitted, JobKind::Array, 2), 5 * kSecond); });
-        w->at(moment, [&] { w->refuse(leader, true); });
-        w->at(moment + row.out, [&] { w->state().set_down(true, w->now()); });
-        w->at(moment + row.cancelled, [&] {
-            for (int i = 0; row.to_leader && i < 3; ++i)
-                if (i != leader) w->cut("users", host(i));
-            int n = 0;
-            for (const int job : {kLong, kService, kGang, kNeeded, kEnds, kAdmitted}) {
-                if (row.hang > 0)
-                    for (const auto& m : w->machines_of(ref(job))) {
-                        if (++n % 2) continue;
-                        w->hang(m, true);
-                        w->at(w->now() + row.hang, [&, m] { w->hang(m, false); });
+        simulator->at(refused_at - 300 * kMillisecond, [&] {
+            JobSpec gang = simulator->job(kGangJob, JobKind::Gang, 3, 2);
+            simulator->submit(gang, 60 * kSecond, kSecond);
+        });
+        simulator->at(refused_at - 10 * kMillisecond, [&] {
+            simulator->submit(simulator->job(kAdmittedJob, JobKind::Array, 2), 5 * kSecond);
+        });
+        simulator->at(refused_at, [&] { simulator->refuse(leader, true); });
+        simulator->at(refused_at + test_case.outage_at,
+                      [&] { simulator->state().set_down(true, simulator->now()); });
+        simulator->at(refused_at + test_case.cancelled_at, [&] {
+            for (int i = 0; test_case.through_leader && i < 3; ++i)
+                if (i != leader) simulator->cut("users", host(i));
+            int machine_number = 0;
+            for (const int job : {kLongJob, kServiceJob, kGangJob, kNeededJob, kEndingJob, kAdmittedJob}) {
+                if (test_case.hang_time > 0)
+                    for (const auto& m : simulator->machines_of(ref(job))) {
+                        if (++machine_number % 2) continue;
+                        simulator->hang(m, true);
+                        simulator->at(simulator->now() + test_case.hang_time,
+                                      [&, m] { simulator->hang(m, false); });
                     }
-                w->cancel(ref(job));
+                simulator->cancel(ref(job));
             }
         });
-        w->run(4 * kSecond + row.out + w->settings.cancel + 15 * kSecond);
-        w->state().set_down(false, w->now());
-        w->refuse(leader, false);
-        w->heal_all();
-        w->slow_state = 0;
-        w->run(5 * kSecond);
-        w->submit(w->job(20, JobKind::Array, 8), 3 * kSecond);
-        w->run(w->settings.cancel + 40 * kSecond);
-        EXPECT_RULES(*w);
-        for (const auto& job : w->refs()) {
-            EXPECT_TRUE(w->told(job) == "done" || w->told(job) == "cancelled")
-                << job << " is " << w->told(job) << ", seed " << seed << "\n"
-                << w->story();
-            EXPECT_EQ(w->running(job), 0) << job;
+        simulator->run(4 * kSecond + test_case.outage_at + simulator->settings.cancel + 15 * kSecond);
+        simulator->state().set_down(false, simulator->now());
+        simulator->refuse(leader, false);
+        simulator->heal_all();
+        simulator->slow_state = 0;
+        simulator->run(5 * kSecond);
+        simulator->submit(simulator->job(20, JobKind::Array, 8), 3 * kSecond);
+        simulator->run(simulator->settings.cancel + 40 * kSecond);
+        EXPECT_RULES(*simulator);
+        for (const auto& job : simulator->refs()) {
+            EXPECT_TRUE(simulator->told(job) == "done" || simulator->told(job) == "cancelled")
+                << job << " is " << simulator->told(job) << ", seed " << seed << "\n"
+                << simulator->story();
+            EXPECT_EQ(simulator->running(job), 0) << job;
         }
-        EXPECT_EQ(w->told(ref(kLong)), "cancelled");
-        EXPECT_EQ(w->told(ref(kWaits)), "cancelled") << "with what it needs";
-        EXPECT_EQ(w->told(ref(20)), "done") << "what is freed is used again\n" << w->story();
+        EXPECT_EQ(simulator->told(ref(kLongJob)), "cancelled");
+        EXPECT_EQ(simulator->told(ref(kDependentJob)), "cancelled")
+            << "it must be cancelled with the job that it depends on";
+        EXPECT_EQ(simulator->told(ref(20)), "done") << "the freed capacity must be used again\n"
+                                                    << simulator->story();
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Moments, RefusedLeader, testing::ValuesIn(kRows), [](const auto& row) {
-    std::string name = row.param.name;
+INSTANTIATE_TEST_SUITE_P(Cases, RefusedLeader, testing::ValuesIn(kCases), [](const auto& param_info) {
+    std::string name = param_info.param.name;
     std::erase_if(name, [](char c) { return !std::isalnum(static_cast<unsigned char>(c)); });
     return name;
 });
