--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -1,6 +1,6 @@
-// Jobs are called off in the seconds in which one controller's work changes hands: one job at each step of
-// 50 ms, from before the change until its taker has long read everything. Every third of all combinations is
-// played, and with WORLD_ALL=1 each.
+// Jobs are cancelled while a controller's shard moves to another controller: one job every 50 ms, from before
+// the transfer until long after the new holder has loaded the shard. Every third combination of a transfer
+// and a simultaneous fault is run, and with WORLD_ALL=1 every one.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -12,119 +12,141 @@
 using namespace simulation;
 namespace {
 
-constexpr Micros kStep = 50 * kMillisecond;
-constexpr int kJobs = 120;
+constexpr Micros kCancellationInterval = 50 * kMillisecond;
+constexpr int kJobCount = 120;
 
-struct Change {
-    const char* what;
-    bool several;   // shards
-    Micros before;  // how long before the sweep's origin it begins
-    void (*begin)(Simulator&, int holder);
+struct Transfer {
+    const char* name;
+    bool several_shards;
+    Micros lead_time;  // how long before the origin of the cancellation times it starts
+    void (*start)(Simulator&, int holder);
 };
-const Change kChanges[] = {
-    {"given by its holder", false, 0, [](Simulator& w, int h) { transfer_shards(w, h, (h + 1) % 3); }},
-    {"given and back", false, 0,
-     [](Simulator& w, int h) {
-         transfer_shards(w, h, (h + 1) % 3);
-         w.at(w.now() + 1500 * kMillisecond, [&w, h] {
-             if (w.owner_at((h + 1) % 3)) transfer_shards(w, (h + 1) % 3, h);
+const Transfer kTransfers[] = {
+    {"transferred by its holder", false, 0,
+     [](Simulator& simulator, int holder) { transfer_shards(simulator, holder, (holder + 1) % 3); }},
+    {"transferred and transferred back", false, 0,
+     [](Simulator& simulator, int holder) {
+         transfer_shards(simulator, holder, (holder + 1) % 3);
+         simulator.at(simulator.now() + 1500 * kMillisecond, [&simulator, holder] {
+             if (simulator.owner_at((holder + 1) % 3)) transfer_shards(simulator, (holder + 1) % 3, holder);
          });
      }},
-    {"taken after an end", false, 2 * kSecond, [](Simulator& w, int h) { w.crash(h, 60 * kSecond); }},
-    {"taken back after an end", false, 0, [](Simulator& w, int h) { w.crash(h, 300 * kMillisecond); }},
-    {"taken, and handed back", true, 8 * kSecond, [](Simulator& w, int h) { w.crash(h, 4 * kSecond); }},
-    {"taken from one that is cut off", false, 2 * kSecond,
-     [](Simulator& w, int h) {
-         w.cut_off(h, true);
-         w.at(w.now() + 20 * kSecond, [&w, h] { w.cut_off(h, false); });
+    {"acquired after a crash", false, 2 * kSecond,
+     [](Simulator& simulator, int holder) { simulator.crash(holder, 60 * kSecond); }},
+    {"acquired again after a restart", false, 0,
+     [](Simulator& simulator, int holder) { simulator.crash(holder, 300 * kMillisecond); }},
+    {"acquired after a crash, and transferred back", true, 8 * kSecond,
+     [](Simulator& simulator, int holder) { simulator.crash(holder, 4 * kSecond); }},
+    {"acquired from a node that is cut off", false, 2 * kSecond,
+     [](Simulator& simulator, int holder) {
+         simulator.cut_off(holder, true);
+         simulator.at(simulator.now() + 20 * kSecond,
+                      [&simulator, holder] { simulator.cut_off(holder, false); });
      }},
 };
 
-struct Beside {
-    const char* what;
-    bool held;  // commands or looks are late, so that a launch may come after the answer to its user
-    void (*begin)(Simulator&, int holder);
+struct Fault {
+    const char* name;
+    // Commands or refreshes are late, so a task may start after the user was told that its job is cancelled.
+    bool allows_late_starts;
+    void (*start)(Simulator&, int holder);
 };
-const Beside kBeside[] = {
-    {"nothing", false, [](Simulator&, int) {}},
-    {"the next message to each machine is kept back", true,
-     [](Simulator& w, int h) {
-         for (const auto& m : w.machine_names()) w.hold_next(host(h), m);
-         w.at(w.now() + 12 * kSecond, [&w] { w.release(); });
+const Fault kFaults[] = {
+    {"no fault", false, [](Simulator&, int) {}},
+    {"the next message to each machine is delayed", true,
+     [](Simulator& simulator, int holder) {
+         for (const auto& m : simulator.machine_names()) simulator.hold_next(host(holder), m);
+         simulator.at(simulator.now() + 12 * kSecond, [&simulator] { simulator.release(); });
      }},
-    {"commands are late", true, [](Simulator& w, int) { w.late_commands = 0.5; }},
-    {"the record of the domain is written late", false,
-     [](Simulator& w, int) { w.late_next("c/domain/", 3 * kSecond); }},
-    {"the record of the domain is written unanswered", false,
-     [](Simulator& w, int) { w.late_next("c/domain/", 0); }},
-    {"records of jobs are written late", false,
-     [](Simulator& w, int) {
-         for (int i = 0; i < 60; ++i) w.late_next("c/active/", i % 2 ? 2 * kSecond : 6 * kSecond);
+    {"commands are late", true, [](Simulator& simulator, int) { simulator.late_commands = 0.5; }},
+    {"the write of the shard record is executed late", false,
+     [](Simulator& simulator, int) { simulator.late_next("c/domain/", 3 * kSecond); }},
+    {"the write of the shard record gets no answer", false,
+     [](Simulator& simulator, int) { simulator.late_next("c/domain/", 0); }},
+    {"writes of job records are executed late", false,
+     [](Simulator& simulator, int) {
+         for (int i = 0; i < 60; ++i) simulator.late_next("c/active/", i % 2 ? 2 * kSecond : 6 * kSecond);
      }},
-    {"records of jobs are written unanswered", false,
-     [](Simulator& w, int) {
-         for (int i = 0; i < 100; ++i) w.late_next("c/active/", 0);
+    {"writes of job records get no answer", false,
+     [](Simulator& simulator, int) {
+         for (int i = 0; i < 100; ++i) simulator.late_next("c/active/", 0);
      }},
-    {"the store is slow", true, [](Simulator& w, int) { w.slow_state = 600 * kMillisecond; }},
+    {"the store is slow", true, [](Simulator& simulator, int) { simulator.slow_state = 600 * kMillisecond; }},
 };
 
-class ChangingHands : public testing::TestWithParam<int> {};
+class CancellationDuringTransfer : public testing::TestWithParam<int> {};
 
-TEST_P(ChangingHands, NothingStartsThatWasCalledOff) {
-    const Change& change = kChanges[GetParam()];
-    int turn = GetParam();
-    for (const Beside& beside : kBeside) {
-        if (turn++ % 3 > 0 && !std::getenv("WORLD_ALL")) continue;
+TEST_P(CancellationDuringTransfer, NoCancelledJobStartsTasks) {
+    const Transfer& transfer = kTransfers[GetParam()];
+    int combination = GetParam();
+    for (const Fault& fault : kFaults) {
+        if (combination++ % 3 > 0 && !std::getenv("WORLD_ALL")) continue;
         Settings site = small_site();
-        if (change.several) site.cpu_share = 0.001;
+        if (transfer.several_shards) site.cpu_share = 0.001;
         site.ops.idle_return = 600 * kSecond;
-        auto w = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
-        const std::string name = fmt::format("{}, {}", change.what, beside.what);
-        const int holder = w->holder();
-        const Micros origin = w->now() + 4 * kSecond + change.before;
+        auto simulator = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
+        const std::string combination_name = fmt::format("{}, {}", transfer.name, fault.name);
+        const int holder = simulator->holder();
+        const Micros origin = simulator->now() + 4 * kSecond + transfer.lead_time;
         std::vector<std::string> refs;
-        for (int k = 0; k < kJobs; ++k) {
-            const JobKind kind = k % 6 < 2 ? JobKind::Gang : k % 6 < 4 ? JobKind::Service : JobKind::Array;
-            const JobSpec s = w->job(k + 1, kind, 2, 0.1);
-            refs.push_back(s.ref);
-            // Half of them run by then; of the others the launch is on its way, or not even that.
-            const Micros off = origin - kSecond + k * kStep;
-            w->at(k % 2 ? off - (50 + w->random() % 300) * kMillisecond : w->now() + k * 5 * kMillisecond,
-                  [&w, s] { w->submit(s, 400 * kSecond); });
-            w->at(off, [&w, ref = s.ref] { w->cancel(ref); });
+        for (int number = 0; number < kJobCount; ++number) {
+            const JobKind kind = number % 6 < 2   ? JobKind::Gang
+                                 : number % 6 < 4 ? JobKind::Service
+                                                  : JobKind::Array;
+            const JobSpec job = simulator->job(number + 1, kind, 2, 0.1);
+            refs.push_back(job.ref);
+            // Half of the jobs are running when they are cancelled. The tasks of the others are being
+            // launched, or are not even launched yet.
+            const Micros cancel_at = origin - kSecond + number * kCancellationInterval;
+            simulator->at(number % 2 ? cancel_at - (50 + simulator->random() % 300) * kMillisecond
+                                     : simulator->now() + number * 5 * kMillisecond,
+                          [&simulator, job] { simulator->submit(job, 400 * kSecond); });
+            simulator->at(cancel_at, [&simulator, ref = job.ref] { simulator->cancel(ref); });
         }
-        w->at(origin - 100 * kMillisecond, [&] { beside.begin(*w, holder); });
-        w->at(origin - change.before, [&] { change.begin(*w, holder); });
-        std::map<std::string, std::pair<Micros, int>> told;  // when, and starts until shortly after
-        const Micros end = origin + kJobs * kStep + 25 * kSecond;
-        while (w->now() < end) {
-            w->run(kStep);
-            if (w->now() > origin + kJobs * kStep) w->late_commands = w->slow_state = 0;
+        simulator->at(origin - 100 * kMillisecond, [&] { fault.start(*simulator, holder); });
+        simulator->at(origin - transfer.lead_time, [&] { transfer.start(*simulator, holder); });
+        // When users were told that a job is cancelled, and how often its tasks had started shortly after
+        // that.
+        std::map<std::string, std::pair<Micros, int>> told;
+        const Micros end = origin + kJobCount * kCancellationInterval + 25 * kSecond;
+        while (simulator->now() < end) {
+            simulator->run(kCancellationInterval);
+            if (simulator->now() > origin + kJobCount * kCancellationInterval)
+                simulator->late_commands = simulator->slow_state = 0;
             for (const auto& ref : refs)
-                if (w->told(ref) == "cancelled") {
-                    auto& t = told.try_emplace(ref, w->now(), 0).first->second;
-                    if (w->now() - t.first <= 3 * kStep) t.second = w->starts(ref);
+                if (simulator->told(ref) == "cancelled") {
+                    auto& told_job = told.try_emplace(ref, simulator->now(), 0).first->second;
+                    if (simulator->now() - told_job.first <= 3 * kCancellationInterval)
+                        told_job.second = simulator->starts(ref);
                 }
         }
-        w->run(w->settings.cancel);
-        const JobSpec all = w->job(900, JobKind::Array, 24);
-        w->submit(all, 400 * kSecond);
-        w->run(10 * kSecond);
-        EXPECT_EQ(w->running(all.ref), 24) << name << ": the room is used again\n" << w->story();
-        int late = 0;
+        simulator->run(simulator->settings.cancel);
+        const JobSpec filler = simulator->job(900, JobKind::Array, 24);
+        simulator->submit(filler, 400 * kSecond);
+        simulator->run(10 * kSecond);
+        EXPECT_EQ(simulator->running(filler.ref), 24)
+            << combination_name << ": the freed capacity must be used again\n"
+            << simulator->story();
+        int late_starts = 0;
         for (const auto& ref : refs) {
-            EXPECT_EQ(w->told(ref), "cancelled") << name << " " << ref;
-            EXPECT_EQ(w->running(ref), 0) << name << " " << ref << "\n" << w->story();
-            if (w->starts(ref) > told[ref].second) ++late;
+            EXPECT_EQ(simulator->told(ref), "cancelled") << combination_name << " " << ref;
+            EXPECT_EQ(simulator->running(ref), 0) << combination_name << " " << ref << "\n"
+                                                  << simulator->story();
+            if (simulator->starts(ref) > told[ref].second) ++late_starts;
         }
-        if (!beside.held) {
-            EXPECT_EQ(late, 0) << name << ": started after their users were told\n" << w->story(200);
+        if (!fault.allows_late_starts) {
+            EXPECT_EQ(late_starts, 0)
+                << combination_name
+                << ": jobs started tasks after their users were told that they are cancelled\n"
+                << simulator->story(200);
         }
-        EXPECT_TRUE(w->broken.empty()) << name << ": " << w->broken.front() << "\n" << w->story(150);
+        EXPECT_TRUE(simulator->broken.empty())
+            << combination_name << ": " << simulator->broken.front() << "\n"
+            << simulator->story(150);
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Meetings, ChangingHands, testing::Range(0, 6));
+INSTANTIATE_TEST_SUITE_P(Transfers, CancellationDuringTransfer, testing::Range(0, 6));
 
 }  // namespace
 }  // namespace cottonway::test
