--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -161,17 +161,17 @@
 /// A machine with a long task is cut off, or does not receive answers, while the leader fails. For less than
 /// a lease the task continues there; for longer it is restarted elsewhere, and runs only there.
 TEST(LeaderFailover, TaskRestartsElsewhereOnlyIfItsMachineIsCutOffForLongerThanALease) {
-    for (const bool deaf : {false, true})
+    for (const bool one_way : {false, true})
         for (const Micros outage_s : {4, 50}) {
             auto simulator = settled_simulator(47, 4, patient());
             const auto story = [&] {
-                return fmt::format("deaf {} outage_s {}\n", deaf, outage_s) + simulator->story();
+                return fmt::format("one_way {} outage_s {}\n", one_way, outage_s) + simulator->story();
             };
             simulator->submit(simulator->job(1, JobKind::Array, 1, 4), 90 * kSecond);
             simulator->submit(simulator->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
             simulator->run(3 * kSecond);
             const std::string machine = *simulator->machines_of("req-000001").begin();
-            if (deaf)
+            if (one_way)
                 simulator->deafen(machine, true);
             else
                 cut_from_all(*simulator, machine);
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -1,4 +1,5 @@
-// Two troubles at once: shards that go to and fro within a second, and machines that don't hear.
+// Two faults at once: shards that are transferred back and forth within a second, controllers that restart at
+// the same time or again and again, and machines that do not receive messages.
 
 #include <gtest/gtest.h>
 
@@ -10,290 +11,311 @@
 using namespace simulation;
 namespace {
 
-TEST(HandingOver, WhoeverHeldTheDomainBeforeIsCountedWith) {
-    // The record names the node that takes the shard, so it has been taken for its own former process's; but
-    // it was given by another, which does not know that yet and goes on answering.
-    for (const bool ends : {false, true}) {
+TEST(ShardTransfer, FormerHolderIsWaitedForEvenIfTheRecordNamesTheNewHolder) {
+    // The record names the node that acquires the shard, which therefore treated the shard as that of its own
+    // former process. But another node had transferred it, does not know this yet and goes on answering
+    // workers.
+    for (const bool new_holder_crashes : {false, true}) {
         Settings site = small_site();
         site.ops.idle_return = 600 * kSecond;
-        auto w = settled_simulator(21, 2, site);
-        const int giver = w->holder(), taker = (giver + 1) % 3;
-        w->submit(w->job(1, JobKind::Service, 1), 0);
-        w->run(3 * kSecond);
-        ASSERT_EQ(w->running("req-000001"), 1);
-        const std::string machine = *w->machines_of("req-000001").begin();
-        w->run(10 * kSecond);
-        w->cut_one_way("state", host(giver));     // its key stays, it hears nothing
-        for (const auto& m : w->machine_names())  // nor does a machine tell it
+        auto simulator = settled_simulator(21, 2, site);
+        const int old_holder = simulator->holder(), new_holder = (old_holder + 1) % 3;
+        simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+        simulator->run(3 * kSecond);
+        ASSERT_EQ(simulator->running("req-000001"), 1);
+        const std::string machine = *simulator->machines_of("req-000001").begin();
+        simulator->run(10 * kSecond);
+        // The old holder keeps its key but receives nothing from the state service.
+        simulator->cut_one_way("state", host(old_holder));
+        // It is also cut off from the other machine, and `machine` from the other controllers.
+        for (const auto& m : simulator->machine_names())
             for (int i = 0; i < 3; ++i)
-                if ((i == giver) != (m == machine)) w->cut(host(i), m);
-        transfer_shards(*w, giver, taker);
-        w->run(400 * kMillisecond);
-        if (ends) w->crash(taker, 100 * kMillisecond);
-        w->run(45 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 1) << "in doubt no longer than need be\n" << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
-        EXPECT_RULES(*w);
+                if ((i == old_holder) != (m == machine)) simulator->cut(host(i), m);
+        transfer_shards(*simulator, old_holder, new_holder);
+        simulator->run(400 * kMillisecond);
+        if (new_holder_crashes) simulator->crash(new_holder, 100 * kMillisecond);
+        simulator->run(45 * kSecond);
+        EXPECT_EQ(simulator->running("req-000001"), 1)
+            << "the task must be restarted as soon as its lease is over\n"
+            << simulator->story();
+        EXPECT_EQ(simulator->starts("req-000001"), 2) << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(HandingOver, AFormerProcessTakesNoKeyWithIt) {
-    // The former process's put of its key is carried out late, while the lease that it names still lives.
-    for (Micros when = kMillisecond; when < 12 * kMillisecond; when += 2 * kMillisecond) {
-        auto w = settled_simulator(23, 2);
-        const int node = (w->holder() + 1) % 3;
-        w->crash(node, 3 * kSecond);
-        w->run(3 * kSecond + when);
-        w->hold_next(host(node), "state");
-        w->run(50 * kMillisecond);
-        w->crash(node, 50 * kMillisecond);
-        w->run(2 * kSecond);
-        w->release();
-        w->run(8 * kSecond);
-        const Json alive = w->node(w->holder())->status()["alive"];
-        EXPECT_EQ(alive.size(), 3u) << "held " << when / kMillisecond << " ms after the start\n"
-                                    << w->story();
+TEST(MembershipLease, KeySurvivesALateWriteOfAFormerProcess) {
+    // The former process's write of its key is executed late, while the lease that it names has not expired
+    // yet.
+    for (Micros held_at = kMillisecond; held_at < 12 * kMillisecond; held_at += 2 * kMillisecond) {
+        auto simulator = settled_simulator(23, 2);
+        const int node = (simulator->holder() + 1) % 3;
+        simulator->crash(node, 3 * kSecond);
+        simulator->run(3 * kSecond + held_at);
+        simulator->hold_next(host(node), "state");
+        simulator->run(50 * kMillisecond);
+        simulator->crash(node, 50 * kMillisecond);
+        simulator->run(2 * kSecond);
+        simulator->release();
+        simulator->run(8 * kSecond);
+        const Json alive = simulator->node(simulator->holder())->status()["alive"];
+        EXPECT_EQ(alive.size(), 3u) << "message held back " << held_at / kMillisecond
+                                    << " ms after the start\n"
+                                    << simulator->story();
     }
 }
 
-TEST(Deaf, WhatAMachineDoesNotHearRunsElsewhere) {
-    auto w = settled_simulator(24, 2);
-    w->submit(w->job(1, JobKind::Service, 1, 1), 0);
-    w->run(3 * kSecond);
-    const std::string machine = *w->machines_of("req-000001").begin();
-    w->deafen(machine, true);
-    for (int i = 2; i <= 3; ++i) w->submit(w->job(i, JobKind::Array, 1, 5), 2 * kSecond);
-    // Its lease, a vain report to each controller in turn, and what the tasks take.
-    w->run(w->settings.lease + 4 * 5 * kSecond + 5 * kSecond);
-    EXPECT_EQ(w->told("req-000002"), "done") << w->story();
-    EXPECT_EQ(w->told("req-000003"), "done") << w->story();
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_NE(*w->machines_of("req-000001").begin(), machine);
-    w->deafen(machine, false);
-    w->run(8 * kSecond);
-    w->submit(w->job(4, JobKind::Array, 2, 6), 2 * kSecond);
-    w->run(6 * kSecond);
-    EXPECT_EQ(w->told("req-000004"), "done") << "it is used again\n" << w->story();
-    EXPECT_RULES(*w);
+TEST(OneWayPartition, TasksThatTheMachineDoesNotReceiveRunElsewhere) {
+    auto simulator = settled_simulator(24, 2);
+    simulator->submit(simulator->job(1, JobKind::Service, 1, 1), 0);
+    simulator->run(3 * kSecond);
+    const std::string machine = *simulator->machines_of("req-000001").begin();
+    simulator->deafen(machine, true);
+    for (int i = 2; i <= 3; ++i) simulator->submit(simulator->job(i, JobKind::Array, 1, 5), 2 * kSecond);
+    // Its lease, an unanswered report to each controller in turn, and the duration of the tasks.
+    simulator->run(simulator->settings.lease + 4 * 5 * kSecond + 5 * kSecond);
+    EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
+    EXPECT_EQ(simulator->told("req-000003"), "done") << simulator->story();
+    EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
+    EXPECT_NE(*simulator->machines_of("req-000001").begin(), machine);
+    simulator->deafen(machine, false);
+    simulator->run(8 * kSecond);
+    simulator->submit(simulator->job(4, JobKind::Array, 2, 6), 2 * kSecond);
+    simulator->run(6 * kSecond);
+    EXPECT_EQ(simulator->told("req-000004"), "done") << "the machine must be used again\n"
+                                                     << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Deaf, WhatAFormerHolderLaunchedThereIsGoneWithItsLastLease) {
-    // A machine that reports, but never shows the new holder's token.
-    auto w = settled_simulator(25, 2);
-    const int former = w->holder();
-    const std::string machine = w->machine_names().front();
-    w->deafen(machine, true);
-    for (int i = 1; i <= 2; ++i) w->submit(w->job(i, JobKind::Array, 1, 5), 2 * kSecond);
-    w->run(kSecond);
-    ASSERT_EQ(w->starts("req-000001") + w->starts("req-000002"), 1) << "one is bound to the deaf machine";
-    w->crash(former, 300 * kSecond);
-    // Until the dead holder is noticed, its authority, a lease, a report.
-    w->run(3 * kSecond + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond + 5 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    EXPECT_EQ(w->told("req-000002"), "done") << w->story();
-    EXPECT_RULES(*w);
+TEST(OneWayPartition, TaskBoundByAFormerHolderRunsElsewhereAfterItsLastLease) {
+    // The machine reports, but its reports never show the new holder's token.
+    auto simulator = settled_simulator(25, 2);
+    const int former_holder = simulator->holder();
+    const std::string machine = simulator->machine_names().front();
+    simulator->deafen(machine, true);
+    for (int i = 1; i <= 2; ++i) simulator->submit(simulator->job(i, JobKind::Array, 1, 5), 2 * kSecond);
+    simulator->run(kSecond);
+    ASSERT_EQ(simulator->starts("req-000001") + simulator->starts("req-000002"), 1)
+        << "one task must be bound to the machine that receives nothing";
+    simulator->crash(former_holder, 300 * kSecond);
+    // The time to notice the dead holder, its authority, a lease, a report and the duration of the task.
+    simulator->run(3 * kSecond + authority(simulator->settings) + with_drift(simulator->settings.lease) +
+                   5 * kSecond + 5 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+    EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(HandingOver, AllEndAndReturnWithinASecondTimeAndAgain) {
+TEST(ControllerRestart, JobsFinishAlthoughAllControllersRestartRepeatedly) {
     for (std::uint64_t seed = 31; seed < 35; ++seed) {
         Settings site = small_site();
-        if (seed % 2) site.cpu_share = 0.001;  // several shards, so that some are handed back
-        auto w = settled_simulator(seed, 8, site);
-        w->submit(w->job(1, JobKind::Service, 3), 0);
-        for (int i = 2; i <= 6; ++i) w->submit(w->job(i, JobKind::Array, 3), 15 * kSecond);
-        w->run(2 * kSecond);
-        w->repeats = 0.1;
-        w->late_writes = 0.1;
-        w->late_reports = 0.1;
+        if (seed % 2) site.cpu_share = 0.001;  // several shards, so that some are transferred back
+        auto simulator = settled_simulator(seed, 8, site);
+        simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
+        for (int i = 2; i <= 6; ++i) simulator->submit(simulator->job(i, JobKind::Array, 3), 15 * kSecond);
+        simulator->run(2 * kSecond);
+        simulator->repeats = 0.1;
+        simulator->late_writes = 0.1;
+        simulator->late_reports = 0.1;
         for (int round = 0; round < 5; ++round) {
             for (int i = 0; i < 3; ++i)
-                w->crash(i, static_cast<Micros>(50 + w->random() % 950) * kMillisecond);
-            w->run(static_cast<Micros>(800 + w->random() % 3000) * kMillisecond);
+                simulator->crash(i, static_cast<Micros>(50 + simulator->random() % 950) * kMillisecond);
+            simulator->run(static_cast<Micros>(800 + simulator->random() % 3000) * kMillisecond);
         }
-        w->repeats = w->late_writes = w->late_reports = 0;
-        w->run(90 * kSecond);
+        simulator->repeats = simulator->late_writes = simulator->late_reports = 0;
+        simulator->run(90 * kSecond);
         for (int i = 2; i <= 6; ++i)
-            EXPECT_EQ(w->told("req-00000" + std::to_string(i)), "done") << "seed " << seed << w->story();
-        EXPECT_EQ(w->running("req-000001"), 3) << "seed " << seed << w->story();
-        EXPECT_RULES(*w);
+            EXPECT_EQ(simulator->told("req-00000" + std::to_string(i)), "done")
+                << "seed " << seed << simulator->story();
+        EXPECT_EQ(simulator->running("req-000001"), 3) << "seed " << seed << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(HandingOver, ACommandHeldUpWhileTheDomainGoesAndReturnsStartsNothingTwice) {
-    auto w = settled_simulator(41, 1);
-    const int giver = w->holder(), taker = (giver + 1) % 3;
-    const std::string machine = w->machine_names().front();
-    w->hold_next(host(giver), machine);  // the /do with the launch
-    w->submit(w->job(1, JobKind::Array, 1), kSecond, 0);
-    w->run(600 * kMillisecond);
-    transfer_shards(*w, giver, taker);
-    w->run(400 * kMillisecond);
-    ASSERT_EQ(w->holder(), taker) << w->story();
-    transfer_shards(*w, taker, giver);
-    w->run(400 * kMillisecond);
-    ASSERT_EQ(w->holder(), giver) << w->story();
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    w->release();
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->starts("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+TEST(ShardTransfer, CommandDelayedOverATransferAndBackStartsNoTaskTwice) {
+    auto simulator = settled_simulator(41, 1);
+    const int old_holder = simulator->holder(), new_holder = (old_holder + 1) % 3;
+    const std::string machine = simulator->machine_names().front();
+    simulator->hold_next(host(old_holder), machine);  // the /do with the launch
+    simulator->submit(simulator->job(1, JobKind::Array, 1), kSecond, 0);
+    simulator->run(600 * kMillisecond);
+    transfer_shards(*simulator, old_holder, new_holder);
+    simulator->run(400 * kMillisecond);
+    ASSERT_EQ(simulator->holder(), new_holder) << simulator->story();
+    transfer_shards(*simulator, new_holder, old_holder);
+    simulator->run(400 * kMillisecond);
+    ASSERT_EQ(simulator->holder(), old_holder) << simulator->story();
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+    simulator->release();
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->starts("req-000001"), 1) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(HandingOver, OneReturnsAtOnceWhileADomainGoesToAndFro) {
-    for (const Micros back : {100 * kMillisecond, kSecond})
-        for (const Micros gone : {20 * kMillisecond, 400 * kMillisecond})
-            for (int one = 0; one < 3; ++one) {
-                auto w = settled_simulator(42, 4);
-                const int giver = w->holder(), taker = (giver + 1) % 3;
-                w->submit(w->job(1, JobKind::Service, 3), 0);
-                w->submit(w->job(2, JobKind::Array, 3), 15 * kSecond);
-                w->submit(w->job(3, JobKind::Gang, 2), 15 * kSecond);
-                w->run(3 * kSecond);
-                transfer_shards(*w, giver, taker);
-                w->run(gone);
-                if (w->owner_at(taker)) transfer_shards(*w, taker, giver);
-                w->run(gone / 10);
-                for (int i = 0; i < 3; ++i) w->crash(i, i == one ? back : 40 * kSecond);
-                w->run(30 * kSecond);
-                EXPECT_EQ(w->holder(), one) << w->story();
+TEST(ControllerRestart, FirstRestartedNodeAcquiresAShardThatWasTransferredBackAndForth) {
+    for (const Micros restart_delay : {100 * kMillisecond, kSecond})
+        for (const Micros time_until_transfer_back : {20 * kMillisecond, 400 * kMillisecond})
+            for (int first = 0; first < 3; ++first) {
+                auto simulator = settled_simulator(42, 4);
+                const int old_holder = simulator->holder(), new_holder = (old_holder + 1) % 3;
+                simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
+                simulator->submit(simulator->job(2, JobKind::Array, 3), 15 * kSecond);
+                simulator->submit(simulator->job(3, JobKind::Gang, 2), 15 * kSecond);
+                simulator->run(3 * kSecond);
+                transfer_shards(*simulator, old_holder, new_holder);
+                simulator->run(time_until_transfer_back);
+                if (simulator->owner_at(new_holder)) transfer_shards(*simulator, new_holder, old_holder);
+                simulator->run(time_until_transfer_back / 10);
+                for (int i = 0; i < 3; ++i) simulator->crash(i, i == first ? restart_delay : 40 * kSecond);
+                simulator->run(30 * kSecond);
+                EXPECT_EQ(simulator->holder(), first) << simulator->story();
                 for (int i = 1; i <= 3; ++i)
-                    EXPECT_EQ(w->starts("req-00000" + std::to_string(i)), i == 3 ? 2 : 3) << w->story();
-                EXPECT_EQ(w->told("req-000002"), "done") << w->story();
-                EXPECT_EQ(w->told("req-000003"), "done") << w->story();
-                w->run(20 * kSecond);
-                EXPECT_RULES(*w);
+                    EXPECT_EQ(simulator->starts("req-00000" + std::to_string(i)), i == 3 ? 2 : 3)
+                        << simulator->story();
+                EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
+                EXPECT_EQ(simulator->told("req-000003"), "done") << simulator->story();
+                simulator->run(20 * kSecond);
+                EXPECT_RULES(*simulator);
             }
 }
 
-TEST(HandingOver, AllAreAwayForLongerThanALease) {
-    // Every task ends with its lease, and starts again; what was accepted is known, what was called off stays
-    // so. One may be back long before the others.
-    for (const Micros away : {20 * kSecond, 60 * kSecond})
-        for (const bool apart : {false, true}) {
+TEST(ControllerRestart, TasksRestartAfterAllControllersWereDownForLongerThanALease) {
+    // Every task ends when its lease expires, and starts again. Accepted jobs are still known, and cancelled
+    // jobs stay cancelled. One controller may be back long before the others.
+    for (const Micros downtime : {20 * kSecond, 60 * kSecond})
+        for (const bool staggered : {false, true}) {
             Settings site = small_site();
-            if (away > 30 * kSecond) site.cpu_share = 0.001;
-            auto w = settled_simulator(43, 6, site);
-            w->submit(w->job(1, JobKind::Service, 3), 0);
-            w->submit(w->job(2, JobKind::Array, 30), 18 * kSecond);  // more than the limit has room for
-            w->submit(w->job(3, JobKind::Gang, 3), 18 * kSecond);
-            w->submit(w->job(4, JobKind::Array, 2), 100 * kSecond);
-            w->run(3 * kSecond);
-            w->cancel("req-000004");
-            w->run(away % 7);
-            for (int i = 0; i < 3; ++i) w->crash(i, away + (apart ? i * 20 * kSecond : 0));
-            w->run(away);
-            EXPECT_EQ(w->running("req-000001"), 0) << "their leases are over";
-            w->run(8 * kSecond);
-            EXPECT_EQ(w->running("req-000001"), 3) << w->story();
-            w->quiesce();
-            w->run(75 * kSecond);
+            if (downtime > 30 * kSecond) site.cpu_share = 0.001;
+            auto simulator = settled_simulator(43, 6, site);
+            simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
+            // More tasks than the team's limit allows at once.
+            simulator->submit(simulator->job(2, JobKind::Array, 30), 18 * kSecond);
+            simulator->submit(simulator->job(3, JobKind::Gang, 3), 18 * kSecond);
+            simulator->submit(simulator->job(4, JobKind::Array, 2), 100 * kSecond);
+            simulator->run(3 * kSecond);
+            simulator->cancel("req-000004");
+            simulator->run(downtime % 7);
+            for (int i = 0; i < 3; ++i) simulator->crash(i, downtime + (staggered ? i * 20 * kSecond : 0));
+            simulator->run(downtime);
+            EXPECT_EQ(simulator->running("req-000001"), 0) << "the tasks must have ended with their leases";
+            simulator->run(8 * kSecond);
+            EXPECT_EQ(simulator->running("req-000001"), 3) << simulator->story();
+            simulator->quiesce();
+            simulator->run(75 * kSecond);
             for (const char* ref : {"req-000002", "req-000003"})
-                EXPECT_EQ(w->told(ref), "done") << w->story();
-            EXPECT_EQ(w->told("req-000004"), "cancelled") << w->story();
-            // Each once more; a launch may meet the end of a session that nobody has renewed yet.
-            EXPECT_GE(w->starts("req-000001"), 6) << w->story();
-            EXPECT_LE(w->starts("req-000001"), 9) << w->story();
-            EXPECT_RULES(*w);
+                EXPECT_EQ(simulator->told(ref), "done") << simulator->story();
+            EXPECT_EQ(simulator->told("req-000004"), "cancelled") << simulator->story();
+            // Each task starts once more. A launch may arrive as a session ends that no controller has
+            // renewed yet.
+            EXPECT_GE(simulator->starts("req-000001"), 6) << simulator->story();
+            EXPECT_LE(simulator->starts("req-000001"), 9) << simulator->story();
+            EXPECT_RULES(*simulator);
         }
 }
 
-TEST(HandingOver, LeadersChangeTenTimesInTwoMinutes) {
-    for (const bool same : {true, false})
+TEST(ControllerRestart, JobsFinishAlthoughTheLeaderChangesTenTimesInTwoMinutes) {
+    for (const bool same_node : {true, false})
         for (const bool outage : {false, true}) {
             Settings site = small_site();
-            site.cpu_share = 0.001;  // several shards
-            auto w = settled_simulator(44, 9, site);
-            w->submit(w->job(1, JobKind::Service, 3), 0);
+            site.cpu_share = 0.001;  // spreads the machines over several shards
+            auto simulator = settled_simulator(44, 9, site);
+            simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
             std::set<std::uint64_t> terms;
             for (int round = 0; round < 10; ++round) {
                 if (outage && round == 4) {
-                    w->state().set_down(true, w->now());
-                    w->at(w->now() + 15 * kSecond, [&w] { w->state().set_down(false, w->now()); });
+                    simulator->state().set_down(true, simulator->now());
+                    simulator->at(simulator->now() + 15 * kSecond,
+                                  [&simulator] { simulator->state().set_down(false, simulator->now()); });
                 }
-                const int node = same ? 1 : w->leader() >= 0 ? w->leader() : round % 3;
-                w->crash(node, (same ? 500 : 4'000) * kMillisecond);
-                w->submit(w->job(10 + round, JobKind::Array, 2), 8 * kSecond);
-                w->run(round < 9 ? 12 * kSecond : 0);
-                const Reply led = w->state().handle("GET", "/store/c/leader", Json(), w->now());
-                if (led.status == 200) terms.insert(*wire::count(led.body, "mark"));
+                const int node = same_node ? 1 : simulator->leader() >= 0 ? simulator->leader() : round % 3;
+                simulator->crash(node, (same_node ? 500 : 4'000) * kMillisecond);
+                simulator->submit(simulator->job(10 + round, JobKind::Array, 2), 8 * kSecond);
+                simulator->run(round < 9 ? 12 * kSecond : 0);
+                const Reply leader_record =
+                    simulator->state().handle("GET", "/store/c/leader", Json(), simulator->now());
+                if (leader_record.status == 200) terms.insert(*wire::count(leader_record.body, "mark"));
             }
-            if (!same && !outage) {
-                EXPECT_GE(terms.size(), 9u) << "and the last is still to come";
+            if (!same_node && !outage) {
+                EXPECT_GE(terms.size(), 9u) << "the last change of leader is still to come";
             }
             Micros waited = 0;
-            while (w->running("req-000019") < 2 && waited < 20 * kSecond) {
-                w->run(100 * kMillisecond);
+            while (simulator->running("req-000019") < 2 && waited < 20 * kSecond) {
+                simulator->run(100 * kMillisecond);
                 waited += 100 * kMillisecond;
             }
-            EXPECT_LE(waited, 5 * kSecond) << "until work is placed after the last\n" << w->story();
-            w->run(25 * kSecond);
+            EXPECT_LE(waited, 5 * kSecond) << "tasks must be placed soon after the last change of leader\n"
+                                           << simulator->story();
+            simulator->run(25 * kSecond);
             for (int i = 0; i < 3; ++i)
-                EXPECT_TRUE(w->owner_at(i)) << host(i) << " holds no machines\n" << w->story();
+                EXPECT_TRUE(simulator->owner_at(i)) << host(i) << " holds no machines\n"
+                                                    << simulator->story();
             for (int i = 10; i < 20; ++i)
-                EXPECT_EQ(w->told("req-0000" + std::to_string(i)), "done") << w->story();
-            EXPECT_EQ(w->running("req-000001"), 3);
-            EXPECT_RULES(*w);
+                EXPECT_EQ(simulator->told("req-0000" + std::to_string(i)), "done") << simulator->story();
+            EXPECT_EQ(simulator->running("req-000001"), 3);
+            EXPECT_RULES(*simulator);
         }
 }
 
-TEST(HeldUp, AStopEndsNoLaterAttemptOfItsTask) {
-    auto w = settled_simulator(47, 1);
-    const std::string machine = w->machine_names().front();
-    JobSpec low = w->job(1, JobKind::Array, 1, 8), high = w->job(2, JobKind::Service, 1, 4);
+TEST(DelayedCommand, StopDoesNotEndALaterAttemptOfItsTask) {
+    auto simulator = settled_simulator(47, 1);
+    const std::string machine = simulator->machine_names().front();
+    JobSpec low = simulator->job(1, JobKind::Array, 1, 8), high = simulator->job(2, JobKind::Service, 1, 4);
     low.rank = PriorityClass::Low;
     high.rank = PriorityClass::Production;
-    w->submit(low, 60 * kSecond);
-    w->run(4 * kSecond);
-    w->hold_next(host(w->holder()), machine);  // the /do with the stop
-    w->submit(high, 0);
-    w->run(8 * kSecond);
-    ASSERT_EQ(w->running(low.ref), 0) << "told again\n" << w->story();
-    w->cancel(high.ref);
-    for (int n = 0; n < 300 && w->running(low.ref) == 0; ++n) w->run(100 * kMillisecond);
-    ASSERT_EQ(w->starts(low.ref), 2) << w->story();
-    w->run(kSecond);
-    w->release();
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->running(low.ref), 1) << w->story();
-    EXPECT_EQ(w->starts(low.ref), 2) << w->story();
-    EXPECT_RULES(*w);
+    simulator->submit(low, 60 * kSecond);
+    simulator->run(4 * kSecond);
+    simulator->hold_next(host(simulator->holder()), machine);  // the /do with the stop
+    simulator->submit(high, 0);
+    simulator->run(8 * kSecond);
+    ASSERT_EQ(simulator->running(low.ref), 0) << "the stop must be sent again\n" << simulator->story();
+    simulator->cancel(high.ref);
+    for (int n = 0; n < 300 && simulator->running(low.ref) == 0; ++n) simulator->run(100 * kMillisecond);
+    ASSERT_EQ(simulator->starts(low.ref), 2) << simulator->story();
+    simulator->run(kSecond);
+    simulator->release();
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->running(low.ref), 1) << simulator->story();
+    EXPECT_EQ(simulator->starts(low.ref), 2) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(HandingOver, AResultIsKeptUntilItIsDurable) {
-    // Of two tasks one began later, so nothing is bound when the first ends, and its result is written later.
-    auto w = settled_simulator(48, 1);
-    w->submit(w->job(1, JobKind::Array, 2, 8), 20 * kSecond, 0);
-    w->run(5 * kSecond);
-    w->add_machine("small", "b");
-    while (w->completed_tasks("req-000001") == 0 && w->now() < 60 * kSecond) w->run(50 * kMillisecond);
-    w->run(1500 * kMillisecond);
-    w->crash(w->holder(), 60 * kSecond);
-    w->run(40 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
-    EXPECT_RULES(*w);
+TEST(ShardTransfer, ResultIsKeptUntilItIsDurable) {
+    // One of the two tasks started later, so no task is bound when the first one ends, and its result is
+    // written later. The holder crashes before that.
+    auto simulator = settled_simulator(48, 1);
+    simulator->submit(simulator->job(1, JobKind::Array, 2, 8), 20 * kSecond, 0);
+    simulator->run(5 * kSecond);
+    simulator->add_machine("small", "b");
+    while (simulator->completed_tasks("req-000001") == 0 && simulator->now() < 60 * kSecond)
+        simulator->run(50 * kMillisecond);
+    simulator->run(1500 * kMillisecond);
+    simulator->crash(simulator->holder(), 60 * kSecond);
+    simulator->run(40 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+    EXPECT_EQ(simulator->starts("req-000001"), 2) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// A holder that hears neither its machine nor the two others, one of which keeps the machine alive,
-/// `helper`; `next` is the one that the machine turns to after that.
-struct Apart {
-    explicit Apart(std::uint64_t seed, const Settings& site) : w(settled_simulator(seed, 2, site)) {
-        w->run(30 * kSecond);  // so long that others may renew leases
-        holder = w->holder(), helper = (holder + 1) % 3, next = (holder + 2) % 3;
-        w->submit(w->job(1, JobKind::Service, 1), 0);
-        w->run(3 * kSecond);
-        machine = *w->machines_of("req-000001").begin();
-        w->cut(host(holder), machine);
-        w->cut(host(holder), host(helper));
+/// A holder that is cut off from its machine and from `helper`, the controller that renews the machine's
+/// lease on its behalf. `next` is the controller that the machine reports to after that.
+struct CutOffHolder {
+    explicit CutOffHolder(std::uint64_t seed, const Settings& site)
+        : simulator(settled_simulator(seed, 2, site)) {
+        simulator->run(30 * kSecond);  // other controllers may renew leases only after this time
+        holder = simulator->holder(), helper = (holder + 1) % 3, next = (holder + 2) % 3;
+        simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+        simulator->run(3 * kSecond);
+        machine = *simulator->machines_of("req-000001").begin();
+        simulator->cut(host(holder), machine);
+        simulator->cut(host(holder), host(helper));
     }
-    /// The helper loses the machine, and tells the holder that it renews nothing.
-    void leave() {
-        w->cut(host(helper), machine);
-        w->run(kSecond);
-        w->heal(host(holder), host(helper));
+    /// Cuts the helper off from the machine, and lets it promise the holder to renew no lease.
+    void lose_helper() {
+        simulator->cut(host(helper), machine);
+        simulator->run(kSecond);
+        simulator->heal(host(holder), host(helper));
     }
-    std::unique_ptr<Simulator> w;
+    std::unique_ptr<Simulator> simulator;
     int holder, helper, next;
     std::string machine;
 };
@@ -305,42 +327,45 @@
     return site;
 }
 
-TEST(Promises, OfAProcessThatHasEndedCountNoLongerThanItsSuccessorWaits) {
-    Apart a(45, patient());
-    Simulator& w = *a.w;
-    w.run(8 * kSecond);  // `next` has promised by now
-    w.cut(host(a.holder), host(a.next));
-    w.crash(a.next, 200 * kMillisecond);
-    w.run(22 * kSecond);
-    a.leave();
-    w.run(40 * kSecond);
-    EXPECT_EQ(w.starts("req-000001"), 1) << "its machine is kept alive\n" << w.story();
-    w.heal_all();
-    w.run(10 * kSecond);
-    EXPECT_RULES(w);
+TEST(LeaseRelinquishment, PromiseOfACrashedProcessCountsNoLongerThanItsSuccessorWaits) {
+    CutOffHolder cut_off_holder(45, patient());
+    Simulator& simulator = *cut_off_holder.simulator;
+    simulator.run(8 * kSecond);  // `next` has promised not to renew by now
+    simulator.cut(host(cut_off_holder.holder), host(cut_off_holder.next));
+    simulator.crash(cut_off_holder.next, 200 * kMillisecond);
+    simulator.run(22 * kSecond);
+    cut_off_holder.lose_helper();
+    simulator.run(40 * kSecond);
+    EXPECT_EQ(simulator.starts("req-000001"), 1) << "its machine's lease is renewed, so the task must go on\n"
+                                                 << simulator.story();
+    simulator.heal_all();
+    simulator.run(10 * kSecond);
+    EXPECT_RULES(simulator);
 }
 
-TEST(Promises, NobodyIsTakenForEndedWhoMayBeBackSince) {
-    Apart a(46, patient());
-    Simulator& w = *a.w;
-    w.cut(host(a.holder), host(a.next));
-    w.run(8 * kSecond);
-    w.refuse(a.next, true);  // its new process has no key until the former one's is gone
-    w.crash(a.next, 300 * kMillisecond);
-    const auto alive = [&] { return w.node(a.holder)->status()["alive"].size(); };
-    for (int n = 0; n < 200 && alive() == 3; ++n) w.run(50 * kMillisecond);
-    ASSERT_EQ(alive(), 2u);
-    w.cut_one_way("state", host(a.holder));  // it keeps its key, and hears no more
-    w.refuse(a.next, false);
-    w.run(17 * kSecond);
-    a.leave();
-    w.run(14 * kSecond);
-    w.heal("state", host(a.holder));
-    w.run(15 * kSecond);
-    EXPECT_EQ(w.starts("req-000001"), 1) << "its machine is kept alive\n" << w.story();
-    w.heal_all();
-    w.run(10 * kSecond);
-    EXPECT_RULES(w);
+TEST(LeaseRelinquishment, NodeThatMayHaveRestartedIsNotTakenForDead) {
+    CutOffHolder cut_off_holder(46, patient());
+    Simulator& simulator = *cut_off_holder.simulator;
+    simulator.cut(host(cut_off_holder.holder), host(cut_off_holder.next));
+    simulator.run(8 * kSecond);
+    // The new process of `next` can't write its key until the key of the former one has expired.
+    simulator.refuse(cut_off_holder.next, true);
+    simulator.crash(cut_off_holder.next, 300 * kMillisecond);
+    const auto alive_count = [&] { return simulator.node(cut_off_holder.holder)->status()["alive"].size(); };
+    for (int n = 0; n < 200 && alive_count() == 3; ++n) simulator.run(50 * kMillisecond);
+    ASSERT_EQ(alive_count(), 2u);
+    simulator.cut_one_way("state", host(cut_off_holder.holder));  // it keeps its key but receives nothing
+    simulator.refuse(cut_off_holder.next, false);
+    simulator.run(17 * kSecond);
+    cut_off_holder.lose_helper();
+    simulator.run(14 * kSecond);
+    simulator.heal("state", host(cut_off_holder.holder));
+    simulator.run(15 * kSecond);
+    EXPECT_EQ(simulator.starts("req-000001"), 1) << "its machine's lease is renewed, so the task must go on\n"
+                                                 << simulator.story();
+    simulator.heal_all();
+    simulator.run(10 * kSecond);
+    EXPECT_RULES(simulator);
 }
 
 }  // namespace
