--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -1,5 +1,5 @@
-// History out of the way: what a start reads, and that no job is lost, run twice or called something else
-// while its record is on its way from one key to the other.
+// The separation of finished jobs (docs/history.md): which records a starting controller reads, and that no
+// job is lost, run twice or reported with a wrong state while its record moves from one key to the other.
 
 #include <gtest/gtest.h>
 
@@ -10,256 +10,271 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_RULES(simulator) \
+    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
 
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, int machines = 4,
-                                             std::set<int> old = {}) {
-    auto w = std::make_unique<Simulator>(seed);
-    for (int i = 0; i < machines; ++i) w->add_machine("small", i % 2 ? "b" : "a");
-    w->start_nodes(3, std::move(old));
-    w->run(6 * kSecond);
-    return w;
+                                             std::set<int> old_format_nodes = {}) {
+    auto simulator = std::make_unique<Simulator>(seed);
+    for (int i = 0; i < machines; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
+    simulator->start_nodes(3, std::move(old_format_nodes));
+    simulator->run(6 * kSecond);
+    return simulator;
 }
 
-int other_than_holder(Simulator& w) {
-    return (w.holder() + 1) % 3;
+int node_other_than_holder(Simulator& simulator) {
+    return (simulator.holder() + 1) % 3;
 }
 
-Json stored(Simulator& w, const std::string& key) {
-    auto r = w.state().handle("GET", "/store/" + key, Json(), w.now());
-    return r.status == 200 ? r.body : Json();
+Json stored_record(Simulator& simulator, const std::string& key) {
+    auto reply = simulator.state().handle("GET", "/store/" + key, Json(), simulator.now());
+    return reply.status == 200 ? reply.body : Json();
 }
 
-std::size_t count_below(Simulator& w, const std::string& prefix) {
-    auto r = w.state().handle("GET", "/store?starts=" + prefix + "&page=1000", Json(), w.now());
-    return r.body["pairs"].size();
+std::size_t count_keys(Simulator& simulator, const std::string& prefix) {
+    auto reply =
+        simulator.state().handle("GET", "/store?starts=" + prefix + "&page=1000", Json(), simulator.now());
+    return reply.body["pairs"].size();
 }
 
-/// Writes straight to the store, as a transaction of a process that has ended and is applied late.
-int late(Simulator& w, const Json& when, const Json& then) {
-    return w.state().handle("POST", "/commit", Json{{"when", when}, {"then", then}}, w.now()).status;
+/// Writes directly to the store, like a transaction of a crashed process that is executed late. Returns the
+/// HTTP status.
+int late_commit(Simulator& simulator, const Json& when, const Json& then) {
+    return simulator.state()
+        .handle("POST", "/commit", Json{{"when", when}, {"then", then}}, simulator.now())
+        .status;
 }
 
-void fill_history(Simulator& w, int jobs) {
+void fill_history(Simulator& simulator, int jobs) {
     for (int i = 0; i < jobs; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%06d", 500'000 + i);
-        late(w, Json::array(),
-             Json::array({Json{{"write", std::string("c/job/") + ref},
-                               {"data", {{"s", "done"}, {"dom", "loom-0"}, {"k", 3}, {"fd", 3}}}}}));
+        late_commit(simulator, Json::array(),
+                    Json::array({Json{{"write", std::string("c/job/") + ref},
+                                      {"data", {{"s", "done"}, {"dom", "loom-0"}, {"k", 3}, {"fd", 3}}}}}));
     }
 }
 
-TEST(History, IsApartOnceAllReadItAndNoRecordOfOldFormIsLeft) {
-    auto w = settled_simulator();
-    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
-    w->submit(w->job(1, JobKind::Array, 3), 2 * kSecond);
-    w->run(kSecond);
-    EXPECT_FALSE(stored(*w, "c/active/req-000001").is_null());
-    EXPECT_TRUE(stored(*w, "c/job/req-000001").is_null());
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done");
-    EXPECT_TRUE(stored(*w, "c/active/req-000001").is_null()) << "dropped in a quiet moment";
-    EXPECT_EQ(stored(*w, "c/job/req-000001")["data"]["s"], "done");
-    EXPECT_RULES(*w);
+TEST(JobArchiver, SeparatesHistoryOnceAllControllersReadTheFormatAndNoOldRecordIsLeft) {
+    auto simulator = settled_simulator();
+    EXPECT_TRUE(simulator->node(0)->cache().history_apart()) << simulator->story();
+    simulator->submit(simulator->job(1, JobKind::Array, 3), 2 * kSecond);
+    simulator->run(kSecond);
+    EXPECT_FALSE(stored_record(*simulator, "c/active/req-000001").is_null());
+    EXPECT_TRUE(stored_record(*simulator, "c/job/req-000001").is_null());
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done");
+    EXPECT_TRUE(stored_record(*simulator, "c/active/req-000001").is_null())
+        << "the stale record must be deleted";
+    EXPECT_EQ(stored_record(*simulator, "c/job/req-000001")["data"]["s"], "done");
+    EXPECT_RULES(*simulator);
 }
 
-TEST(History, AStartReadsWhatIsLiveOnly) {
-    auto w = settled_simulator();
-    w->submit(w->job(1, JobKind::Service, 3), 0);
-    w->run(3 * kSecond);
-    fill_history(*w, 5'000);
-    for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-    w->run(6 * kSecond);
+TEST(JobArchiver, StartingControllerReadsOnlyUnfinishedJobs) {
+    auto simulator = settled_simulator();
+    simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
+    simulator->run(3 * kSecond);
+    fill_history(*simulator, 5'000);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+    simulator->run(6 * kSecond);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_LT(w->node(i)->cache().jobs.views(), 20u) << "what is over is not kept in memory";
-        EXPECT_EQ(w->node(i)->cache().jobs.live().size(), 1u);
+        EXPECT_LT(simulator->node(i)->cache().jobs.views(), 20u)
+            << "finished jobs must not be kept in memory";
+        EXPECT_EQ(simulator->node(i)->cache().jobs.live().size(), 1u);
     }
-    // Any of them is answered all the same, by any node, and stays what it is.
-    auto r = w->ask(1, "GET", "/v1/jobs/req-504321", {});
-    EXPECT_EQ(r.status, 200);
-    EXPECT_EQ(wire::text(r.body, "stage"), "done");
-    r = w->ask(2, "POST", "/v1/jobs/req-500007/abort", Json::object());
-    EXPECT_EQ(wire::text(r.body, "stage"), "done");
-    r = w->ask(0, "POST", "/v1/jobs", wire::job_value(w->job(501'234, JobKind::Array, 3)));
-    EXPECT_EQ(r.status, 200);
-    EXPECT_EQ(wire::text(r.body, "stage"), "done") << "a late retry of its submission";
-    EXPECT_EQ(w->ask(0, "GET", "/v1/jobs/req-999999", {}).status, 404);
-    JobSpec next = w->job(2, JobKind::Array, 1);
-    next.needs = {"req-502222"};
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(next)).status, 201);
-    w->run(2 * kSecond);
-    EXPECT_TRUE(w->node(2)->cache().jobs.live().at("req-000002").open) << "what it needs was done long ago";
-    EXPECT_EQ(w->starts("req-000001"), 3);
-    EXPECT_RULES(*w);
+    // Every node still answers requests for finished jobs, and their state does not change.
+    auto reply = simulator->ask(1, "GET", "/v1/jobs/req-504321", {});
+    EXPECT_EQ(reply.status, 200);
+    EXPECT_EQ(wire::text(reply.body, "stage"), "done");
+    reply = simulator->ask(2, "POST", "/v1/jobs/req-500007/abort", Json::object());
+    EXPECT_EQ(wire::text(reply.body, "stage"), "done");
+    reply =
+        simulator->ask(0, "POST", "/v1/jobs", wire::job_value(simulator->job(501'234, JobKind::Array, 3)));
+    EXPECT_EQ(reply.status, 200);
+    EXPECT_EQ(wire::text(reply.body, "stage"), "done") << "for a late retry of its submission";
+    EXPECT_EQ(simulator->ask(0, "GET", "/v1/jobs/req-999999", {}).status, 404);
+    JobSpec dependent = simulator->job(2, JobKind::Array, 1);
+    dependent.needs = {"req-502222"};
+    EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", wire::job_value(dependent)).status, 201);
+    simulator->run(2 * kSecond);
+    EXPECT_TRUE(simulator->node(2)->cache().jobs.live().at("req-000002").open)
+        << "the job that it depends on was finished long ago";
+    EXPECT_EQ(simulator->starts("req-000001"), 3);
+    EXPECT_RULES(*simulator);
 }
 
-/// A finished job whose record under c/active/ is still there, as a process leaves it that ends before a
-/// quiet moment has come.
-void leave_over(Simulator& w, const std::string& ref, const char* stage) {
-    const Json active = stored(w, "c/active/" + ref);
+/// Writes the final record of a job and leaves its record under c/active/ in place, like a process that
+/// crashes before it has deleted that one.
+void finish_with_stale_record(Simulator& simulator, const std::string& ref, const char* stage) {
+    const Json active = stored_record(simulator, "c/active/" + ref);
     ASSERT_FALSE(active.is_null());
-    ASSERT_EQ(late(w, Json::array({Json{{"k", "c/active/" + ref}, {"mark", active["mark"]}}}),
-                   Json::array({Json{{"write", "c/job/" + ref},
-                                     {"data", {{"s", stage}, {"dom", "loom-0"}, {"k", 2}, {"fd", 2}}}}})),
-              200);
+    ASSERT_EQ(
+        late_commit(simulator, Json::array({Json{{"k", "c/active/" + ref}, {"mark", active["mark"]}}}),
+                    Json::array({Json{{"write", "c/job/" + ref},
+                                      {"data", {{"s", stage}, {"dom", "loom-0"}, {"k", 2}, {"fd", 2}}}}})),
+        200);
 }
 
-TEST(History, WhatIsLeftOverOfAFinishedJobDoesNotRunAgain) {
-    auto w = settled_simulator(2);
-    JobSpec job = w->job(1, JobKind::Array, 2, 8);
-    job.types = {"large"};  // there is none: it waits
-    w->submit(job, 2 * kSecond);
-    w->submit(w->job(2, JobKind::Service, 2), 0);
-    w->run(3 * kSecond);
-    // Over, while every controller is down.
-    for (int i = 0; i < 3; ++i) w->crash(i, 2 * kSecond);
-    leave_over(*w, "req-000001", "done");
-    const std::string machine = w->add_machine("large", "a");  // it could start now
-    std::vector<int> answers;
+TEST(JobArchiver, StaleRecordOfAFinishedJobDoesNotRunAgain) {
+    auto simulator = settled_simulator(2);
+    JobSpec job = simulator->job(1, JobKind::Array, 2, 8);
+    job.types = {"large"};  // no such machine exists, so the job waits
+    simulator->submit(job, 2 * kSecond);
+    simulator->submit(simulator->job(2, JobKind::Service, 2), 0);
+    simulator->run(3 * kSecond);
+    // The job finishes while every controller is down.
+    for (int i = 0; i < 3; ++i) simulator->crash(i, 2 * kSecond);
+    finish_with_stale_record(*simulator, "req-000001", "done");
+    const std::string machine = simulator->add_machine("large", "a");  // the job could start now
+    std::vector<int> statuses;
     for (int i = 0; i < 40; ++i) {
-        w->run(200 * kMillisecond);
-        if (!w->node(1)) continue;
-        const auto r = w->ask(1, "GET", "/v1/jobs/req-000001", {});
-        if (r.status == 200) {
-            EXPECT_EQ(wire::text(r.body, "stage"), "done") << "as other nodes may have told";
+        simulator->run(200 * kMillisecond);
+        if (!simulator->node(1)) continue;
+        const auto reply = simulator->ask(1, "GET", "/v1/jobs/req-000001", {});
+        if (reply.status == 200) {
+            EXPECT_EQ(wire::text(reply.body, "stage"), "done") << "other nodes may have answered so already";
         }
-        answers.push_back(r.status);
+        statuses.push_back(reply.status);
     }
-    EXPECT_EQ(answers.back(), 200);
-    EXPECT_EQ(w->starts("req-000001"), 0) << w->story();
-    EXPECT_TRUE(stored(*w, "c/active/req-000001").is_null()) << "dropped by the holder";
-    EXPECT_EQ(w->starts("req-000002"), 2);
+    EXPECT_EQ(statuses.back(), 200);
+    EXPECT_EQ(simulator->starts("req-000001"), 0) << simulator->story();
+    EXPECT_TRUE(stored_record(*simulator, "c/active/req-000001").is_null())
+        << "the holder must delete the stale record";
+    EXPECT_EQ(simulator->starts("req-000002"), 2);
 }
 
-TEST(History, ACancellationLosesAgainstAFinalRecordThatStandsElsewhere) {
-    auto w = settled_simulator(3);
-    JobSpec job = w->job(1, JobKind::Array, 2, 8);
+TEST(JobArchiver, CancellationOfAFinishedJobAnswersThatItIsDone) {
+    auto simulator = settled_simulator(3);
+    JobSpec job = simulator->job(1, JobKind::Array, 2, 8);
     job.types = {"large"};
-    w->submit(job, 2 * kSecond);
-    w->run(3 * kSecond);
-    const int node = w->holder();
-    w->hold_next("state", "loom-" + std::to_string(node));  // the news of it
-    leave_over(*w, "req-000001", "done");
-    const auto r = w->ask(node, "POST", "/v1/jobs/req-000001/abort", Json::object());
-    EXPECT_EQ(wire::text(r.body, "stage"), "done") << "it was over already";
-    EXPECT_EQ(stored(*w, "c/job/req-000001")["data"]["s"], "done");
+    simulator->submit(job, 2 * kSecond);
+    simulator->run(3 * kSecond);
+    const int node = simulator->holder();
+    simulator->hold_next("state", "loom-" + std::to_string(node));  // the change feed's next message
+    finish_with_stale_record(*simulator, "req-000001", "done");
+    const auto reply = simulator->ask(node, "POST", "/v1/jobs/req-000001/abort", Json::object());
+    EXPECT_EQ(wire::text(reply.body, "stage"), "done") << "the job was finished already";
+    EXPECT_EQ(stored_record(*simulator, "c/job/req-000001")["data"]["s"], "done");
 }
 
-TEST(History, AGateDoesNotOpenByWhatIsLeftOverOfACancelledJob) {
-    auto w = settled_simulator(4);
-    JobSpec first = w->job(1, JobKind::Array, 2, 8);
-    first.types = {"large"};
-    w->submit(first, 2 * kSecond);
-    JobSpec second = w->job(2, JobKind::Array, 1);
-    second.needs = {"req-000001"};
-    w->run(kSecond);
-    w->submit(second, kSecond);
-    w->run(3 * kSecond);
-    for (int i = 0; i < 3; ++i) w->crash(i, 2 * kSecond);
-    leave_over(*w, "req-000001", "cancelled");
-    w->cancel("req-000001");
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->told("req-000002"), "cancelled") << w->story();
-    EXPECT_EQ(w->starts("req-000002"), 0);
+TEST(JobArchiver, StaleRecordOfACancelledJobOpensNoGate) {
+    auto simulator = settled_simulator(4);
+    JobSpec needed = simulator->job(1, JobKind::Array, 2, 8);
+    needed.types = {"large"};
+    simulator->submit(needed, 2 * kSecond);
+    JobSpec dependent = simulator->job(2, JobKind::Array, 1);
+    dependent.needs = {"req-000001"};
+    simulator->run(kSecond);
+    simulator->submit(dependent, kSecond);
+    simulator->run(3 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, 2 * kSecond);
+    finish_with_stale_record(*simulator, "req-000001", "cancelled");
+    simulator->cancel("req-000001");
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->told("req-000002"), "cancelled") << simulator->story();
+    EXPECT_EQ(simulator->starts("req-000002"), 0);
 }
 
-TEST(History, WhatIsLiveMovesWhileTheVersionsChange) {
-    auto w = settled_simulator(5, 6, {0, 1, 2});
-    for (int i = 1; i <= 4; ++i) w->submit(w->job(i, JobKind::Service, 2), 0);
-    w->submit(w->job(5, JobKind::Array, 3), 50 * kSecond);
-    w->run(3 * kSecond);
-    EXPECT_EQ(count_below(*w, "c/job/"), 5u);
-    EXPECT_EQ(count_below(*w, "c/active/"), 0u);
+TEST(JobArchiver, UnfinishedJobsMoveDuringARollingUpgrade) {
+    auto simulator = settled_simulator(5, 6, {0, 1, 2});
+    for (int i = 1; i <= 4; ++i) simulator->submit(simulator->job(i, JobKind::Service, 2), 0);
+    simulator->submit(simulator->job(5, JobKind::Array, 3), 50 * kSecond);
+    simulator->run(3 * kSecond);
+    EXPECT_EQ(count_keys(*simulator, "c/job/"), 5u);
+    EXPECT_EQ(count_keys(*simulator, "c/active/"), 0u);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_FALSE(w->node(i)->cache().history_closed());
-        w->upgrade(i, kSecond);
-        w->run(5 * kSecond);
+        EXPECT_FALSE(simulator->node(i)->cache().history_closed());
+        simulator->upgrade(i, kSecond);
+        simulator->run(5 * kSecond);
     }
-    // Ends again in the middle of it.
-    for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-    w->run(15 * kSecond);
-    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
-    EXPECT_EQ(count_below(*w, "c/active/"), 5u);
-    EXPECT_EQ(count_below(*w, "c/job/"), 0u);
-    for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-    w->run(40 * kSecond);
-    EXPECT_EQ(w->told("req-000005"), "done") << w->story();
-    for (int i = 1; i <= 4; ++i) EXPECT_EQ(w->starts("req-00000" + std::to_string(i)), 2);
-    EXPECT_RULES(*w);
+    // All controllers crash while the records are being moved.
+    for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+    simulator->run(15 * kSecond);
+    EXPECT_TRUE(simulator->node(0)->cache().history_apart()) << simulator->story();
+    EXPECT_EQ(count_keys(*simulator, "c/active/"), 5u);
+    EXPECT_EQ(count_keys(*simulator, "c/job/"), 0u);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+    simulator->run(40 * kSecond);
+    EXPECT_EQ(simulator->told("req-000005"), "done") << simulator->story();
+    for (int i = 1; i <= 4; ++i) EXPECT_EQ(simulator->starts("req-00000" + std::to_string(i)), 2);
+    EXPECT_RULES(*simulator);
 }
 
-TEST(History, ALateAdmissionOfOldFormMakesNoSecondJob) {
-    // Held in a cut for minutes, while its user came back and was accepted by others.
-    auto w = settled_simulator(6);
-    w->submit(w->job(1, JobKind::Service, 2), 0);
-    w->run(3 * kSecond);
-    EXPECT_EQ(late(*w, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
-                   Json::array({Json{{"write", "c/job/req-000001"},
-                                     {"data", stored(*w, "c/active/req-000001")["data"]}}})),
-              200);
-    w->run(2 * kSecond);
-    for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-    w->run(8 * kSecond);
-    w->cancel("req-000001");
-    w->run(8 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "cancelled") << w->story();
-    EXPECT_EQ(w->starts("req-000001"), 2);
-    EXPECT_EQ(stored(*w, "c/job/req-000001")["data"]["s"], "cancelled");
-    EXPECT_RULES(*w);
+TEST(JobArchiver, LateAdmissionInTheOldFormatCreatesNoSecondJob) {
+    // The admission was delayed by a network partition for minutes, while its user submitted the job again
+    // and other controllers accepted it.
+    auto simulator = settled_simulator(6);
+    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+    simulator->run(3 * kSecond);
+    EXPECT_EQ(
+        late_commit(*simulator, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
+                    Json::array({Json{{"write", "c/job/req-000001"},
+                                      {"data", stored_record(*simulator, "c/active/req-000001")["data"]}}})),
+        200);
+    simulator->run(2 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+    simulator->run(8 * kSecond);
+    simulator->cancel("req-000001");
+    simulator->run(8 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "cancelled") << simulator->story();
+    EXPECT_EQ(simulator->starts("req-000001"), 2);
+    EXPECT_EQ(stored_record(*simulator, "c/job/req-000001")["data"]["s"], "cancelled");
+    EXPECT_RULES(*simulator);
 }
 
-TEST(History, ALateAdmissionIsAcceptedOnlyOnceItHasBeenMoved) {
-    auto w = settled_simulator(7);
-    const JobSpec job = w->job(1, JobKind::Array, 1);
+TEST(JobArchiver, LateAdmissionInTheOldFormatIsAcceptedOnlyOnceMoved) {
+    auto simulator = settled_simulator(7);
+    const JobSpec job = simulator->job(1, JobKind::Array, 1);
     Json record{{"s", "queued"}, {"dom", "loom-9"}, {"k", 1}, {"d", wire::job_value(job)}, {"at", 0}};
-    ASSERT_EQ(late(*w, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
-                   Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
+    ASSERT_EQ(late_commit(*simulator, Json::array({Json{{"k", "c/job/req-000001"}, {"mark", 0}}}),
+                          Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
               200);
-    w->run(kSecond);
-    // Nobody holds its shard, so nobody moves it; were it called accepted, the next start would forget it.
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(job)).status, 503);
-    EXPECT_EQ(w->ask(1, "GET", "/v1/jobs/req-000001", {}).status, 503);
-    record["dom"] = w->owner_at(w->holder())->shard();
-    ASSERT_EQ(late(*w, Json::array(), Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
+    simulator->run(kSecond);
+    // Its shard has no holder, so no node moves the record. If the job were reported as accepted, the next
+    // starting controller would not know it.
+    EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", wire::job_value(job)).status, 503);
+    EXPECT_EQ(simulator->ask(1, "GET", "/v1/jobs/req-000001", {}).status, 503);
+    record["dom"] = simulator->owner_at(simulator->holder())->shard();
+    ASSERT_EQ(late_commit(*simulator, Json::array(),
+                          Json::array({Json{{"write", "c/job/req-000001"}, {"data", record}}})),
               200);
-    w->submit(job, 20 * kSecond);
-    w->run(4 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "accepted") << w->story();
-    EXPECT_TRUE(stored(*w, "c/job/req-000001").is_null());
-    EXPECT_RULES(*w);
+    simulator->submit(job, 20 * kSecond);
+    simulator->run(4 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "accepted") << simulator->story();
+    EXPECT_TRUE(stored_record(*simulator, "c/job/req-000001").is_null());
+    EXPECT_RULES(*simulator);
 }
 
-TEST(History, NothingOfOldFormIsAdmittedOnceItIsClosed) {
-    auto w = settled_simulator(8, 4, {0, 1, 2});
-    // As if the others had proven the format and closed history, before this node hears of it.
-    for (int i = 0; i < 3; ++i) w->hold_next("state", "loom-" + std::to_string(i));
-    ASSERT_EQ(
-        late(*w, Json::array(), Json::array({Json{{"write", "c/history"}, {"data", {{"apart", false}}}}})),
-        200);
-    w->submit(w->job(1, JobKind::Array, 1), kSecond);
-    w->run(8 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    EXPECT_RULES(*w);
+TEST(JobArchiver, ClosedHistoryAdmitsNoJobInTheOldFormat) {
+    auto simulator = settled_simulator(8, 4, {0, 1, 2});
+    // Closes history as other nodes would after verifying the format, before any node receives that change.
+    for (int i = 0; i < 3; ++i) simulator->hold_next("state", "loom-" + std::to_string(i));
+    ASSERT_EQ(late_commit(*simulator, Json::array(),
+                          Json::array({Json{{"write", "c/history"}, {"data", {{"apart", false}}}}})),
+              200);
+    simulator->submit(simulator->job(1, JobKind::Array, 1), kSecond);
+    simulator->run(8 * kSecond);
+    EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-TEST(History, AJobThatEndsWhileTheNewsIsLostIsFoundToBeOver) {
-    auto w = settled_simulator(9);
-    JobSpec job = w->job(1, JobKind::Array, 2, 8);
+TEST(JobArchiver, JobThatEndsWhileChangesAreLostIsFoundToBeFinished) {
+    auto simulator = settled_simulator(9);
+    JobSpec job = simulator->job(1, JobKind::Array, 2, 8);
     job.types = {"large"};
-    w->submit(job, 2 * kSecond);
-    w->run(3 * kSecond);
-    const int node = other_than_holder(*w);
-    w->cut("loom-" + std::to_string(node), "state");
-    w->run(kSecond);
-    leave_over(*w, "req-000001", "done");
-    late(*w, Json::array(), Json::array({Json{{"drop", "c/active/req-000001"}}}));
-    for (int i = 0; i < 10'500; ++i)  // more than the service keeps
-        late(*w, Json::array(), Json::array({Json{{"write", "x/1"}, {"data", i}}}));
-    w->heal_all();
-    w->run(10 * kSecond);
-    EXPECT_EQ(w->node(node)->cache().jobs.live().size(), 0u) << w->story();
-    EXPECT_EQ(wire::text(w->ask(node, "GET", "/v1/jobs/req-000001", {}).body, "stage"), "done");
+    simulator->submit(job, 2 * kSecond);
+    simulator->run(3 * kSecond);
+    const int node = node_other_than_holder(*simulator);
+    simulator->cut("loom-" + std::to_string(node), "state");
+    simulator->run(kSecond);
+    finish_with_stale_record(*simulator, "req-000001", "done");
+    late_commit(*simulator, Json::array(), Json::array({Json{{"drop", "c/active/req-000001"}}}));
+    for (int i = 0; i < 10'500; ++i)  // more changes than the state service keeps
+        late_commit(*simulator, Json::array(), Json::array({Json{{"write", "x/1"}, {"data", i}}}));
+    simulator->heal_all();
+    simulator->run(10 * kSecond);
+    EXPECT_EQ(simulator->node(node)->cache().jobs.live().size(), 0u) << simulator->story();
+    EXPECT_EQ(wire::text(simulator->ask(node, "GET", "/v1/jobs/req-000001", {}).body, "stage"), "done");
 }
 
 }  // namespace
