--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -52,7 +52,7 @@
     void (*start)(Simulator&, int holder);
 };
 const Fault kFaults[] = {
-    {"no fault", false, [](Simulator&, int) {}},
+    {"nothing", false, [](Simulator&, int) {}},
     {"the next message to each machine is delayed", true,
      [](Simulator& simulator, int holder) {
          for (const auto& m : simulator.machine_names()) simulator.hold_next(host(holder), m);
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -10,8 +10,7 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(simulator) \
-    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
+#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, int machines = 4,
                                              std::set<int> old_format_nodes = {}) {
