--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -197,8 +197,8 @@
 
 /// Retires machines that are missing from the list. A listed machine stays listed until it is gone, and a
 /// list is at most twice its lag old. So a machine that was first listed long before that and is missing now
-/// is gone. Deleting it is harmless, confirms that it is gone, and so resolves the doubt about its tasks much
-/// sooner than the end of their lease would.
+/// is gone. Deleting it is harmless and confirms this, which proves that its tasks have ended, much sooner
+/// than the end of their lease would.
 void Autoscaler::on_list_complete() {
     const Micros now = runtime_.now();
     for (auto it = first_listed_.begin(); it != first_listed_.end();) {
@@ -403,8 +403,8 @@
             if (cache_.blocks.of(name)) deleted_in_blocks_.insert(name);
         }
         std::erase_if(deleted_in_blocks_, [&](const std::string& name) { return !cache_.blocks.of(name); });
-        // Every task on them is gone, so the block records that kept these tasks in doubt can drop the
-        // machines.
+        // No task can be running on them any more. As long as their block records list them, their tasks
+        // count as possibly running.
         machine_allocator_.remove_from_blocks(names);
         spdlog::info("returned {} machines, starting with {}", names.size(), names.front());
     });
@@ -442,8 +442,9 @@
 }
 
 /// Finds a job that could not start even if the whole fleet were empty, because too few machines are of the
-/// zone and types that it may use; the fleet's totals don't show this. A job needs room for all its tasks at
-/// once, an array for an eighth of them. Of several such jobs, returns the one that has waited longest.
+/// zone and types that it may use; the fleet's totals don't show this. Within its team's limit a job needs
+/// room for all its tasks at once, an array for an eighth of those that remain. Of several such jobs, returns
+/// the one that has waited longest.
 std::optional<Autoscaler::UnschedulableJob> Autoscaler::find_unschedulable() const {
     std::map<Shape, int> machine_counts;
     for (const auto& [id, block] : cache_.blocks.all())
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -129,7 +129,8 @@
            std::tie(lacking->gpus, lacking->cores, from.shard());
 }
 
-/// Requests spare quota, and if no shard has any, unused quota that other shards' waiting tasks can't use.
+/// Requests spare quota. If no shard has any, requests unused quota, which a shard yields only if its own
+/// waiting tasks can't use it (see should_yield_quota).
 void CapacityBroker::request_quota(const ShardOwner& owner, const std::string& team,
                                    const Resources& missing) {
     const auto lacking = owner.short_by(team);
@@ -202,8 +203,8 @@
     machine_allocator_.transfer_idle_machines(*from, want, std::move(done));
 }
 
-/// Grants quota of the shard with the most spare quota, or the most unused quota, among those held by this
-/// node.
+/// Grants quota of the shard with the most spare quota among those held by this node, or if none has any, of
+/// the one that can yield the most unused quota.
 void CapacityBroker::grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
     std::pair<Milli, Milli> most;  // spare quota, and unused quota that the shard should yield
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -24,8 +24,8 @@
 // the processor time must be left for bursts, users and taking over after failures.
 constexpr double kMaxReportsPerCore = 400;
 constexpr Micros kRetireMaxDelay = 1'500 * kMillisecond;  // so that one change retires many machines
-// Shorter than for retiring, since the tasks of deleted machines are in doubt until their entries are
-// removed.
+// Shorter than for retiring, since the tasks of deleted machines count as possibly running until their
+// entries are removed.
 constexpr Micros kRemoveMaxDelay = 500 * kMillisecond;
 constexpr Micros kMaxDeferral = 20 * kSecond;  // then an edit is committed with normal priority
 constexpr Micros kRetryDelay = 300 * kMillisecond;
@@ -408,7 +408,8 @@
 // ---------------------------------------------------------------- transferring machines
 
 /// Transfers idle machines to a shard with waiting tasks: in one transaction they leave their blocks and form
-/// a new one. Only the holder does this, and only with machines without tasks, so no task becomes doubtful.
+/// a new one. Only the holder does this, and only with machines without tasks, so no task's state becomes
+/// uncertain.
 void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
                                               std::function<void(peer::Grant)> done) {
     const ShardRecord* receiver = cache_.membership.shard(want.shard);
