--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -22,8 +22,8 @@
 /// A machine is returned, then all controllers, which know that it is gone, restart. Its last report arrives
 /// again and again.
 TEST(LeaderFailover, DeletedMachineIsNotLeasedByAnOldReportAfterARestart) {
-    for (const double share : {1.0, 0.001}) {
-        auto simulator = settled_simulator(41, 6, patient(share));
+    for (const double cpu_share : {1.0, 0.001}) {
+        auto simulator = settled_simulator(41, 6, patient(cpu_share));
         const std::string machine = simulator->machine_names().back();
         const Json old_report = on_its_way(*simulator, machine);
         for (int i = 0; i < 3; ++i)
@@ -88,12 +88,12 @@
 /// takes over 2 s to more than two leases later. Since no task is lost, none may start again.
 TEST(LeaderFailover, DelayedReportsChangeNothing) {
     for (const bool all : {false, true})
-        for (const double share : {1.0, 0.001})
+        for (const double cpu_share : {1.0, 0.001})
             for (const Micros delay_s : {2, 13, 30}) {
                 auto simulator =
-                    settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6, patient(share));
+                    settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6, patient(cpu_share));
                 const auto story = [&] {
-                    return fmt::format("all {} share {} delay_s {}\n", all, share, delay_s) +
+                    return fmt::format("all {} share {} delay_s {}\n", all, cpu_share, delay_s) +
                            simulator->story();
                 };
                 simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -320,7 +320,8 @@
     std::string machine;
 };
 
-Settings patient() {
+/// Returns settings under which no machine is returned for being idle and a failed node is noticed after 6 s.
+Settings slow_timeout_site() {
     Settings site = small_site();
     site.ops.idle_return = 600 * kSecond;
     site.ops.live_ttl = 6 * kSecond;
@@ -328,7 +329,7 @@
 }
 
 TEST(LeaseRelinquishment, PromiseOfACrashedProcessCountsNoLongerThanItsSuccessorWaits) {
-    CutOffHolder cut_off_holder(45, patient());
+    CutOffHolder cut_off_holder(45, slow_timeout_site());
     Simulator& simulator = *cut_off_holder.simulator;
     simulator.run(8 * kSecond);  // `next` has promised not to renew by now
     simulator.cut(host(cut_off_holder.holder), host(cut_off_holder.next));
@@ -344,7 +345,7 @@
 }
 
 TEST(LeaseRelinquishment, NodeThatMayHaveRestartedIsNotTakenForDead) {
-    CutOffHolder cut_off_holder(46, patient());
+    CutOffHolder cut_off_holder(46, slow_timeout_site());
     Simulator& simulator = *cut_off_holder.simulator;
     simulator.cut(host(cut_off_holder.holder), host(cut_off_holder.next));
     simulator.run(8 * kSecond);
