--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -120,7 +120,7 @@
         c.method = "GET";
         c.path = "/machine_types";
         call(std::move(c), 1, [this](const Reply& r) {
-            if (r.status == 200) cache_.learn(r.body);
+            if (r.status == 200) cache_.apply_machine_types(r.body);
         });
     }
     evaluate_demand();
@@ -160,7 +160,7 @@
     listing_now_.insert(m.name);
     if (machine_allocator_.returned(m.name)) return;  // the list is late
     first_listed_.try_emplace(m.name, now);
-    const bool leased = cache_.blocks.of(m.name) != nullptr;
+    const bool leased = cache_.blocks.find_by_machine(m.name) != nullptr;
     if (m.state == CloudState::Failed) {
         if (leased)
             retire(m.name, "it has failed");
@@ -177,7 +177,7 @@
     // Up and with an address: leased at once, so that its first report finds its holder.
     if (m.state == CloudState::Running && !m.addr.empty() && !never_registered_.count(m.name))
         machine_allocator_.allocate({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
-    const MachineType* type = cache_.types.find(m.type);
+    const MachineType* type = cache_.machine_types.find(m.type);
     const Micros boot = type ? type->boot : 60 * kSecond;
     // Far beyond its type's time: it will hardly come up, and it is charged all the while.
     if (m.state == CloudState::Starting && m.age > 3 * boot + 30 * kSecond &&
@@ -198,7 +198,7 @@
             ++it;
             continue;
         }
-        if (cache_.blocks.of(name))
+        if (cache_.blocks.find_by_machine(name))
             retire(name, "it is no longer listed");
         else if (pending_instances_.erase(name) > 0)
             never_registered_.emplace(name, now);
@@ -208,7 +208,7 @@
 
 /// By the leader, whoever holds the machine.
 void Autoscaler::retire(const std::string& machine, const char* why) {
-    const Block* block = cache_.blocks.of(machine);
+    const Block* block = cache_.blocks.find_by_machine(machine);
     if (!block) return;
     for (const auto& m : block->machines)
         if (m.name == machine && m.retired) return;
@@ -224,7 +224,8 @@
 void Autoscaler::evaluate_demand() {
     const Micros now = runtime_.now();
     const Settings& s = settings_;
-    std::erase_if(pending_instances_, [&](const auto& b) { return cache_.blocks.of(b.first) != nullptr; });
+    std::erase_if(pending_instances_,
+                  [&](const auto& b) { return cache_.blocks.find_by_machine(b.first) != nullptr; });
     balance_ = peer::FleetBalance{};
     balance_.term = election_.term();
     auto add = [&](Milli cores, bool spot) {
@@ -232,22 +233,22 @@
         if (!spot) balance_.ordinary += cores;
     };
     for (const auto& [id, block] : cache_.blocks.all())
-        if (const auto* type = cache_.types.find(block.type))
+        if (const auto* type = cache_.machine_types.find(block.type))
             for (const auto& m : block.machines)
                 if (!m.retired) add(type->size.cores, block.spot);
     for (const auto& [name, b] : pending_instances_)
-        if (const auto* type = cache_.types.find(b.type); type && !late(b, *type))
+        if (const auto* type = cache_.machine_types.find(b.type); type && !late(b, *type))
             add(type->size.cores, b.spot);
     for (const auto& [name, r] : rentals_)
-        if (const auto* type = cache_.types.find(r.type)) add(type->size.cores * r.count, r.spot);
+        if (const auto* type = cache_.machine_types.find(r.type)) add(type->size.cores * r.count, r.spot);
     // What the leader before has rented may be neither up nor listed yet: it must not be rented again.
     counted_ = {balance_.ordinary, balance_.total, now};
     if (inherited_.at > 0 && now - inherited_.at < listed_by()) {
         balance_.ordinary = std::max(balance_.ordinary, inherited_.ordinary);
         balance_.total = std::max(balance_.total, inherited_.total);
     }
-    allocation::DemandEstimator estimator(s.teams, cache_.types.types());
-    for (const auto& [ref, job] : cache_.jobs.live()) estimator.add(job);
+    allocation::DemandEstimator estimator(s.teams, cache_.machine_types.types());
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) estimator.add(job);
     const allocation::Demand demand = estimator.total();
     const Milli spot = balance_.total - balance_.ordinary;
     const auto passed = static_cast<double>(weighed_at_ > 0 ? now - weighed_at_ : 0);
@@ -363,7 +364,7 @@
         for (const auto& m : block.machines)
             if (m.retired && names.size() < kMaxDelete) names.push_back(m.name);
     for (const auto& [name, since] : never_registered_)
-        if (names.size() < kMaxDelete && !cache_.blocks.of(name)) names.push_back(name);
+        if (names.size() < kMaxDelete && !cache_.blocks.find_by_machine(name)) names.push_back(name);
     std::erase_if(names, [&](const std::string& n) { return forgetting_.count(n) > 0; });
     if (names.empty() || now < pause_until_) return;
     Call c;
@@ -378,9 +379,9 @@
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
-            if (cache_.blocks.of(name)) forgetting_.insert(name);
+            if (cache_.blocks.find_by_machine(name)) forgetting_.insert(name);
         }
-        std::erase_if(forgetting_, [&](const std::string& n) { return !cache_.blocks.of(n); });
+        std::erase_if(forgetting_, [&](const std::string& n) { return !cache_.blocks.find_by_machine(n); });
         // Gone with everything on them, so the records that kept their tasks in doubt may forget them.
         machine_allocator_.forget(names);
         spdlog::info("returned {} machines, {} first", names.size(), names.front());
@@ -398,7 +399,7 @@
     for (const auto& [name, b] : pending_instances_) ++per_zone[b.zone];
     // The cheapest core first; among equals the zone with the fewest machines.
     std::vector<Offer> offers;
-    for (const auto& t : cache_.types.types())
+    for (const auto& t : cache_.machine_types.types())
         for (const auto& zone : t.zones)
             for (const bool spot : {false, true}) {
                 const Shape shape{t.name, zone, spot};
@@ -429,27 +430,27 @@
     const std::int64_t by = runtime_.wall_ms() - kLeftOutAfter / kMillisecond;
     const LiveJob* first = nullptr;
     UnschedulableJob out;
-    for (const auto& [ref, job] : cache_.jobs.live()) {
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         const bool waits =
-            job.open && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
+            job.dependencies_done && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
-        if (!waits || job.since_ms > by || team == teams.end() ||
-            !allocation::rents_machines(*team->second, job.rank) ||
-            (first && first->since_ms <= job.since_ms))
+        if (!waits || job.eligible_since_ms > by || team == teams.end() ||
+            !allocation::rents_machines(*team->second, job.priority) ||
+            (first && first->eligible_since_ms <= job.eligible_since_ms))
             continue;
         const Json* spec = wire::find(job.record, "d");
         if (!spec) continue;
         auto may_use = [&job = job](const Shape& shape) {
-            return (!shape.spot || job.spot) && (!job.zone || *job.zone == shape.zone) &&
-                   (!job.types ||
-                    std::find(job.types->begin(), job.types->end(), shape.type) != job.types->end());
+            return (!shape.spot || job.spot) && (!job.required_zone || *job.required_zone == shape.zone) &&
+                   (!job.allowed_types || std::find(job.allowed_types->begin(), job.allowed_types->end(),
+                                                    shape.type) != job.allowed_types->end());
         };
         const bool array = job.kind == JobKind::Array;
         int missing = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
         if (job.request.cores > 0)
             missing = std::min<Milli>(missing, team->second->limit.cores / job.request.cores);
         for (const auto& [shape, count] : there)
-            if (const auto* t = cache_.types.find(shape.type); t && missing > 0 && may_use(shape))
+            if (const auto* t = cache_.machine_types.find(shape.type); t && missing > 0 && may_use(shape))
                 missing -= count * tasks_on(t->size, job.request);
         if (missing <= 0) continue;
         auto parsed = wire::parse_job(*spec).spec;
@@ -527,7 +528,7 @@
             spdlog::info("rented {} of {} {} in {}{}", names->size(), x.count, x.type, x.zone,
                          x.spot ? ", spot" : "");
             for (const auto& n : *names)
-                if (!cache_.blocks.of(n))
+                if (!cache_.blocks.find_by_machine(n))
                     pending_instances_.emplace(n, PendingInstance{x.type, x.zone, x.spot, runtime_.now()});
             if (static_cast<int>(names->size()) < x.count)
                 refused_until_[shape] = now + 15 * kSecond;
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -72,7 +72,7 @@
         const peer::State* state = peers_.fresh(i);
         if (!state) continue;
         for (const auto& d : state->shards) {
-            const ShardRecord* held = cache_.membership.shard(d.shard);
+            const OwnershipRecord* held = cache_.membership.shard(d.shard);
             if (held && held->mod_revision == d.mod_revision && (!roomy || room(d) > room(*roomy)))
                 roomy = &d;
             const Milli idle = d.idle_ordinary + (want.spot ? d.idle_spot : 0);
--- a/src/allocation/demand.cpp
+++ b/src/allocation/demand.cpp
@@ -28,7 +28,8 @@
 }
 
 bool may_use_type(const LiveJob& job, const std::string& type) {
-    return !job.types || std::find(job.types->begin(), job.types->end(), type) != job.types->end();
+    return !job.allowed_types ||
+           std::find(job.allowed_types->begin(), job.allowed_types->end(), type) != job.allowed_types->end();
 }
 
 }  // namespace
@@ -67,8 +68,8 @@
 
 void DemandEstimator::add(const LiveJob& job) {
     auto team = teams_.find(job.team);
-    if (job.cancelled || !job.open || team == teams_.end()) return;
-    if (!rents_machines(*team->second.team, job.rank)) return;
+    if (job.cancelled || !job.dependencies_done || team == teams_.end()) return;
+    if (!rents_machines(*team->second.team, job.priority)) return;
     const MachineType* type = cheapest_type(job);
     if (!type) return;
     // A job in crash-loop backoff is probed with one task at a time.
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -94,7 +94,7 @@
                                          const CommitResult& r) mutable {
         if (r.status == CommitStatus::Ok) {
             edits_[id].in_flight = false;
-            cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
+            cache_.apply(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
             return finish(std::move(list), true);
         }
         const Micros pause = r.status == CommitStatus::Rejected ? kRefused : kRetry;
@@ -111,7 +111,7 @@
 
 void MachineAllocator::edit(const std::string& shard, const std::string& machine,
                             ShardContext::MachineEdit edit, std::function<void(bool)> done) {
-    const Block* block = cache_.blocks.of(machine);
+    const Block* block = cache_.blocks.find_by_machine(machine);
     const ShardOwner* o = assignment_.find(shard);
     if (!block || block->shard != shard || !o) return runtime_.after(0, [done] { done(false); });
     if (edit == ShardContext::MachineEdit::RetireNow)
@@ -134,14 +134,14 @@
 }
 
 void MachineAllocator::retire(const std::string& machine) {
-    if (const Block* block = cache_.blocks.of(machine))
+    if (const Block* block = cache_.blocks.find_by_machine(machine))
         edit_block(block->id, {retire_in(machine), nullptr}, kReturnPatience);
 }
 
 void MachineAllocator::forget(const std::vector<std::string>& machines) {
     std::map<std::string, std::vector<std::string>> by_block;
     for (const auto& name : machines)
-        if (const Block* block = cache_.blocks.of(name)) by_block[block->id].push_back(name);
+        if (const Block* block = cache_.blocks.find_by_machine(name)) by_block[block->id].push_back(name);
     for (auto& [id, names] : by_block)
         edit_block(id,
                    {[names](Block& b) {
@@ -187,21 +187,23 @@
     edits_[block.id].in_flight = true;  // nothing else rewrites it meanwhile
     spdlog::info("block {}: {} machines, split into {}", block.id, block.machines.size(), writes.size());
     for (const auto& part : parts)
-        for (const auto& m : part.machines) cache_.blocks.split_begins(m.name, part.id);
-    commit_until_known(runtime_, store_, feed_, std::move(change),
-                       [this, id = block.id, writes, parts](const CommitResult& r) {
-                           if (auto e = edits_.find(id); e != edits_.end()) e->second.in_flight = false;
-                           if (r.status == CommitStatus::Ok)
-                               for (const auto& [at, value] : writes)
-                                   cache_.take(keys::block + at, &value, r.revision);
-                           for (const auto& part : parts)
-                               for (const auto& m : part.machines) cache_.blocks.split_ends(m.name, part.id);
-                       });
+        for (const auto& m : part.machines) cache_.blocks.begin_split(m.name, part.id);
+    commit_until_outcome_known(runtime_, store_, feed_, std::move(change),
+                               [this, id = block.id, writes, parts](const CommitResult& r) {
+                                   if (auto e = edits_.find(id); e != edits_.end())
+                                       e->second.in_flight = false;
+                                   if (r.status == CommitStatus::Ok)
+                                       for (const auto& [at, value] : writes)
+                                           cache_.apply(keys::block + at, &value, r.revision);
+                                   for (const auto& part : parts)
+                                       for (const auto& m : part.machines)
+                                           cache_.blocks.end_split(m.name, part.id);
+                               });
 }
 
 void MachineAllocator::split_blocks() {
     const Micros now = runtime_.now();
-    if (!cache_.formats.common(format::kPipelines) || now - split_at_ < kSplitEvery ||
+    if (!cache_.formats.is_read_by_all(format::kChunksAndDependencies) || now - split_at_ < kSplitEvery ||
         !store_.room(Priority::Deferrable))
         return;
     split_at_ = now;
@@ -237,7 +239,7 @@
 
 bool MachineAllocator::spread_out() const {
     const std::size_t machines =
-        std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.known());
+        std::max(cache_.blocks.machine_count() + unallocated_.size(), autoscaler_.known());
     const double reports = static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
     return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_share;
 }
@@ -247,7 +249,7 @@
     std::string largest, ours;
     Milli most = 0;
     for (const auto& [name, d] : cache_.membership.shards()) {
-        if (!cache_.membership.alive(d.holder)) continue;
+        if (!cache_.membership.is_alive(d.holder)) continue;
         targets.push_back(name);
         if (d.holder == settings_.node && (ours.empty() || name == settings_.node)) ours = name;
         if (const Milli cores = cache_.capacity_of(name); cores > most) {
@@ -283,7 +285,7 @@
     std::map<std::tuple<std::string, std::string, bool>, Milli> cores;
     std::map<std::pair<std::string, Shape>, std::size_t> have;
     auto size_of = [&](const std::string& type) {
-        const MachineType* t = cache_.types.find(type);
+        const MachineType* t = cache_.machine_types.find(type);
         return t ? t->size.cores : Milli{1000};
     };
     for (const auto& [id, b] : cache_.blocks.all()) {
@@ -366,7 +368,7 @@
         if (r.status == CommitStatus::Ok) {
             spdlog::info("block {}: {} {} machines in {}{} leased to {}", block.id, machines.size(),
                          block.type, block.zone, block.spot ? ", spot," : "", block.shard);
-            return cache_.take(keys::block + block.id, &value, r.revision);
+            return cache_.apply(keys::block + block.id, &value, r.revision);
         }
         const bool unsent = r.status == CommitStatus::Unavailable;
         if (!unsent && r.status != CommitStatus::Unknown) {
@@ -390,7 +392,7 @@
 /// change. Only the holder does this, and only with machines that nothing is on, so nothing is in doubt.
 void MachineAllocator::give(ShardOwner& from, const peer::CapacityRequest& want,
                             std::function<void(peer::Grant)> done) {
-    const ShardRecord* to = cache_.membership.shard(want.shard);
+    const OwnershipRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !to || to->mod_revision != want.mod_revision || want.shard == from.shard() ||
         !store_.room(Priority::Normal))
         return done({});
@@ -400,7 +402,7 @@
     std::map<std::string, Block> sources;
     std::vector<std::string> kept, moved;
     for (const auto& name : offered) {
-        const Block* b = cache_.blocks.of(name);
+        const Block* b = cache_.blocks.find_by_machine(name);
         const bool first = next.type.empty();
         const bool fits = b && b->shard == from.shard() && !edits_.count(b->id) &&
                           (first || (b->type == next.type && b->zone == next.zone && b->spot == next.spot)) &&
@@ -440,14 +442,14 @@
     change.purpose = "move";
     spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, moved.size(), next.type,
                  next.zone, from.shard(), want.shard);
-    commit_until_known(
+    commit_until_outcome_known(
         runtime_, store_, feed_, std::move(change),
         [this, shard = from.shard(), writes, moved, done = std::move(done)](const CommitResult& r) {
             for (const auto& [id, value] : writes)
                 if (auto e = edits_.find(id); e != edits_.end()) e->second.in_flight = false;
             if (r.status == CommitStatus::Ok)
                 for (const auto& [id, value] : writes)
-                    cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
+                    cache_.apply(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
             // Whatever is still here stays.
             if (ShardOwner* o = assignment_.find(shard)) o->withdraw_offer(moved);
             done({{}, r.status == CommitStatus::Ok ? static_cast<std::uint32_t>(moved.size()) : 0});
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -16,13 +16,13 @@
 
 void QuotaAllocator::allocate_initial_quota() {
     if (!election_.leading() || sharing_first_ || cache_.blocks.all().empty() ||
-        feed_.confirmed_ago() > kSecond)
+        feed_.confirmed_age() > kSecond)
         return;
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::leader, election_.term()});
     std::vector<std::pair<std::string, QuotaAllocation>> next;
-    const auto& stored = cache_.shares.all();
+    const auto& stored = cache_.quotas.all();
     if (stored.empty()) {
         auto targets = machine_allocator_.targets();
         if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
@@ -42,11 +42,11 @@
     } else {
         for (const auto& [shard, held] : stored) {
             const ShardOwner* o = assignment_.find(shard);
-            if (!o || cache_.shares.busy(shard)) continue;
-            QuotaAllocation shares = held.shares;
+            if (!o || cache_.quotas.is_transferring(shard)) continue;
+            QuotaAllocation shares = held.allocation;
             bool more = false;
             for (const auto& t : settings_.teams) {
-                const Resources sum = cache_.shares.shared_out(t.name);
+                const Resources sum = cache_.quotas.total_allocated(t.name);
                 const Milli cores = to_share(t.limit.cores), gpus = to_share(t.limit.gpus);
                 if (cores <= sum.cores && gpus <= sum.gpus) continue;
                 more = true;
@@ -69,13 +69,13 @@
         if (r.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
                 const Json v = shares_value(shares);
-                cache_.take(keys::share + shard, &v, r.revision);
+                cache_.apply(keys::share + shard, &v, r.revision);
             }
         // Carried out after others were made for other shards, the limits would be shared out twice.
         const bool unknown = r.status == CommitStatus::Unknown;
         feed_.after_next_refresh([this, term, unknown](bool) {
             sharing_first_ = false;
-            if (unknown && cache_.shares.all().empty()) election_.close_term(term);
+            if (unknown && cache_.quotas.all().empty()) election_.close_term(term);
         });
     });
 }
@@ -85,20 +85,20 @@
 void QuotaAllocator::give(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
                           std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
-    QuotaCache& book = cache_.shares;
+    QuotaCache& book = cache_.quotas;
     const auto* ours = book.find(shard);
-    const ShardRecord* to = cache_.membership.shard(want.shard);
+    const OwnershipRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !ours || !to || to->mod_revision != want.mod_revision || want.shard == shard ||
-        book.busy(shard) || book.busy(want.shard))
+        book.is_transferring(shard) || book.is_transferring(want.shard))
         return done({});
     auto part = [](Milli left, Milli asked) { return std::min(left, std::max(asked, left / 2)); };
     const Resources grant{part(spare.cores, std::max<Milli>(want.amount.cores, 0)),
                           part(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
-    QuotaAllocation less = ours->shares, more;
+    QuotaAllocation less = ours->allocation, more;
     Revision their_mark = 0;
     if (const auto* theirs = book.find(want.shard)) {
-        more = theirs->shares;
+        more = theirs->allocation;
         their_mark = theirs->mod_revision;
     }
     less[want.team] -= grant;
@@ -111,19 +111,19 @@
     change.then.push_back({keys::share + shard, shares_value(less)});
     change.then.push_back({keys::share + want.shard, shares_value(more)});
     change.purpose = "share";
-    book.giving(shard, want.shard, want.team, grant);
+    book.begin_transfer(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
     auto settle = [this, shard, want, grant, less, more, done = std::move(done)](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
         if (ok) {
             const Json l = shares_value(less), m = shares_value(more);
-            cache_.take(keys::share + shard, &l, r.revision);
-            cache_.take(keys::share + want.shard, &m, r.revision);
+            cache_.apply(keys::share + shard, &l, r.revision);
+            cache_.apply(keys::share + want.shard, &m, r.revision);
         }
-        cache_.shares.given(shard, want.shard);
+        cache_.quotas.end_transfer(shard, want.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
     };
-    commit_until_known(runtime_, store_, feed_, std::move(change), std::move(settle));
+    commit_until_outcome_known(runtime_, store_, feed_, std::move(change), std::move(settle));
 }
 
 }  // namespace cottonway
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -41,7 +41,7 @@
       started_(runtime.now()) {}
 
 bool HeartbeatRouter::lease_is_valid() const {
-    return has_valid_lease(feed_.confirmed_ago(), settings_);
+    return has_valid_lease(feed_.confirmed_age(), settings_);
 }
 
 std::optional<ApiResponse> HeartbeatRouter::answer(ShardOwner& owner, const Report& r) const {
@@ -66,12 +66,12 @@
     return wire::report_answer(token, orders);
 }
 
-void HeartbeatRouter::report(const std::string& bytes, ApiResponder respond) {
+void HeartbeatRouter::handle_report(const std::string& bytes, ApiResponder respond) {
     auto body = wire::decode(bytes);
     auto parsed = body ? wire::parse_report(*body) : std::nullopt;
     if (!parsed) return respond({400, Json::object()});
     const Report& r = *parsed;
-    const Block* block = cache_.blocks.of(r.machine);
+    const Block* block = cache_.blocks.find_by_machine(r.machine);
     if (!block) return unknown_machine(r, std::move(respond));
     if (ShardOwner* o = assignment_.find(block->shard)) return respond(answer(*o, r).value_or(unavailable()));
     help(r, *block, bytes, std::move(respond));
@@ -82,7 +82,7 @@
 void HeartbeatRouter::unknown_machine(const Report& r, ApiResponder respond) {
     if (!election_.leading()) {
         const std::string& leader = election_.leader();
-        if (leader != settings_.node && cache_.membership.alive(leader))
+        if (leader != settings_.node && cache_.membership.is_alive(leader))
             return respond({421, wire::redirect(leader)});
         return respond(unavailable());
     }
@@ -101,7 +101,7 @@
         probing_.erase(r.machine);
         const auto shown = reply.status == 200 ? wire::parse_report(reply.body) : std::nullopt;
         const bool there = shown && shown->machine == r.machine;
-        if (!there || !election_.leading() || !lease_is_valid() || cache_.blocks.of(r.machine))
+        if (!there || !election_.leading() || !lease_is_valid() || cache_.blocks.find_by_machine(r.machine))
             return respond(unavailable());
         lease(r, respond);
     });
@@ -112,12 +112,12 @@
     if (machine_allocator_.is_allocating(r.machine)) return respond(unavailable());
     machine_allocator_.allocate({r.machine, r.addr, 0, false, false}, r.type, r.zone, r.spot,
                                 [this, r, respond] {
-                                    const Block* block = cache_.blocks.of(r.machine);
+                                    const Block* block = cache_.blocks.find_by_machine(r.machine);
                                     if (!block) return respond(unavailable());
                                     ShardOwner* o = assignment_.find(block->shard);
                                     if (auto a = o ? answer(*o, r) : std::nullopt)
                                         return respond(std::move(*a));
-                                    const ShardRecord* d = cache_.membership.shard(block->shard);
+                                    const OwnershipRecord* d = cache_.membership.shard(block->shard);
                                     if (o || !d) return respond(unavailable());
                                     respond({421, wire::redirect(d->holder)});
                                 });
@@ -128,7 +128,7 @@
 void HeartbeatRouter::help(const Report& r, const Block& block, const std::string& bytes,
                            ApiResponder respond) {
     const Micros now = runtime_.now();
-    const ShardRecord* d = cache_.membership.shard(block.shard);
+    const OwnershipRecord* d = cache_.membership.shard(block.shard);
     if (!d || d->holder == settings_.node) return respond(unavailable());
     ProxiedWorker& proxied = proxied_workers_[r.machine];
     // A worker has one report in flight, so one that is older than another, or its copy, was given up:
@@ -139,7 +139,7 @@
     proxied.seq = r.seq;
     const auto peer = peers_.named(d->holder);
     if (!peer) return respond(unavailable());
-    if (!cache_.membership.alive(d->holder)) return renew_on_behalf(r, block, respond);
+    if (!cache_.membership.is_alive(d->holder)) return renew_on_behalf(r, block, respond);
     // Where we can't reach the holder either, another try would only cost the worker its lease.
     if (!peers_.reachable(*peer)) return renew_on_behalf(r, block, respond);
     // Where the lease leaves no time to find that out, the report is passed on first; the holder tells
@@ -160,7 +160,7 @@
                     auto relayed = peer::unpack<peer::Relayed>(reply.bytes);
                     if (!relayed) {
                         // The holder may have answered all the same; renewing a lease does no harm then.
-                        const Block* block = cache_.blocks.of(r.machine);
+                        const Block* block = cache_.blocks.find_by_machine(r.machine);
                         if (!block || assignment_.find(block->shard)) return respond(unavailable());
                         return renew_on_behalf(r, *block, respond);
                     }
@@ -174,11 +174,11 @@
                 });
 }
 
-std::optional<peer::Relayed> HeartbeatRouter::relayed(const peer::Relay& message) {
+std::optional<peer::Relayed> HeartbeatRouter::handle_relayed_report(const peer::Relay& message) {
     auto body = wire::decode(message.report);
     auto r = body ? wire::parse_report(*body) : std::nullopt;
     if (!r) return std::nullopt;
-    const Block* block = cache_.blocks.of(r->machine);
+    const Block* block = cache_.blocks.find_by_machine(r->machine);
     ShardOwner* o = block ? assignment_.find(block->shard) : nullptr;
     auto answer = o ? o->on_report(*r, true) : std::nullopt;
     if (!answer) return peer::Relayed{503, false, ""};
@@ -192,7 +192,7 @@
 /// authority, so that a cancellation ends every task in time.
 void HeartbeatRouter::renew_on_behalf(const Report& r, const Block& block, const ApiResponder& respond) {
     const Micros now = runtime_.now();
-    const ShardRecord* shard = cache_.membership.shard(block.shard);
+    const OwnershipRecord* shard = cache_.membership.shard(block.shard);
     const Block::Machine* machine = block.find(r.machine);
     const Revision token = std::max(shard ? shard->mod_revision : 0, machine ? machine->token : 0);
     const permission::Decision decision = may_renew_on_behalf(r, block, token);
@@ -211,7 +211,7 @@
     const Block::Machine* machine = block.find(r.machine);
     const auto proxied = proxied_workers_.find(r.machine);
     permission::ProxyEvidence evidence;
-    evidence.member = membership_lease_.announced() && cache_.membership.alive(settings_.node);
+    evidence.member = membership_lease_.announced() && cache_.membership.is_alive(settings_.node);
     evidence.store_read_valid = lease_is_valid();
     evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
     // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
@@ -224,7 +224,7 @@
     return permission::renewal_on_behalf(evidence);
 }
 
-peer::Relinquished HeartbeatRouter::promise(const peer::Relinquish& ask) {
+peer::Relinquished HeartbeatRouter::relinquish_leases(const peer::Relinquish& ask) {
     const Micros now = runtime_.now();
     peer::Relinquished answer;
     for (const auto& name : ask.machines) {
@@ -242,7 +242,7 @@
     for (const auto& [name, o] : assignment_.all()) {
         if (!o || !o->active()) continue;
         for (std::size_t i = 0; i < peers_.count(); ++i) {
-            if (in_flight_[i] > 0 || !cache_.membership.alive(settings_.peers[i].name)) continue;
+            if (in_flight_[i] > 0 || !cache_.membership.is_alive(settings_.peers[i].name)) continue;
             auto machines = o->machines_to_relinquish(i);
             // Of a name that is cut short on its way another machine's promise would come back.
             std::erase_if(machines, [](const auto& machine) { return !peer::name_fits(machine); });
--- a/src/api/heartbeat_router.hpp
+++ b/src/api/heartbeat_router.hpp
@@ -22,17 +22,17 @@
                     MachineAllocator& machine_allocator, PeerDirectory& peers, JobArchiver& history,
                     permission::Counters& decisions);
 
-    void report(const std::string& bytes, ApiResponder respond);
+    void handle_report(const std::string& bytes, ApiResponder respond);
     /// A report that another controller has passed on; nothing for what is no report.
-    std::optional<peer::Relayed> relayed(const peer::Relay& message);
+    std::optional<peer::Relayed> handle_relayed_report(const peer::Relay& message);
     /// What we promise: not to renew these machines' leases on their holder's behalf for a while. Told with
     /// it is when that may have happened last; of a former process of this node it is not known, but it has
     /// ended.
-    peer::Relinquished promise(const peer::Relinquish& ask);
+    peer::Relinquished relinquish_leases(const peer::Relinquish& ask);
     /// Asks the others for the promise that a silent machine's lease is not renewed through them.
     void request_relinquishments();
     /// The machine is in no block any more.
-    void forget(const std::string& machine) { proxied_workers_.erase(machine); }
+    void forget_machine(const std::string& machine) { proxied_workers_.erase(machine); }
 
   private:
     struct ProxiedWorker {
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -52,8 +52,8 @@
     const Milli at_once = s.kind == JobKind::Array ? 1 : s.tasks;
     if (s.request.cores * at_once > team->limit.cores || s.request.gpus * at_once > team->limit.gpus)
         return ReconcileAction::Never;
-    if (cache_.types.empty()) return ReconcileAction::NotYet;
-    for (const auto& t : cache_.types.types()) {
+    if (cache_.machine_types.empty()) return ReconcileAction::NotYet;
+    for (const auto& t : cache_.machine_types.types()) {
         if (s.types && std::find(s.types->begin(), s.types->end(), t.name) == s.types->end()) continue;
         if (s.zone && std::find(t.zones.begin(), t.zones.end(), *s.zone) == t.zones.end()) continue;
         if (s.request.fits(t.size)) return ReconcileAction::Fits;
@@ -64,8 +64,9 @@
 void JobService::submit(const Json& body, ApiResponder respond) {
     auto parsed = wire::parse_job(body);
     // Names of types that don't exist would only fill the record.
-    if (parsed.spec && parsed.spec->types && !cache_.types.empty())
-        std::erase_if(*parsed.spec->types, [&](const std::string& t) { return !cache_.types.find(t); });
+    if (parsed.spec && parsed.spec->types && !cache_.machine_types.empty())
+        std::erase_if(*parsed.spec->types,
+                      [&](const std::string& t) { return !cache_.machine_types.find(t); });
     const ReconcileAction verdict = parsed.spec ? judge(*parsed.spec) : ReconcileAction::Never;
     if (verdict == ReconcileAction::Fits && !known(parsed.spec->ref) && parsed.spec->needs.empty())
         return create(std::move(*parsed.spec), std::move(respond));
@@ -89,7 +90,7 @@
 /// where this node does not know the job.
 void JobService::resolve(JobSpec spec, ApiResponder respond) {
     // As long as a controller may be of the version before, it would lose what the job waits for.
-    if (!cache_.formats.common(format::kPipelines)) return respond(unavailable(2));
+    if (!cache_.formats.is_read_by_all(format::kChunksAndDependencies)) return respond(unavailable(2));
     auto never = [](const std::string& ref) {
         return ApiResponse{422, Json{{"error", "was never accepted: " + ref}}};
     };
@@ -119,15 +120,15 @@
 }
 
 /// Jobs that are needed may be long over, and forgotten here.
-void JobService::read_unknown() {
+void JobService::read_unknown_dependencies() {
     if (!feed_.loaded() || out_of_reach()) return;
-    for (const auto& ref : cache_.jobs.dependency_graph().unknown()) {
+    for (const auto& ref : cache_.jobs.dependency_graph().unknown_dependencies()) {
         if (reading_.size() >= kMaxReading) return;
         if (!reading_.insert(ref).second) continue;
         store_.read(keys::job + ref, [this, ref](const ReadResult& r) {
             // One that is not there any more than it was before is asked after again.
             runtime_.after(r.ok && r.found ? 0 : kSecond, [this, ref] { reading_.erase(ref); });
-            if (r.ok && r.found) cache_.take(keys::job + ref, &r.value, r.mod_revision);
+            if (r.ok && r.found) cache_.apply(keys::job + ref, &r.value, r.mod_revision);
         });
     }
 }
@@ -139,7 +140,7 @@
     const std::string shard = shard_for(spec);
     if (shard.empty()) return respond(unavailable());
     const DependencyStatus dependency_status =
-        DependencyGraph::preview(spec, [this](const auto& need) { return cache_.jobs.fate(need); });
+        DependencyGraph::preview(spec, [this](const auto& need) { return cache_.jobs.outcome(need); });
     const std::string what = spec.job_class + ", " + std::to_string(spec.tasks) + " tasks of about " +
                              std::to_string(spec.estimate / kSecond) + " s for " + spec.team + ", in " +
                              shard;
@@ -147,10 +148,10 @@
                    respond = std::move(respond)](const Admission& a) mutable {
         switch (a.status) {
             case CommitStatus::Ok:
-                cache_.take(record_key(a.place, ref), &a.record, a.revision);
+                cache_.apply(record_key(a.place, ref), &a.record, a.revision);
                 spdlog::info("job {}: accepted in {} ms: {}", ref, (runtime_.now() - asked) / kMillisecond,
                              what);
-                if (const JobView* view = known(ref); view && view->final())
+                if (const JobView* view = known(ref); view && view->is_final())
                     return respond({201, wire::job_answer(ref, stage_name(*view))});
                 return respond({201, wire::job_answer(ref, "pending")});
             case CommitStatus::Conflict:
@@ -178,10 +179,10 @@
     // Cancelled with one before it already: accepted, and over.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
-    const RecordLocation place =
-        cache_.formats.common(format::kHistory) && !dependency_status.cancelled_by_dependency
-            ? RecordLocation::Active
-            : RecordLocation::Job;
+    const RecordLocation place = cache_.formats.is_read_by_all(format::kSeparateActiveRecords) &&
+                                         !dependency_status.cancelled_by_dependency
+                                     ? RecordLocation::Active
+                                     : RecordLocation::Job;
     Change change;
     change.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     // Nothing of old form may be added once that is closed.
@@ -205,11 +206,12 @@
 }
 
 void JobService::abort(const std::string& ref, int tries, ApiResponder respond) {
-    if (const JobView* v = known(ref); v && v->final())
+    if (const JobView* v = known(ref); v && v->is_final())
         return respond({200, wire::job_answer(ref, stage_name(*v))});
     if (tries >= kMaxAbortTries || out_of_reach()) return respond(unavailable());
-    if (const LiveJob* live = cache_.jobs.find(ref); tries == 0 && live && !cache_.stray(ref))
-        return cancel(ref, {live->place, live->record, live->mod_revision, live->legacy_revision}, tries,
+    if (const LiveJob* live = cache_.jobs.find(ref);
+        tries == 0 && live && !cache_.has_only_legacy_record(ref))
+        return cancel(ref, {live->location, live->record, live->mod_revision, live->legacy_revision}, tries,
                       std::move(respond));
     read_either(
         ref, [this, ref, tries, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
@@ -221,13 +223,14 @@
                     if (!view) return respond({404, Json::object()});
                     abort(ref, tries + 1, std::move(respond));
                 });
-            const JobView view = JobView::of(found->record, found->mod_revision);
-            if (view.final()) {
-                cache_.take(record_key(found->place, ref), &found->record, found->mod_revision);
+            const JobView view = JobView::from_record(found->record, found->mod_revision);
+            if (view.is_final()) {
+                cache_.apply(record_key(found->place, ref), &found->record, found->mod_revision);
                 return respond({200, wire::job_answer(ref, stage_name(view))});
             }
             // It came late, from a process that has ended, and is accepted only once its holder has moved it.
-            if (found->place == RecordLocation::Job && cache_.history_apart()) return respond(unavailable());
+            if (found->place == RecordLocation::Job && cache_.is_history_separated())
+                return respond(unavailable());
             cancel(ref, std::move(*found), tries, std::move(respond));
         });
 }
@@ -235,8 +238,8 @@
 void JobService::read_either(const std::string& ref, std::function<void(bool, std::optional<Found>)> done) {
     store_.read(keys::job + ref, [this, ref, done = std::move(done)](const ReadResult& job) {
         if (!job.ok) return done(false, std::nullopt);
-        const bool final = job.found && JobView::of(job.value, job.mod_revision).final();
-        if (final || !cache_.formats.common(format::kHistory)) {
+        const bool final = job.found && JobView::from_record(job.value, job.mod_revision).is_final();
+        if (final || !cache_.formats.is_read_by_all(format::kSeparateActiveRecords)) {
             if (!job.found) return done(true, std::nullopt);
             return done(true, Found{RecordLocation::Job, job.value, job.mod_revision, 0});
         }
@@ -256,7 +259,7 @@
     job.record["s"] = "cancelled";
     const std::string key = record_key(job.place, ref);
     Change change;
-    change.when = JobCache::as_known(ref, job.place, job.mod_revision, job.legacy_revision);
+    change.when = JobCache::unchanged_conditions(ref, job.place, job.mod_revision, job.legacy_revision);
     change.then.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
@@ -264,7 +267,7 @@
                                       respond = std::move(respond)](const CommitResult& result) mutable {
         if (result.status == CommitStatus::Ok) {
             spdlog::info("job {}: cancelled by its user", ref);
-            cache_.take(key, &record, result.revision);
+            cache_.apply(key, &record, result.revision);
             return respond({200, wire::job_answer(ref, "cancelled")});
         }
         if (result.status == CommitStatus::Conflict || result.status == CommitStatus::Unknown)
@@ -279,21 +282,21 @@
 bool JobService::too_busy_for_polls(Micros late) {
     const auto most = std::clamp<std::size_t>(static_cast<std::size_t>(kPollsPerCore * settings_.cpu_share),
                                               kFewPolls, kManyPolls);
-    if (late < kTooLate && feed_.waiting() < most) return false;
+    if (late < kTooLate && feed_.waiter_count() < most) return false;
     ++polls_shed_;
     if (runtime_.now() - shed_logged_ > 10 * kSecond) {
         shed_logged_ = runtime_.now();
-        spdlog::info("polls are turned away, {} so far: {} wait, {} ms behind", polls_shed_, feed_.waiting(),
-                     late / kMillisecond);
+        spdlog::info("polls are turned away, {} so far: {} wait, {} ms behind", polls_shed_,
+                     feed_.waiter_count(), late / kMillisecond);
     }
     return true;
 }
 
 /// An outage of the state service is the same everywhere: leaving the
 /// load balancer would only make coming back slower. If others are served, it is this node's own trouble.
-bool JobService::healthy() const {
-    if (!feed_.loaded() || cache_.types.empty()) return false;
-    if (feed_.confirmed_ago() < kUnserved) return true;
+bool JobService::is_healthy() const {
+    if (!feed_.loaded() || cache_.machine_types.empty()) return false;
+    if (feed_.confirmed_age() < kUnserved) return true;
     for (std::size_t i = 0; i < peers_.count(); ++i)
         if (const auto* told = peers_.told(i, kUnserved); told && told->state.confirmed_age < kUnserved / 2)
             return false;
@@ -307,21 +310,21 @@
 
 void JobService::check(const std::string& ref, Checked done) {
     const JobView* view = known(ref);
-    if (view && view->final()) return done(true, *view);
+    if (view && view->is_final()) return done(true, *view);
     if (out_of_reach()) return done(false, std::nullopt);
-    if (cache_.stray(ref)) return done(false, std::nullopt);
+    if (cache_.has_only_legacy_record(ref)) return done(false, std::nullopt);
     // Its final record may stand where nobody reads at a start.
-    if (view && cache_.jobs.unproven(ref))
+    if (view && cache_.jobs.is_unverified(ref))
         return history_.prove({ref}, false, [this, ref, done = std::move(done)](bool known) mutable {
-            if (!known || cache_.jobs.unproven(ref)) return done(false, std::nullopt);
+            if (!known || cache_.jobs.is_unverified(ref)) return done(false, std::nullopt);
             check(ref, std::move(done));
         });
     if (view) {
         // The next look at the store proves that what is known then is current, also of the jobs before it.
         feed_.after_next_refresh([this, ref, done = std::move(done)](bool ok) {
             const JobView* now = known(ref);
-            const auto doubted = [this](const std::string& name) { return cache_.jobs.unproven(name); };
-            if (!ok || !now || cache_.jobs.dependency_graph().unclear(ref, doubted))
+            const auto doubted = [this](const std::string& name) { return cache_.jobs.is_unverified(name); };
+            if (!ok || !now || cache_.jobs.dependency_graph().is_cancellation_uncertain(ref, doubted))
                 return done(false, std::nullopt);
             done(true, *now);
         });
@@ -341,15 +344,15 @@
         if (!ok && tries < 1 && store_.reachable()) return recheck(ref, tries + 1, std::move(done));
         // None found: it is on its way from one key to the other.
         if (!ok || !found) return done(false, std::nullopt);
-        const JobView view = JobView::of(found->record, found->mod_revision);
-        if (!view.final() && found->place == RecordLocation::Job && cache_.history_apart())
+        const JobView view = JobView::from_record(found->record, found->mod_revision);
+        if (!view.is_final() && found->place == RecordLocation::Job && cache_.is_history_separated())
             return done(false, std::nullopt);
         const Json* spec = wire::find(found->record, "d");
-        if (!view.final() && spec && wire::find(*spec, "warp")) {
+        if (!view.is_final() && spec && wire::find(*spec, "warp")) {
             // Whether one before it is cancelled is not in its record. What is in the news already is not
             // taken from elsewhere: an owner here relies on their order.
             if (!cache_.jobs.find(ref))
-                cache_.take(record_key(found->place, ref), &found->record, found->mod_revision);
+                cache_.apply(record_key(found->place, ref), &found->record, found->mod_revision);
             else
                 cache_.jobs.remember(ref, view);
             if (cache_.jobs.dependency_graph().dependency_status(ref).cancelled_by_dependency)
@@ -369,15 +372,15 @@
     // With what it needs: there the change that ends that can begin this.
     for (const auto& need : spec.needs) {
         const LiveJob* live = cache_.jobs.find(need);
-        const ShardRecord* at = live ? cache_.membership.shard(live->shard) : nullptr;
-        if (at && cache_.membership.alive(at->holder)) return live->shard;
+        const OwnershipRecord* at = live ? cache_.membership.shard(live->shard) : nullptr;
+        if (at && cache_.membership.is_alive(at->holder)) return live->shard;
     }
-    const Milli need = scheduling::gpu_bound_cores(spec.request, cache_.types.types()) * spec.tasks;
+    const Milli need = scheduling::gpu_bound_cores(spec.request, cache_.machine_types.types()) * spec.tasks;
     std::vector<std::string> all;
     std::string best;
     double best_room = 0;
     for (const auto& [name, d] : cache_.membership.shards()) {
-        if (!cache_.membership.alive(d.holder)) continue;
+        if (!cache_.membership.is_alive(d.holder)) continue;
         all.push_back(name);
         const Milli capacity = cache_.capacity_of(name);
         if (capacity == 0) continue;
@@ -399,7 +402,7 @@
                        (d.holder == settings_.node ? kOursFirst : 0.0);
         // Urgent work goes where its image has been lately, if there is room for all of it.
         if (spec.rank <= PriorityClass::High && room >= need)
-            if (const Micros seen = cache_.jobs.image_seen(spec.image, name);
+            if (const Micros seen = cache_.jobs.image_last_used(spec.image, name);
                 seen > 0 && runtime_.now() - seen < kImageLasts)
                 share += 1.0;
         if (!best.empty() && share <= best_room) continue;
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -31,11 +31,11 @@
     void poll(const std::string& ref, ApiResponder respond);
     void abort(const std::string& ref, ApiResponder respond) { abort(ref, 0, std::move(respond)); }
     /// Whether users had better come here.
-    bool healthy() const;
+    bool is_healthy() const;
     /// `late`: by how much the process is behind its own timer.
     bool too_busy_for_polls(Micros late);
     /// Reads jobs that others need and that nothing is known of: they may be long over, and forgotten here.
-    void read_unknown();
+    void read_unknown_dependencies();
 
   private:
     enum class ReconcileAction { Fits, Never, TooLong, NotYet };
@@ -58,7 +58,7 @@
     /// A job's state as the store has it now; no view: never accepted. `ok` false: nothing is known.
     void check(const std::string& ref, Checked done);
     void recheck(const std::string& ref, int tries, Checked done);
-    const JobView* known(const std::string& ref) const { return cache_.jobs.known(ref); }
+    const JobView* known(const std::string& ref) const { return cache_.jobs.find_view(ref); }
     /// Whether the job could be accepted. What can't is refused only where the store proves that it never
     /// was.
     ReconcileAction judge(const JobSpec& spec) const;
--- a/src/cache/block_cache.cpp
+++ b/src/cache/block_cache.cpp
@@ -11,7 +11,7 @@
     return it == blocks_.end() ? nullptr : &it->second;
 }
 
-const Block* BlockCache::of(const std::string& machine) const {
+const Block* BlockCache::find_by_machine(const std::string& machine) const {
     auto id = block_of_.find(machine);
     return id == block_of_.end() ? nullptr : find(id->second);
 }
@@ -33,14 +33,14 @@
     listener_.on_machine_left(machine);
 }
 
-void BlockCache::split_ends(const std::string& machine, const std::string& into) {
+void BlockCache::end_split(const std::string& machine, const std::string& into) {
     splitting_.erase(machine);
     // Not split after all, and somebody else has taken it out of the block.
     auto at = block_of_.find(machine);
     if (at != block_of_.end() && at->second == into && !blocks_.count(into)) left(machine);
 }
 
-void BlockCache::take(const std::string& id, const Json* value, Revision mod_revision) {
+void BlockCache::apply(const std::string& id, const Json* value, Revision mod_revision) {
     auto it = blocks_.find(id);
     if (it != blocks_.end() && it->second.mod_revision >= mod_revision) return;
     std::optional<Block> next;
--- a/src/cache/block_cache.hpp
+++ b/src/cache/block_cache.hpp
@@ -23,19 +23,19 @@
     explicit BlockCache(Listener& listener) : listener_(listener) {}
 
     /// News of a record; null: it is gone. A broken one is ignored with a line in the log.
-    void take(const std::string& id, const Json* value, Revision mod_revision);
+    void apply(const std::string& id, const Json* value, Revision mod_revision);
 
     const std::map<std::string, Block>& all() const { return blocks_; }
     const Block* find(const std::string& id) const;
-    const Block* of(const std::string& machine) const;
-    std::size_t machines() const { return block_of_.size(); }
+    const Block* find_by_machine(const std::string& machine) const;
+    std::size_t machine_count() const { return block_of_.size(); }
     /// Cores of a shard's machines, those to be returned left out.
     Milli capacity_of(const std::string& shard, const MachineTypeCatalog& types) const;
 
     /// The machine is being split off into another record: it is not gone when its old block loses it, were
     /// it taken for gone until its new record is heard of, its tasks would run twice.
-    void split_begins(const std::string& machine, const std::string& into) { splitting_[machine] = into; }
-    void split_ends(const std::string& machine, const std::string& into);
+    void begin_split(const std::string& machine, const std::string& into) { splitting_[machine] = into; }
+    void end_split(const std::string& machine, const std::string& into);
 
   private:
     void left(const std::string& machine);
--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -16,10 +16,10 @@
 constexpr Micros kRetry = 300 * kMillisecond;
 }  // namespace
 
-ChangeFeed::ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Reader& reader)
+ChangeFeed::ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Subscriber& subscriber)
     : runtime_(runtime),
       store_(store),
-      reader_(reader),
+      subscriber_(subscriber),
       every_(std::clamp(static_cast<Micros>(static_cast<double>(settings.peers.size() + 1) /
                                             (kLookShare * settings.state_rps) * 1e6),
                         kMinLook, kMaxLook)) {}
@@ -41,26 +41,26 @@
 void ChangeFeed::load() {
     auto seen = std::make_shared<std::set<std::string>>();
     const Micros began = runtime_.now();
-    reader_.on_resync_begin();
+    subscriber_.on_resync_begin();
     store_.list(
-        keys::root, [this](const std::string& key) { return reader_.go_on_after(key); },
+        keys::root, [this](const std::string& key) { return subscriber_.continuation_key(key); },
         [this, seen](const Entry& e) {
-            reader_.on_watermark(e.store_revision);
-            if (reader_.go_on_after(e.key) != e.key) return;  // need not be read
+            subscriber_.on_watermark(e.store_revision);
+            if (subscriber_.continuation_key(e.key) != e.key) return;  // need not be read
             seen->insert(e.key);
-            reader_.take(e.key, &e.value, e.mod_revision);
+            subscriber_.apply(e.key, &e.value, e.mod_revision);
         },
         [this, seen, began](const ListResult& r) {
             if (!r.ok) {
                 runtime_.after(kRetry, [this] { load(); });
                 return;
             }
-            load_ = {r.requests, seen->size(), runtime_.now() - began};
-            spdlog::info("read {} records of the store in {} requests, {} ms", load_.records, load_.requests,
-                         load_.took / kMillisecond);
-            reader_.on_resync_end(*seen, r.store_revision);
+            load_stats_ = {r.requests, seen->size(), runtime_.now() - began};
+            spdlog::info("read {} records of the store in {} requests, {} ms", load_stats_.records,
+                         load_stats_.requests, load_stats_.duration / kMillisecond);
+            subscriber_.on_resync_end(*seen, r.store_revision);
             store_revision_ = r.store_revision;
-            reader_.on_watermark(store_revision_);
+            subscriber_.on_watermark(store_revision_);
             loaded_ = true;
             look();
         });
@@ -85,13 +85,13 @@
                 const Revision mod_revision = wire::count(n, "mark").value_or(0);
                 store_.observe(mod_revision);
                 if (auto key = wire::text(n, "write"))
-                    reader_.take(*key, wire::find(n, "data"), mod_revision);
+                    subscriber_.apply(*key, wire::find(n, "data"), mod_revision);
                 else if (auto dropped = wire::text(n, "drop"))
-                    reader_.take(*dropped, nullptr, mod_revision);
+                    subscriber_.apply(*dropped, nullptr, mod_revision);
             }
         }
         store_revision_ = std::max(store_revision_, *store_revision);
-        reader_.on_watermark(store_revision_);
+        subscriber_.on_watermark(store_revision_);
         looked(sent);
         runtime_.after(std::max<Micros>(sent + every_ - runtime_.now(), 0), [this] { look(); });
     });
@@ -99,7 +99,7 @@
 
 void ChangeFeed::looked(Micros sent) {
     // All that happened before the request was sent is known now.
-    confirmed_ = sent;
+    confirmed_at_ = sent;
     std::vector<std::function<void(bool)>> ready;
     while (!waiters_.empty() && waiters_.front().since <= sent) {
         ready.push_back(std::move(waiters_.front().done));
@@ -112,25 +112,28 @@
     waiters_.push_back({runtime_.now(), std::move(done)});
 }
 
-void ChangeFeed::once_known(std::function<void()> done) {
+void ChangeFeed::after_next_refresh_with_retries(std::function<void()> done) {
     after_next_refresh([this, done = std::move(done)](bool ok) mutable {
         if (ok) return done();
-        runtime_.after(kRetry, [this, done = std::move(done)]() mutable { once_known(std::move(done)); });
+        runtime_.after(kRetry, [this, done = std::move(done)]() mutable {
+            after_next_refresh_with_retries(std::move(done));
+        });
     });
 }
 
-void commit_until_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, const Change& change,
-                        std::function<void(const CommitResult&)> done, bool uncertain) {
+void commit_until_outcome_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, const Change& change,
+                                std::function<void(const CommitResult&)> done, bool uncertain) {
     store.commit(change,
                  [&runtime, &store, &feed, change, done = std::move(done), uncertain](const CommitResult& r) {
                      const bool unknown = r.status == CommitStatus::Unknown;
                      if (unknown || (uncertain && r.status == CommitStatus::Unavailable)) {
                          runtime.after(kRetry, [&runtime, &store, &feed, change, done] {
-                             commit_until_known(runtime, store, feed, change, done, true);
+                             commit_until_outcome_known(runtime, store, feed, change, done, true);
                          });
                          return;
                      }
-                     if (r.status == CommitStatus::Conflict) return feed.once_known([done, r] { done(r); });
+                     if (r.status == CommitStatus::Conflict)
+                         return feed.after_next_refresh_with_retries([done, r] { done(r); });
                      done(r);
                  });
 }
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -15,19 +15,19 @@
 }
 }  // namespace
 
-DependencyStatus DependencyGraph::preview(const JobSpec& spec, const Lookup& lookup) {
+DependencyStatus DependencyGraph::preview(const JobSpec& spec, const OutcomeLookup& lookup) {
     DependencyStatus s;
     for (const auto& need : spec.needs) {
-        const Known known = lookup(need);
-        if (known.fate == Fate::Cancelled) s.cancelled_by_dependency = true;
-        if (known.fate != Fate::Done) s.open = false;
-        s.since_ms = std::max(s.since_ms, known.ended_ms);
+        const KnownOutcome known = lookup(need);
+        if (known.outcome == Outcome::Cancelled) s.cancelled_by_dependency = true;
+        if (known.outcome != Outcome::Done) s.dependencies_done = false;
+        s.dependencies_done_ms = std::max(s.dependencies_done_ms, known.ended_ms);
     }
-    if (!s.open) s.since_ms = 0;
+    if (!s.dependencies_done) s.dependencies_done_ms = 0;
     return s;
 }
 
-void DependencyGraph::put(const JobSpec& spec, std::int64_t submitted_ms, const Lookup& lookup) {
+void DependencyGraph::add_job(const JobSpec& spec, std::int64_t submitted_ms, const OutcomeLookup& lookup) {
     const std::string& ref = spec.ref;
     unknown_.erase(ref);
     auto found = nodes_.find(ref);
@@ -41,17 +41,17 @@
     changed_.insert(ref);
     std::string cancelled;
     for (const auto& need : spec.needs) {
-        const Known known = lookup(need);
-        if (known.fate == Fate::Done) {
+        const KnownOutcome known = lookup(need);
+        if (known.outcome == Outcome::Done) {
             node.since_ms = std::max(node.since_ms, known.ended_ms);
             continue;
         }
         node.waits.insert(need);
-        if (known.fate == Fate::Cancelled) {
+        if (known.outcome == Outcome::Cancelled) {
             cancelled = need;  // over: nothing more will be heard of it
             continue;
         }
-        if (known.fate == Fate::Unknown) unknown_.insert(need);
+        if (known.outcome == Outcome::Unknown) unknown_.insert(need);
         nodes_[need].dependents.insert(ref);
     }
     if (!cancelled.empty()) orphan(ref, cancelled);
@@ -71,7 +71,7 @@
     weigh_due_ = true;
 }
 
-void DependencyGraph::over(const std::string& ref, bool done, std::int64_t ended_ms) {
+void DependencyGraph::mark_finished(const std::string& ref, bool done, std::int64_t ended_ms) {
     unknown_.erase(ref);
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return;
@@ -111,18 +111,19 @@
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return s;
     const Node& n = it->second;
-    s.open = n.waits.empty();
+    s.dependencies_done = n.waits.empty();
     s.cancelled_by_dependency = n.cancelled_by_dependency;
-    s.needed = std::any_of(n.dependents.begin(), n.dependents.end(),
-                           [this](const std::string& d) { return !nodes_.at(d).cancelled_by_dependency; });
-    s.since_ms = n.since_ms;
-    s.rank = n.rank;
-    s.due_ms = n.due_ms;
+    s.has_dependents = std::any_of(n.dependents.begin(), n.dependents.end(), [this](const std::string& d) {
+        return !nodes_.at(d).cancelled_by_dependency;
+    });
+    s.dependencies_done_ms = n.since_ms;
+    s.inherited_priority = n.rank;
+    s.inherited_deadline_ms = n.due_ms;
     return s;
 }
 
-bool DependencyGraph::unclear(const std::string& ref,
-                              const std::function<bool(const std::string&)>& doubted) const {
+bool DependencyGraph::is_cancellation_uncertain(
+    const std::string& ref, const std::function<bool(const std::string&)>& doubted) const {
     auto it = nodes_.find(ref);
     if (it == nodes_.end() || it->second.cancelled_by_dependency) return false;
     // Also through those before it, which wait themselves.
@@ -139,18 +140,18 @@
     return false;
 }
 
-std::string DependencyGraph::cancelled_with(const std::string& ref) const {
+std::string DependencyGraph::cancelling_dependency(const std::string& ref) const {
     auto it = nodes_.find(ref);
     return it == nodes_.end() ? "" : it->second.with;
 }
 
-std::vector<std::string> DependencyGraph::waits_for(const std::string& ref) const {
+std::vector<std::string> DependencyGraph::unfinished_dependencies(const std::string& ref) const {
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return {};
     return {it->second.waits.begin(), it->second.waits.end()};
 }
 
-std::vector<std::string> DependencyGraph::waiting() const {
+std::vector<std::string> DependencyGraph::waiting_jobs() const {
     std::vector<std::string> out;
     for (const auto& [ref, n] : nodes_)
         if (n.live && !n.waits.empty()) out.push_back(ref);
@@ -159,7 +160,7 @@
 
 /// A job can name only jobs that have been accepted before it is, so no job comes to need itself, and those
 /// that nothing needs can be weighed first, then what they need, and so on.
-void DependencyGraph::weigh() {
+void DependencyGraph::propagate_priorities() {
     if (!std::exchange(weigh_due_, false)) return;
     std::map<std::string, std::size_t> missing;
     std::vector<std::string> ready;
--- a/src/cache/dependency_graph.hpp
+++ b/src/cache/dependency_graph.hpp
@@ -18,47 +18,48 @@
 
 /// How a job stands among those that need one another.
 struct DependencyStatus {
-    bool open = true;                         // all that it needs are done
-    bool cancelled_by_dependency = false;     // one before it is cancelled
-    bool needed = false;                      // others wait for it
-    std::int64_t since_ms = 0;                // when the last job that it needs was done, 0: it needs none
-    PriorityClass rank = PriorityClass::Low;  // the highest of those that need it
-    std::int64_t due_ms = INT64_MAX;          // by when it has to be done for the sake of those
+    bool dependencies_done = true;          // all that it needs are done
+    bool cancelled_by_dependency = false;   // one before it is cancelled
+    bool has_dependents = false;            // others wait for it
+    std::int64_t dependencies_done_ms = 0;  // when the last job that it needs was done, 0: it needs none
+    PriorityClass inherited_priority = PriorityClass::Low;  // the highest of those that need it
+    std::int64_t inherited_deadline_ms = INT64_MAX;         // by when it has to be done for the sake of those
 };
 
 class DependencyGraph {
   public:
-    enum class Fate { Unknown, Open, Done, Cancelled };
-    struct Known {
-        Fate fate = Fate::Unknown;
+    enum class Outcome { Unknown, Unfinished, Done, Cancelled };
+    struct KnownOutcome {
+        Outcome outcome = Outcome::Unknown;
         std::int64_t ended_ms = 0;
     };
-    using Lookup = std::function<Known(const std::string& ref)>;
+    using OutcomeLookup = std::function<KnownOutcome(const std::string& ref)>;
 
     /// A job that is not over, when it is first heard of.
-    void put(const JobSpec& spec, std::int64_t submitted_ms, const Lookup& lookup);
+    void add_job(const JobSpec& spec, std::int64_t submitted_ms, const OutcomeLookup& lookup);
     /// A job that is over: done, or cancelled.
-    void over(const std::string& ref, bool done, std::int64_t ended_ms);
+    void mark_finished(const std::string& ref, bool done, std::int64_t ended_ms);
     DependencyStatus dependency_status(const std::string& ref) const;
     /// How a job would stand that has not been admitted yet.
-    static DependencyStatus preview(const JobSpec& spec, const Lookup& lookup);
+    static DependencyStatus preview(const JobSpec& spec, const OutcomeLookup& lookup);
 
     /// Jobs that are needed and of which nothing is known here: their records must be read.
-    const std::set<std::string>& unknown() const { return unknown_; }
+    const std::set<std::string>& unknown_dependencies() const { return unknown_; }
     /// Whether it is not clear yet if the job is cancelled: something is not known of one before it, or
     /// `doubted` says so.
-    bool unclear(const std::string& ref, const std::function<bool(const std::string&)>& doubted) const;
+    bool is_cancellation_uncertain(const std::string& ref,
+                                   const std::function<bool(const std::string&)>& doubted) const;
     /// Which cancelled job a job is cancelled with, and what it still waits for.
-    std::string cancelled_with(const std::string& ref) const;
-    std::vector<std::string> waits_for(const std::string& ref) const;
+    std::string cancelling_dependency(const std::string& ref) const;
+    std::vector<std::string> unfinished_dependencies(const std::string& ref) const;
 
     /// Ranks and deadlines flow backwards; to be called now and then.
-    void weigh();
+    void propagate_priorities();
     /// Jobs whose standing has changed since this was last asked.
     std::set<std::string> take_changed() { return std::exchange(changed_, {}); }
-    bool changed() const { return !changed_.empty(); }
+    bool has_changes() const { return !changed_.empty(); }
     /// All that wait for others.
-    std::vector<std::string> waiting() const;
+    std::vector<std::string> waiting_jobs() const;
 
   private:
     struct Node {
--- a/src/cache/finished_jobs.cpp
+++ b/src/cache/finished_jobs.cpp
@@ -7,7 +7,7 @@
 }  // namespace
 
 void FinishedJobs::remember(const std::string& ref, const JobView& view) {
-    if (const JobView* known = views_.find(ref); known && !known->superseded_by(view)) return;
+    if (const JobView* known = views_.find(ref); known && !known->is_superseded_by(view)) return;
     views_.put(ref, view);
     evict(kVisitedPerInsertion);
 }
--- a/src/cache/format_cache.hpp
+++ b/src/cache/format_cache.hpp
@@ -17,23 +17,23 @@
 namespace format {
 /// Values in pieces (state/pieces.hpp), jobs that need others (replica/pipelines.hpp), and the time at which
 /// a job ended in its final record.
-constexpr std::uint64_t kPipelines = 2;
+constexpr std::uint64_t kChunksAndDependencies = 2;
 /// Jobs that are not over under a key of their own, so that history need not be read (docs/history.md).
-constexpr std::uint64_t kHistory = 3;
-constexpr std::uint64_t kNewest = kHistory;
+constexpr std::uint64_t kSeparateActiveRecords = 3;
+constexpr std::uint64_t kNewest = kSeparateActiveRecords;
 }  // namespace format
 
 class FormatCache {
   public:
     explicit FormatCache(const Settings& settings) : settings_(settings) {}
     /// True if more has become common knowledge by this.
-    bool take(const std::string& node, const Json& value);
+    bool apply(const std::string& node, const Json& value);
     /// Somebody has proven that much before, and rests on it. True if it is news.
-    bool proven(std::uint64_t format);
+    bool raise_common_format(std::uint64_t format);
     /// What every controller that the settings name is proven to read.
-    bool common(std::uint64_t format) const { return common_ >= format; }
-    std::uint64_t common() const { return common_; }
-    std::uint64_t read_by(const std::string& node) const;
+    bool is_read_by_all(std::uint64_t format) const { return common_ >= format; }
+    std::uint64_t common_format() const { return common_; }
+    std::uint64_t format_read_by(const std::string& node) const;
     const std::map<std::string, std::uint64_t>& all() const { return reads_; }
 
   private:
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -26,22 +26,22 @@
     Json record;
     JobView view;  // at least as new as the record
     Revision mod_revision = 0;
-    RecordLocation place = RecordLocation::Job;
+    RecordLocation location = RecordLocation::Job;
     /// Under c/active/: the mark of what stands under c/job/ besides, 0: nothing. That is a record of old
     /// form that came late and counts for nothing; it is in the way of the final record, which must name it.
     Revision legacy_revision = 0;
-    Revision moved = 0;  // the change that brought it under c/active/, if this process has seen that
+    Revision moved_revision = 0;  // the change that brought it under c/active/, if this process has seen that
     /// Under c/active/: whether it is proven that the job is not over as of what was read. Its final record
     /// stands elsewhere and is not read with the others; the record under c/active/ may outlast it a while.
-    bool proven = true;
+    bool verified_unfinished = true;
     std::string shard;
     std::string team;
-    std::int64_t since_ms = 0;  // when it began to count (see Job)
-    bool open = true;           // waits for no other job
-    Resources request;          // of one task
-    PriorityClass rank = PriorityClass::Normal;
-    std::optional<std::vector<std::string>> types;  // that it may use, nothing: all
-    std::optional<std::string> zone;                // the only one that it may use
+    std::int64_t eligible_since_ms = 0;  // when it began to count (see Job)
+    bool dependencies_done = true;       // waits for no other job
+    Resources request;                   // of one task
+    PriorityClass priority = PriorityClass::Normal;
+    std::optional<std::vector<std::string>> allowed_types;  // that it may use, nothing: all
+    std::optional<std::string> required_zone;               // the only one that it may use
     JobKind kind = JobKind::Array;
     int tasks = 0;
     int done = 0;
@@ -49,8 +49,8 @@
     std::string image;
     bool spot = false;
     bool cancelled = false;
-    bool backing_off = false;  // its owner takes it to be broken
-    bool guaranteed = false;   // see JobCache::within_guarantee
+    bool backing_off = false;       // its owner takes it to be broken
+    bool within_guarantee = false;  // see JobCache::within_guarantee
     std::map<std::size_t, std::pair<Json, Revision>> parts;
 };
 
@@ -61,8 +61,8 @@
         : settings_(settings), finished_(finished_capacity) {}
 
     /// News of a job's record. False if it is older than what is known, or counts for nothing.
-    bool take(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
-              Micros now);
+    bool apply(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
+               Micros now);
     /// A record under c/active/ is gone: the job is over, or about to be heard of.
     void on_record_removed(const std::string& ref);
     /// Everything is about to be read again: final records are not among it.
@@ -72,32 +72,32 @@
     void on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history);
 
     /// Live jobs that may be over by what is known; their final records must be looked for.
-    const std::set<std::string>& lost() const { return lost_; }
+    const std::set<std::string>& jobs_missing_record() const { return lost_; }
     /// As of some moment after the job was last read, nothing stood under c/job/ but what `shadow` says.
-    void prove(const std::string& ref, Revision legacy_revision);
+    void mark_verified_unfinished(const std::string& ref, Revision legacy_revision);
     /// Whether it may be over without our knowing.
-    bool unproven(const std::string& ref) const;
+    bool is_unverified(const std::string& ref) const;
     /// Jobs that others need and that are not proven to go on.
-    std::vector<std::string> needed_unproven() const;
+    std::vector<std::string> unverified_dependencies() const;
     /// Conditions on which a change of the job's record rests: it is as known, and the job is not over.
-    static std::vector<Condition> as_known(const std::string& ref, RecordLocation place,
-                                           Revision mod_revision, Revision legacy_revision);
+    static std::vector<Condition> unchanged_conditions(const std::string& ref, RecordLocation place,
+                                                       Revision mod_revision, Revision legacy_revision);
     /// Drops what is left over under c/active/ of a job that is over.
-    static Change dropped(const Condition& left);
+    static Change deletion_change(const Condition& left);
     /// Live jobs whose record is of old form.
-    std::size_t in_old_form() const;
+    std::size_t legacy_record_count() const;
     /// News of a further part; null: it is gone. True if the job is live and this is new.
-    bool take_part(const std::string& ref, std::size_t part, const Json* value, Revision mod_revision);
+    bool apply_part(const std::string& ref, std::size_t part, const Json* value, Revision mod_revision);
 
-    const std::map<std::string, LiveJob>& live() const { return live_; }
+    const std::map<std::string, LiveJob>& live_jobs() const { return live_; }
     const LiveJob* find(const std::string& ref) const;
     /// Takes in what was read of a job. What is known only grows: an answer that the news has overtaken
     /// brings nothing back, and what is not final is known by the news alone, since it was read as of that
     /// moment only.
     void remember(const std::string& ref, const JobView& view);
     /// The newest view of a job; null: nothing is known of it, or no more.
-    const JobView* known(const std::string& ref) const;
-    std::size_t views() const { return live_.size() + finished_.size(); }
+    const JobView* find_view(const std::string& ref) const;
+    std::size_t view_count() const { return live_.size() + finished_.size(); }
     /// No record as of before this revision will be heard of any more.
     void set_watermark(Revision watermark);
     /// Whether the job is over, by its own record or with one that it needs.
@@ -113,18 +113,18 @@
     DependencyGraph& dependency_graph() { return dependency_graph_; }
     const DependencyGraph& dependency_graph() const { return dependency_graph_; }
     /// What has become of a job that another one needs.
-    DependencyGraph::Known fate(const std::string& ref) const;
+    DependencyGraph::KnownOutcome outcome(const std::string& ref) const;
     /// Takes in how the job stands among those that need one another.
-    void settle(const std::string& ref);
+    void apply_dependency_status(const std::string& ref);
 
     /// Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs.
     bool within_guarantee(const std::string& ref, Micros now);
     /// What the guarantees are weighed by has changed.
-    void weigh_again() { guarantees_due_ = true; }
+    void invalidate_guarantees() { guarantees_due_ = true; }
 
     /// When a shard last ran tasks with an image, 0: not lately.
-    Micros image_seen(const std::string& image, const std::string& shard) const;
-    void forget_images(Micros before);
+    Micros image_last_used(const std::string& image, const std::string& shard) const;
+    void forget_images_before(Micros before);
 
   private:
     void weigh_guarantees();
--- a/src/cache/job_view.hpp
+++ b/src/cache/job_view.hpp
@@ -16,12 +16,12 @@
     Revision mod_revision = 0;
     std::int64_t ended_ms = 0;  // by the time of day, if its record tells
 
-    static JobView of(const Json& record, Revision mod_revision);
+    static JobView from_record(const Json& record, Revision mod_revision);
     /// What users are told of it once one before it is cancelled, whatever its record says.
     JobView as_cancelled() const;
-    bool final() const { return stage != Stage::Queued; }
+    bool is_final() const { return stage != Stage::Queued; }
     /// Whether another view of the same job takes its place: never an older one, and what is final stays so.
-    bool superseded_by(const JobView& other) const;
+    bool is_superseded_by(const JobView& other) const;
 };
 
 }  // namespace cottonway
--- a/src/cache/machine_type_catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -20,13 +20,13 @@
     return true;
 }
 
-bool MachineTypeCatalog::learn(const Json& answer) {
+bool MachineTypeCatalog::apply_cloud_response(const Json& answer) {
     if (!merge(answer)) return false;
     answer_ = answer;
     return true;
 }
 
-bool MachineTypeCatalog::take(const Json& stored, Revision mod_revision) {
+bool MachineTypeCatalog::apply_stored(const Json& stored, Revision mod_revision) {
     if (mod_revision <= stored_.second) return false;
     stored_ = {stored, mod_revision};
     return types_.empty() && merge(stored);
@@ -38,7 +38,7 @@
     return nullptr;
 }
 
-bool MachineTypeCatalog::outdated() const {
+bool MachineTypeCatalog::is_stored_outdated() const {
     auto fixed = [](const Json& answer) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
         if (auto types = wire::parse_types(answer))
--- a/src/cache/machine_type_catalog.hpp
+++ b/src/cache/machine_type_catalog.hpp
@@ -13,19 +13,19 @@
 class MachineTypeCatalog {
   public:
     /// An answer of the cloud. False if it tells nothing.
-    bool learn(const Json& answer);
+    bool apply_cloud_response(const Json& answer);
     /// News of the record that the leader keeps. True if something was learnt from it.
-    bool take(const Json& stored, Revision mod_revision);
+    bool apply_stored(const Json& stored, Revision mod_revision);
 
     const MachineType* find(const std::string& name) const;
     /// Addresses in it stay valid.
     const std::deque<MachineType>& types() const { return types_; }
     bool empty() const { return types_.empty(); }
     /// The cloud's last answer, null: none yet.
-    const Json& answer() const { return answer_; }
-    Revision stored_mark() const { return stored_.second; }
+    const Json& cloud_response() const { return answer_; }
+    Revision stored_revision() const { return stored_.second; }
     /// Whether the store's record differs from the cloud's answer in anything but prices and times.
-    bool outdated() const;
+    bool is_stored_outdated() const;
 
   private:
     bool merge(const Json& answer);
--- a/src/cache/membership.cpp
+++ b/src/cache/membership.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway {
 
-bool Membership::take_live(const std::string& node, bool alive, Micros now) {
+bool Membership::apply_liveness(const std::string& node, bool alive, Micros now) {
     if (alive) {
         if (alive_.insert(node).second) alive_since_[node] = now;
         silent_since_.erase(node);
@@ -17,18 +17,18 @@
     return true;
 }
 
-void Membership::missed(const std::string& node, Micros now) {
-    if (!alive(node)) silent_since_.try_emplace(node, now);
+void Membership::mark_absent(const std::string& node, Micros now) {
+    if (!is_alive(node)) silent_since_.try_emplace(node, now);
 }
 
 bool Membership::apply_shard(const std::string& name, const Json& value, Revision mod_revision) {
-    ShardRecord& d = shards_[name];
+    OwnershipRecord& d = shards_[name];
     if (mod_revision <= d.mod_revision) return false;
     d = {wire::text(value, "holder").value_or(""), mod_revision};
     return true;
 }
 
-bool Membership::take_leader(const Json& value, Revision mod_revision) {
+bool Membership::apply_leader(const Json& value, Revision mod_revision) {
     if (mod_revision <= leader_.mod_revision) return false;
     leader_ = {wire::text(value, "node").value_or(""), mod_revision};
     return true;
@@ -45,7 +45,7 @@
     return it->second;
 }
 
-const ShardRecord* Membership::shard(const std::string& name) const {
+const OwnershipRecord* Membership::shard(const std::string& name) const {
     auto it = shards_.find(name);
     return it == shards_.end() ? nullptr : &it->second;
 }
--- a/src/cache/plan_cache.hpp
+++ b/src/cache/plan_cache.hpp
@@ -14,7 +14,7 @@
         Json value;                 // null: there is no record
         Revision mod_revision = 0;  // of the record; of its removal where there is none
     };
-    void take(const std::string& shard, const Json* value, Revision mod_revision) {
+    void apply(const std::string& shard, const Json* value, Revision mod_revision) {
         if (auto it = stored_.find(shard); it != stored_.end() && mod_revision <= it->second.mod_revision)
             return;
         stored_[shard] = {value ? *value : Json(), mod_revision};
--- a/src/cache/policy_cache.hpp
+++ b/src/cache/policy_cache.hpp
@@ -16,14 +16,14 @@
 
     /// True if another policy is in force by this. A damaged record puts the default in force, the same on
     /// all nodes whatever stood there before.
-    bool take(const Json* value, Revision mod_revision);
+    bool apply(const Json* value, Revision mod_revision);
     const policy::Policy& in_force() const { return stored_ ? *stored_ : default_; }
     /// Of the record, 0: there is none. A damaged record may still tell one, and so may one of a newer
     /// version that this one can't read.
     std::uint64_t revision() const { return revision_; }
     /// 0: there is no record.
     Revision mod_revision() const { return mod_revision_; }
-    bool damaged() const { return mod_revision_ > 0 && !stored_; }
+    bool is_damaged() const { return mod_revision_ > 0 && !stored_; }
 
   private:
     policy::Policy default_;
--- a/src/cache/quota_cache.cpp
+++ b/src/cache/quota_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway {
 
-void QuotaCache::take(const std::string& shard, const Json* value, Revision mod_revision) {
+void QuotaCache::apply(const std::string& shard, const Json* value, Revision mod_revision) {
     Stored& s = stored_[shard];
     if (value && mod_revision > s.mod_revision) s = {parse_shares(*value), mod_revision};
 }
@@ -14,24 +14,24 @@
     return it == stored_.end() ? nullptr : &it->second;
 }
 
-Resources QuotaCache::shared_out(const std::string& team) const {
+Resources QuotaCache::total_allocated(const std::string& team) const {
     Resources sum;
     for (const auto& [name, s] : stored_)
-        if (auto part = s.shares.find(team); part != s.shares.end()) sum += part->second;
+        if (auto part = s.allocation.find(team); part != s.allocation.end()) sum += part->second;
     return sum;
 }
 
-Resources QuotaCache::part(const std::string& shard, const std::string& team) const {
+Resources QuotaCache::available_quota(const std::string& shard, const std::string& team) const {
     const auto limited =
         std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) { return t.name == team; });
     if (limited == teams_.end()) return {};
     Resources ours;
     if (const Stored* stored = find(shard)) {
-        if (auto held = stored->shares.find(team); held != stored->shares.end()) ours = held->second;
+        if (auto held = stored->allocation.find(team); held != stored->allocation.end()) ours = held->second;
         if (auto giving = giving_.find(shard); giving != giving_.end())
             if (auto g = giving->second.find(team); g != giving->second.end()) ours -= g->second;
     }
-    const Resources sum = shared_out(team);
+    const Resources sum = total_allocated(team);
     auto scale = [](Milli part_of, Milli limit, Milli total) {
         if (limit == kNoLimit) return kNoLimit;
         return total > limit ? static_cast<Milli>(static_cast<double>(part_of) * static_cast<double>(limit) /
@@ -42,14 +42,14 @@
             scale(ours.gpus, limited->limit.gpus, sum.gpus), 0};
 }
 
-void QuotaCache::giving(const std::string& from, const std::string& to, const std::string& team,
-                        const Resources& amount) {
+void QuotaCache::begin_transfer(const std::string& from, const std::string& to, const std::string& team,
+                                const Resources& amount) {
     busy_.insert(from);
     busy_.insert(to);
     giving_[from][team] = amount;
 }
 
-void QuotaCache::given(const std::string& from, const std::string& to) {
+void QuotaCache::end_transfer(const std::string& from, const std::string& to) {
     giving_.erase(from);
     busy_.erase(from);
     busy_.erase(to);
--- a/src/cache/quota_cache.hpp
+++ b/src/cache/quota_cache.hpp
@@ -14,26 +14,26 @@
 class QuotaCache {
   public:
     struct Stored {
-        QuotaAllocation shares;
+        QuotaAllocation allocation;
         Revision mod_revision = 0;
     };
     explicit QuotaCache(const std::vector<Team>& teams) : teams_(teams) {}
 
-    void take(const std::string& shard, const Json* value, Revision mod_revision);
+    void apply(const std::string& shard, const Json* value, Revision mod_revision);
     const std::map<std::string, Stored>& all() const { return stored_; }
     const Stored* find(const std::string& shard) const;
     /// What a shard may use of a team's limit: its stored part less what is being given away, and less in
     /// proportion where operators have lowered the limit since.
-    Resources part(const std::string& shard, const std::string& team) const;
+    Resources available_quota(const std::string& shard, const std::string& team) const;
     /// What all shards' parts of a team's limit add up to.
-    Resources shared_out(const std::string& team) const;
+    Resources total_allocated(const std::string& team) const;
 
     /// Part of a shard's share is on its way to another one: until the outcome is certain neither counts on
     /// it, and no other change of the two is begun.
-    void giving(const std::string& from, const std::string& to, const std::string& team,
-                const Resources& amount);
-    void given(const std::string& from, const std::string& to);
-    bool busy(const std::string& shard) const { return busy_.count(shard) > 0; }
+    void begin_transfer(const std::string& from, const std::string& to, const std::string& team,
+                        const Resources& amount);
+    void end_transfer(const std::string& from, const std::string& to);
+    bool is_transferring(const std::string& shard) const { return busy_.count(shard) > 0; }
 
   private:
     const std::vector<Team>& teams_;
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -18,7 +18,7 @@
 
 namespace cottonway {
 
-class StateCache : public ChangeFeed::Reader {
+class StateCache : public ChangeFeed::Subscriber {
   public:
     /// Told of changes, after they have been taken in.
     class Listener : public BlockCache::Listener {
@@ -34,52 +34,52 @@
         /// Another policy is in force.
         virtual void on_policy() = 0;
         /// Something that planning may rest on.
-        virtual void on_news() = 0;
+        virtual void on_scheduling_input_changed() = 0;
     };
     StateCache(Runtime& runtime, StoreClient& store, const Settings& settings, Listener& listener);
 
-    void take(const std::string& key, const Json* value, Revision mod_revision) override;
+    void apply(const std::string& key, const Json* value, Revision mod_revision) override;
     void on_resync_begin() override;
-    std::string go_on_after(const std::string& key) override;
+    std::string continuation_key(const std::string& key) override;
     void on_resync_end(const std::set<std::string>& seen, Revision store_revision) override;
     void on_watermark(Revision store_revision) override { jobs.set_watermark(store_revision); }
     /// Whether jobs that are not over stand under c/active/ only, so that nobody reads those under c/job/.
-    bool history_apart() const { return history_ == History::Apart; }
+    bool is_history_separated() const { return history_ == HistorySeparation::Complete; }
     /// Whether no record of old form can be added any more.
-    bool history_closed() const { return history_ != History::Open; }
-    Revision history_mark() const { return history_mark_; }
+    bool legacy_writes_closed() const { return history_ != HistorySeparation::NotStarted; }
+    Revision history_revision() const { return history_mark_; }
     /// A job whose only record stands under c/job/ although nobody reads there any more: it came late, from a
     /// process that has ended, and was accepted by nobody until it has been moved.
-    bool stray(const std::string& ref) const;
+    bool has_only_legacy_record(const std::string& ref) const;
     /// Passes on what has changed for jobs that need others, or are needed.
-    void settle();
+    void propagate_dependency_changes();
     /// Machine types, as the cloud has just told them.
-    void learn(const Json& answer);
+    void apply_machine_types(const Json& answer);
 
     /// Machines of a shard, and of all shards that a node holds.
-    std::size_t machines_in(const std::string& shard) const;
-    std::size_t machines_at(const std::string& node) const;
+    std::size_t machine_count_in_shard(const std::string& shard) const;
+    std::size_t machine_count_of_node(const std::string& node) const;
     /// Our turn among the nodes that are alive: who holds the fewest machines comes first.
     std::size_t rank_among_alive(const std::string& what) const;
-    Milli capacity_of(const std::string& shard) const { return blocks.capacity_of(shard, types); }
+    Milli capacity_of(const std::string& shard) const { return blocks.capacity_of(shard, machine_types); }
 
-    MachineTypeCatalog types;
+    MachineTypeCatalog machine_types;
     Membership membership;
     FormatCache formats;
     BlockCache blocks;
-    QuotaCache shares;
+    QuotaCache quotas;
     PlanCache plans;
     PolicyCache policies;
     JobCache jobs;
 
     /// How far the records of live jobs have been moved out of history: see keys::history.
-    enum class History { Open, Closed, Apart };
-    static Json history_value(History h) { return {{"apart", h == History::Apart}}; }
+    enum class HistorySeparation { NotStarted, LegacyWritesClosed, Complete };
+    static Json history_value(HistorySeparation h) { return {{"apart", h == HistorySeparation::Complete}}; }
 
   private:
     void take_history(const Json& value, Revision mod_revision);
 
-    History history_ = History::Open;
+    HistorySeparation history_ = HistorySeparation::NotStarted;
     Revision history_mark_ = 0;
     bool reading_ = false;  // everything, from the first record to the last
     Runtime& runtime_;
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -31,7 +31,7 @@
         compare.when.push_back({keys::job + ref, legacy_revision});
         store_.commit(std::move(compare), [this, ref, legacy_revision, drop, one](const CommitResult& r) {
             if (r.status == CommitStatus::Conflict) return read_final(ref, drop, one);
-            if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
+            if (r.status == CommitStatus::Ok) cache_.jobs.mark_verified_unfinished(ref, legacy_revision);
             one(r.status == CommitStatus::Ok);
         });
     }
@@ -42,11 +42,12 @@
         const LiveJob* job = cache_.jobs.find(ref);
         if (!r.ok || !job) return done(r.ok);
         if (r.found && !wire::find(r.value, "d")) {
-            if (drop && job->place == RecordLocation::Active)
+            if (drop && job->location == RecordLocation::Active)
                 stale_records_.push_back({keys::active + ref, job->mod_revision});
-            cache_.take(keys::job + ref, &r.value, r.mod_revision);
-        } else if (job->place == RecordLocation::Active) {
-            cache_.jobs.prove(ref, r.mod_revision);  // of old form, and late: it counts for nothing
+            cache_.apply(keys::job + ref, &r.value, r.mod_revision);
+        } else if (job->location == RecordLocation::Active) {
+            cache_.jobs.mark_verified_unfinished(
+                ref, r.mod_revision);  // of old form, and late: it counts for nothing
         }
         done(true);
     });
@@ -62,7 +63,7 @@
 
 /// Their records under c/active/ are gone, and what became of them was not in the news.
 void JobArchiver::look_for_lost() {
-    const std::set<std::string> lost = cache_.jobs.lost();
+    const std::set<std::string> lost = cache_.jobs.jobs_missing_record();
     for (const auto& ref : lost) read_outcome(ref, reading_lost_);
 }
 
@@ -79,13 +80,13 @@
     if (reading.size() >= kMaxReading || !reading.insert(ref).second) return false;
     store_.read(keys::job + ref, [this, ref, &reading](const ReadResult& r) {
         const bool final = r.ok && r.found && !wire::find(r.value, "d");
-        if (final) cache_.take(keys::job + ref, &r.value, r.mod_revision);
+        if (final) cache_.apply(keys::job + ref, &r.value, r.mod_revision);
         // One that goes on and is not known yet will be in the news.
         if (final || !r.ok || !cache_.jobs.find(ref))
             return runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
         // It may have been admitted while everything was read.
         store_.read(keys::active + ref, [this, ref, &reading](const ReadResult& a) {
-            if (a.ok && a.found) cache_.take(keys::active + ref, &a.value, a.mod_revision);
+            if (a.ok && a.found) cache_.apply(keys::active + ref, &a.value, a.mod_revision);
             runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
         });
     });
@@ -95,7 +96,7 @@
 /// The gates of others rest on these.
 void JobArchiver::prove_needed() {
     if (proving_) return;
-    const auto refs = cache_.jobs.needed_unproven();
+    const auto refs = cache_.jobs.unverified_dependencies();
     if (refs.empty()) return;
     proving_ = true;
     prove(refs, false, [this](bool) { proving_ = false; });
@@ -105,20 +106,20 @@
     while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
         const Condition left = stale_records_.back();
         stale_records_.pop_back();
-        store_.commit(JobCache::dropped(left), [](const CommitResult&) {});
+        store_.commit(JobCache::deletion_change(left), [](const CommitResult&) {});
     }
 }
 
 /// The leader closes history to records of old form first: nobody admits one any more, since that rests on
 /// this record not being there. A look after that which shows none left tells that there is none, for good.
 void JobArchiver::set_apart() {
-    if (writing_ || cache_.history_apart() || !election_.leading() ||
-        !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
+    if (writing_ || cache_.is_history_separated() || !election_.leading() ||
+        !cache_.formats.is_read_by_all(format::kSeparateActiveRecords) || !store_.room(Priority::Deferrable))
         return;
-    using State = StateCache::History;
-    const Revision mod_revision = cache_.history_mark();
-    State next = State::Closed;
-    if (cache_.history_closed()) {
+    using State = StateCache::HistorySeparation;
+    const Revision mod_revision = cache_.history_revision();
+    State next = State::LegacyWritesClosed;
+    if (cache_.legacy_writes_closed()) {
         if (closed_seen_ != mod_revision) {
             writing_ = true;
             return feed_.after_next_refresh([this, mod_revision](bool ok) {
@@ -126,8 +127,8 @@
                 if (ok) closed_seen_ = mod_revision;
             });
         }
-        if (cache_.jobs.in_old_form() > 0) return;
-        next = State::Apart;
+        if (cache_.jobs.legacy_record_count() > 0) return;
+        next = State::Complete;
     }
     writing_ = true;
     const Json value = StateCache::history_value(next);
@@ -137,9 +138,9 @@
     change.purpose = "history";
     store_.commit(std::move(change), [this, value, next](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
-            cache_.take(keys::history, &value, r.revision);
-            spdlog::info("history is {}", next == State::Apart ? "apart: a start reads live jobs only"
-                                                               : "closed to records of old form");
+            cache_.apply(keys::history, &value, r.revision);
+            spdlog::info("history is {}", next == State::Complete ? "apart: a start reads live jobs only"
+                                                                  : "closed to records of old form");
         }
         feed_.after_next_refresh([this](bool) { writing_ = false; });
     });
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -11,14 +11,14 @@
 
 void LeaderElection::rebalance_shards() {
     const Micros now = runtime_.now();
-    if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty() || taking_) return;
-    if (feed_.confirmed_ago() > 2 * kSecond) return;
-    const ShardRecord& leader = cache_.membership.leader();
+    if (!feed_.loaded() || !membership_lease_.announced() || cache_.machine_types.empty() || taking_) return;
+    if (feed_.confirmed_age() > 2 * kSecond) return;
+    const OwnershipRecord& leader = cache_.membership.leader();
     if (leader.mod_revision != 0 && leader.holder == settings_.node) {
         if (led_mark_ != leader.mod_revision) lead();
         return;
     }
-    if (leader.mod_revision != 0 && cache_.membership.alive(leader.holder)) {
+    if (leader.mod_revision != 0 && cache_.membership.is_alive(leader.holder)) {
         leaderless_since_ = 0;
         return;
     }
@@ -52,16 +52,16 @@
 }
 
 void LeaderElection::store_types() {
-    const MachineTypeCatalog& types = cache_.types;
-    if (!leading() || storing_types_ || types.answer().is_null() ||
+    const MachineTypeCatalog& types = cache_.machine_types;
+    if (!leading() || storing_types_ || types.cloud_response().is_null() ||
         runtime_.now() - types_stored_at_ < kStoreTypesEvery)
         return;
     types_stored_at_ = runtime_.now();
-    if (!types.outdated()) return;
+    if (!types.is_stored_outdated()) return;
     storing_types_ = true;
     Change change;
-    change.when = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
-    change.then.push_back({keys::types, types.answer()});
+    change.when = {{keys::leader, term()}, {keys::types, types.stored_revision()}};
+    change.then.push_back({keys::types, types.cloud_response()});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         // One that the store does not take is not tried again.
         if (r.status != CommitStatus::Rejected)
--- a/src/cluster/leader_election.hpp
+++ b/src/cluster/leader_election.hpp
@@ -27,7 +27,7 @@
     }
     /// Whether it may also deal with the cloud by what it knows. One that is cut off from the store does not
     /// hear that another leads, so it rents and deletes only within its authority.
-    bool term_is_valid() const { return leading() && has_valid_lease(feed_.confirmed_ago(), settings_); }
+    bool term_is_valid() const { return leading() && has_valid_lease(feed_.confirmed_age(), settings_); }
     Revision term() const { return cache_.membership.leader().mod_revision; }
     const std::string& leader() const { return cache_.membership.leader().holder; }
     /// Takes the lead anew: whatever of this term is still on its way to the store fails on the leader's
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -31,7 +31,7 @@
     store_.commit(std::move(change), [this](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
             announced_ = true;
-            cache_.membership.take_live(settings_.node, true, runtime_.now());
+            cache_.membership.apply_liveness(settings_.node, true, runtime_.now());
             return renew();
         }
         if (r.status == CommitStatus::Conflict) return announce();
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -86,7 +86,7 @@
 peer::State PeerDirectory::own_state() const {
     peer::State s;
     s.node = settings_.node;
-    s.confirmed_age = feed_.confirmed_ago();
+    s.confirmed_age = feed_.confirmed_age();
     if (election_.leading()) s.balance = autoscaler_.balance();
     for (const auto& [name, o] : assignment_.all())
         if (o && o->active()) s.shards.push_back(o->load());
@@ -99,7 +99,7 @@
     for (const auto& d : state.shards) sent_to_.erase(d.shard);
     peers_[*peer].told = PeerStatus{state, runtime_.now()};
     peers_[*peer].heard = runtime_.listened();
-    cache_.membership.heard(state.node);
+    cache_.membership.mark_heard_from(state.node);
 }
 
 void PeerDirectory::gossip() {
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -23,8 +23,8 @@
     if (!file_) return DependencyStatus::None;
     if (file_->revision != book.revision())
         return file_->revision > book.revision() ? DependencyStatus::Newer : DependencyStatus::Older;
-    return !book.damaged() && *file_ == book.in_force() ? DependencyStatus::Stored
-                                                        : DependencyStatus::Differs;
+    return !book.is_damaged() && *file_ == book.in_force() ? DependencyStatus::Stored
+                                                           : DependencyStatus::Differs;
 }
 
 void PolicyPublisher::tick() {
@@ -52,7 +52,8 @@
     const Micros now = runtime_.now();
     if (now < not_before_ || !store_.room(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
-    if (chunks::stored_size(value) > settings_.value_bytes && !cache_.formats.common(format::kPipelines)) {
+    if (chunks::stored_size(value) > settings_.value_bytes &&
+        !cache_.formats.is_read_by_all(format::kChunksAndDependencies)) {
         spdlog::info("policy: larger than a value, which not all controllers read yet: it waits");
         return later();
     }
@@ -66,7 +67,7 @@
             pause_ = 0;
             writing_ = false;
             spdlog::info("policy: revision {} of this node's file is stored", revision);
-            return cache_.take(keys::policy, &value, r.revision);
+            return cache_.apply(keys::policy, &value, r.revision);
         }
         // What stands there now, a write of ours without an answer included, is in the news.
         later();
@@ -93,7 +94,7 @@
     Json v{{"revision", book.in_force().revision},
            {"value", policy::describe(book.in_force())},
            {"stored", book.revision()},
-           {"damaged", book.damaged()}};
+           {"damaged", book.is_damaged()}};
     if (file_) {
         const DependencyStatus is = standing();
         v["file"] = {{"revision", file_->revision},
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -40,31 +40,32 @@
 void ShardAssignment::rebalance_shards() {
     const Micros now = context_.runtime().now();
     const std::string& self = context_.settings().node;
-    if (!feed_.loaded() || !membership_lease_.announced() || cache_.types.empty()) return;
-    if (feed_.confirmed_ago() > 2 * kSecond) return;  // what is known may be old
+    if (!feed_.loaded() || !membership_lease_.announced() || cache_.machine_types.empty()) return;
+    if (feed_.confirmed_age() > 2 * kSecond) return;  // what is known may be old
     if (!cache_.membership.shard(self) && !acquiring_.count(self)) return acquire(self, true);
     recovery::FailoverState s;
     s.self = self;
     s.now = now;
     // As long as any other end takes to be noticed.
     s.come_back = context_.settings().ops.live_ttl;
-    for (const auto& node : cache_.membership.alive()) s.alive[node] = cache_.machines_at(node);
+    for (const auto& node : cache_.membership.alive_nodes())
+        s.alive[node] = cache_.machine_count_of_node(node);
     s.alive.try_emplace(self, 0);
     std::vector<std::string> ours;
     for (const auto& [name, d] : cache_.membership.shards()) {
         if (find(name)) continue;
         if (acquiring_.count(name)) {
-            s.alive[self] += cache_.machines_in(name);
+            s.alive[self] += cache_.machine_count_in_shard(name);
         } else if (d.holder == self) {
             // A new process knows that its own former one is dead and takes its shards back at once.
             ours.push_back(name);
-        } else if (cache_.membership.alive(d.holder)) {
+        } else if (cache_.membership.is_alive(d.holder)) {
             ownerless_.erase(name);
         } else {
             const auto& o =
-                ownerless_.try_emplace(name, Orphaned{now, !cache_.membership.ever_heard(d.holder)})
+                ownerless_.try_emplace(name, Orphaned{now, !cache_.membership.has_been_heard_from(d.holder)})
                     .first->second;
-            s.orphans.push_back({name, cache_.machines_in(name), o.since, o.before_us});
+            s.orphans.push_back({name, cache_.machine_count_in_shard(name), o.since, o.before_us});
         }
     }
     for (const auto& name : recovery::shards_to_take(s)) {
@@ -77,7 +78,7 @@
 void ShardAssignment::acquire(const std::string& name, bool create) {
     acquiring_.insert(name);
     const std::string& self = context_.settings().node;
-    const ShardRecord before = create ? ShardRecord{} : cache_.membership.shards().at(name);
+    const OwnershipRecord before = create ? OwnershipRecord{} : cache_.membership.shards().at(name);
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::shard + name, before.mod_revision});
@@ -91,7 +92,7 @@
         acquiring_.erase(name);
         spdlog::info("domain {}: acquired from {}, token {}", name,
                      before.holder.empty() ? "nobody" : before.holder, r.revision);
-        if (const ShardRecord* d = cache_.membership.shard(name); d && d->mod_revision > r.revision)
+        if (const OwnershipRecord* d = cache_.membership.shard(name); d && d->mod_revision > r.revision)
             return;  // lost again
         cache_.membership.set_shard(name, {self, r.revision});
         // Whoever held it before may still answer workers that we can't reach. That the record names this
@@ -123,8 +124,8 @@
 /// on, it would run once more.
 void ShardAssignment::prove_jobs(const std::string& name, Revision mod_revision) {
     std::vector<std::string> refs;
-    for (const auto& [ref, job] : cache_.jobs.live())
-        if (job.shard == name && cache_.jobs.unproven(ref)) refs.push_back(ref);
+    for (const auto& [ref, job] : cache_.jobs.live_jobs())
+        if (job.shard == name && cache_.jobs.is_unverified(ref)) refs.push_back(ref);
     if (refs.empty()) return begin(name, mod_revision);
     history_.prove(refs, true, [this, name, mod_revision](bool known) {
         const ShardOwner* o = find(name);
@@ -138,9 +139,9 @@
 void ShardAssignment::begin(const std::string& name, Revision mod_revision) {
     ShardOwner* o = find(name);
     if (!o || o->mod_revision() != mod_revision) return;
-    for (const auto& [ref, job] : cache_.jobs.live()) {
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         if (job.shard != name) continue;
-        o->on_job(ref, job.place, job.record, job.mod_revision);
+        o->on_job(ref, job.location, job.record, job.mod_revision);
         o->on_legacy_revision(ref, job.legacy_revision);
         for (const auto& [part, value] : job.parts) o->on_part(ref, part, value.first, value.second);
     }
@@ -151,7 +152,7 @@
 void ShardAssignment::on_shard(const std::string& name) {
     ownerless_.erase(name);
     const ShardOwner* o = find(name);
-    const ShardRecord& held = cache_.membership.shards().at(name);
+    const OwnershipRecord& held = cache_.membership.shards().at(name);
     if (!o || held.mod_revision <= o->mod_revision()) return;
     spdlog::info("domain {} is held by {} now", name, held.holder);
     release_shard(name);
@@ -164,14 +165,14 @@
     retired_.push_back(std::move(it->second));
     owners_.erase(it);
     context_.store().read(keys::shard + shard, [this, shard](const ReadResult& r) {
-        if (r.ok && r.found) cache_.take(keys::shard + shard, &r.value, r.mod_revision);
+        if (r.ok && r.found) cache_.apply(keys::shard + shard, &r.value, r.mod_revision);
     });
     context_.wake();
 }
 
 void ShardAssignment::transfer_shards() {
     const Micros now = context_.runtime().now();
-    if (now - handed_over_at_ < kHandOverEvery || feed_.confirmed_ago() > kSecond ||
+    if (now - handed_over_at_ < kHandOverEvery || feed_.confirmed_age() > kSecond ||
         !machine_allocator_.spread_out())
         return;
     const std::string& self = context_.settings().node;
@@ -183,8 +184,8 @@
     }
     if (held.size() < 2) return;
     std::vector<recovery::Receiver> receivers;
-    for (const auto& node : cache_.membership.alive())
-        if (node != self && cache_.machines_at(node) == 0)
+    for (const auto& node : cache_.membership.alive_nodes())
+        if (node != self && cache_.machine_count_of_node(node) == 0)
             receivers.push_back({node, now - cache_.membership.alive_since(node)});
     auto moves = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
     if (moves.empty()) return;
@@ -201,7 +202,7 @@
     }
     context_.store().commit(std::move(change), [this, writes](const CommitResult& r) {
         if (r.status != CommitStatus::Ok) return;
-        for (const auto& [key, record] : writes) cache_.take(key, &record, r.revision);
+        for (const auto& [key, record] : writes) cache_.apply(key, &record, r.revision);
     });
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -82,10 +82,10 @@
     election_.store_types();
     announce_format();
     policies_.tick();
-    cache_.jobs.dependency_graph().weigh();
-    cache_.settle();
+    cache_.jobs.dependency_graph().propagate_priorities();
+    cache_.propagate_dependency_changes();
     history_.tick();
-    job_service_.read_unknown();
+    job_service_.read_unknown_dependencies();
     sweep_pieces();
     machine_allocator_.split_blocks();
     machine_allocator_.flush_edits();
@@ -98,12 +98,12 @@
     const Micros now = runtime_.now();
     if (now - summed_up_ <= kSumUp) return;
     summed_up_ = now;
-    cache_.jobs.forget_images(now - 20 * kSumUp);
+    cache_.jobs.forget_images_before(now - 20 * kSumUp);
     std::string line;
     for (const auto& [purpose, n] : store_.sent()) line += " " + purpose + " " + std::to_string(n);
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
-                 feed_.confirmed_ago() / kMillisecond, feed_.store_revision(), election_.leader(),
+                 feed_.confirmed_age() / kMillisecond, feed_.store_revision(), election_.leader(),
                  election_.term(), decisions_.line());
 }
 
@@ -121,8 +121,8 @@
     call.method = "GET";
     call.path = "/machine_types";
     runtime_.call(std::move(call), [this](const Reply& r) {
-        if (r.status == 200) cache_.learn(r.body);
-        if (!cache_.types.answer().is_null()) return;
+        if (r.status == 200) cache_.apply_machine_types(r.body);
+        if (!cache_.machine_types.cloud_response().is_null()) return;
         runtime_.after(kSecond + static_cast<Micros>(runtime_.random()() % 500) * kMillisecond,
                        [this] { fetch_types(); });
     });
@@ -133,11 +133,11 @@
 std::optional<Micros> Controller::peer_ended(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
-    return *silent + authority(settings_) + authority(settings_) / 1000 + feed_.confirmed_ago();
+    return *silent + authority(settings_) + authority(settings_) / 1000 + feed_.confirmed_age();
 }
 
 bool Controller::has_valid_lease() const {
-    return cottonway::has_valid_lease(feed_.confirmed_ago(), settings_);
+    return cottonway::has_valid_lease(feed_.confirmed_age(), settings_);
 }
 
 // ---------------------------------------------------------------- news
@@ -170,7 +170,7 @@
 }
 
 void Controller::on_machine_left(const std::string& machine) {
-    heartbeat_router_.forget(machine);
+    heartbeat_router_.forget_machine(machine);
     machine_allocator_.left(machine);
     for (const auto& [shard, owner] : assignment_.all())
         if (owner) owner->on_machine_gone(machine, "it is deleted, or given away empty");
@@ -178,8 +178,8 @@
 
 void Controller::on_format() {
     spdlog::info("all {} controllers read format {}: it is written from now on", settings_.peers.size() + 1,
-                 cache_.formats.common());
-    if (cache_.formats.common(format::kPipelines)) store_.use_pieces();
+                 cache_.formats.common_format());
+    if (cache_.formats.is_read_by_all(format::kChunksAndDependencies)) store_.use_pieces();
 }
 
 void Controller::on_policy() {
@@ -191,9 +191,9 @@
 
 Micros Controller::steady_for() const {
     const Membership& membership = cache_.membership;
-    if (feed_.confirmed_ago() > 2 * kSecond) return 0;
+    if (feed_.confirmed_age() > 2 * kSecond) return 0;
     for (const auto& [name, shard] : membership.shards())
-        if (!membership.alive(shard.holder)) return 0;
+        if (!membership.is_alive(shard.holder)) return 0;
     Micros since = 0;
     for (const auto& peer : settings_.peers)
         since = std::max(
@@ -203,9 +203,10 @@
 
 /// Once, for all processes of this node that are still to come.
 void Controller::announce_format() {
-    const std::uint64_t reads = settings_.ops.history_apart ? format::kHistory : format::kPipelines;
+    const std::uint64_t reads =
+        settings_.ops.history_apart ? format::kSeparateActiveRecords : format::kChunksAndDependencies;
     if (!settings_.announces_format || !feed_.loaded() || announcing_ ||
-        cache_.formats.read_by(settings_.node) >= reads)
+        cache_.formats.format_read_by(settings_.node) >= reads)
         return;
     announcing_ = true;
     const std::string key = keys::format + settings_.node;
@@ -214,7 +215,7 @@
     change.then.push_back({key, value});
     change.purpose = "format";
     store_.commit(std::move(change), [this, key, value](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) cache_.take(key, &value, r.revision);
+        if (r.status == CommitStatus::Ok) cache_.apply(key, &value, r.revision);
         runtime_.after(kSecond, [this] { announcing_ = false; });
     });
 }
@@ -254,11 +255,11 @@
 
 // ---------------------------------------------------------------- requests
 
-void Controller::handle(ApiRequest request, ApiResponder respond) {
+void Controller::handle_request(ApiRequest request, ApiResponder respond) {
     if (request.too_large) return respond({413, Json::object()});
     // What nobody waits for any more costs no more than this, so that a process that stood still does not
     // fall behind a second time.
-    if (request.waited >= (request.method == "GET" ? kPollPatience : kPatience))
+    if (request.queue_time >= (request.method == "GET" ? kPollPatience : kPatience))
         return respond(unavailable());
     const std::string path = request.path.substr(0, request.path.find('?'));
     const bool get = request.method == "GET", post = request.method == "POST";
@@ -266,11 +267,11 @@
     auto body = [&]() { return wire::decode(request.body); };
     if (path == "/healthz") {
         if (!get) return wrong_method();
-        return respond({job_service_.healthy() ? 200 : 503, Json::object()});
+        return respond({job_service_.is_healthy() ? 200 : 503, Json::object()});
     }
     if (path == "/v1/report") {
         if (!post) return wrong_method();
-        return heartbeat_router_.report(request.body, std::move(respond));
+        return heartbeat_router_.handle_report(request.body, std::move(respond));
     }
     static const std::string jobs = "/v1/jobs";
     if (path == jobs) {
@@ -296,7 +297,7 @@
     respond({404, Json::object()});
 }
 
-void Controller::handle_peer(const std::string& bytes, std::function<void(std::string)> respond) {
+void Controller::handle_peer_message(const std::string& bytes, std::function<void(std::string)> respond) {
     const auto kind = peer::kind_of(bytes);
     auto nothing = [&] {
         spdlog::error("a message of a peer is not in the protocol, {} bytes", bytes.size());
@@ -314,7 +315,7 @@
         case peer::Kind::Relinquish: {
             auto m = peer::unpack<peer::Relinquish>(bytes);
             if (!m) return nothing();
-            return respond(peer::pack(heartbeat_router_.promise(*m)));
+            return respond(peer::pack(heartbeat_router_.relinquish_leases(*m)));
         }
         case peer::Kind::CapacityRequest: {
             auto m = peer::unpack<peer::CapacityRequest>(bytes);
@@ -328,7 +329,7 @@
         }
         case peer::Kind::Relay: {
             auto m = peer::unpack<peer::Relay>(bytes);
-            auto answer = m ? heartbeat_router_.relayed(*m) : std::nullopt;
+            auto answer = m ? heartbeat_router_.handle_relayed_report(*m) : std::nullopt;
             if (!answer) return nothing();
             return respond(peer::pack(*answer));
         }
@@ -341,7 +342,7 @@
 
 Json Controller::explain(const std::string& ref) const {
     const LiveJob* live = cache_.jobs.find(ref);
-    const JobView* view = cache_.jobs.known(ref);
+    const JobView* view = cache_.jobs.find_view(ref);
     if (!live && !view) return {};
     Json v{{"ref", ref}, {"policy", policy().revision}};
     if (!live) {
@@ -350,7 +351,7 @@
                                                       : "it is over, or about to be heard of again"};
         return v;
     }
-    const ShardRecord* shard = cache_.membership.shard(live->shard);
+    const OwnershipRecord* shard = cache_.membership.shard(live->shard);
     v["domain"] = live->shard;
     v["holder"] = shard ? shard->holder : "";
     const ShardOwner* owner = assignment_.find(live->shard);
@@ -367,7 +368,8 @@
         return v;
     }
     v.update(known);
-    if (!live->open) v["waits_for"] = cache_.jobs.dependency_graph().waits_for(ref);
+    if (!live->dependencies_done)
+        v["waits_for"] = cache_.jobs.dependency_graph().unfinished_dependencies(ref);
     return v;
 }
 
@@ -376,27 +378,29 @@
     Json v{{"node", settings_.node},
            {"version", COTTONWAY_VERSION},
            {"ledger", feed_.store_revision()},
-           {"alive", membership.alive()},
-           {"jobs_known", cache_.jobs.views()},
-           {"jobs_live", cache_.jobs.live().size()},
+           {"alive", membership.alive_nodes()},
+           {"jobs_known", cache_.jobs.view_count()},
+           {"jobs_live", cache_.jobs.live_jobs().size()},
            {"leader", membership.leader().holder},
-           {"confirmed_ms_ago", feed_.confirmed_ago() / kMillisecond}};
+           {"confirmed_ms_ago", feed_.confirmed_age() / kMillisecond}};
     v["domains"] = Json::array();
     for (const auto& [name, d] : membership.shards()) {
-        const auto* stored = cache_.shares.find(name);
+        const auto* stored = cache_.quotas.find(name);
         v["domains"].push_back({{"name", name},
                                 {"holder", d.holder},
                                 {"mark", d.mod_revision},
                                 {"cores", cache_.capacity_of(name) / 1000},
-                                {"share", stored ? shares_value(stored->shares) : Json::object()}});
+                                {"share", stored ? shares_value(stored->allocation) : Json::object()}});
     }
     v["held"] = Json::array();
     for (const auto& [name, o] : assignment_.all())
         if (o) v["held"].push_back(o->status());
     const DependencyGraph& dependency_graph = cache_.jobs.dependency_graph();
     v["waiting"] = Json::object();
-    for (const auto& ref : dependency_graph.waiting()) v["waiting"][ref] = dependency_graph.waits_for(ref);
-    v["format"] = {{"all_new", cache_.formats.common(format::kPipelines)}, {"reads", cache_.formats.all()}};
+    for (const auto& ref : dependency_graph.waiting_jobs())
+        v["waiting"][ref] = dependency_graph.unfinished_dependencies(ref);
+    v["format"] = {{"all_new", cache_.formats.is_read_by_all(format::kChunksAndDependencies)},
+                   {"reads", cache_.formats.all()}};
     v["policy"] = policies_.status();
     v["fleet"] = autoscaler_.status();
     v["changes_sent"] = store_.sent();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -24,9 +24,9 @@
 
     void start();
     /// Requests of users, workers and the load balancer.
-    void handle(ApiRequest request, ApiResponder respond);
+    void handle_request(ApiRequest request, ApiResponder respond);
     /// A packed message of another controller; answered with "" if there is nothing to say.
-    void handle_peer(const std::string& bytes, std::function<void(std::string)> respond);
+    void handle_peer_message(const std::string& bytes, std::function<void(std::string)> respond);
     Json status();
     /// Why a job waits, or who would know; null if it is not known to be there.
     Json explain(const std::string& ref) const;
@@ -35,7 +35,7 @@
 
     const StateCache& cache() const { return cache_; }
     /// Whether this process leads, as far as it knows.
-    bool leads() const { return election_.leading(); }
+    bool is_leader() const { return election_.leading(); }
     const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return assignment_.all(); }
     ShardOwner* owner(const std::string& shard) const { return assignment_.find(shard); }
 
@@ -44,11 +44,13 @@
     StoreClient& store() override { return store_; }
     const Settings& settings() override { return settings_; }
     const policy::Policy& policy() const override { return cache_.policies.in_force(); }
-    const MachineType* machine_type(const std::string& name) override { return cache_.types.find(name); }
+    const MachineType* machine_type(const std::string& name) override {
+        return cache_.machine_types.find(name);
+    }
     void on_ownership_lost(const std::string& shard) override { assignment_.release_shard(shard); }
     void wake() override;
     Resources share(const std::string& shard, const std::string& team) const override {
-        return cache_.shares.part(shard, team);
+        return cache_.quotas.available_quota(shard, team);
     }
     bool within_guarantee(const std::string& ref) override {
         return cache_.jobs.within_guarantee(ref, runtime_.now());
@@ -56,9 +58,9 @@
     DependencyStatus dependency_status(const std::string& ref) const override {
         return cache_.jobs.dependency_graph().dependency_status(ref);
     }
-    bool all_read(std::uint64_t format) const override { return cache_.formats.common(format); }
+    bool all_read(std::uint64_t format) const override { return cache_.formats.is_read_by_all(format); }
     void settled(const std::string& ref, const Json& value, Revision mod_revision) override {
-        cache_.take(keys::job + ref, &value, mod_revision);
+        cache_.apply(keys::job + ref, &value, mod_revision);
     }
     std::optional<Micros> peer_ended(std::size_t peer) const override;
     const LiveJob* stored_job(const std::string& ref) const override { return cache_.jobs.find(ref); }
@@ -88,7 +90,7 @@
     void on_shard(const std::string& name) override { assignment_.on_shard(name); }
     void on_format() override;
     void on_policy() override;
-    void on_news() override { wake(); }
+    void on_scheduling_input_changed() override { wake(); }
 
   private:
     void tick();
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -166,9 +166,9 @@
         ApiRequest api{std::move(request.method), std::move(request.path), std::move(request.body),
                        request.too_large, host.waited()};
         host.enqueue([&, start, name, api = std::move(api), respond = std::move(respond)]() mutable {
-            controller.handle(std::move(api), [&host, start, name, respond](ApiResponse r) {
+            controller.handle_request(std::move(api), [&host, start, name, respond](ApiResponse r) {
                 host.metrics().add(name, host.now() - start, r.status);
-                respond({r.status, wire::encode(r.body), "application/msgpack", r.retry_after});
+                respond({r.status, wire::encode(r.body), "application/msgpack", r.retry_after_s});
             });
         });
     });
@@ -180,7 +180,7 @@
             if (request.method != "POST") return respond({405, "", "text/plain", 0});
             if (request.too_large) return respond({413, "", "text/plain", 0});
             return host.enqueue([&, body = std::move(request.body), respond = std::move(respond)] {
-                controller.handle_peer(body, [respond](std::string answer) {
+                controller.handle_peer_message(body, [respond](std::string answer) {
                     const int status = answer.empty() ? 400 : 200;
                     respond({status, std::move(answer), "application/octet-stream", 0});
                 });
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -37,8 +37,9 @@
 }
 
 /// The job's record is as we know it, and it is not over.
-std::vector<Condition> ShardOwner::as_known(const Job& job) const {
-    return JobCache::as_known(job.spec.ref, job.place, job.parts[0].mod_revision, job.legacy_revision);
+std::vector<Condition> ShardOwner::unchanged_conditions(const Job& job) const {
+    return JobCache::unchanged_conditions(job.spec.ref, job.place, job.parts[0].mod_revision,
+                                          job.legacy_revision);
 }
 
 void ShardOwner::on_legacy_revision(const std::string& ref, Revision legacy_revision) {
@@ -133,7 +134,7 @@
     divide(*job,
            part_tasks_for(context_.settings().value_bytes, chunks::stored_size(part_value(*job, 0, false))));
     job->spec.needs = std::move(needs);
-    if (context_.all_read(format::kHistory)) job->place = RecordLocation::Active;
+    if (context_.all_read(format::kSeparateActiveRecords)) job->place = RecordLocation::Active;
     job->admitting = std::move(done);
     touch(*job, 0);
     shard_state_.jobs.emplace(ref, std::move(job));
@@ -153,14 +154,16 @@
 }
 
 void ShardOwner::apply_dependency_status(Job& job, const DependencyStatus& dependency_status) {
-    job.needed = dependency_status.needed;
+    job.needed = dependency_status.has_dependents;
     job.cancelled_by_dependency = dependency_status.cancelled_by_dependency;
-    job.due_ms = dependency_status.due_ms;
+    job.due_ms = dependency_status.inherited_deadline_ms;
     if (job.spec.deadline)
         job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
-    set_rank(job, std::min(job.spec.rank, dependency_status.rank));
-    if (dependency_status.since_ms > 0) job.since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
-    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.open) open_gate(job);
+    set_rank(job, std::min(job.spec.rank, dependency_status.inherited_priority));
+    if (dependency_status.dependencies_done_ms > 0)
+        job.since_ms = std::max(job.submitted_ms, dependency_status.dependencies_done_ms);
+    if (dependency_status.dependencies_done && !dependency_status.cancelled_by_dependency && !job.open)
+        open_gate(job);
 }
 
 /// All that it needs are done, which is final: from here on it is a job like any other, and its record tells
@@ -201,7 +204,7 @@
 void ShardOwner::take_heard(const std::string& ref) {
     const LiveJob* heard = context_.stored_job(ref);
     if (!heard || heard->shard != shard_) return;
-    on_job(ref, heard->place, heard->record, heard->mod_revision);
+    on_job(ref, heard->location, heard->record, heard->mod_revision);
     on_legacy_revision(ref, heard->legacy_revision);
     for (const auto& [part, value] : heard->parts) on_part(ref, part, value.first, value.second);
 }
@@ -297,7 +300,7 @@
         if (final_record) {
             v["fd"] = job.done;
             // Jobs that need it count from then.
-            if (job.stage != Stage::Cancelled && context_.all_read(format::kPipelines))
+            if (job.stage != Stage::Cancelled && context_.all_read(format::kChunksAndDependencies))
                 v["end"] = context_.runtime().wall_ms();
             return v;
         }
@@ -447,7 +450,7 @@
     change.priority = priority;
     // Write ahead: on the records as we know them, so that no ousted holder binds and no cancelled job is
     // bound.
-    change.when = as_known(job);
+    change.when = unchanged_conditions(job);
     change.when.push_back({keys::shard + shard_, mod_revision_});
     if (index > 0) change.when.push_back({key_of(job, index), part.mod_revision});
     // Nothing of old form may be added once that is closed, nor beside a record of the new form.
@@ -466,7 +469,7 @@
     }
     // What is of old form moves where history is out of the way, when changes are plenty.
     const bool moves = index == 0 && !final_record && !job.admitting && job.place == RecordLocation::Job &&
-                       context_.all_read(format::kHistory) && context_.store().quiet();
+                       context_.all_read(format::kSeparateActiveRecords) && context_.store().quiet();
     const RecordLocation place = moves ? RecordLocation::Active : job.place;
     if (moves) {
         change.when.push_back({keys::active + ref, 0});
@@ -587,7 +590,7 @@
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
             if (!*alive) return;
             const bool final = job.found && !wire::find(job.value, "d");
-            if (!job.ok || final || !context_.all_read(format::kHistory))
+            if (!job.ok || final || !context_.all_read(format::kSeparateActiveRecords))
                 return done(job, RecordLocation::Job, 0);
             context_.store().read(keys::active + ref, [job, done](const ReadResult& active) {
                 if (!active.ok || active.found) return done(active, RecordLocation::Active, job.mod_revision);
@@ -639,7 +642,8 @@
 /// One after another, in quiet moments: each is written anew where it belongs now.
 void ShardOwner::move_out_of_history() {
     const Micros now = context_.runtime().now();
-    if (!context_.all_read(format::kHistory) || now - moved_at_ < kMoveEvery || !context_.store().quiet())
+    if (!context_.all_read(format::kSeparateActiveRecords) || now - moved_at_ < kMoveEvery ||
+        !context_.store().quiet())
         return;
     moved_at_ = now;
     for (auto& [ref, job] : shard_state_.jobs) {
@@ -662,11 +666,12 @@
         dropped_at_ = now;
         const Condition left = stale_records_.back();
         stale_records_.pop_back();
-        context_.store().commit(JobCache::dropped(left), [this, alive = alive_, left](const CommitResult& r) {
-            // Refused or unanswered: once more. On its mark it is done once, or there is nothing to do.
-            if (*alive && r.status != CommitStatus::Ok && r.status != CommitStatus::Conflict)
-                stale_records_.push_back(left);
-        });
+        context_.store().commit(
+            JobCache::deletion_change(left), [this, alive = alive_, left](const CommitResult& r) {
+                // Refused or unanswered: once more. On its mark it is done once, or there is nothing to do.
+                if (*alive && r.status != CommitStatus::Ok && r.status != CommitStatus::Conflict)
+                    stale_records_.push_back(left);
+            });
     }
 }
 
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -178,7 +178,7 @@
         room.idle_ordinary -= need - from_spot;
         if (!context_.store().room(Priority::Normal)) return;
         Change change;
-        change.when = as_known(job);
+        change.when = unchanged_conditions(job);
         change.when.push_back({keys::shard + shard_, mod_revision_});
         Json value = part_value(job, 0, false);
         value["dom"] = to;
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -230,7 +230,7 @@
     void drain_noticed(Machine& m);
 
     void touch(Job& job, std::size_t part);
-    std::vector<Condition> as_known(const Job& job) const;
+    std::vector<Condition> unchanged_conditions(const Job& job) const;
     std::string key_of(const Job& job, std::size_t part) const;
     void drop_stale_records();
     void move_out_of_history();
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -159,7 +159,7 @@
             const int peer = std::stoi(to.substr(5));
             return w.hand(peer, [&w, peer, bytes = call.bytes, back] {
                 if (!w.node(peer)) return;
-                w.node(peer)->handle_peer(bytes, [back](std::string answer) {
+                w.node(peer)->handle_peer_message(bytes, [back](std::string answer) {
                     const int status = answer.empty() ? 400 : 200;
                     back(Reply{status, {}, std::move(answer)});
                 });
@@ -294,7 +294,8 @@
             at(now_ + delay(), [this, i, body] {
                 hand(i, [this, i, body] {
                     if (node_count() > i && this->node(i))
-                        this->node(i)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
+                        this->node(i)->handle_request({"POST", "/v1/report", body, false},
+                                                      [](const auto&) {});
                 });
             });
 }
@@ -491,7 +492,7 @@
 
 int Simulator::leader() const {
     for (int i = 0; i < node_count(); ++i)
-        if (const auto& c = nodes_[static_cast<std::size_t>(i)].controller; c && c->leads()) return i;
+        if (const auto& c = nodes_[static_cast<std::size_t>(i)].controller; c && c->is_leader()) return i;
     return -1;
 }
 
@@ -587,7 +588,7 @@
 void Simulator::answered(int node, const ApiResponse& response) const {
     if (on_traffic)
         on_traffic("loom-" + std::to_string(node),
-                   std::to_string(response.status) + " " + std::to_string(response.retry_after),
+                   std::to_string(response.status) + " " + std::to_string(response.retry_after_s),
                    wire::encode(response.body));
 }
 
@@ -640,7 +641,8 @@
     };
     auto again = [this, target, body] {
         hand(target, [this, target, body] {
-            if (node(target)) node(target)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
+            if (node(target))
+                node(target)->handle_request({"POST", "/v1/report", body, false}, [](const auto&) {});
         });
     };
     if (keep_reports_.erase(name) || drawn(reports_for_next)) kept_reports_.push_back(body);
@@ -661,23 +663,24 @@
         hand(target, [=, this] {
             Node& n = nodes_[static_cast<std::size_t>(target)];
             if (!n.controller) return;
-            n.controller->handle({"POST", "/v1/report", body, false}, [=, this](const ApiResponse& a) {
-                answered(target, a);
-                send(host, name, [=, this] {
-                    auto& x = workers_[name];
-                    if (!x.worker || x.hung || x.generation != generation || !x.in_flight) return;
-                    if (a.status == 200) {
-                        x.in_flight = false;
-                        x.worker->answered(a.body, session, sent, now_);
-                    } else if (a.status == 421 && wire::text(a.body, "overseer")) {
-                        const std::string to = *wire::text(a.body, "overseer");
-                        release_shard(std::atoi(to.c_str() + 5),
-                                      static_cast<Micros>(random() % 500) * kMillisecond);
-                    } else {
-                        release_shard(next, kSecond);
-                    }
+            n.controller->handle_request(
+                {"POST", "/v1/report", body, false}, [=, this](const ApiResponse& a) {
+                    answered(target, a);
+                    send(host, name, [=, this] {
+                        auto& x = workers_[name];
+                        if (!x.worker || x.hung || x.generation != generation || !x.in_flight) return;
+                        if (a.status == 200) {
+                            x.in_flight = false;
+                            x.worker->answered(a.body, session, sent, now_);
+                        } else if (a.status == 421 && wire::text(a.body, "overseer")) {
+                            const std::string to = *wire::text(a.body, "overseer");
+                            release_shard(std::atoi(to.c_str() + 5),
+                                          static_cast<Micros>(random() % 500) * kMillisecond);
+                        } else {
+                            release_shard(next, kSecond);
+                        }
+                    });
                 });
-            });
         });
     });
 }
@@ -751,12 +754,13 @@
     at(now_ + delay(), [this, target, method, path, bytes, finish] {
         hand(target, [this, target, method, path, bytes, finish] {
             if (!node(target)) return;
-            node(target)->handle({method, path, bytes, false}, [this, target, finish](const ApiResponse& r) {
-                answered(target, r);
-                at(now_ + delay(), [this, target, finish, r] {
-                    if (node(target)) finish(r);
-                });
-            });
+            node(target)->handle_request({method, path, bytes, false},
+                                         [this, target, finish](const ApiResponse& r) {
+                                             answered(target, r);
+                                             at(now_ + delay(), [this, target, finish, r] {
+                                                 if (node(target)) finish(r);
+                                             });
+                                         });
         });
     });
 }
@@ -1011,7 +1015,7 @@
 ApiResponse Simulator::ask_raw(int i, const std::string& method, const std::string& path,
                                const std::string& body) {
     auto result = std::make_shared<std::optional<ApiResponse>>();
-    node(i)->handle({method, path, body, false}, [result](const ApiResponse& r) {
+    node(i)->handle_request({method, path, body, false}, [result](const ApiResponse& r) {
         if (!*result) *result = r;
     });
     for (int n = 0; n < 500 && !*result; ++n) run(10 * kMillisecond);
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -423,9 +423,9 @@
         const Json first{{"then", Json::array({{{"write", "c/active/x"}, {"data", 1}}})}};
         const auto mod_revision = wire::count(host.state.handle("POST", "/commit", first, 0).body, "ledger");
         ASSERT_TRUE(mod_revision);
-        const std::vector<Condition> as_known{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
+        const std::vector<Condition> unchanged_conditions{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
         std::vector<Change> changes(3);
-        changes[0].when = changes[1].when = as_known;
+        changes[0].when = changes[1].when = unchanged_conditions;
         changes[swapped].then.push_back({"c/active/x", {{"s", "cancelled"}}});
         changes[!swapped].then.push_back({"c/job/x", {{"s", "done"}}});
         changes[2].then.push_back({"c/other", 1});
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -78,10 +78,10 @@
 TEST(Demand, OfBestEffortWorkIsNothingForATeamWithoutAGuarantee) {
     LiveJob job = live_job("guests", {4 * kCore, 0, 0}, 100, true);
     for (const PriorityClass rank : {PriorityClass::Production, PriorityClass::High, PriorityClass::Normal}) {
-        job.rank = rank;
+        job.priority = rank;
         EXPECT_GT(demand_of({unlimited("guests")}, {job}).flexible, 0);
     }
-    job.rank = PriorityClass::Low;
+    job.priority = PriorityClass::Low;
     EXPECT_EQ(demand_of({unlimited("guests")}, {job}).flexible, 0);
     EXPECT_EQ(demand_of({unlimited("guests")}, {job}).unlimited_flexible, 0);
     const Team guaranteed{"guests", {4 * kCore, 0, 0}, {kNoLimit, kNoLimit, 0}};
@@ -103,9 +103,9 @@
     LiveJob cancelled = live_job("captions", {kCore, 0, 0}, 1), waits = cancelled, too_large = cancelled,
             elsewhere = cancelled;
     cancelled.cancelled = true;
-    waits.open = false;
+    waits.dependencies_done = false;
     too_large.request.cores = 17 * kCore;
-    elsewhere.types = {"other"};
+    elsewhere.allowed_types = {"other"};
     EXPECT_EQ(demand_of({unlimited("captions")}, {cancelled, waits, too_large, elsewhere}).ordinary, 0);
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -120,7 +120,7 @@
     w->run(10 * kSecond);
     // The records follow, and it stays so after a restart of all.
     for (const char* ref : {"req-000002", "req-000003", "req-000004"})
-        EXPECT_FALSE(w->node(0)->cache().jobs.live().count(ref)) << ref;
+        EXPECT_FALSE(w->node(0)->cache().jobs.live_jobs().count(ref)) << ref;
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(6 * kSecond);
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
@@ -157,7 +157,7 @@
     w->run(300 * kMillisecond);
     EXPECT_EQ(stage(other), "cancelled");
     w->run(12 * kSecond);
-    EXPECT_FALSE(w->node(other)->cache().jobs.live().count("req-000002")) << "its record has followed";
+    EXPECT_FALSE(w->node(other)->cache().jobs.live_jobs().count("req-000002")) << "its record has followed";
 }
 
 TEST(DependencyGraph, CancelledIsInheritedThroughDeathsBeforeAnyRecordFollows) {
@@ -248,44 +248,47 @@
     DependencyGraph p;
     const auto sure = [](const std::string&) { return false; };
     JobSpec s = needing(*w, 10, {"req-000001", "req-000003"});
-    p.put(s, 5, [](const std::string&) { return DependencyGraph::Known{}; });
-    EXPECT_TRUE(p.unclear("req-000010", sure));
-    EXPECT_FALSE(p.dependency_status("req-000010").open);
-    p.over("req-000001", true, 77);
-    EXPECT_FALSE(p.dependency_status("req-000010").open);
-    EXPECT_TRUE(p.unclear("req-000010", sure));
-    p.over("req-000003", true, 99);
-    EXPECT_FALSE(p.unclear("req-000010", sure));
-    EXPECT_TRUE(p.dependency_status("req-000010").open);
-    EXPECT_EQ(p.dependency_status("req-000010").since_ms, 99);
+    p.add_job(s, 5, [](const std::string&) { return DependencyGraph::KnownOutcome{}; });
+    EXPECT_TRUE(p.is_cancellation_uncertain("req-000010", sure));
+    EXPECT_FALSE(p.dependency_status("req-000010").dependencies_done);
+    p.mark_finished("req-000001", true, 77);
+    EXPECT_FALSE(p.dependency_status("req-000010").dependencies_done);
+    EXPECT_TRUE(p.is_cancellation_uncertain("req-000010", sure));
+    p.mark_finished("req-000003", true, 99);
+    EXPECT_FALSE(p.is_cancellation_uncertain("req-000010", sure));
+    EXPECT_TRUE(p.dependency_status("req-000010").dependencies_done);
+    EXPECT_EQ(p.dependency_status("req-000010").dependencies_done_ms, 99);
 }
 
 TEST(DependencyGraph, RankAndDeadlineFlowBackwards) {
     DependencyGraph p;
-    auto open = [](const std::string&) { return DependencyGraph::Known{DependencyGraph::Fate::Open, 0}; };
+    auto open = [](const std::string&) {
+        return DependencyGraph::KnownOutcome{DependencyGraph::Outcome::Unfinished, 0};
+    };
     Simulator w(1);
     JobSpec first = w.job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
             last = needing(w, 3, {"req-000002"});
     first.rank = second.rank = PriorityClass::Low;
     second.estimate = 30 * kSecond;
-    p.put(first, 1000, open);
-    p.put(second, 1000, open);
-    p.weigh();
-    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
+    p.add_job(first, 1000, open);
+    p.add_job(second, 1000, open);
+    p.propagate_priorities();
+    EXPECT_EQ(p.dependency_status("req-000001").inherited_priority, PriorityClass::Low);
     last.rank = PriorityClass::High;
     last.deadline = 100 * kSecond;
     last.estimate = 9 * kSecond;
-    p.put(last, 2000, open);
-    p.weigh();
-    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::High);
-    EXPECT_EQ(p.dependency_status("req-000002").rank, PriorityClass::High);
-    EXPECT_LT(p.dependency_status("req-000002").due_ms, 102'000 - 9'000);
-    EXPECT_LT(p.dependency_status("req-000001").due_ms, p.dependency_status("req-000002").due_ms - 30'000);
+    p.add_job(last, 2000, open);
+    p.propagate_priorities();
+    EXPECT_EQ(p.dependency_status("req-000001").inherited_priority, PriorityClass::High);
+    EXPECT_EQ(p.dependency_status("req-000002").inherited_priority, PriorityClass::High);
+    EXPECT_LT(p.dependency_status("req-000002").inherited_deadline_ms, 102'000 - 9'000);
+    EXPECT_LT(p.dependency_status("req-000001").inherited_deadline_ms,
+              p.dependency_status("req-000002").inherited_deadline_ms - 30'000);
     // Cancelled: nothing is owed to it any more.
-    p.over("req-000003", false, 0);
-    p.weigh();
-    EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
-    EXPECT_EQ(p.dependency_status("req-000001").due_ms, INT64_MAX);
+    p.mark_finished("req-000003", false, 0);
+    p.propagate_priorities();
+    EXPECT_EQ(p.dependency_status("req-000001").inherited_priority, PriorityClass::Low);
+    EXPECT_EQ(p.dependency_status("req-000001").inherited_deadline_ms, INT64_MAX);
 }
 
 TEST(DependencyGraph, AGatesMomentSurvivesAnAdoption) {
@@ -297,8 +300,8 @@
     w->run(12 * kSecond);
     auto since = [&]() -> std::int64_t {
         for (int i = 0; i < 3; ++i)
-            if (w->node(i) && w->node(i)->cache().jobs.live().count("req-000002"))
-                return w->node(i)->cache().jobs.live().at("req-000002").since_ms;
+            if (w->node(i) && w->node(i)->cache().jobs.live_jobs().count("req-000002"))
+                return w->node(i)->cache().jobs.live_jobs().at("req-000002").eligible_since_ms;
         return 0;
     };
     const auto before = since();
@@ -343,7 +346,7 @@
     const Json job = wire::job_value(needing(*w, 2, {"req-000001"}));
     auto r = w->ask(0, "POST", "/v1/jobs", job);
     EXPECT_EQ(r.status, 503);
-    EXPECT_GT(r.retry_after, 0);
+    EXPECT_GT(r.retry_after_s, 0);
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 1, {"req-000044"}))).status, 200)
         << "a known id comes first";
     // Down is not the same as brought up to date: it may come back as it was.
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -52,7 +52,7 @@
 
 TEST(History, IsApartOnceAllReadItAndNoRecordOfOldFormIsLeft) {
     auto w = settled_simulator();
-    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
+    EXPECT_TRUE(w->node(0)->cache().is_history_separated()) << w->story();
     w->submit(w->job(1, JobKind::Array, 3), 2 * kSecond);
     w->run(kSecond);
     EXPECT_FALSE(stored(*w, "c/active/req-000001").is_null());
@@ -72,8 +72,8 @@
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(6 * kSecond);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_LT(w->node(i)->cache().jobs.views(), 20u) << "what is over is not kept in memory";
-        EXPECT_EQ(w->node(i)->cache().jobs.live().size(), 1u);
+        EXPECT_LT(w->node(i)->cache().jobs.view_count(), 20u) << "what is over is not kept in memory";
+        EXPECT_EQ(w->node(i)->cache().jobs.live_jobs().size(), 1u);
     }
     // Any of them is answered all the same, by any node, and stays what it is.
     auto r = w->ask(1, "GET", "/v1/jobs/req-504321", {});
@@ -89,7 +89,8 @@
     next.needs = {"req-502222"};
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(next)).status, 201);
     w->run(2 * kSecond);
-    EXPECT_TRUE(w->node(2)->cache().jobs.live().at("req-000002").open) << "what it needs was done long ago";
+    EXPECT_TRUE(w->node(2)->cache().jobs.live_jobs().at("req-000002").dependencies_done)
+        << "what it needs was done long ago";
     EXPECT_EQ(w->starts("req-000001"), 3);
     EXPECT_RULES(*w);
 }
@@ -172,14 +173,14 @@
     EXPECT_EQ(count_below(*w, "c/job/"), 5u);
     EXPECT_EQ(count_below(*w, "c/active/"), 0u);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_FALSE(w->node(i)->cache().history_closed());
+        EXPECT_FALSE(w->node(i)->cache().legacy_writes_closed());
         w->upgrade(i, kSecond);
         w->run(5 * kSecond);
     }
     // Ends again in the middle of it.
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(15 * kSecond);
-    EXPECT_TRUE(w->node(0)->cache().history_apart()) << w->story();
+    EXPECT_TRUE(w->node(0)->cache().is_history_separated()) << w->story();
     EXPECT_EQ(count_below(*w, "c/active/"), 5u);
     EXPECT_EQ(count_below(*w, "c/job/"), 0u);
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
@@ -258,7 +259,7 @@
         late(*w, Json::array(), Json::array({Json{{"write", "x/1"}, {"data", i}}}));
     w->heal_all();
     w->run(10 * kSecond);
-    EXPECT_EQ(w->node(node)->cache().jobs.live().size(), 0u) << w->story();
+    EXPECT_EQ(w->node(node)->cache().jobs.live_jobs().size(), 0u) << w->story();
     EXPECT_EQ(wire::text(w->ask(node, "GET", "/v1/jobs/req-000001", {}).body, "stage"), "done");
 }
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -21,14 +21,14 @@
     spec.request = {1'000, 0, 1'000};
     spec.image = "img-0";
     const Json cancelled{{"s", "cancelled"}, {"k", 1}, {"dom", "loom-0"}, {"d", wire::job_value(spec)}};
-    cache.take(spec.ref, RecordLocation::Active, cancelled, 1, 0);
+    cache.apply(spec.ref, RecordLocation::Active, cancelled, 1, 0);
     Report report;
     report.tasks.push_back({spec.ref, 0, 1, Phase::Running, ExitCause::Stopped, false});
     ASSERT_EQ(cache.stops_for_finished_jobs(report).size(), 1u);
 
     for (int i = 0; i < kFinished; ++i)
-        cache.take("req-1" + std::to_string(100'000 + i), RecordLocation::Job, {{"s", "done"}, {"k", 1}},
-                   static_cast<Revision>(2 + i), 0);
+        cache.apply("req-1" + std::to_string(100'000 + i), RecordLocation::Job, {{"s", "done"}, {"k", 1}},
+                    static_cast<Revision>(2 + i), 0);
     EXPECT_TRUE(cache.find(spec.ref)) << "its record is still there, with its tasks";
     EXPECT_EQ(cache.stops_for_finished_jobs(report).size(), 1u);
 }
@@ -56,7 +56,7 @@
 /// More than the cache keeps, at the given revision.
 void hear_of_finished_jobs(JobCache& cache, Revision mod_revision) {
     for (std::size_t i = 0; i <= kFewFinished; ++i)
-        cache.take("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, mod_revision, 0);
+        cache.apply("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, mod_revision, 0);
 }
 
 // A job that nothing is known of counted as one that goes on.
@@ -65,15 +65,15 @@
     JobCache cache(site, kFewFinished);
     const JobSpec spec = one_task("req-000001");
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
-    cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
+    cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unfinished);
     hear_of_finished_jobs(cache, 2);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unfinished);
-    cache.take(spec.ref, RecordLocation::Job, kDone, 3, 0);
+    cache.apply(spec.ref, RecordLocation::Job, kDone, 3, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Finished);
     cache.set_watermark(4);
     for (std::size_t i = 0; i <= kFewFinished; ++i)
-        cache.take("req-3" + std::to_string(i), RecordLocation::Job, kDone, 4, 0);
+        cache.apply("req-3" + std::to_string(i), RecordLocation::Job, kDone, 4, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
 }
 
@@ -82,7 +82,7 @@
     const Settings site = simulation::small_site();
     JobCache cache(site);
     const JobSpec spec = one_task("req-000001");
-    cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
+    cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
     cache.on_record_removed(spec.ref);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
     Report report;
@@ -97,19 +97,19 @@
     const Settings site = simulation::small_site();
     JobCache cache(site, kFewFinished);
     const JobSpec first = one_task("req-000001"), second = one_task("req-000002", {first.ref});
-    cache.take(first.ref, RecordLocation::Active, record(first, "queued"), 1, 0);
-    cache.take(second.ref, RecordLocation::Active, record(second, "queued"), 2, 0);
+    cache.apply(first.ref, RecordLocation::Active, record(first, "queued"), 1, 0);
+    cache.apply(second.ref, RecordLocation::Active, record(second, "queued"), 2, 0);
     cache.set_watermark(3);
     hear_of_finished_jobs(cache, 3);
-    cache.take(first.ref, RecordLocation::Job, {{"s", "cancelled"}, {"k", 1}}, 4, 0);
-    for (const auto& ref : cache.dependency_graph().take_changed()) cache.settle(ref);
+    cache.apply(first.ref, RecordLocation::Job, {{"s", "cancelled"}, {"k", 1}}, 4, 0);
+    for (const auto& ref : cache.dependency_graph().take_changed()) cache.apply_dependency_status(ref);
     cache.set_watermark(5);
     hear_of_finished_jobs(cache, 5);
-    ASSERT_TRUE(cache.known(second.ref));
-    EXPECT_EQ(cache.known(second.ref)->stage, Stage::Cancelled);
+    ASSERT_TRUE(cache.find_view(second.ref));
+    EXPECT_EQ(cache.find_view(second.ref)->stage, Stage::Cancelled);
     // What was read of it meanwhile tells nothing of the other one.
-    cache.remember(second.ref, JobView::of(record(second, "queued"), 6));
-    EXPECT_EQ(cache.known(second.ref)->stage, Stage::Cancelled);
+    cache.remember(second.ref, JobView::from_record(record(second, "queued"), 6));
+    EXPECT_EQ(cache.find_view(second.ref)->stage, Stage::Cancelled);
     EXPECT_EQ(cache.finality(second.ref), JobFinality::Finished);
 }
 
@@ -118,10 +118,10 @@
     const Settings site = simulation::small_site();
     JobCache cache(site, kFewFinished);
     const JobSpec spec = one_task("req-000001");
-    cache.take(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0);
+    cache.apply(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0);
     cache.set_watermark(6);
     hear_of_finished_jobs(cache, 6);
-    EXPECT_FALSE(cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
+    EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
     EXPECT_TRUE(cache.find(spec.ref)->cancelled);
 }
 
@@ -131,16 +131,16 @@
     for (const std::size_t others : {kFewFinished - 1, kFewFinished, kFewFinished + 1}) {
         JobCache cache(site, kFewFinished);
         const JobSpec spec = one_task("req-000001");
-        cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0);
-        cache.take(spec.ref, RecordLocation::Job, kDone, 9, 0);  // by our own write; the news are at 4
+        cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0);
+        cache.apply(spec.ref, RecordLocation::Job, kDone, 9, 0);  // by our own write; the news are at 4
         cache.set_watermark(4);
         for (std::size_t i = 0; i < others; ++i)
-            cache.take("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 3, 0);
-        EXPECT_FALSE(cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0)) << "news";
+            cache.apply("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 3, 0);
+        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0)) << "news";
         cache.set_watermark(10);
         for (std::size_t i = 0; i < others; ++i)
-            cache.take("req-3" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 10, 0);
-        EXPECT_FALSE(cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0))
+            cache.apply("req-3" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 10, 0);
+        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0))
             << "an answer that was under way for long";
         EXPECT_FALSE(cache.find(spec.ref));
     }
@@ -151,11 +151,11 @@
     const Settings site = simulation::small_site();
     JobCache cache(site);
     const JobSpec spec = one_task("req-000001");
-    cache.remember(spec.ref, JobView::of(record(spec, "cancelled"), 5));
-    EXPECT_FALSE(cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
-    EXPECT_TRUE(cache.take(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0));
+    cache.remember(spec.ref, JobView::from_record(record(spec, "cancelled"), 5));
+    EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
+    EXPECT_TRUE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0));
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Finished);
-    EXPECT_EQ(cache.views(), 1u);
+    EXPECT_EQ(cache.view_count(), 1u);
 }
 
 }  // namespace
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -8,20 +8,20 @@
 namespace cottonway::test {
 
 /// A report that is on its way from now on.
-inline Json on_its_way(simulation::Simulator& w, const std::string& machine) {
+inline Json current_report(simulation::Simulator& w, const std::string& machine) {
     return w.worker(machine)->report(w.now());
 }
 
-inline void arrives(simulation::Simulator& w, int node, const Json& report) {
+inline void deliver_report(simulation::Simulator& w, int node, const Json& report) {
     const std::string bytes = wire::encode(report);
-    if (w.node(node)) w.node(node)->handle({"POST", "/v1/report", bytes, false}, [](const auto&) {});
+    if (w.node(node)) w.node(node)->handle_request({"POST", "/v1/report", bytes, false}, [](const auto&) {});
 }
 
-inline void arrives_everywhere(simulation::Simulator& w, const Json& report) {
-    for (int i = 0; i < w.node_count(); ++i) arrives(w, i, report);
+inline void deliver_report_to_all(simulation::Simulator& w, const Json& report) {
+    for (int i = 0; i < w.node_count(); ++i) deliver_report(w, i, report);
 }
 
-inline bool leased(simulation::Simulator& w, const std::string& machine) {
+inline bool is_leased(simulation::Simulator& w, const std::string& machine) {
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
             for (const auto& [name, owner] : w.node(i)->owners())
@@ -29,21 +29,21 @@
     return false;
 }
 
-inline void cut_from_all(simulation::Simulator& w, const std::string& machine) {
+inline void cut_from_all_nodes(simulation::Simulator& w, const std::string& machine) {
     for (int i = 0; i < w.node_count(); ++i) w.cut(host(i), machine);
 }
 
 /// A service of one task (job 1), whose machine hangs until the task is started elsewhere, and then goes on
 /// without it. That machine, and a report of before that shows the task there.
-struct Superseded {
+struct RestartedElsewhere {
     std::string machine;
-    Json running;
+    Json old_report;
 };
-inline Superseded supersede(simulation::Simulator& w) {
+inline RestartedElsewhere restart_elsewhere(simulation::Simulator& w) {
     w.submit(w.job(1, JobKind::Service, 1), 0);
     w.run(3 * kSecond);
     const std::string machine = *w.machines_of("req-000001").begin();
-    const Json running = on_its_way(w, machine);
+    const Json running = current_report(w, machine);
     w.hang(machine, true);
     w.run(25 * kSecond);
     w.hang(machine, false);
@@ -53,7 +53,7 @@
 }
 
 /// Nothing is returned for being idle.
-inline Settings patient(double cpu_share = 1.0) {
+inline Settings settings_without_idle_return(double cpu_share = 1.0) {
     Settings site = simulation::small_site();
     site.ops.idle_return = 600 * kSecond;
     site.cpu_share = cpu_share;  // where there is little: several shards
@@ -61,7 +61,7 @@
 }
 
 /// Lines of the story that tell this, e.g. starts on a machine.
-inline int told_times(const simulation::Simulator& w, const std::string& what) {
+inline int count_trace_lines(const simulation::Simulator& w, const std::string& what) {
     int n = 0;
     for (const auto& line : w.trace) n += line.find(what) != std::string::npos;
     return n;
@@ -69,7 +69,7 @@
 
 /// From now until the condition holds, at most so long; what it took.
 template <class F>
-Micros until(simulation::Simulator& w, Micros most, F holds) {
+Micros run_until(simulation::Simulator& w, Micros most, F holds) {
     const Micros from = w.now();
     while (!holds() && w.now() - from < most) w.run(100 * kMillisecond);
     return w.now() - from;
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -29,20 +29,20 @@
 TEST(LateMessages, AnOldReportOfAReturnedMachineLeasesNoGhost) {
     auto w = settled_simulator(21, 4);
     const std::string machine = w->machine_names().back();
-    const Json old = on_its_way(*w, machine);
+    const Json old = current_report(*w, machine);
     w->owner_at(w->holder())->retire(machine, "the test wants it");
     w->run(6 * kSecond);
     ASSERT_EQ(w->worker(machine), nullptr) << w->story();
-    for (int i = 0; i < 3; ++i) arrives(*w, i, old);
+    for (int i = 0; i < 3; ++i) deliver_report(*w, i, old);
     w->run(2 * kSecond);
-    EXPECT_FALSE(leased(*w, machine)) << w->story();
+    EXPECT_FALSE(is_leased(*w, machine)) << w->story();
     // Nor by a leader that has not deleted it itself.
     w->crash(w->leader(), 60 * kSecond);
     w->run(8 * kSecond);
     ASSERT_GE(w->leader(), 0);
-    arrives(*w, w->leader(), old);
+    deliver_report(*w, w->leader(), old);
     w->run(2 * kSecond);
-    EXPECT_FALSE(leased(*w, machine)) << w->story();
+    EXPECT_FALSE(is_leased(*w, machine)) << w->story();
     EXPECT_RULES(*w);
 }
 
@@ -52,7 +52,7 @@
     w->cloud().down = true;
     const std::string machine = w->add_machine("small", "a");
     w->run(8 * kSecond);
-    EXPECT_TRUE(leased(*w, machine)) << w->story();
+    EXPECT_TRUE(is_leased(*w, machine)) << w->story();
 }
 
 TEST(LateMessages, OldReportsRenewNoDoubt) {
@@ -60,11 +60,11 @@
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
-    const Json old = on_its_way(*w, machine);
+    const Json old = current_report(*w, machine);
     w->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
     for (int second = 0; second < 22; ++second) {
-        for (int i = 0; i < 3; ++i) arrives(*w, i, old);
+        for (int i = 0; i < 3; ++i) deliver_report(*w, i, old);
         w->run(kSecond);
         if (second == 7) {
             EXPECT_EQ(w->machines_of("req-000001"), std::set{machine}) << "in doubt";
@@ -83,13 +83,13 @@
     w->run(30 * kSecond);  // so long that other nodes may renew leases
     const std::string machine = *w->machines_of("req-000001").begin();
     const int holder = w->holder(), other = (holder + 1) % 3;
-    const Json old = on_its_way(*w, machine);
-    arrives(*w, other, old);
+    const Json old = current_report(*w, machine);
+    deliver_report(*w, other, old);
     w->run(kSecond);
     for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
     w->cut(host(holder), host(other));
     w->run(8 * kSecond);
-    arrives(*w, other, old);
+    deliver_report(*w, other, old);
     w->run(kSecond);
     w->heal(host(holder), host(other));
     w->run(10 * kSecond);
@@ -104,13 +104,13 @@
 TEST(LateMessages, ANewHolderHearsOldReportsFirst) {
     for (Micros first = 0; first < 4 * kSecond; first += 1500 * kMillisecond) {
         auto w = settled_simulator(25, 3);
-        const auto [machine, running] = supersede(*w);
+        const auto [machine, running] = restart_elsewhere(*w);
         ASSERT_FALSE(testing::Test::HasFailure());
         for (int i = 0; i < 3; ++i) w->cut(host(i), machine);  // nothing newer arrives from it
         w->crash(w->holder(), 60 * kSecond);
         w->run(first);
         for (int n = 0; n < 50; ++n) {
-            for (int i = 0; i < 3; ++i) arrives(*w, i, running);
+            for (int i = 0; i < 3; ++i) deliver_report(*w, i, running);
             w->run(100 * kMillisecond);
         }
         w->submit(w->job(2, JobKind::Array, 6, 4), 2 * kSecond);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -37,9 +37,10 @@
                                     host(node));
             told_ = std::max(told_, now);
         };
-        w_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, judge);
+        w_.node(node)->handle_request({"GET", "/v1/jobs/" + spec_.ref, "", false}, judge);
         if (told_ == 0) return;  // its own user submits it first
-        w_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false}, judge);
+        w_.node(node)->handle_request({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false},
+                                      judge);
     }
     Simulator& w_;
     JobSpec spec_;
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 int starts_on(const Simulator& w, const std::string& machine) {
-    return told_times(w, " starts on " + machine);
+    return count_trace_lines(w, " starts on " + machine);
 }
 
 enum class Ends { Nobody, Holder, All };
@@ -22,7 +22,8 @@
 TEST(Mute, WhatRunsThereGoesOnOrRunsElsewhereSoon) {
     for (const Ends ends : {Ends::Nobody, Ends::Holder, Ends::All})
         for (const Micros span : {3, 45}) {
-            auto w = settled_simulator(51 + static_cast<std::uint64_t>(span), 4, patient());
+            auto w =
+                settled_simulator(51 + static_cast<std::uint64_t>(span), 4, settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("ends {} span {}\n", static_cast<int>(ends), span) + w->story(200);
             };
@@ -63,7 +64,7 @@
 
 /// It answers every call, so that it seems well: its lease runs out all the same, again and again.
 TEST(Mute, AnswersToCallsDoNotMakeItUsable) {
-    auto w = settled_simulator(52, 3, patient());
+    auto w = settled_simulator(52, 3, settings_without_idle_return());
     const std::string machine = w->machine_names().front();
     w->mute(machine, true);
     w->run(7 * kSecond);
@@ -83,7 +84,7 @@
 
 /// One that the cloud lists and that answers calls, but has never reported.
 TEST(Mute, ANewMachineThatNeverReportsIsLeftAloneAndReturned) {
-    auto w = settled_simulator(53, 2, patient());
+    auto w = settled_simulator(53, 2, settings_without_idle_return());
     const std::string machine = w->add_machine("small", "a");
     w->mute(machine, true);
     for (int i = 0; i < 30; ++i) {
@@ -104,7 +105,7 @@
 TEST(Mute, WhatStaysDeafOrMuteIsReturnedOnceNothingCanBeOnIt) {
     for (const bool deaf : {false, true})
         for (const bool busy : {false, true}) {
-            auto w = settled_simulator(54, 3, patient());
+            auto w = settled_simulator(54, 3, settings_without_idle_return());
             const auto story = [&] { return fmt::format("deaf {} busy {}\n", deaf, busy) + w->story(); };
             if (busy) w->submit(w->job(1, JobKind::Service, 1, 2), 0);
             w->run(3 * kSecond);
@@ -131,7 +132,7 @@
 /// One whose tasks can't be proven gone, since a controller that may renew its lease does not answer, is
 /// kept, however long: its deletion would end work that may be well.
 TEST(Mute, WhatMayStillBeOnItKeepsIt) {
-    auto w = settled_simulator(55, 2, patient());
+    auto w = settled_simulator(55, 2, settings_without_idle_return());
     w->submit(w->job(1, JobKind::Service, 1, 2), 0);
     w->run(30 * kSecond);
     const std::string machine = *w->machines_of("req-000001").begin();
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -22,18 +22,18 @@
 /// A machine is returned, then everybody ends who knows of it; its last report comes again and again.
 TEST(NextLeader, NoGhostIsLeasedWhoeverHasStartedSince) {
     for (const double share : {1.0, 0.001}) {
-        auto w = settled_simulator(41, 6, patient(share));
+        auto w = settled_simulator(41, 6, settings_without_idle_return(share));
         const std::string machine = w->machine_names().back();
-        const Json old = on_its_way(*w, machine);
+        const Json old = current_report(*w, machine);
         for (int i = 0; i < 3; ++i)
             if (w->owner_at(i)) w->owner_at(i)->retire(machine, "the test wants it");
         w->run(6 * kSecond);
         ASSERT_EQ(w->worker(machine), nullptr) << w->story();
         end(*w, true);
         for (int n = 0; n < 100; ++n) {
-            arrives_everywhere(*w, old);
+            deliver_report_to_all(*w, old);
             w->run(100 * kMillisecond);
-            ASSERT_FALSE(leased(*w, machine)) << w->story();
+            ASSERT_FALSE(is_leased(*w, machine)) << w->story();
         }
         ASSERT_GE(w->leader(), 0);
         EXPECT_RULES(*w);
@@ -43,15 +43,15 @@
 /// The copy shows a task that was proven gone there and has been started elsewhere since. Its machine is not
 /// heard any more; when the task is to start again, that copy must not stand in its way for ever.
 TEST(NextLeader, WhatAnOldReportShowsHoldsATaskUpForALeaseAtMost) {
-    auto w = settled_simulator(42, 3, patient());
-    const auto [machine, running] = supersede(*w);
+    auto w = settled_simulator(42, 3, settings_without_idle_return());
+    const auto [machine, running] = restart_elsewhere(*w);
     ASSERT_FALSE(testing::Test::HasFailure());
-    cut_from_all(*w, machine);
+    cut_from_all_nodes(*w, machine);
     end(*w, false);
     w->run(w->settings.ops.live_ttl + authority(w->settings));  // what the former holder granted is over soon
-    arrives_everywhere(*w, running);
+    deliver_report_to_all(*w, running);
     w->kill_machine(*w->machines_of("req-000001").begin());
-    const Micros took = until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
+    const Micros took = run_until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
     EXPECT_LE(took, with_drift(w->settings.lease) + 3 * kSecond) << w->story();
     EXPECT_RULES(*w);
 }
@@ -59,18 +59,18 @@
 /// A gang is done while its machines are cut off, and nobody hears of it before their leases are over: it
 /// waits to run again. The next holder then hears one of the reports of that time.
 TEST(NextLeader, OneOldResultOfAGangIsTheWholeGangs) {
-    auto w = settled_simulator(43, 2, patient());
+    auto w = settled_simulator(43, 2, settings_without_idle_return());
     w->submit(w->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
     w->run(3 * kSecond);
     ASSERT_EQ(w->running("req-000001"), 2) << w->story();
     const auto machines = w->machine_names();
-    for (const auto& m : machines) cut_from_all(*w, m);
-    until(*w, 20 * kSecond, [&] { return w->completed_tasks("req-000001") == 2; });
-    const Json result = on_its_way(*w, machines[0]);
+    for (const auto& m : machines) cut_from_all_nodes(*w, m);
+    run_until(*w, 20 * kSecond, [&] { return w->completed_tasks("req-000001") == 2; });
+    const Json result = current_report(*w, machines[0]);
     w->run(30 * kSecond);
     end(*w, false);
     w->run(w->settings.ops.live_ttl + 2 * kSecond);
-    arrives_everywhere(*w, result);
+    deliver_report_to_all(*w, result);
     for (const auto& m : machines) w->kill_machine(m);  // with all other results
     for (int i = 0; i < 2; ++i) w->add_machine("small", "a");
     w->run(30 * kSecond);
@@ -86,7 +86,8 @@
     for (const bool all : {false, true})
         for (const double share : {1.0, 0.001})
             for (const Micros late : {2, 13, 30}) {
-                auto w = settled_simulator(44 + static_cast<std::uint64_t>(late), 6, patient(share));
+                auto w = settled_simulator(44 + static_cast<std::uint64_t>(late), 6,
+                                           settings_without_idle_return(share));
                 const auto story = [&] {
                     return fmt::format("all {} share {} late {}\n", all, share, late) + w->story();
                 };
@@ -103,7 +104,7 @@
                 w->remember_running();
                 const auto kept = w->reports_kept();
                 end(*w, all);
-                until(*w, 10 * kSecond, [&] { return w->reports_kept() == 0; });
+                run_until(*w, 10 * kSecond, [&] { return w->reports_kept() == 0; });
                 ASSERT_GT(kept, 0u);
                 w->submit(w->job(5, JobKind::Array, 4), 3 * kSecond);
                 w->run(8 * kSecond);
@@ -125,21 +126,21 @@
 /// last of them.
 TEST(NextLeader, DoubtEndsALeaseAfterTheLastCopy) {
     for (const Micros last : {2, 12, 24}) {
-        auto w = settled_simulator(45, 4, patient());
+        auto w = settled_simulator(45, 4, settings_without_idle_return());
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(10 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
         std::vector<Json> copies;
-        for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*w, machine));
-        cut_from_all(*w, machine);
+        for (int i = 0; i < 6; ++i) copies.push_back(current_report(*w, machine));
+        cut_from_all_nodes(*w, machine);
         const Micros from = w->now();
         end(*w, false);
         for (std::size_t i = 0; i < copies.size(); ++i)
             w->at(from + last * kSecond * static_cast<Micros>(i + 1) / 6,
-                  [&w, report = copies[i]] { arrives_everywhere(*w, report); });
-        until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
+                  [&w, report = copies[i]] { deliver_report_to_all(*w, report); });
+        run_until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
         const Micros took =
-            w->now() - from + until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
+            w->now() - from + run_until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
         const Micros former = w->settings.ops.live_ttl + kSecond + authority(w->settings);
         EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.lease) + 2 * kSecond)
             << w->story();
@@ -153,7 +154,7 @@
 TEST(NextLeader, LongTasksOnMachinesThatCantBeReachedOrDontHear) {
     for (const bool deaf : {false, true})
         for (const Micros span : {4, 50}) {
-            auto w = settled_simulator(47, 4, patient());
+            auto w = settled_simulator(47, 4, settings_without_idle_return());
             const auto story = [&] { return fmt::format("deaf {} span {}\n", deaf, span) + w->story(); };
             w->submit(w->job(1, JobKind::Array, 1, 4), 90 * kSecond);
             w->submit(w->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
@@ -162,7 +163,7 @@
             if (deaf)
                 w->deafen(machine, true);
             else
-                cut_from_all(*w, machine);
+                cut_from_all_nodes(*w, machine);
             w->run(kSecond);
             end(*w, false);
             w->run(span * kSecond);
@@ -184,11 +185,11 @@
 /// What a holder has proven by time alone its successor need not prove again, though nothing could take its
 /// place.
 TEST(NextLeader, WhatIsProvenGoneStaysProven) {
-    auto w = settled_simulator(48, 1, patient());
+    auto w = settled_simulator(48, 1, settings_without_idle_return());
     const std::string machine = w->machine_names().front();
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
-    cut_from_all(*w, machine);
+    cut_from_all_nodes(*w, machine);
     w->run(40 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 0);
     end(*w, false);
@@ -204,7 +205,7 @@
     auto w = settled_simulator(45, 4);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(10 * kSecond);
-    cut_from_all(*w, *w->machines_of("req-000001").begin());
+    cut_from_all_nodes(*w, *w->machines_of("req-000001").begin());
     end(*w, false);
     w->run(w->settings.ops.live_ttl + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 1) << w->story();
@@ -215,24 +216,25 @@
 /// copies follow: the end of the leader has every controller stand in.
 TEST(NextLeader, CopiesAtOthersRenewADoubtOnce) {
     for (const Micros last : {6, 24}) {
-        auto w = settled_simulator(46, 4, patient());
+        auto w = settled_simulator(46, 4, settings_without_idle_return());
         w->submit(w->job(1, JobKind::Service, 1), 0);
         w->run(30 * kSecond);
         const std::string machine = *w->machines_of("req-000001").begin();
         const int holder = w->holder();
-        const Json old = on_its_way(*w, machine);
-        cut_from_all(*w, machine);
+        const Json old = current_report(*w, machine);
+        cut_from_all_nodes(*w, machine);
         const Micros from = w->now();
         for (int i = 0; i < 3; ++i)
             if (i != holder) w->cut(host(holder), host(i));
         for (Micros at = 0; at < last; ++at) {
-            for (int i = 0; i < 3; ++i) arrives(*w, i, old);
+            for (int i = 0; i < 3; ++i) deliver_report(*w, i, old);
             w->run(kSecond);
         }
         for (int i = 0; i < 3; ++i)
             if (i != holder) w->heal(host(holder), host(i));
-        until(*w, 90 * kSecond,
-              [&] { return w->running("req-000001") == 1 && !w->machines_of("req-000001").count(machine); });
+        run_until(*w, 90 * kSecond, [&] {
+            return w->running("req-000001") == 1 && !w->machines_of("req-000001").count(machine);
+        });
         EXPECT_LE(w->now() - from, std::max(last * kSecond, with_drift(w->settings.lease)) + 4 * kSecond)
             << w->story();
         EXPECT_RULES(*w);
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -336,8 +336,8 @@
             w.cut_one_way("state", host);
             w.submit(job, kSecond);  // its user knows it, whichever node is asked
             for (int n : {(holder + 1) % 3, holder})
-                w.node(n)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(job)), false},
-                                  [](const auto&) {});
+                w.node(n)->handle_request({"POST", "/v1/jobs", wire::encode(wire::job_value(job)), false},
+                                          [](const auto&) {});
             w.run(400 * kMillisecond);
             w.heal("state", host);
             w.run(4 * kSecond);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -255,14 +255,14 @@
     for (int i = 0; i < tellings; ++i) order.push_back(*rc::gen::inRange<std::size_t>(0, all.size()));
     for (std::size_t i = 0; i < all.size(); ++i) order.push_back(i);  // each at least once
     for (const std::size_t i : order)
-        book.take(spec.ref, all[i].place, all[i].value, all[i].mod_revision, kSecond);
-    const JobView* view = book.known(spec.ref);
+        book.apply(spec.ref, all[i].place, all[i].value, all[i].mod_revision, kSecond);
+    const JobView* view = book.find_view(spec.ref);
     RC_ASSERT(view != nullptr);
     RC_ASSERT(view->mod_revision == mod_revision);
-    RC_ASSERT(view->final() == over);
+    RC_ASSERT(view->is_final() == over);
     RC_ASSERT((book.find(spec.ref) == nullptr) == over);
     if (!over) {
-        RC_ASSERT(book.find(spec.ref)->place == RecordLocation::Active);
+        RC_ASSERT(book.find(spec.ref)->location == RecordLocation::Active);
         RC_ASSERT(book.find(spec.ref)->running == changes);
     }
 }
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -93,7 +93,7 @@
         EXPECT_EQ(w->ask(0, "GET", path, Json::object()).status, 503);
     auto r = w->ask(1, "POST", "/v1/jobs", wire::job_value(w->job(9, JobKind::Array, 1)));
     EXPECT_EQ(r.status, 503);
-    EXPECT_GT(r.retry_after, 0);
+    EXPECT_GT(r.retry_after_s, 0);
 }
 
 TEST(Traces, TasksOfACutMachineStayInDoubtUntilItsLeaseIsOver) {
@@ -574,9 +574,9 @@
     std::map<int, int> polls;
     int with_retry = 0;
     for (int i = 0; i < 500; ++i)
-        w->node(node)->handle({"GET", "/v1/jobs/req-000001", "", false}, [&](const ApiResponse& r) {
+        w->node(node)->handle_request({"GET", "/v1/jobs/req-000001", "", false}, [&](const ApiResponse& r) {
             ++polls[r.status];
-            with_retry += r.retry_after > 0;
+            with_retry += r.retry_after_s > 0;
         });
     const std::string machine = w->machine_names().front();
     const auto report = w->ask(node, "POST", "/v1/report", w->worker(machine)->report(w->now()));
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -39,7 +39,7 @@
 /// The leader holds all machines, or part of them where there are several shards. Where it is in the wrong
 /// zone for the test, another one takes its place.
 std::unique_ptr<Simulator> with(const std::string& zone, bool leads, double cpu_share) {
-    auto w = settled_simulator(61, 6, patient(cpu_share));
+    auto w = settled_simulator(61, 6, settings_without_idle_return(cpu_share));
     auto in_zone = [&] { return w->settings.zones[static_cast<std::size_t>(w->leader()) % 2] == zone; };
     if (in_zone() != leads) {
         w->crash(w->leader(), 5 * kSecond);
@@ -110,7 +110,7 @@
 TEST(ZonesLost, BoundJobsWaitOrMoveAsTheySayAndAllRun) {
     for (const Row& row : kRows)
         for (const bool cut : {false, true}) {
-            auto w = settled_simulator(62, 4, patient());
+            auto w = settled_simulator(62, 4, settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("kind {} binds {} cut {}\n", static_cast<int>(row.kind),
                                    static_cast<int>(row.binds), cut) +
@@ -133,7 +133,7 @@
             const auto lost = machines_in(*w, "a");
             for (const auto& m : lost) {
                 if (cut)
-                    cut_from_all(*w, m);
+                    cut_from_all_nodes(*w, m);
                 else
                     w->kill_machine(m);
             }
@@ -157,7 +157,7 @@
 /// is empty. What is bound to the zone waits its turn, and none of it is forgotten.
 TEST(ZonesLost, WhatIsBoundToAFullZoneWaitsForRoomThere) {
     for (const JobKind kind : {JobKind::Array, JobKind::Gang}) {
-        auto w = settled_simulator(63, 4, patient());
+        auto w = settled_simulator(63, 4, settings_without_idle_return());
         for (int i = 0; i < 8; ++i) {
             JobSpec job = w->job(10 + i, JobKind::Array, 2, 2);
             job.zone = "a";
