--- a/src/cache/block_cache.hpp
+++ b/src/cache/block_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The records of blocks, and which block a machine is in. Holds state and decides nothing.
+// Cache of the block records, with an index from each machine to its block. Makes no decisions.
 
 #include <map>
 #include <string>
@@ -15,35 +15,40 @@
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// The block lists the machine; also told when nothing about it has changed.
+        /// The block lists the machine. Also called when nothing about the machine has changed.
         virtual void on_machine(const Block& block, const Block::Machine& machine) = 0;
-        /// No block lists it any more.
+        /// No block lists the machine any more.
         virtual void on_machine_left(const std::string& machine) = 0;
     };
     explicit BlockCache(Listener& listener) : listener_(listener) {}
 
-    /// News of a record; null: it is gone. A broken one is ignored with a line in the log.
+    /// Applies an update of a block record; null: the record was deleted. A malformed record is logged and
+    /// ignored.
     void apply(const std::string& id, const Json* value, Revision mod_revision);
 
     const std::map<std::string, Block>& all() const { return blocks_; }
     const Block* find(const std::string& id) const;
     const Block* find_by_machine(const std::string& machine) const;
-    std::size_t machine_count() const { return block_of_.size(); }
-    /// Cores of a shard's machines, those to be returned left out.
+    std::size_t machine_count() const { return block_by_machine_.size(); }
+    /// Returns the cores of the shard's machines, without machines that are retired.
     Milli capacity_of(const std::string& shard, const MachineTypeCatalog& types) const;
 
-    /// The machine is being split off into another record: it is not gone when its old block loses it, were
-    /// it taken for gone until its new record is heard of, its tasks would run twice.
-    void begin_split(const std::string& machine, const std::string& into) { splitting_[machine] = into; }
-    void end_split(const std::string& machine, const std::string& into);
+    /// Marks the machine as being moved to another block record by a block split. When its old block no
+    /// longer lists it, it does not count as removed: until its new record arrives its tasks would otherwise
+    /// be started a second time.
+    void begin_split(const std::string& machine, const std::string& new_block) {
+        split_targets_[machine] = new_block;
+    }
+    /// Ends the split, whether it was committed or not.
+    void end_split(const std::string& machine, const std::string& new_block);
 
   private:
-    void left(const std::string& machine);
+    void remove_machine(const std::string& machine);
 
     Listener& listener_;
     std::map<std::string, Block> blocks_;
-    std::unordered_map<std::string, std::string> block_of_;  // machine -> block
-    std::map<std::string, std::string> splitting_;           // machine -> the block that it is split off into
+    std::unordered_map<std::string, std::string> block_by_machine_;  // machine -> block
+    std::map<std::string, std::string> split_targets_;               // machine -> its new block
 };
 
 }  // namespace cottonway
--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -9,25 +9,27 @@
 namespace cottonway {
 
 namespace {
-constexpr double kLookShare = 0.25;  // of the state service's requests, for looking at what has changed
-constexpr Micros kMinLook = 50 * kMillisecond;
-constexpr Micros kMaxLook = 500 * kMillisecond;
-constexpr Micros kPatience = 1'500 * kMillisecond;
-constexpr Micros kRetry = 300 * kMillisecond;
+// Share of the store's request rate that the refreshes of all controllers may use.
+constexpr double kRefreshShareOfRequests = 0.25;
+constexpr Micros kMinRefreshInterval = 50 * kMillisecond;
+constexpr Micros kMaxRefreshInterval = 500 * kMillisecond;
+constexpr Micros kRefreshTimeout = 1'500 * kMillisecond;
+constexpr Micros kRetryDelay = 300 * kMillisecond;
 }  // namespace
 
 ChangeFeed::ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Subscriber& subscriber)
     : runtime_(runtime),
       store_(store),
       subscriber_(subscriber),
-      every_(std::clamp(static_cast<Micros>(static_cast<double>(settings.peers.size() + 1) /
-                                            (kLookShare * settings.state_rps) * 1e6),
-                        kMinLook, kMaxLook)) {}
+      refresh_interval_(std::clamp(static_cast<Micros>(static_cast<double>(settings.peers.size() + 1) /
+                                                       (kRefreshShareOfRequests * settings.state_rps) * 1e6),
+                                   kMinRefreshInterval, kMaxRefreshInterval)) {}
 
 void ChangeFeed::tick() {
     const Micros now = runtime_.now();
     for (auto it = waiters_.begin(); it != waiters_.end();) {
-        if (now - it->since < kPatience && (store_.reachable() || now - it->since < kMaxLook)) {
+        if (now - it->since < kRefreshTimeout &&
+            (store_.reachable() || now - it->since < kMaxRefreshInterval)) {
             ++it;
             continue;
         }
@@ -37,71 +39,73 @@
     }
 }
 
-/// Reads everything once; from then on the news keeps it current.
+/// Lists all records once; afterwards refreshes keep the cache up to date.
 void ChangeFeed::load() {
     auto seen = std::make_shared<std::set<std::string>>();
-    const Micros began = runtime_.now();
+    const Micros started_at = runtime_.now();
     subscriber_.on_resync_begin();
     store_.list(
         keys::root, [this](const std::string& key) { return subscriber_.continuation_key(key); },
-        [this, seen](const Entry& e) {
-            subscriber_.on_watermark(e.store_revision);
-            if (subscriber_.continuation_key(e.key) != e.key) return;  // need not be read
-            seen->insert(e.key);
-            subscriber_.apply(e.key, &e.value, e.mod_revision);
+        [this, seen](const Entry& entry) {
+            subscriber_.on_watermark(entry.store_revision);
+            if (subscriber_.continuation_key(entry.key) != entry.key)
+                return;  // the subscriber does not need this record
+            seen->insert(entry.key);
+            subscriber_.apply(entry.key, &entry.value, entry.mod_revision);
         },
-        [this, seen, began](const ListResult& r) {
-            if (!r.ok) {
-                runtime_.after(kRetry, [this] { load(); });
+        [this, seen, started_at](const ListResult& result) {
+            if (!result.ok) {
+                runtime_.after(kRetryDelay, [this] { load(); });
                 return;
             }
-            load_stats_ = {r.requests, seen->size(), runtime_.now() - began};
-            spdlog::info("read {} records of the store in {} requests, {} ms", load_stats_.records,
+            load_stats_ = {result.requests, seen->size(), runtime_.now() - started_at};
+            spdlog::info("read {} records from the store in {} requests, {} ms", load_stats_.records,
                          load_stats_.requests, load_stats_.duration / kMillisecond);
-            subscriber_.on_resync_end(*seen, r.store_revision);
-            store_revision_ = r.store_revision;
+            subscriber_.on_resync_end(*seen, result.store_revision);
+            store_revision_ = result.store_revision;
             subscriber_.on_watermark(store_revision_);
             loaded_ = true;
-            look();
+            refresh();
         });
 }
 
-/// In even steps: each look counts as a request, and one that came back at every change would use up the
-/// rate.
-void ChangeFeed::look() {
-    const Micros sent = runtime_.now();
-    store_.watch(keys::root, store_revision_, every_, [this, sent](const Reply& r) {
-        if (r.status == 410) {
-            spdlog::info("the news has fallen behind: reading everything again");
+/// Reads the changes since the last refresh, at a fixed interval: every refresh counts as a request, and a
+/// watch that returned at each change would use up the request rate.
+void ChangeFeed::refresh() {
+    const Micros sent_at = runtime_.now();
+    store_.watch(keys::root, store_revision_, refresh_interval_, [this, sent_at](const Reply& reply) {
+        if (reply.status == 410) {
+            spdlog::info("the change feed is too far behind the store; reading all records again");
             return load();
         }
-        auto store_revision = wire::count(r.body, "ledger");
-        if (r.status != 200 || !store_revision) {
-            runtime_.after(150 * kMillisecond, [this] { look(); });
+        auto store_revision = wire::count(reply.body, "ledger");
+        if (reply.status != 200 || !store_revision) {
+            runtime_.after(150 * kMillisecond, [this] { refresh(); });
             return;
         }
-        if (const Json* news = wire::find(r.body, "news"); news && news->is_array()) {
-            for (const auto& n : *news) {
-                const Revision mod_revision = wire::count(n, "mark").value_or(0);
+        if (const Json* changes = wire::find(reply.body, "news"); changes && changes->is_array()) {
+            for (const auto& change : *changes) {
+                const Revision mod_revision = wire::count(change, "mark").value_or(0);
                 store_.observe(mod_revision);
-                if (auto key = wire::text(n, "write"))
-                    subscriber_.apply(*key, wire::find(n, "data"), mod_revision);
-                else if (auto dropped = wire::text(n, "drop"))
-                    subscriber_.apply(*dropped, nullptr, mod_revision);
+                if (auto key = wire::text(change, "write"))
+                    subscriber_.apply(*key, wire::find(change, "data"), mod_revision);
+                else if (auto deleted_key = wire::text(change, "drop"))
+                    subscriber_.apply(*deleted_key, nullptr, mod_revision);
             }
         }
         store_revision_ = std::max(store_revision_, *store_revision);
         subscriber_.on_watermark(store_revision_);
-        looked(sent);
-        runtime_.after(std::max<Micros>(sent + every_ - runtime_.now(), 0), [this] { look(); });
+        on_refresh_answered(sent_at);
+        runtime_.after(std::max<Micros>(sent_at + refresh_interval_ - runtime_.now(), 0),
+                       [this] { refresh(); });
     });
 }
 
-void ChangeFeed::looked(Micros sent) {
-    // All that happened before the request was sent is known now.
-    confirmed_at_ = sent;
+void ChangeFeed::on_refresh_answered(Micros sent_at) {
+    // All changes committed before the request was sent are in the cache now.
+    confirmed_at_ = sent_at;
     std::vector<std::function<void(bool)>> ready;
-    while (!waiters_.empty() && waiters_.front().since <= sent) {
+    while (!waiters_.empty() && waiters_.front().since <= sent_at) {
         ready.push_back(std::move(waiters_.front().done));
         waiters_.pop_front();
     }
@@ -115,27 +119,27 @@
 void ChangeFeed::after_next_refresh_with_retries(std::function<void()> done) {
     after_next_refresh([this, done = std::move(done)](bool ok) mutable {
         if (ok) return done();
-        runtime_.after(kRetry, [this, done = std::move(done)]() mutable {
+        runtime_.after(kRetryDelay, [this, done = std::move(done)]() mutable {
             after_next_refresh_with_retries(std::move(done));
         });
     });
 }
 
 void commit_until_outcome_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, const Change& change,
-                                std::function<void(const CommitResult&)> done, bool uncertain) {
-    store.commit(change,
-                 [&runtime, &store, &feed, change, done = std::move(done), uncertain](const CommitResult& r) {
-                     const bool unknown = r.status == CommitStatus::Unknown;
-                     if (unknown || (uncertain && r.status == CommitStatus::Unavailable)) {
-                         runtime.after(kRetry, [&runtime, &store, &feed, change, done] {
-                             commit_until_outcome_known(runtime, store, feed, change, done, true);
-                         });
-                         return;
-                     }
-                     if (r.status == CommitStatus::Conflict)
-                         return feed.after_next_refresh_with_retries([done, r] { done(r); });
-                     done(r);
-                 });
+                                std::function<void(const CommitResult&)> done, bool may_be_executed) {
+    store.commit(change, [&runtime, &store, &feed, change, done = std::move(done),
+                          may_be_executed](const CommitResult& result) {
+        const bool outcome_unknown = result.status == CommitStatus::Unknown;
+        if (outcome_unknown || (may_be_executed && result.status == CommitStatus::Unavailable)) {
+            runtime.after(kRetryDelay, [&runtime, &store, &feed, change, done] {
+                commit_until_outcome_known(runtime, store, feed, change, done, true);
+            });
+            return;
+        }
+        if (result.status == CommitStatus::Conflict)
+            return feed.after_next_refresh_with_retries([done, result] { done(result); });
+        done(result);
+    });
 }
 
 }  // namespace cottonway
--- a/src/cache/change_feed.hpp
+++ b/src/cache/change_feed.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Follows the store: reads everything once, then looks at what has changed in even steps. Each look also
-// proves that everything known was current when it was sent, which answers to users rest on.
+// Follows the store: lists all records once, then reads the changes at a fixed interval (a refresh). An
+// answered refresh also proves that the cache was up to date when the refresh was sent; answers to users rely
+// on that.
 
 #include <functional>
 #include <list>
@@ -16,41 +17,43 @@
     class Subscriber {
       public:
         virtual ~Subscriber() = default;
-        /// A record as it is, or as it has become; null: it is gone.
+        /// Applies the current value of a record; null: the record was deleted.
         virtual void apply(const std::string& key, const Json* value, Revision mod_revision) = 0;
-        /// Everything is about to be read, and `apply` is called for each record until `reread`.
+        /// A full read starts; `apply` is called for each record until `on_resync_end`.
         virtual void on_resync_begin() = 0;
-        /// From where to go on after a key that has been read: the key itself, or one beyond what need not be
-        /// read.
+        /// Returns the key after which the list continues once `key` has been read: `key` itself, or a later
+        /// key where the records in between need not be read.
         virtual std::string continuation_key(const std::string& key) = 0;
-        /// Everything has been read: what is not among `seen` is not there as of `ledger`.
+        /// The full read is complete: a key that is not in `seen` did not exist at `store_revision`.
         virtual void on_resync_end(const std::set<std::string>& seen, Revision store_revision) = 0;
-        /// No record as of before this revision will be taken any more.
+        /// No record older than this revision will be passed to `apply` any more.
         virtual void on_watermark(Revision store_revision) = 0;
     };
     ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Subscriber& subscriber);
 
     void start() { load(); }
-    /// Called ten times a second: gives up on what has waited for a look too long.
+    /// Called ten times a second: fails callbacks that have waited too long for a refresh.
     void tick();
 
     bool loaded() const { return loaded_; }
     Revision store_revision() const { return store_revision_; }
-    /// What reading everything took last: requests, records, and time.
+    /// Cost of the last full read.
     struct LoadStats {
         std::uint64_t requests = 0;
         std::uint64_t records = 0;
         Micros duration = 0;
     };
     const LoadStats& load_stats() const { return load_stats_; }
-    /// When the last look that was answered was sent.
+    /// Returns when the last answered refresh was sent: the cache was up to date at that time.
     Micros confirmed_at() const { return confirmed_at_; }
     Micros confirmed_age() const { return runtime_.now() - confirmed_at_; }
-    /// Calls back once a look that was begun after now has been taken in; false: none was for long.
+    /// Calls back with true once the result of a refresh sent from now on has been applied, with false if
+    /// that takes too long.
     void after_next_refresh(std::function<void(bool)> done);
-    /// The same, however long that takes: what a conflict means is in the news.
+    /// The same, but retries until a refresh succeeds. Used after a conflict: the change that caused it is in
+    /// the cache then.
     void after_next_refresh_with_retries(std::function<void()> done);
-    /// How many wait for a look.
+    /// Returns how many callbacks wait for a refresh.
     std::size_t waiter_count() const { return waiters_.size(); }
 
   private:
@@ -59,13 +62,13 @@
         std::function<void(bool)> done;
     };
     void load();
-    void look();
-    void looked(Micros sent);
+    void refresh();
+    void on_refresh_answered(Micros sent_at);
 
     Runtime& runtime_;
     StoreClient& store_;
     Subscriber& subscriber_;
-    Micros every_ = 0;
+    Micros refresh_interval_ = 0;
     bool loaded_ = false;
     LoadStats load_stats_;
     Revision store_revision_ = 0;
@@ -73,11 +76,12 @@
     std::list<Waiter> waiters_;
 };
 
-/// Commits until the outcome is certain. A change that may have been carried out is sent again as it is: a
-/// conflict then tells that it was, or that it never will be. Taken for refused before its news is in, a
-/// split that was made would cost its machines their tasks, and a share that was given away would count here
-/// as well.
+/// Commits a change and retries until the outcome is certain. A change that may have been executed is sent
+/// again unchanged: a conflict then proves that it was executed or never will be. `done` is called for a
+/// conflict only after the cache has been refreshed. If the caller took an executed change for rejected, the
+/// tasks of machines that were split off would be lost, and quota given to another shard would be counted
+/// twice.
 void commit_until_outcome_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, const Change& change,
-                                std::function<void(const CommitResult&)> done, bool uncertain = false);
+                                std::function<void(const CommitResult&)> done, bool may_be_executed = false);
 
 }  // namespace cottonway
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -6,186 +6,194 @@
 namespace cottonway {
 
 namespace {
-// What a step takes besides its tasks' run time: binding, launching, fetching the image, telling.
-constexpr Micros kStep = 4 * kSecond;
+// Time that a job takes besides the run time of its tasks: binding, launch, image fetch and reporting.
+constexpr Micros kTaskOverhead = 4 * kSecond;
 
-/// The slowest of several tasks, and estimates that are too low.
-Micros takes(Micros estimate) {
-    return estimate + estimate / 3 + kStep;
+/// Adds a third to the estimate, for the slowest of several tasks and for estimates that are too low.
+Micros padded_duration(Micros estimate) {
+    return estimate + estimate / 3 + kTaskOverhead;
 }
 }  // namespace
 
 DependencyStatus DependencyGraph::preview(const JobSpec& spec, const OutcomeLookup& lookup) {
-    DependencyStatus s;
-    for (const auto& need : spec.needs) {
-        const KnownOutcome known = lookup(need);
-        if (known.outcome == Outcome::Cancelled) s.cancelled_by_dependency = true;
-        if (known.outcome != Outcome::Done) s.dependencies_done = false;
-        s.dependencies_done_ms = std::max(s.dependencies_done_ms, known.ended_ms);
+    DependencyStatus status;
+    for (const auto& dependency : spec.needs) {
+        const KnownOutcome known = lookup(dependency);
+        if (known.outcome == Outcome::Cancelled) status.cancelled_by_dependency = true;
+        if (known.outcome != Outcome::Done) status.dependencies_done = false;
+        status.dependencies_done_ms = std::max(status.dependencies_done_ms, known.ended_ms);
     }
-    if (!s.dependencies_done) s.dependencies_done_ms = 0;
-    return s;
+    if (!status.dependencies_done) status.dependencies_done_ms = 0;
+    return status;
 }
 
 void DependencyGraph::add_job(const JobSpec& spec, std::int64_t submitted_ms, const OutcomeLookup& lookup) {
     const std::string& ref = spec.ref;
-    unknown_.erase(ref);
+    unknown_dependencies_.erase(ref);
     auto found = nodes_.find(ref);
     if (spec.needs.empty() && found == nodes_.end()) return;
     Node& node = nodes_[ref];
-    if (std::exchange(node.live, true)) return;
-    node.own_rank = spec.rank;
-    node.own_due_ms = spec.deadline ? submitted_ms + *spec.deadline / kMillisecond : INT64_MAX;
+    if (std::exchange(node.added, true)) return;
+    node.own_priority = spec.rank;
+    node.own_deadline_ms = spec.deadline ? submitted_ms + *spec.deadline / kMillisecond : INT64_MAX;
     node.estimate = spec.estimate;
-    weigh_due_ = true;
+    propagation_due_ = true;
     changed_.insert(ref);
     std::string cancelled;
-    for (const auto& need : spec.needs) {
-        const KnownOutcome known = lookup(need);
+    for (const auto& dependency : spec.needs) {
+        const KnownOutcome known = lookup(dependency);
         if (known.outcome == Outcome::Done) {
-            node.since_ms = std::max(node.since_ms, known.ended_ms);
+            node.dependencies_done_ms = std::max(node.dependencies_done_ms, known.ended_ms);
             continue;
         }
-        node.waits.insert(need);
+        node.unfinished_dependencies.insert(dependency);
         if (known.outcome == Outcome::Cancelled) {
-            cancelled = need;  // over: nothing more will be heard of it
+            cancelled = dependency;  // it is final, so no update of it follows
             continue;
         }
-        if (known.outcome == Outcome::Unknown) unknown_.insert(need);
-        nodes_[need].dependents.insert(ref);
+        if (known.outcome == Outcome::Unknown) unknown_dependencies_.insert(dependency);
+        nodes_[dependency].dependents.insert(ref);
     }
-    if (!cancelled.empty()) orphan(ref, cancelled);
+    if (!cancelled.empty()) cancel_with_dependents(ref, cancelled);
 }
 
-void DependencyGraph::orphan(const std::string& ref, const std::string& with) {
+void DependencyGraph::cancel_with_dependents(const std::string& ref,
+                                             const std::string& cancelled_dependency) {
     std::vector<std::string> next{ref};
     while (!next.empty()) {
         const std::string name = std::move(next.back());
         next.pop_back();
         Node& node = nodes_[name];
         if (std::exchange(node.cancelled_by_dependency, true)) continue;
-        node.with = with;
+        node.cancelling_dependency = cancelled_dependency;
         changed_.insert(name);
         next.insert(next.end(), node.dependents.begin(), node.dependents.end());
     }
-    weigh_due_ = true;
+    propagation_due_ = true;
 }
 
 void DependencyGraph::mark_finished(const std::string& ref, bool done, std::int64_t ended_ms) {
-    unknown_.erase(ref);
+    unknown_dependencies_.erase(ref);
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return;
     Node node = std::move(it->second);
     nodes_.erase(it);
-    weigh_due_ = true;
+    propagation_due_ = true;
     for (const auto& name : node.dependents) {
-        Node& d = nodes_[name];
-        // One that is cancelled stays in its dependents' way for good.
+        Node& dependent = nodes_[name];
+        // A cancelled dependency stays among the unfinished ones of its dependents: they never start.
         if (!done) {
-            orphan(name, ref);
+            cancel_with_dependents(name, ref);
             continue;
         }
-        d.waits.erase(ref);
-        d.since_ms = std::max(d.since_ms, ended_ms);
-        if (d.waits.empty()) changed_.insert(name);
+        dependent.unfinished_dependencies.erase(ref);
+        dependent.dependencies_done_ms = std::max(dependent.dependencies_done_ms, ended_ms);
+        if (dependent.unfinished_dependencies.empty()) changed_.insert(name);
     }
-    for (const auto& need : node.waits) {
-        auto n = nodes_.find(need);
-        if (n == nodes_.end()) continue;
-        n->second.dependents.erase(ref);
-        changed_.insert(need);
-        drop_if_idle(need);
+    for (const auto& dependency : node.unfinished_dependencies) {
+        auto dependency_node = nodes_.find(dependency);
+        if (dependency_node == nodes_.end()) continue;
+        dependency_node->second.dependents.erase(ref);
+        changed_.insert(dependency);
+        erase_if_unneeded(dependency);
     }
 }
 
-void DependencyGraph::drop_if_idle(const std::string& ref) {
+void DependencyGraph::erase_if_unneeded(const std::string& ref) {
     auto it = nodes_.find(ref);
-    if (it != nodes_.end() && !it->second.live && it->second.dependents.empty()) {
+    if (it != nodes_.end() && !it->second.added && it->second.dependents.empty()) {
         nodes_.erase(it);
-        unknown_.erase(ref);
+        unknown_dependencies_.erase(ref);
     }
 }
 
 DependencyStatus DependencyGraph::dependency_status(const std::string& ref) const {
-    DependencyStatus s;
+    DependencyStatus status;
     auto it = nodes_.find(ref);
-    if (it == nodes_.end()) return s;
-    const Node& n = it->second;
-    s.dependencies_done = n.waits.empty();
-    s.cancelled_by_dependency = n.cancelled_by_dependency;
-    s.has_dependents = std::any_of(n.dependents.begin(), n.dependents.end(), [this](const std::string& d) {
-        return !nodes_.at(d).cancelled_by_dependency;
-    });
-    s.dependencies_done_ms = n.since_ms;
-    s.inherited_priority = n.rank;
-    s.inherited_deadline_ms = n.due_ms;
-    return s;
+    if (it == nodes_.end()) return status;
+    const Node& node = it->second;
+    status.dependencies_done = node.unfinished_dependencies.empty();
+    status.cancelled_by_dependency = node.cancelled_by_dependency;
+    status.has_dependents = std::any_of(
+        node.dependents.begin(), node.dependents.end(),
+        [this](const std::string& dependent) { return !nodes_.at(dependent).cancelled_by_dependency; });
+    status.dependencies_done_ms = node.dependencies_done_ms;
+    status.inherited_priority = node.inherited_priority;
+    status.inherited_deadline_ms = node.inherited_deadline_ms;
+    return status;
 }
 
 bool DependencyGraph::is_cancellation_uncertain(
-    const std::string& ref, const std::function<bool(const std::string&)>& doubted) const {
+    const std::string& ref, const std::function<bool(const std::string&)>& is_uncertain) const {
     auto it = nodes_.find(ref);
     if (it == nodes_.end() || it->second.cancelled_by_dependency) return false;
-    // Also through those before it, which wait themselves.
+    // Follows indirect dependencies as well: the direct ones may wait for others.
     std::set<std::string> seen;
     std::vector<std::string> next{ref};
     while (!next.empty()) {
         const std::string name = std::move(next.back());
         next.pop_back();
         if (!seen.insert(name).second) continue;
-        if (unknown_.count(name) || doubted(name)) return true;
-        if (auto n = nodes_.find(name); n != nodes_.end())
-            next.insert(next.end(), n->second.waits.begin(), n->second.waits.end());
+        if (unknown_dependencies_.count(name) || is_uncertain(name)) return true;
+        if (auto waiting_node = nodes_.find(name); waiting_node != nodes_.end())
+            next.insert(next.end(), waiting_node->second.unfinished_dependencies.begin(),
+                        waiting_node->second.unfinished_dependencies.end());
     }
     return false;
 }
 
 std::string DependencyGraph::cancelling_dependency(const std::string& ref) const {
     auto it = nodes_.find(ref);
-    return it == nodes_.end() ? "" : it->second.with;
+    return it == nodes_.end() ? "" : it->second.cancelling_dependency;
 }
 
 std::vector<std::string> DependencyGraph::unfinished_dependencies(const std::string& ref) const {
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return {};
-    return {it->second.waits.begin(), it->second.waits.end()};
+    return {it->second.unfinished_dependencies.begin(), it->second.unfinished_dependencies.end()};
 }
 
 std::vector<std::string> DependencyGraph::waiting_jobs() const {
     std::vector<std::string> out;
-    for (const auto& [ref, n] : nodes_)
-        if (n.live && !n.waits.empty()) out.push_back(ref);
+    for (const auto& [ref, node] : nodes_)
+        if (node.added && !node.unfinished_dependencies.empty()) out.push_back(ref);
     return out;
 }
 
-/// A job can name only jobs that have been accepted before it is, so no job comes to need itself, and those
-/// that nothing needs can be weighed first, then what they need, and so on.
+/// A job can depend only on jobs that were accepted before it, so the graph has no cycles and can be
+/// processed in reverse topological order: jobs without dependents first, then their dependencies, and so on.
 void DependencyGraph::propagate_priorities() {
-    if (!std::exchange(weigh_due_, false)) return;
-    std::map<std::string, std::size_t> missing;
+    if (!std::exchange(propagation_due_, false)) return;
+    std::map<std::string, std::size_t> unprocessed_dependents;
     std::vector<std::string> ready;
-    for (const auto& [ref, n] : nodes_) {
-        missing[ref] = n.dependents.size();
-        if (n.dependents.empty()) ready.push_back(ref);
+    for (const auto& [ref, node] : nodes_) {
+        unprocessed_dependents[ref] = node.dependents.size();
+        if (node.dependents.empty()) ready.push_back(ref);
     }
     while (!ready.empty()) {
         const std::string ref = std::move(ready.back());
         ready.pop_back();
-        Node& n = nodes_.at(ref);
-        PriorityClass rank = PriorityClass::Low;
-        std::int64_t due = INT64_MAX;
-        for (const auto& name : n.dependents) {
-            const Node& d = nodes_.at(name);
-            if (d.cancelled_by_dependency) continue;
-            rank = std::min({rank, d.rank, d.own_rank});
-            const std::int64_t by = std::min(d.due_ms, d.own_due_ms);
-            if (by != INT64_MAX) due = std::min(due, by - takes(d.estimate) / kMillisecond);
+        Node& node = nodes_.at(ref);
+        PriorityClass priority = PriorityClass::Low;
+        std::int64_t deadline_ms = INT64_MAX;
+        for (const auto& name : node.dependents) {
+            const Node& dependent = nodes_.at(name);
+            if (dependent.cancelled_by_dependency) continue;
+            priority = std::min({priority, dependent.inherited_priority, dependent.own_priority});
+            const std::int64_t dependent_deadline_ms =
+                std::min(dependent.inherited_deadline_ms, dependent.own_deadline_ms);
+            if (dependent_deadline_ms != INT64_MAX)
+                deadline_ms = std::min(
+                    deadline_ms, dependent_deadline_ms - padded_duration(dependent.estimate) / kMillisecond);
         }
-        if (rank != n.rank || due != n.due_ms) changed_.insert(ref);
-        n.rank = rank;
-        n.due_ms = due;
-        for (const auto& need : n.waits)
-            if (auto m = missing.find(need); m != missing.end() && --m->second == 0) ready.push_back(need);
+        if (priority != node.inherited_priority || deadline_ms != node.inherited_deadline_ms)
+            changed_.insert(ref);
+        node.inherited_priority = priority;
+        node.inherited_deadline_ms = deadline_ms;
+        for (const auto& dependency : node.unfinished_dependencies)
+            if (auto count = unprocessed_dependents.find(dependency);
+                count != unprocessed_dependents.end() && --count->second == 0)
+                ready.push_back(dependency);
     }
 }
 
--- a/src/cache/dependency_graph.hpp
+++ b/src/cache/dependency_graph.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Which jobs need which. A job's gate opens when all that it needs are done, it is cancelled when one before
-// it is, and it is treated with the priority and the deadline of what needs it. Both facts that this rests
-// on, done and cancelled, are final in the store, so every controller comes to the same result and none has
-// to be told. Knows only jobs that need others or are needed, and that are not over.
+// Dependencies between jobs. A job can start when all of its dependencies are done, it is cancelled when one
+// of them is cancelled, and it inherits the priority and the deadline of its dependents. "Done" and
+// "cancelled" are final in the store, so every controller derives the same status without any messages. The
+// graph holds only unfinished jobs that have dependencies or dependents.
 
 #include <cstdint>
 #include <functional>
@@ -16,14 +16,14 @@
 
 namespace cottonway {
 
-/// How a job stands among those that need one another.
+/// Status of a job that follows from its dependencies and its dependents.
 struct DependencyStatus {
-    bool dependencies_done = true;          // all that it needs are done
-    bool cancelled_by_dependency = false;   // one before it is cancelled
-    bool has_dependents = false;            // others wait for it
-    std::int64_t dependencies_done_ms = 0;  // when the last job that it needs was done, 0: it needs none
-    PriorityClass inherited_priority = PriorityClass::Low;  // the highest of those that need it
-    std::int64_t inherited_deadline_ms = INT64_MAX;         // by when it has to be done for the sake of those
+    bool dependencies_done = true;          // all dependencies of the job are done
+    bool cancelled_by_dependency = false;   // a dependency, direct or indirect, is cancelled
+    bool has_dependents = false;            // jobs that are not cancelled wait for this one
+    std::int64_t dependencies_done_ms = 0;  // when the last dependency was done, 0: there are none
+    PriorityClass inherited_priority = PriorityClass::Low;  // the highest priority of the dependents
+    std::int64_t inherited_deadline_ms = INT64_MAX;  // when the job must be done to meet their deadlines
 };
 
 class DependencyGraph {
@@ -35,53 +35,54 @@
     };
     using OutcomeLookup = std::function<KnownOutcome(const std::string& ref)>;
 
-    /// A job that is not over, when it is first heard of.
+    /// Adds an unfinished job when it is first seen.
     void add_job(const JobSpec& spec, std::int64_t submitted_ms, const OutcomeLookup& lookup);
-    /// A job that is over: done, or cancelled.
+    /// Removes a finished job: done, or cancelled.
     void mark_finished(const std::string& ref, bool done, std::int64_t ended_ms);
     DependencyStatus dependency_status(const std::string& ref) const;
-    /// How a job would stand that has not been admitted yet.
+    /// Returns the status that a job would have if it were admitted now.
     static DependencyStatus preview(const JobSpec& spec, const OutcomeLookup& lookup);
 
-    /// Jobs that are needed and of which nothing is known here: their records must be read.
-    const std::set<std::string>& unknown_dependencies() const { return unknown_; }
-    /// Whether it is not clear yet if the job is cancelled: something is not known of one before it, or
-    /// `doubted` says so.
+    /// Returns dependencies whose outcome is unknown here; their records must be read.
+    const std::set<std::string>& unknown_dependencies() const { return unknown_dependencies_; }
+    /// Returns whether the job may be cancelled by a dependency without this process knowing: the outcome of
+    /// a direct or indirect dependency is unknown, or `is_uncertain` says so.
     bool is_cancellation_uncertain(const std::string& ref,
-                                   const std::function<bool(const std::string&)>& doubted) const;
-    /// Which cancelled job a job is cancelled with, and what it still waits for.
+                                   const std::function<bool(const std::string&)>& is_uncertain) const;
+    /// Returns the cancelled dependency that cancelled the job, "": none did.
     std::string cancelling_dependency(const std::string& ref) const;
+    /// Returns the dependencies that are not done yet.
     std::vector<std::string> unfinished_dependencies(const std::string& ref) const;
 
-    /// Ranks and deadlines flow backwards; to be called now and then.
+    /// Propagates priorities and deadlines from dependents to their dependencies, if the graph has changed.
     void propagate_priorities();
-    /// Jobs whose standing has changed since this was last asked.
+    /// Returns the jobs whose status has changed since the last call.
     std::set<std::string> take_changed() { return std::exchange(changed_, {}); }
     bool has_changes() const { return !changed_.empty(); }
-    /// All that wait for others.
+    /// Returns the jobs that wait for dependencies.
     std::vector<std::string> waiting_jobs() const;
 
   private:
     struct Node {
-        bool live = false;  // heard of itself; false: only needed by others
-        std::set<std::string> waits;
+        bool added = false;  // by add_job(); false: only known as a dependency
+        std::set<std::string> unfinished_dependencies;
         std::set<std::string> dependents;
         bool cancelled_by_dependency = false;
-        std::string with;  // the cancelled job
-        std::int64_t since_ms = 0;
-        PriorityClass own_rank = PriorityClass::Low;
-        std::int64_t own_due_ms = INT64_MAX;
+        std::string cancelling_dependency;
+        std::int64_t dependencies_done_ms = 0;
+        PriorityClass own_priority = PriorityClass::Low;
+        std::int64_t own_deadline_ms = INT64_MAX;
         Micros estimate = 0;
-        PriorityClass rank = PriorityClass::Low;
-        std::int64_t due_ms = INT64_MAX;
+        PriorityClass inherited_priority = PriorityClass::Low;
+        std::int64_t inherited_deadline_ms = INT64_MAX;
     };
-    void orphan(const std::string& ref, const std::string& with);
-    void drop_if_idle(const std::string& ref);
+    void cancel_with_dependents(const std::string& ref, const std::string& cancelled_dependency);
+    void erase_if_unneeded(const std::string& ref);
 
     std::map<std::string, Node> nodes_;
-    std::set<std::string> unknown_;
+    std::set<std::string> unknown_dependencies_;
     std::set<std::string> changed_;
-    bool weigh_due_ = false;
+    bool propagation_due_ = false;
 };
 
 }  // namespace cottonway
--- a/src/cache/format_cache.cpp
+++ b/src/cache/format_cache.cpp
@@ -5,21 +5,22 @@
 namespace cottonway {
 
 std::uint64_t FormatCache::format_read_by(const std::string& node) const {
-    auto it = reads_.find(node);
-    return it == reads_.end() ? 0 : it->second;
+    auto it = formats_read_.find(node);
+    return it == formats_read_.end() ? 0 : it->second;
 }
 
 bool FormatCache::apply(const std::string& node, const Json& value) {
-    auto& reads = reads_[node];
-    reads = std::max(reads, wire::count(value, "reads").value_or(0));
-    std::uint64_t least = std::min(format_read_by(settings_.node), format::kNewest);
-    for (const auto& p : settings_.peers) least = std::min(least, format_read_by(p.name));
-    return raise_common_format(least);
+    auto& format_read = formats_read_[node];
+    format_read = std::max(format_read, wire::count(value, "reads").value_or(0));
+    std::uint64_t oldest_format = std::min(format_read_by(settings_.node), format::kNewest);
+    for (const auto& peer : settings_.peers)
+        oldest_format = std::min(oldest_format, format_read_by(peer.name));
+    return raise_common_format(oldest_format);
 }
 
 bool FormatCache::raise_common_format(std::uint64_t format) {
-    if (format <= common_) return false;
-    common_ = format;
+    if (format <= common_format_) return false;
+    common_format_ = format;
     return true;
 }
 
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -7,43 +7,43 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kWeighGuarantees = 100 * kMillisecond;
+constexpr Micros kGuaranteesInterval = 100 * kMillisecond;
 
-void keep_newest(JobView& view, const JobView& other) {
+void replace_if_newer(JobView& view, const JobView& other) {
     if (view.is_superseded_by(other)) view = other;
 }
 }  // namespace
 
-std::vector<Condition> JobCache::unchanged_conditions(const std::string& ref, RecordLocation place,
+std::vector<Condition> JobCache::unchanged_conditions(const std::string& ref, RecordLocation location,
                                                       Revision mod_revision, Revision legacy_revision) {
-    std::vector<Condition> when{{record_key(place, ref), mod_revision}};
-    if (place == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
+    std::vector<Condition> when{{record_key(location, ref), mod_revision}};
+    if (location == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
     return when;
 }
 
-Change JobCache::deletion_change(const Condition& left) {
+Change JobCache::deletion_change(const Condition& leftover) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back(left);
-    change.then.push_back({left.key, Json()});
+    change.when.push_back(leftover);
+    change.then.push_back({leftover.key, Json()});
     change.purpose = "history";
     return change;
 }
 
-bool JobCache::apply(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
-                     Micros now) {
+bool JobCache::apply(const std::string& ref, RecordLocation location, const Json& value,
+                     Revision mod_revision, Micros now) {
     JobView view = JobView::from_record(value, mod_revision);
-    if (auto live = live_.find(ref); live != live_.end() && place == RecordLocation::Job &&
+    if (auto live = live_.find(ref); live != live_.end() && location == RecordLocation::Job &&
                                      live->second.location == RecordLocation::Active && !view.is_final()) {
-        // News of what it was before it was moved may come after the result of that.
+        // An update from before the move to c/active/ may arrive after the result of the move.
         if (mod_revision > live->second.moved_revision)
             live->second.legacy_revision = std::max(live->second.legacy_revision, mod_revision);
         return false;
     }
-    if (outdated(ref, place, view)) return false;
+    if (is_outdated(ref, location, view)) return false;
     if (view.is_final()) dependency_graph_.mark_finished(ref, view.stage == Stage::Done, view.ended_ms);
     guarantees_due_ = true;
-    lost_.erase(ref);
+    jobs_missing_record_.erase(ref);
     const Json* spec = wire::find(value, "d");
     if (!spec || view.stage == Stage::Done) {
         live_.erase(ref);
@@ -51,18 +51,18 @@
         return true;
     }
     auto [job, added] = live_.try_emplace(ref);
-    if (added) describe(ref, job->second, value, *spec, view);
-    // Cancelled with one before it, whatever its record says: nobody is told anything else any more.
+    if (added) init_live_job(ref, job->second, value, *spec, view);
+    // A job that is cancelled by a dependency is shown as cancelled, whatever its own record says.
     if (!view.is_final() && dependency_graph_.dependency_status(ref).cancelled_by_dependency)
         view = view.as_cancelled();
-    update(job->second, place, value, view, now);
+    update_live_job(job->second, location, value, view, now);
     return true;
 }
 
-/// What does not change of a live job.
-void JobCache::describe(const std::string& ref, LiveJob& job, const Json& value, const Json& spec,
-                        const JobView& view) {
-    if (const JobView* read = finished_.find(ref)) job.view = *read;
+/// Sets the fields of a live job that never change.
+void JobCache::init_live_job(const std::string& ref, LiveJob& job, const Json& value, const Json& spec,
+                             const JobView& view) {
+    if (const JobView* finished_view = finished_.find(ref)) job.view = *finished_view;
     finished_.forget(ref);
     const auto submitted_ms = static_cast<std::int64_t>(wire::number(value, "at").value_or(0));
     job.eligible_since_ms =
@@ -70,7 +70,8 @@
     const auto parsed = wire::parse_job(spec).spec;
     if (!parsed) return;
     if (!view.is_final())
-        dependency_graph_.add_job(*parsed, submitted_ms, [this](const auto& need) { return outcome(need); });
+        dependency_graph_.add_job(*parsed, submitted_ms,
+                                  [this](const auto& dependency) { return outcome(dependency); });
     job.dependencies_done = dependency_graph_.dependency_status(ref).dependencies_done;
     job.team = parsed->team;
     job.request = parsed->request;
@@ -82,35 +83,36 @@
     job.kind = parsed->kind;
 }
 
-/// What a newer record of a live job tells.
-void JobCache::update(LiveJob& job, RecordLocation place, const Json& value, const JobView& view,
-                      Micros now) {
+/// Sets the fields of a live job that follow from its newest record.
+void JobCache::update_live_job(LiveJob& job, RecordLocation location, const Json& value, const JobView& view,
+                               Micros now) {
     job.record = value;
     job.mod_revision = view.mod_revision;
-    // What stood under c/job/ was dropped by the change that moved it.
-    if (place == RecordLocation::Active && job.location == RecordLocation::Job) {
+    // The commit that moved the record also deleted the one under c/job/.
+    if (location == RecordLocation::Active && job.location == RecordLocation::Job) {
         job.legacy_revision = 0;
-        if (!reading_) job.moved_revision = view.mod_revision;
+        if (!full_read_in_progress_) job.moved_revision = view.mod_revision;
     }
-    job.location = place;
-    // Every change of it rests on there being no final record, so news of one proves that.
-    job.verified_unfinished = place == RecordLocation::Job || !reading_;
+    job.location = location;
+    // Every change of a record under c/active/ is conditional on there being no final record, so an update
+    // from the change feed proves that there was none.
+    job.verified_unfinished = location == RecordLocation::Job || !full_read_in_progress_;
     job.shard = wire::text(value, "dom").value_or("");
-    if (view.running > 0) image_seen_[{job.image, job.shard}] = now;
+    if (view.running > 0) image_last_used_[{job.image, job.shard}] = now;
     job.tasks = view.tasks;
     job.done = view.done;
     job.running = view.running;
     job.cancelled = view.stage == Stage::Cancelled;
     job.backing_off = wire::flag(value, "er").value_or(false);
-    keep_newest(job.view, view);
+    replace_if_newer(job.view, view);
 }
 
-/// News of our own earlier writes may come after their results, and a record that was read may have been
-/// overtaken by the news: what is older than known is dropped.
-bool JobCache::outdated(const std::string& ref, RecordLocation place, const JobView& view) const {
-    if (const JobView* old = find_view(ref)) return old->mod_revision > view.mod_revision;
-    // All that is live as of the watermark is known, so this one has ended since.
-    return !reading_ && place == RecordLocation::Active && !view.is_final() &&
+/// Returns whether a view is older than the known state. The change feed may deliver our own writes after
+/// their results, and it may overtake the result of a read.
+bool JobCache::is_outdated(const std::string& ref, RecordLocation location, const JobView& view) const {
+    if (const JobView* known = find_view(ref)) return known->mod_revision > view.mod_revision;
+    // All jobs that are live at the watermark are cached, so this one has finished since.
+    return !full_read_in_progress_ && location == RecordLocation::Active && !view.is_final() &&
            view.mod_revision <= watermark_;
 }
 
@@ -122,28 +124,29 @@
         job->second.parts.erase(part);
         return false;
     }
-    auto& held = job->second.parts[part];
-    if (held.second >= mod_revision) return false;
-    held = {*value, mod_revision};
+    auto& known = job->second.parts[part];
+    if (known.second >= mod_revision) return false;
+    known = {*value, mod_revision};
     return true;
 }
 
 void JobCache::on_record_removed(const std::string& ref) {
     auto live = live_.find(ref);
-    if (live != live_.end() && live->second.location == RecordLocation::Active) lost_.insert(ref);
+    if (live != live_.end() && live->second.location == RecordLocation::Active)
+        jobs_missing_record_.insert(ref);
 }
 
 void JobCache::on_resync_begin() {
-    reading_ = true;
+    full_read_in_progress_ = true;
     for (auto& [ref, job] : live_)
         if (job.location == RecordLocation::Active) job.verified_unfinished = false;
 }
 
 void JobCache::on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history) {
-    reading_ = false;
+    full_read_in_progress_ = false;
     for (auto& [ref, job] : live_) {
         if (job.location != RecordLocation::Active) continue;
-        if (!seen(keys::active + ref)) lost_.insert(ref);
+        if (!seen(keys::active + ref)) jobs_missing_record_.insert(ref);
         job.verified_unfinished = job.verified_unfinished || with_history;
     }
 }
@@ -157,20 +160,21 @@
 
 bool JobCache::is_unverified(const std::string& ref) const {
     const LiveJob* job = find(ref);
-    return job && (!job->verified_unfinished || lost_.count(ref) > 0);
+    return job && (!job->verified_unfinished || jobs_missing_record_.count(ref) > 0);
 }
 
 std::vector<std::string> JobCache::unverified_dependencies() const {
     std::vector<std::string> out;
     for (const auto& ref : dependency_graph_.waiting_jobs())
-        for (const auto& need : dependency_graph_.unfinished_dependencies(ref))
-            if (is_unverified(need)) out.push_back(need);
+        for (const auto& dependency : dependency_graph_.unfinished_dependencies(ref))
+            if (is_unverified(dependency)) out.push_back(dependency);
     return out;
 }
 
 std::size_t JobCache::legacy_record_count() const {
-    return static_cast<std::size_t>(std::count_if(
-        live_.begin(), live_.end(), [](const auto& j) { return j.second.location == RecordLocation::Job; }));
+    return static_cast<std::size_t>(std::count_if(live_.begin(), live_.end(), [](const auto& entry) {
+        return entry.second.location == RecordLocation::Job;
+    }));
 }
 
 const LiveJob* JobCache::find(const std::string& ref) const {
@@ -180,7 +184,7 @@
 
 void JobCache::remember(const std::string& ref, const JobView& view) {
     if (auto live = live_.find(ref); live != live_.end())
-        keep_newest(live->second.view, view);
+        replace_if_newer(live->second.view, view);
     else if (view.is_final())
         finished_.remember(ref, view);
 }
@@ -194,8 +198,8 @@
     if (const LiveJob* job = find(ref)) {
         if (job->cancelled || job->view.is_final()) return JobFinality::Finished;
         if (dependency_graph_.dependency_status(ref).cancelled_by_dependency) return JobFinality::Finished;
-        // Its record is gone, and what became of it is being read.
-        return lost_.count(ref) > 0 ? JobFinality::Unknown : JobFinality::Unfinished;
+        // Its record was deleted, and its outcome is being read.
+        return jobs_missing_record_.count(ref) > 0 ? JobFinality::Unknown : JobFinality::Unfinished;
     }
     return finished_.find(ref) ? JobFinality::Finished : JobFinality::Unknown;
 }
@@ -207,16 +211,17 @@
 
 std::vector<Order> JobCache::stops_for_finished_jobs(const Report& report) const {
     std::vector<Order> orders;
-    for (const auto& t : report.tasks)
-        if (t.phase != Phase::Exited && finality(t.job) == JobFinality::Finished)
-            orders.push_back({OrderKind::Stop, t.job, t.task, t.attempt, 0});
+    for (const auto& task : report.tasks)
+        if (task.phase != Phase::Exited && finality(task.job) == JobFinality::Finished)
+            orders.push_back({OrderKind::Stop, task.job, task.task, task.attempt, 0});
     return orders;
 }
 
 std::vector<std::string> JobCache::unknown_jobs(const Report& report) const {
     std::vector<std::string> unknown;
-    for (const auto& t : report.tasks)
-        if (t.phase != Phase::Exited && finality(t.job) == JobFinality::Unknown) unknown.push_back(t.job);
+    for (const auto& task : report.tasks)
+        if (task.phase != Phase::Exited && finality(task.job) == JobFinality::Unknown)
+            unknown.push_back(task.job);
     return unknown;
 }
 
@@ -233,66 +238,67 @@
     if (const LiveJob* job = find(ref))
         return {job->cancelled ? DependencyGraph::Outcome::Cancelled : DependencyGraph::Outcome::Unfinished,
                 0};
-    // Known only from having been asked after: it may be over without having been in the news.
+    // Its record is not cached: it may have finished without an update of it being received.
     return {};
 }
 
 void JobCache::apply_dependency_status(const std::string& ref) {
     auto live = live_.find(ref);
     if (live == live_.end()) return;
-    const DependencyStatus s = dependency_graph_.dependency_status(ref);
+    const DependencyStatus status = dependency_graph_.dependency_status(ref);
     LiveJob& job = live->second;
-    if (s.cancelled_by_dependency && !job.cancelled) {
+    if (status.cancelled_by_dependency && !job.cancelled) {
         job.cancelled = true;
-        spdlog::info("job {}: cancelled with {}", ref, dependency_graph_.cancelling_dependency(ref));
-        keep_newest(job.view, job.view.as_cancelled());
+        spdlog::info("job {}: cancelled because its dependency {} is cancelled", ref,
+                     dependency_graph_.cancelling_dependency(ref));
+        replace_if_newer(job.view, job.view.as_cancelled());
     }
-    if (s.dependencies_done && !std::exchange(job.dependencies_done, true)) {
-        if (s.dependencies_done_ms > 0)
-            job.eligible_since_ms = std::max(job.eligible_since_ms, s.dependencies_done_ms);
-        spdlog::info("job {}: all that it needs are done, its gate is open", ref);
+    if (status.dependencies_done && !std::exchange(job.dependencies_done, true)) {
+        if (status.dependencies_done_ms > 0)
+            job.eligible_since_ms = std::max(job.eligible_since_ms, status.dependencies_done_ms);
+        spdlog::info("job {}: all dependencies are done, the job can start", ref);
     }
     guarantees_due_ = true;
 }
 
 bool JobCache::within_guarantee(const std::string& ref, Micros now) {
-    if (guarantees_due_ && now - guarantees_at_ >= kWeighGuarantees) {
+    if (guarantees_due_ && now - guarantees_computed_at_ >= kGuaranteesInterval) {
         guarantees_due_ = false;
-        guarantees_at_ = now;
-        weigh_guarantees();
+        guarantees_computed_at_ = now;
+        recompute_guarantees();
     }
     auto job = live_.find(ref);
     return job != live_.end() && job->second.within_guarantee;
 }
 
-/// The earlier jobs of a team take of its guarantee first.
-void JobCache::weigh_guarantees() {
-    std::vector<LiveJob*> order;
+/// Allots each team's guarantee to its jobs in the order in which they became eligible.
+void JobCache::recompute_guarantees() {
+    std::vector<LiveJob*> jobs_by_time;
     for (auto& [name, job] : live_) {
         job.within_guarantee = false;
-        if (!job.cancelled && job.dependencies_done) order.push_back(&job);
+        if (!job.cancelled && job.dependencies_done) jobs_by_time.push_back(&job);
     }
-    // Among those of the same time by name, as they are listed.
-    std::stable_sort(order.begin(), order.end(), [](const LiveJob* a, const LiveJob* b) {
+    // Stable: jobs with the same time stay in the order of their names.
+    std::stable_sort(jobs_by_time.begin(), jobs_by_time.end(), [](const LiveJob* a, const LiveJob* b) {
         return a->eligible_since_ms < b->eligible_since_ms;
     });
-    std::map<std::string, Resources> left;
-    for (const auto& t : settings_.teams) left[t.name] = t.guarantee;
-    for (LiveJob* job : order) {
-        Resources& room = left[job->team];
+    std::map<std::string, Resources> remaining_by_team;
+    for (const auto& team : settings_.teams) remaining_by_team[team.name] = team.guarantee;
+    for (LiveJob* job : jobs_by_time) {
+        Resources& remaining = remaining_by_team[job->team];
         const int tasks = std::max(job->tasks - job->done, 0);
-        room -= {job->request.cores * tasks, job->request.gpus * tasks, 0};
-        job->within_guarantee = room.cores >= 0 && room.gpus >= 0;
+        remaining -= {job->request.cores * tasks, job->request.gpus * tasks, 0};
+        job->within_guarantee = remaining.cores >= 0 && remaining.gpus >= 0;
     }
 }
 
 Micros JobCache::image_last_used(const std::string& image, const std::string& shard) const {
-    auto it = image_seen_.find({image, shard});
-    return it == image_seen_.end() ? 0 : it->second;
+    auto it = image_last_used_.find({image, shard});
+    return it == image_last_used_.end() ? 0 : it->second;
 }
 
 void JobCache::forget_images_before(Micros before) {
-    std::erase_if(image_seen_, [before](const auto& i) { return i.second < before; });
+    std::erase_if(image_last_used_, [before](const auto& entry) { return entry.second < before; });
 }
 
 }  // namespace cottonway
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// What is known of jobs: the records of those that are not over, or whose tasks may still run, and what a
-// poll needs of the latest others. Holds state and decides nothing but how jobs stand that need one another.
+// Cache of jobs: the records of unfinished jobs and of jobs whose tasks may still run, and the views of the
+// jobs that finished most recently, for polls. Makes no decisions except for the status that follows from
+// dependencies.
 
 #include <cstdint>
 #include <functional>
@@ -18,30 +19,32 @@
 
 namespace cottonway {
 
-/// Whether a job is over, by what this process knows. Nothing may be allowed because of `Unknown`.
+/// What this process knows of whether a job is finished. `Unknown` must never permit anything.
 enum class JobFinality : std::uint8_t { Unknown, Unfinished, Finished };
 
-/// A job that is not over, as the store has it.
+/// An unfinished job, or a cancelled one whose tasks may still run, as stored.
 struct LiveJob {
     Json record;
     JobView view;  // at least as new as the record
     Revision mod_revision = 0;
     RecordLocation location = RecordLocation::Job;
-    /// Under c/active/: the mark of what stands under c/job/ besides, 0: nothing. That is a record of old
-    /// form that came late and counts for nothing; it is in the way of the final record, which must name it.
+    /// For a record under c/active/: the revision of another record of the job under c/job/, 0: there is
+    /// none. Such a legacy record was written late and is ignored, but it occupies the key of the final
+    /// record, so the commit of the final record must be conditional on its revision.
     Revision legacy_revision = 0;
-    Revision moved_revision = 0;  // the change that brought it under c/active/, if this process has seen that
-    /// Under c/active/: whether it is proven that the job is not over as of what was read. Its final record
-    /// stands elsewhere and is not read with the others; the record under c/active/ may outlast it a while.
+    Revision moved_revision = 0;  // of the commit that moved it to c/active/, if this process saw it
+    /// For a record under c/active/: whether the job is proven to be unfinished at the time of the last full
+    /// read. Its final record is stored under c/job/, which a full read skips, and the record under c/active/
+    /// may be deleted some time after the final one was written.
     bool verified_unfinished = true;
     std::string shard;
     std::string team;
-    std::int64_t eligible_since_ms = 0;  // when it began to count (see Job)
-    bool dependencies_done = true;       // waits for no other job
+    std::int64_t eligible_since_ms = 0;  // when it became eligible to run (see Job)
+    bool dependencies_done = true;       // it waits for no other job
     Resources request;                   // of one task
     PriorityClass priority = PriorityClass::Normal;
-    std::optional<std::vector<std::string>> allowed_types;  // that it may use, nothing: all
-    std::optional<std::string> required_zone;               // the only one that it may use
+    std::optional<std::vector<std::string>> allowed_types;  // nullopt: all
+    std::optional<std::string> required_zone;               // nullopt: any
     JobKind kind = JobKind::Array;
     int tasks = 0;
     int done = 0;
@@ -49,7 +52,7 @@
     std::string image;
     bool spot = false;
     bool cancelled = false;
-    bool backing_off = false;       // its owner takes it to be broken
+    bool backing_off = false;       // considered broken by its owner, retried one task at a time
     bool within_guarantee = false;  // see JobCache::within_guarantee
     std::map<std::size_t, std::pair<Json, Revision>> parts;
 };
@@ -60,89 +63,96 @@
                       std::size_t finished_capacity = FinishedJobs::kDefaultCapacity)
         : settings_(settings), finished_(finished_capacity) {}
 
-    /// News of a job's record. False if it is older than what is known, or counts for nothing.
-    bool apply(const std::string& ref, RecordLocation place, const Json& value, Revision mod_revision,
+    /// Applies an update of a job's record. Returns false if it is older than the known state or must be
+    /// ignored.
+    bool apply(const std::string& ref, RecordLocation location, const Json& value, Revision mod_revision,
                Micros now);
-    /// A record under c/active/ is gone: the job is over, or about to be heard of.
+    /// Notes that a record under c/active/ was deleted: the job has finished, or an update of it follows.
     void on_record_removed(const std::string& ref);
-    /// Everything is about to be read again: final records are not among it.
+    /// Starts a full read, which may not include final records.
     void on_resync_begin();
-    /// Everything has been read. `seen`: whether the job's record was there; `with_history`: final records
-    /// were read as well, so that what has not been found to be over goes on.
+    /// Ends a full read. `seen` returns whether a key was read. `with_history`: final records were read as
+    /// well, so that every job without one is proven to be unfinished.
     void on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history);
 
-    /// Live jobs that may be over by what is known; their final records must be looked for.
-    const std::set<std::string>& jobs_missing_record() const { return lost_; }
-    /// As of some moment after the job was last read, nothing stood under c/job/ but what `shadow` says.
+    /// Returns live jobs whose record is gone: they may be finished, and their final records must be read.
+    const std::set<std::string>& jobs_missing_record() const { return jobs_missing_record_; }
+    /// Notes that the job was unfinished at some time after its record was last read: c/job/ held no record
+    /// of it, or only the legacy record of revision `legacy_revision`.
     void mark_verified_unfinished(const std::string& ref, Revision legacy_revision);
-    /// Whether it may be over without our knowing.
+    /// Returns whether the job may be finished without this process knowing.
     bool is_unverified(const std::string& ref) const;
-    /// Jobs that others need and that are not proven to go on.
+    /// Returns the jobs that others depend on and that are not proven to be unfinished.
     std::vector<std::string> unverified_dependencies() const;
-    /// Conditions on which a change of the job's record rests: it is as known, and the job is not over.
-    static std::vector<Condition> unchanged_conditions(const std::string& ref, RecordLocation place,
+    /// Returns the conditions for a change of the job's record: the record is unchanged and the job is
+    /// unfinished.
+    static std::vector<Condition> unchanged_conditions(const std::string& ref, RecordLocation location,
                                                        Revision mod_revision, Revision legacy_revision);
-    /// Drops what is left over under c/active/ of a job that is over.
-    static Change deletion_change(const Condition& left);
-    /// Live jobs whose record is of old form.
+    /// Returns a change that deletes the leftover record of a finished job under c/active/.
+    static Change deletion_change(const Condition& leftover);
+    /// Returns the number of live jobs whose record is still under c/job/.
     std::size_t legacy_record_count() const;
-    /// News of a further part; null: it is gone. True if the job is live and this is new.
+    /// Applies an update of a further part of a job's record; null: it was deleted. Returns whether the job
+    /// is live and the update is new.
     bool apply_part(const std::string& ref, std::size_t part, const Json* value, Revision mod_revision);
 
     const std::map<std::string, LiveJob>& live_jobs() const { return live_; }
     const LiveJob* find(const std::string& ref) const;
-    /// Takes in what was read of a job. What is known only grows: an answer that the news has overtaken
-    /// brings nothing back, and what is not final is known by the news alone, since it was read as of that
-    /// moment only.
+    /// Applies the result of a read of a job's record. A result that is older than the known view changes
+    /// nothing. Unfinished jobs are added by updates of the change feed only, since a read shows the state of
+    /// one moment.
     void remember(const std::string& ref, const JobView& view);
-    /// The newest view of a job; null: nothing is known of it, or no more.
+    /// Returns the newest view of a job; null: the job is unknown, or its view was evicted.
     const JobView* find_view(const std::string& ref) const;
     std::size_t view_count() const { return live_.size() + finished_.size(); }
-    /// No record as of before this revision will be heard of any more.
+    /// Declares that no record older than this revision will be received any more.
     void set_watermark(Revision watermark);
-    /// Whether the job is over, by its own record or with one that it needs.
+    /// Returns whether the job is finished, by its own record or because a dependency is cancelled.
     JobFinality finality(const std::string& ref) const;
-    /// Whether the stored record of the job, if it is live, says that it is cancelled: what `finality` must
-    /// agree with.
+    /// Returns whether the job is live and its stored record says that it is cancelled. `finality` must agree
+    /// with it.
     bool recorded_as_cancelled(const std::string& ref) const;
-    /// Orders to stop what a worker reports of jobs that are over, at once.
+    /// Returns orders to stop, without grace, every task of a finished job in a worker's report.
     std::vector<Order> stops_for_finished_jobs(const Report& report) const;
-    /// Jobs of which a worker reports tasks that may run, and of which it is not known whether they are over.
+    /// Returns the jobs of tasks in a worker's report that may run while it is unknown whether the job is
+    /// finished.
     std::vector<std::string> unknown_jobs(const Report& report) const;
 
     DependencyGraph& dependency_graph() { return dependency_graph_; }
     const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-    /// What has become of a job that another one needs.
+    /// Returns the outcome of a job for the dependency graph.
     DependencyGraph::KnownOutcome outcome(const std::string& ref) const;
-    /// Takes in how the job stands among those that need one another.
+    /// Applies the job's current dependency status to its cached state.
     void apply_dependency_status(const std::string& ref);
 
-    /// Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs.
+    /// Returns whether the job fits into its team's guarantee together with the team's earlier unfinished
+    /// jobs.
     bool within_guarantee(const std::string& ref, Micros now);
-    /// What the guarantees are weighed by has changed.
+    /// Makes the next `within_guarantee` recompute the guarantees.
     void invalidate_guarantees() { guarantees_due_ = true; }
 
-    /// When a shard last ran tasks with an image, 0: not lately.
+    /// Returns when a shard last ran tasks with the image, 0: not recently.
     Micros image_last_used(const std::string& image, const std::string& shard) const;
     void forget_images_before(Micros before);
 
   private:
-    void weigh_guarantees();
-    bool outdated(const std::string& ref, RecordLocation place, const JobView& view) const;
-    void describe(const std::string& ref, LiveJob& job, const Json& value, const Json& spec,
-                  const JobView& view);
-    void update(LiveJob& job, RecordLocation place, const Json& value, const JobView& view, Micros now);
+    void recompute_guarantees();
+    bool is_outdated(const std::string& ref, RecordLocation location, const JobView& view) const;
+    void init_live_job(const std::string& ref, LiveJob& job, const Json& value, const Json& spec,
+                       const JobView& view);
+    void update_live_job(LiveJob& job, RecordLocation location, const Json& value, const JobView& view,
+                         Micros now);
 
     const Settings& settings_;
     std::map<std::string, LiveJob> live_;
-    FinishedJobs finished_;  // none of them live
+    FinishedJobs finished_;  // none of them is in `live_`
     Revision watermark_ = 0;
-    std::set<std::string> lost_;
-    bool reading_ = false;
+    std::set<std::string> jobs_missing_record_;
+    bool full_read_in_progress_ = false;
     DependencyGraph dependency_graph_;
-    std::map<std::pair<std::string, std::string>, Micros> image_seen_;  // image and shard
+    std::map<std::pair<std::string, std::string>, Micros> image_last_used_;  // image and shard
     bool guarantees_due_ = true;
-    Micros guarantees_at_ = 0;
+    Micros guarantees_computed_at_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/cache/machine_type_catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -6,23 +6,23 @@
 
 namespace cottonway {
 
-bool MachineTypeCatalog::merge(const Json& answer) {
-    auto types = wire::parse_types(answer);
+bool MachineTypeCatalog::merge(const Json& response) {
+    auto types = wire::parse_types(response);
     if (!types || types->empty()) return false;
-    for (const auto& t : *types) {
+    for (const auto& type : *types) {
         auto known = std::find_if(types_.begin(), types_.end(),
-                                  [&](const MachineType& k) { return k.name == t.name; });
+                                  [&](const MachineType& other) { return other.name == type.name; });
         if (known != types_.end())
-            *known = t;
+            *known = type;
         else
-            types_.push_back(t);
+            types_.push_back(type);
     }
     return true;
 }
 
-bool MachineTypeCatalog::apply_cloud_response(const Json& answer) {
-    if (!merge(answer)) return false;
-    answer_ = answer;
+bool MachineTypeCatalog::apply_cloud_response(const Json& response) {
+    if (!merge(response)) return false;
+    cloud_response_ = response;
     return true;
 }
 
@@ -33,19 +33,20 @@
 }
 
 const MachineType* MachineTypeCatalog::find(const std::string& name) const {
-    for (const auto& t : types_)
-        if (t.name == name) return &t;
+    for (const auto& type : types_)
+        if (type.name == name) return &type;
     return nullptr;
 }
 
 bool MachineTypeCatalog::is_stored_outdated() const {
-    auto fixed = [](const Json& answer) {
+    auto fixed_properties = [](const Json& response) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
-        if (auto types = wire::parse_types(answer))
-            for (const auto& t : *types) out.emplace(t.name, t.size.cores, t.size.gpus, t.size.ram, t.zones);
+        if (auto types = wire::parse_types(response))
+            for (const auto& type : *types)
+                out.emplace(type.name, type.size.cores, type.size.gpus, type.size.ram, type.zones);
         return out;
     };
-    return fixed(stored_.first) != fixed(answer_);
+    return fixed_properties(stored_.first) != fixed_properties(cloud_response_);
 }
 
 }  // namespace cottonway
--- a/src/cache/machine_type_catalog.hpp
+++ b/src/cache/machine_type_catalog.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Machine types as the cloud tells them, or as the store has kept them for times when the cloud is out of
-// reach (prices in those may be old).
+// Machine types as the cloud API lists them, or as stored for times when the cloud API is unreachable (stored
+// prices may be outdated).
 
 #include <deque>
 #include <string>
@@ -12,26 +12,26 @@
 
 class MachineTypeCatalog {
   public:
-    /// An answer of the cloud. False if it tells nothing.
-    bool apply_cloud_response(const Json& answer);
-    /// News of the record that the leader keeps. True if something was learnt from it.
+    /// Applies a response of the cloud API. Returns false if it holds no machine types.
+    bool apply_cloud_response(const Json& response);
+    /// Applies an update of the record that the leader maintains. Returns whether the catalog has changed.
     bool apply_stored(const Json& stored, Revision mod_revision);
 
     const MachineType* find(const std::string& name) const;
-    /// Addresses in it stay valid.
+    /// Pointers to its elements stay valid.
     const std::deque<MachineType>& types() const { return types_; }
     bool empty() const { return types_.empty(); }
-    /// The cloud's last answer, null: none yet.
-    const Json& cloud_response() const { return answer_; }
+    /// Returns the last response of the cloud API, null: none yet.
+    const Json& cloud_response() const { return cloud_response_; }
     Revision stored_revision() const { return stored_.second; }
-    /// Whether the store's record differs from the cloud's answer in anything but prices and times.
+    /// Returns whether the stored record differs from the cloud's response in more than prices and times.
     bool is_stored_outdated() const;
 
   private:
-    bool merge(const Json& answer);
+    bool merge(const Json& response);
 
     std::deque<MachineType> types_;
-    Json answer_;
+    Json cloud_response_;
     std::pair<Json, Revision> stored_;
 };
 
--- a/src/cache/membership.cpp
+++ b/src/cache/membership.cpp
@@ -22,9 +22,9 @@
 }
 
 bool Membership::apply_shard(const std::string& name, const Json& value, Revision mod_revision) {
-    OwnershipRecord& d = shards_[name];
-    if (mod_revision <= d.mod_revision) return false;
-    d = {wire::text(value, "holder").value_or(""), mod_revision};
+    OwnershipRecord& known = shards_[name];
+    if (mod_revision <= known.mod_revision) return false;
+    known = {wire::text(value, "holder").value_or(""), mod_revision};
     return true;
 }
 
--- a/src/cache/membership.hpp
+++ b/src/cache/membership.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Who is there, as the store tells: controllers that are alive, the leading one, and who holds which shard.
-// Holds state and decides nothing. Times are microseconds of this process's steady clock.
+// Cluster membership as stored: live controllers, the leader, and the holder of each shard. Makes no
+// decisions. Times are microseconds of this process's steady clock.
 
 #include <map>
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace cottonway {
 
-/// Who holds something (a shard, the lead), and since which change.
+/// Holder of a shard or of the leadership, and the revision of the record that says so.
 struct OwnershipRecord {
     std::string holder;
     Revision mod_revision = 0;
@@ -19,34 +19,36 @@
 
 class Membership {
   public:
-    /// News of a node's key. True if the node has just become silent.
+    /// Applies an update of a node's liveness key. Returns whether the node has just become silent.
     bool apply_liveness(const std::string& node, bool alive, Micros now);
-    /// A node that was not there when everything was read: nothing is known of it from before.
+    /// Marks a node as silent whose key was missing in a full read; when it ended is not known.
     void mark_absent(const std::string& node, Micros now);
-    /// True if this is newer than what is known.
+    /// Applies an update of a shard's or the leader's ownership record. Returns whether it is newer than the
+    /// known one.
     bool apply_shard(const std::string& name, const Json& value, Revision mod_revision);
     bool apply_leader(const Json& value, Revision mod_revision);
-    /// What we have just committed ourselves.
-    void set_shard(const std::string& name, OwnershipRecord held) { shards_[name] = std::move(held); }
-    void set_leader(OwnershipRecord held) { leader_ = std::move(held); }
+    /// Sets the holder that this process has just committed.
+    void set_shard(const std::string& name, OwnershipRecord record) { shards_[name] = std::move(record); }
+    void set_leader(OwnershipRecord record) { leader_ = std::move(record); }
 
     bool is_alive(const std::string& node) const { return alive_.count(node) > 0; }
     const std::set<std::string>& alive_nodes() const { return alive_; }
-    /// When it was first heard of, 0: it is not alive.
+    /// Returns when the node was first seen alive, 0: it is not alive.
     Micros alive_since(const std::string& node) const;
-    /// When its end was heard of; nothing while it is alive or was never heard of.
+    /// Returns when this process noticed that the node was not alive; nullopt while it is alive or was never
+    /// noticed.
     std::optional<Micros> silent_since(const std::string& node) const;
-    /// A node that this process has heard of itself, by a message or by news of its key. Its key as it was
-    /// first read proves nothing: an outage of the state service may have kept it for long.
-    void mark_heard_from(const std::string& node) { heard_.insert(node); }
-    bool has_been_heard_from(const std::string& node) const { return heard_.count(node) > 0; }
+    /// Notes a sign of life of a node: a message, or an update of its key. Its key in a full read is no proof
+    /// of life: an outage of the state service may have kept it for long.
+    void mark_heard_from(const std::string& node) { heard_from_.insert(node); }
+    bool has_been_heard_from(const std::string& node) const { return heard_from_.count(node) > 0; }
     const OwnershipRecord& leader() const { return leader_; }
     const std::map<std::string, OwnershipRecord>& shards() const { return shards_; }
     const OwnershipRecord* shard(const std::string& name) const;
 
   private:
     std::set<std::string> alive_;
-    std::set<std::string> heard_;
+    std::set<std::string> heard_from_;
     std::map<std::string, Micros> alive_since_;
     std::map<std::string, Micros> silent_since_;
     OwnershipRecord leader_;
--- a/src/cache/plan_cache.hpp
+++ b/src/cache/plan_cache.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// What the shards have begun and not ended (c/plan/DOMAIN), as stored. Holds state and decides nothing.
+// Cache of the shards' records of migrations and reservations in progress (c/plan/DOMAIN). Makes no
+// decisions.
 
 #include <map>
 #include <string>
@@ -11,8 +12,8 @@
 class PlanCache {
   public:
     struct Stored {
-        Json value;                 // null: there is no record
-        Revision mod_revision = 0;  // of the record; of its removal where there is none
+        Json value;                 // null: the record does not exist
+        Revision mod_revision = 0;  // of the record, or of its deletion
     };
     void apply(const std::string& shard, const Json* value, Revision mod_revision) {
         if (auto it = stored_.find(shard); it != stored_.end() && mod_revision <= it->second.mod_revision)
--- a/src/cache/policy_cache.hpp
+++ b/src/cache/policy_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The operators' policy as it is stored, for all controllers (c/policy). Holds state and decides nothing.
+// Cache of the stored operators' policy, which applies to all controllers (c/policy). Makes no decisions.
 
 #include <cstdint>
 
@@ -14,14 +14,15 @@
   public:
     explicit PolicyCache(const Settings& settings) : default_(policy::default_policy(settings)) {}
 
-    /// True if another policy is in force by this. A damaged record puts the default in force, the same on
-    /// all nodes whatever stood there before.
+    /// Applies an update of the record. Returns whether the policy in force has changed. With a damaged
+    /// record the default policy is in force, so that all nodes apply the same one whatever the record held
+    /// before.
     bool apply(const Json* value, Revision mod_revision);
     const policy::Policy& in_force() const { return stored_ ? *stored_ : default_; }
-    /// Of the record, 0: there is none. A damaged record may still tell one, and so may one of a newer
-    /// version that this one can't read.
+    /// Returns the policy revision of the record, 0: there is none. A damaged record may still hold a
+    /// revision, and so may a record of a newer version that this version can't read.
     std::uint64_t revision() const { return revision_; }
-    /// 0: there is no record.
+    /// Returns the store revision of the record, 0: there is no record.
     Revision mod_revision() const { return mod_revision_; }
     bool is_damaged() const { return mod_revision_ > 0 && !stored_; }
 
@@ -30,7 +31,7 @@
     std::optional<policy::Policy> stored_;
     std::uint64_t revision_ = 0;
     Revision mod_revision_ = 0;
-    Revision seen_ = 0;  // of the last news, a deletion included
+    Revision last_update_revision_ = 0;  // of the last update, deletions included
 };
 
 }  // namespace cottonway
--- a/src/cache/quota_cache.cpp
+++ b/src/cache/quota_cache.cpp
@@ -5,54 +5,57 @@
 namespace cottonway {
 
 void QuotaCache::apply(const std::string& shard, const Json* value, Revision mod_revision) {
-    Stored& s = stored_[shard];
-    if (value && mod_revision > s.mod_revision) s = {parse_shares(*value), mod_revision};
+    Stored& stored = allocations_[shard];
+    if (value && mod_revision > stored.mod_revision) stored = {parse_shares(*value), mod_revision};
 }
 
 const QuotaCache::Stored* QuotaCache::find(const std::string& shard) const {
-    auto it = stored_.find(shard);
-    return it == stored_.end() ? nullptr : &it->second;
+    auto it = allocations_.find(shard);
+    return it == allocations_.end() ? nullptr : &it->second;
 }
 
 Resources QuotaCache::total_allocated(const std::string& team) const {
     Resources sum;
-    for (const auto& [name, s] : stored_)
-        if (auto part = s.allocation.find(team); part != s.allocation.end()) sum += part->second;
+    for (const auto& [name, stored] : allocations_)
+        if (auto allocated = stored.allocation.find(team); allocated != stored.allocation.end())
+            sum += allocated->second;
     return sum;
 }
 
 Resources QuotaCache::available_quota(const std::string& shard, const std::string& team) const {
-    const auto limited =
-        std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) { return t.name == team; });
-    if (limited == teams_.end()) return {};
-    Resources ours;
+    const auto team_settings = std::find_if(teams_.begin(), teams_.end(),
+                                            [&](const Team& candidate) { return candidate.name == team; });
+    if (team_settings == teams_.end()) return {};
+    Resources available;
     if (const Stored* stored = find(shard)) {
-        if (auto held = stored->allocation.find(team); held != stored->allocation.end()) ours = held->second;
-        if (auto giving = giving_.find(shard); giving != giving_.end())
-            if (auto g = giving->second.find(team); g != giving->second.end()) ours -= g->second;
+        if (auto allocated = stored->allocation.find(team); allocated != stored->allocation.end())
+            available = allocated->second;
+        if (auto transfers = outgoing_.find(shard); transfers != outgoing_.end())
+            if (auto amount = transfers->second.find(team); amount != transfers->second.end())
+                available -= amount->second;
     }
     const Resources sum = total_allocated(team);
-    auto scale = [](Milli part_of, Milli limit, Milli total) {
+    auto scale = [](Milli allocated_amount, Milli limit, Milli total) {
         if (limit == kNoLimit) return kNoLimit;
-        return total > limit ? static_cast<Milli>(static_cast<double>(part_of) * static_cast<double>(limit) /
-                                                  static_cast<double>(total))
-                             : part_of;
+        return total > limit ? static_cast<Milli>(static_cast<double>(allocated_amount) *
+                                                  static_cast<double>(limit) / static_cast<double>(total))
+                             : allocated_amount;
     };
-    return {scale(ours.cores, limited->limit.cores, sum.cores),
-            scale(ours.gpus, limited->limit.gpus, sum.gpus), 0};
+    return {scale(available.cores, team_settings->limit.cores, sum.cores),
+            scale(available.gpus, team_settings->limit.gpus, sum.gpus), 0};
 }
 
 void QuotaCache::begin_transfer(const std::string& from, const std::string& to, const std::string& team,
                                 const Resources& amount) {
-    busy_.insert(from);
-    busy_.insert(to);
-    giving_[from][team] = amount;
+    in_transfer_.insert(from);
+    in_transfer_.insert(to);
+    outgoing_[from][team] = amount;
 }
 
 void QuotaCache::end_transfer(const std::string& from, const std::string& to) {
-    giving_.erase(from);
-    busy_.erase(from);
-    busy_.erase(to);
+    outgoing_.erase(from);
+    in_transfer_.erase(from);
+    in_transfer_.erase(to);
 }
 
 }  // namespace cottonway
--- a/src/cache/quota_cache.hpp
+++ b/src/cache/quota_cache.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The shards' parts of every team's limit, as stored. Holds state and decides nothing.
+// Cache of the stored quota allocations: the part of each team's limit that each shard holds. Makes no
+// decisions.
 
 #include <map>
 #include <set>
@@ -20,26 +21,26 @@
     explicit QuotaCache(const std::vector<Team>& teams) : teams_(teams) {}
 
     void apply(const std::string& shard, const Json* value, Revision mod_revision);
-    const std::map<std::string, Stored>& all() const { return stored_; }
+    const std::map<std::string, Stored>& all() const { return allocations_; }
     const Stored* find(const std::string& shard) const;
-    /// What a shard may use of a team's limit: its stored part less what is being given away, and less in
-    /// proportion where operators have lowered the limit since.
+    /// Returns how much of a team's limit a shard may use: its stored allocation minus what is being
+    /// transferred to another shard, scaled down in proportion if operators have lowered the limit since.
     Resources available_quota(const std::string& shard, const std::string& team) const;
-    /// What all shards' parts of a team's limit add up to.
+    /// Returns the sum of all shards' allocations of a team's limit.
     Resources total_allocated(const std::string& team) const;
 
-    /// Part of a shard's share is on its way to another one: until the outcome is certain neither counts on
-    /// it, and no other change of the two is begun.
+    /// Marks a quota transfer between two shards as in progress: until its outcome is certain neither shard
+    /// uses the amount, and no other change of the two allocations starts.
     void begin_transfer(const std::string& from, const std::string& to, const std::string& team,
                         const Resources& amount);
     void end_transfer(const std::string& from, const std::string& to);
-    bool is_transferring(const std::string& shard) const { return busy_.count(shard) > 0; }
+    bool is_transferring(const std::string& shard) const { return in_transfer_.count(shard) > 0; }
 
   private:
     const std::vector<Team>& teams_;
-    std::map<std::string, Stored> stored_;
-    std::map<std::string, QuotaAllocation> giving_;
-    std::set<std::string> busy_;
+    std::map<std::string, Stored> allocations_;
+    std::map<std::string, QuotaAllocation> outgoing_;
+    std::set<std::string> in_transfer_;
 };
 
 }  // namespace cottonway
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -27,27 +27,27 @@
       listener_(listener) {}
 
 void StateCache::apply(const std::string& key, const Json* value, Revision mod_revision) {
-    auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
+    auto suffix_after = [&](const std::string& prefix) { return key.substr(prefix.size()); };
     if (starts_with(key, keys::chunk)) return store_.chunk_store().take(key, value, runtime_.now());
-    std::optional<Json> whole;
+    std::optional<Json> joined;
     if (!value || !chunks::named_by(*value)) {
         store_.chunk_store().on_record_removed(key);
-    } else if (whole = store_.chunk_store().whole(key, *value); whole) {
-        value = &*whole;
+    } else if (joined = store_.chunk_store().whole(key, *value); joined) {
+        value = &*joined;
     } else {
-        // Replaced since, so that its pieces are gone: news of that follows.
-        return spdlog::info("{}: not all pieces of it are there", key);
+        // The record was replaced since and its chunks were deleted: an update of it follows.
+        return spdlog::info("{}: some of its chunks are missing", key);
     }
     const bool active = starts_with(key, keys::active);
     if (active || starts_with(key, keys::job)) {
-        const RecordLocation place = active ? RecordLocation::Active : RecordLocation::Job;
-        const std::string ref = rest(active ? keys::active : keys::job);
+        const RecordLocation location = active ? RecordLocation::Active : RecordLocation::Job;
+        const std::string ref = suffix_after(active ? keys::active : keys::job);
         if (!value && active) return jobs.on_record_removed(ref);
-        if (!value || !jobs.apply(ref, place, *value, mod_revision, runtime_.now())) return;
-        listener_.on_job(ref, place, *value, mod_revision);
+        if (!value || !jobs.apply(ref, location, *value, mod_revision, runtime_.now())) return;
+        listener_.on_job(ref, location, *value, mod_revision);
         if (jobs.dependency_graph().has_changes()) propagate_dependency_changes();
     } else if (starts_with(key, keys::part)) {
-        const std::string name = rest(keys::part);
+        const std::string name = suffix_after(keys::part);
         const auto slash = name.rfind('/');
         if (slash == std::string::npos) return;
         const std::string ref = name.substr(0, slash);
@@ -55,26 +55,26 @@
         if (jobs.apply_part(ref, part, value, mod_revision))
             listener_.on_part(ref, part, *value, mod_revision);
     } else if (starts_with(key, keys::block)) {
-        blocks.apply(rest(keys::block), value, mod_revision);
+        blocks.apply(suffix_after(keys::block), value, mod_revision);
         listener_.on_scheduling_input_changed();
     } else if (starts_with(key, keys::live)) {
-        const std::string node = rest(keys::live);
+        const std::string node = suffix_after(keys::live);
         membership.apply_liveness(node, value != nullptr, runtime_.now());
-        if (value && !reading_) membership.mark_heard_from(node);
+        if (value && !full_read_in_progress_) membership.mark_heard_from(node);
     } else if (starts_with(key, keys::shard)) {
-        const std::string name = rest(keys::shard);
+        const std::string name = suffix_after(keys::shard);
         if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
     } else if (starts_with(key, keys::share)) {
-        quotas.apply(rest(keys::share), value, mod_revision);
+        quotas.apply(suffix_after(keys::share), value, mod_revision);
         listener_.on_scheduling_input_changed();
     } else if (starts_with(key, keys::plan)) {
-        plans.apply(rest(keys::plan), value, mod_revision);
+        plans.apply(suffix_after(keys::plan), value, mod_revision);
     } else if (starts_with(key, keys::format)) {
-        if (value && formats.apply(rest(keys::format), *value)) listener_.on_format();
+        if (value && formats.apply(suffix_after(keys::format), *value)) listener_.on_format();
     } else if (key == keys::policy) {
         if (policies.apply(value, mod_revision)) listener_.on_policy();
     } else if (key == keys::history) {
-        if (value) take_history(*value, mod_revision);
+        if (value) apply_history(*value, mod_revision);
     } else if (key == keys::types) {
         if (!value || !machine_types.apply_stored(*value, mod_revision)) return;
         jobs.invalidate_guarantees();
@@ -84,14 +84,15 @@
     }
 }
 
-/// Closed at first: from then on no record of old form is admitted, since that rests on this one not being
-/// there. Apart once a look after that has shown that none is left.
-void StateCache::take_history(const Json& value, Revision mod_revision) {
-    if (mod_revision <= history_mark_) return;
-    history_mark_ = mod_revision;
-    history_ = wire::flag(value, "apart").value_or(false) ? HistorySeparation::Complete
-                                                          : HistorySeparation::LegacyWritesClosed;
-    // Whoever wrote it had proven that all controllers read it.
+/// The first write of this record closes legacy writes: admitting an unfinished job under c/job/ is
+/// conditional on this record not existing. It says "apart" once a refresh after that has shown that no such
+/// job is left.
+void StateCache::apply_history(const Json& value, Revision mod_revision) {
+    if (mod_revision <= history_revision_) return;
+    history_revision_ = mod_revision;
+    history_separation_ = wire::flag(value, "apart").value_or(false) ? HistorySeparation::Complete
+                                                                     : HistorySeparation::LegacyWritesClosed;
+    // The writer of this record had proven that all controllers read this format.
     if (formats.raise_common_format(format::kSeparateActiveRecords)) listener_.on_format();
 }
 
@@ -105,12 +106,12 @@
 }
 
 void StateCache::on_resync_begin() {
-    reading_ = true;
+    full_read_in_progress_ = true;
     jobs.on_resync_begin();
 }
 
 void StateCache::on_resync_end(const std::set<std::string>& seen, Revision store_revision) {
-    reading_ = false;
+    full_read_in_progress_ = false;
     std::vector<std::string> missing;
     for (const auto& name : membership.alive_nodes())
         if (!seen.count(keys::live + name) && name != settings_.node) missing.push_back(keys::live + name);
@@ -119,13 +120,13 @@
     for (const auto& [shard, stored] : plans.all())
         if (!seen.count(keys::plan + shard)) missing.push_back(keys::plan + shard);
     for (const auto& [ref, job] : jobs.live_jobs())
-        for (const auto& [part, rest] : job.parts)
+        for (const auto& [part, record] : job.parts)
             if (const auto key = keys::part + ref + "/" + std::to_string(part); !seen.count(key))
                 missing.push_back(key);
     if (policies.mod_revision() > 0 && !seen.count(keys::policy)) missing.push_back(keys::policy);
     for (const auto& key : missing) apply(key, nullptr, store_revision);
     jobs.on_resync_end([&](const std::string& key) { return seen.count(key) > 0; }, !is_history_separated());
-    for (const auto& p : settings_.peers) membership.mark_absent(p.name, runtime_.now());
+    for (const auto& peer : settings_.peers) membership.mark_absent(peer.name, runtime_.now());
 }
 
 void StateCache::propagate_dependency_changes() {
@@ -135,35 +136,36 @@
     }
 }
 
-void StateCache::apply_machine_types(const Json& answer) {
-    if (!machine_types.apply_cloud_response(answer)) return;
+void StateCache::apply_machine_types(const Json& response) {
+    if (!machine_types.apply_cloud_response(response)) return;
     jobs.invalidate_guarantees();
     listener_.on_scheduling_input_changed();
 }
 
 std::size_t StateCache::machine_count_in_shard(const std::string& shard) const {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (const auto& [id, block] : blocks.all())
-        if (block.shard == shard) n += block.machines.size();
-    return n;
+        if (block.shard == shard) count += block.machines.size();
+    return count;
 }
 
 std::size_t StateCache::machine_count_of_node(const std::string& node) const {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (const auto& [id, block] : blocks.all())
-        if (const OwnershipRecord* d = membership.shard(block.shard); d && d->holder == node)
-            n += block.machines.size();
-    return n;
+        if (const OwnershipRecord* shard_owner = membership.shard(block.shard);
+            shard_owner && shard_owner->holder == node)
+            count += block.machines.size();
+    return count;
 }
 
-std::size_t StateCache::rank_among_alive(const std::string& what) const {
+std::size_t StateCache::rank_among_alive(const std::string& topic) const {
     auto weight = [&](const std::string& node) {
-        return std::tuple(machine_count_of_node(node), std::hash<std::string>{}(what + "@" + node), node);
+        return std::tuple(machine_count_of_node(node), std::hash<std::string>{}(topic + "@" + node), node);
     };
-    const auto ours = weight(settings_.node);
+    const auto own_weight = weight(settings_.node);
     const auto& alive = membership.alive_nodes();
     return static_cast<std::size_t>(std::count_if(alive.begin(), alive.end(), [&](const std::string& node) {
-        return node != settings_.node && weight(node) < ours;
+        return node != settings_.node && weight(node) < own_weight;
     }));
 }
 
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// The replica: everything that this controller follows of the store, a book for each kind of record. It is
-// brought up to date by the feed and by what the controller's own commits have told; it holds state, passes
-// on what has changed, and decides nothing.
+// Cache of the cluster state in the store, with one cache for each kind of record. It is updated by the
+// change feed and by the results of the controller's own commits. It notifies its listener of changes and
+// makes no decisions.
 
 #include <set>
 #include <string>
@@ -20,20 +20,21 @@
 
 class StateCache : public ChangeFeed::Subscriber {
   public:
-    /// Told of changes, after they have been taken in.
+    /// Notified of changes after they have been applied.
     class Listener : public BlockCache::Listener {
       public:
-        virtual void on_job(const std::string& ref, RecordLocation place, const Json& value,
+        virtual void on_job(const std::string& ref, RecordLocation location, const Json& value,
                             Revision mod_revision) = 0;
         virtual void on_part(const std::string& ref, std::size_t part, const Json& value,
                              Revision mod_revision) = 0;
-        /// The job stands differently among those that need one another.
+        /// The dependency status of the job has changed.
         virtual void on_dependency_status(const std::string& ref) = 0;
         virtual void on_shard(const std::string& name) = 0;
+        /// All controllers read a newer record format now.
         virtual void on_format() = 0;
-        /// Another policy is in force.
+        /// Another policy is in force now.
         virtual void on_policy() = 0;
-        /// Something that planning may rest on.
+        /// Something that scheduling decisions may depend on has changed.
         virtual void on_scheduling_input_changed() = 0;
     };
     StateCache(Runtime& runtime, StoreClient& store, const Settings& settings, Listener& listener);
@@ -43,24 +44,27 @@
     std::string continuation_key(const std::string& key) override;
     void on_resync_end(const std::set<std::string>& seen, Revision store_revision) override;
     void on_watermark(Revision store_revision) override { jobs.set_watermark(store_revision); }
-    /// Whether jobs that are not over stand under c/active/ only, so that nobody reads those under c/job/.
-    bool is_history_separated() const { return history_ == HistorySeparation::Complete; }
-    /// Whether no record of old form can be added any more.
-    bool legacy_writes_closed() const { return history_ != HistorySeparation::NotStarted; }
-    Revision history_revision() const { return history_mark_; }
-    /// A job whose only record stands under c/job/ although nobody reads there any more: it came late, from a
-    /// process that has ended, and was accepted by nobody until it has been moved.
+    /// Returns whether unfinished jobs are stored under c/active/ only, so that c/job/ need not be read.
+    bool is_history_separated() const { return history_separation_ == HistorySeparation::Complete; }
+    /// Returns whether no unfinished job can be added under c/job/ any more.
+    bool legacy_writes_closed() const { return history_separation_ != HistorySeparation::NotStarted; }
+    Revision history_revision() const { return history_revision_; }
+    /// Returns whether an unfinished job has its only record under c/job/ although nobody reads unfinished
+    /// jobs there any more. A process that has ended wrote it late; the job counts as accepted only once its
+    /// record has been moved to c/active/.
     bool has_only_legacy_record(const std::string& ref) const;
-    /// Passes on what has changed for jobs that need others, or are needed.
+    /// Applies changes of dependency statuses to the job cache and notifies the listener.
     void propagate_dependency_changes();
-    /// Machine types, as the cloud has just told them.
-    void apply_machine_types(const Json& answer);
+    /// Applies a list of machine types that the cloud API has just returned.
+    void apply_machine_types(const Json& response);
 
-    /// Machines of a shard, and of all shards that a node holds.
+    /// Returns the number of machines in a shard.
     std::size_t machine_count_in_shard(const std::string& shard) const;
+    /// Returns the number of machines in all shards that a node holds.
     std::size_t machine_count_of_node(const std::string& node) const;
-    /// Our turn among the nodes that are alive: who holds the fewest machines comes first.
-    std::size_t rank_among_alive(const std::string& what) const;
+    /// Returns this node's rank among the live nodes: the node with the fewest machines is first, and a hash
+    /// with `topic` breaks ties.
+    std::size_t rank_among_alive(const std::string& topic) const;
     Milli capacity_of(const std::string& shard) const { return blocks.capacity_of(shard, machine_types); }
 
     MachineTypeCatalog machine_types;
@@ -72,16 +76,18 @@
     PolicyCache policies;
     JobCache jobs;
 
-    /// How far the records of live jobs have been moved out of history: see keys::history.
+    /// Progress of the move of unfinished jobs from c/job/ to c/active/: see keys::history.
     enum class HistorySeparation { NotStarted, LegacyWritesClosed, Complete };
-    static Json history_value(HistorySeparation h) { return {{"apart", h == HistorySeparation::Complete}}; }
+    static Json history_value(HistorySeparation separation) {
+        return {{"apart", separation == HistorySeparation::Complete}};
+    }
 
   private:
-    void take_history(const Json& value, Revision mod_revision);
+    void apply_history(const Json& value, Revision mod_revision);
 
-    HistorySeparation history_ = HistorySeparation::NotStarted;
-    Revision history_mark_ = 0;
-    bool reading_ = false;  // everything, from the first record to the last
+    HistorySeparation history_separation_ = HistorySeparation::NotStarted;
+    Revision history_revision_ = 0;
+    bool full_read_in_progress_ = false;
     Runtime& runtime_;
     StoreClient& store_;
     const Settings& settings_;
