--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -10,22 +10,24 @@
 namespace cottonway {
 
 namespace {
-constexpr Micros kBack = 12 * kSecond;  // a worker that is back this soon could not reach its holder
-// What a try at a node that can't be reached costs a worker: no response for 4 s, and another second.
-constexpr Micros kWorkerTry = 5 * kSecond;
+// A worker that reports again this soon after a redirect could not reach its holder.
+constexpr Micros kReturnedAfterRedirectWindow = 12 * kSecond;
+// Time that a worker loses by calling an unreachable node: it waits 4 s for a response, and another second.
+constexpr Micros kWorkerAttemptTimeout = 5 * kSecond;
 constexpr Micros kRelinquishInterval = 500 * kMillisecond;
 constexpr Micros kPeerTimeout = 800 * kMillisecond;
 constexpr Micros kRelayTimeout = 2 * kSecond;
 constexpr Micros kProbeTimeout = kSecond;
-constexpr std::size_t kMaxProbes = 64;  // machines in no block that are called at a time
-constexpr Micros kForgotten = 2;        // leases, until what a former process promised counts no more
+constexpr std::size_t kMaxConcurrentProbes = 64;  // of machines in no block
+// Promises of a former process of a node expire after so many leases.
+constexpr Micros kForgottenPromiseLeases = 2;
 }  // namespace
 
 HeartbeatRouter::HeartbeatRouter(Runtime& runtime, const Settings& settings, const ChangeFeed& feed,
                                  const StateCache& cache, const MembershipLease& membership_lease,
                                  const ShardAssignment& assignment, const LeaderElection& election,
                                  MachineAllocator& machine_allocator, PeerDirectory& peers,
-                                 JobArchiver& history, permission::Counters& decisions)
+                                 JobArchiver& job_archiver, permission::Counters& decisions)
     : runtime_(runtime),
       settings_(settings),
       feed_(feed),
@@ -35,32 +37,33 @@
       election_(election),
       machine_allocator_(machine_allocator),
       peers_(peers),
-      history_(history),
+      job_archiver_(job_archiver),
       decisions_(decisions),
-      in_flight_(settings.peers.size()),
-      started_(runtime.now()) {}
+      relinquish_requests_in_flight_(settings.peers.size()),
+      started_at_(runtime.now()) {}
 
 bool HeartbeatRouter::lease_is_valid() const {
     return has_valid_lease(feed_.confirmed_age(), settings_);
 }
 
-std::optional<ApiResponse> HeartbeatRouter::answer(ShardOwner& owner, const Report& r) const {
-    auto answer = owner.on_report(r);
+std::optional<ApiResponse> HeartbeatRouter::answer_report(ShardOwner& owner, const Report& report) const {
+    auto answer = owner.on_report(report);
     if (!answer) return std::nullopt;
-    return ApiResponse{200, renewal(r, answer->token, std::move(answer->orders))};
+    return ApiResponse{200, renewal_answer(report, answer->token, std::move(answer->orders))};
 }
 
-/// The answer that renews a worker's lease, whoever decided on it. No task goes on by it whose job is known
-/// here to be over.
-Json HeartbeatRouter::renewal(const Report& r, std::uint64_t token, std::vector<Order> orders) const {
-    const auto missing = permission::missing_stops(r, orders, [this](const std::string& job) {
+/// Builds every answer that renews a worker's lease. Adds a stop for each task whose job is known here to be
+/// finished if `orders` lacks it, so that the renewal keeps no such task running.
+Json HeartbeatRouter::renewal_answer(const Report& report, std::uint64_t token,
+                                     std::vector<Order> orders) const {
+    const auto missing = permission::missing_stops(report, orders, [this](const std::string& job) {
         return cache_.jobs.recorded_as_cancelled(job) || cache_.jobs.finality(job) == JobFinality::Finished;
     });
     if (!missing.empty()) {
         decisions_.violation();
         const Order& first = missing.front();
         spdlog::error("event=renewal_without_stop machine={} token={} task={}/{} attempt={} stops_added={}",
-                      r.machine, token, first.job, first.task, first.attempt, missing.size());
+                      report.machine, token, first.job, first.task, first.attempt, missing.size());
         orders.insert(orders.end(), missing.begin(), missing.end());
     }
     return wire::report_answer(token, orders);
@@ -70,103 +73,114 @@
     auto body = wire::decode(bytes);
     auto parsed = body ? wire::parse_report(*body) : std::nullopt;
     if (!parsed) return respond({400, Json::object()});
-    const Report& r = *parsed;
-    const Block* block = cache_.blocks.find_by_machine(r.machine);
-    if (!block) return unknown_machine(r, std::move(respond));
-    if (ShardOwner* o = assignment_.find(block->shard)) return respond(answer(*o, r).value_or(unavailable()));
-    help(r, *block, bytes, std::move(respond));
+    const Report& report = *parsed;
+    const Block* block = cache_.blocks.find_by_machine(report.machine);
+    if (!block) return handle_unknown_machine(report, std::move(respond));
+    if (ShardOwner* owner = assignment_.find(block->shard))
+        return respond(answer_report(*owner, report).value_or(unavailable()));
+    handle_report_for_other_holder(report, *block, bytes, std::move(respond));
 }
 
-/// A machine in no block: the leader leases it once it has answered a call. Its report may be all that is
-/// left of it, and a process that has started since does not know that it was returned.
-void HeartbeatRouter::unknown_machine(const Report& r, ApiResponder respond) {
+/// Handles a report of a machine in no block: the leader adds the machine to a block once it has answered a
+/// probe. Its report may be a late one of a machine that was returned to the cloud, and a leader that started
+/// since does not know that.
+void HeartbeatRouter::handle_unknown_machine(const Report& report, ApiResponder respond) {
     if (!election_.leading()) {
         const std::string& leader = election_.leader();
         if (leader != settings_.node && cache_.membership.is_alive(leader))
             return respond({421, wire::redirect(leader)});
         return respond(unavailable());
     }
-    const bool asks =
-        !machine_allocator_.is_allocating(r.machine) && !r.addr.empty() && probing_.size() < kMaxProbes;
-    if (!lease_is_valid() || machine_allocator_.returned(r.machine) || !asks ||
-        !probing_.insert(r.machine).second)
+    const bool can_probe = !machine_allocator_.is_allocating(report.machine) && !report.addr.empty() &&
+                           probing_.size() < kMaxConcurrentProbes;
+    if (!lease_is_valid() || machine_allocator_.returned(report.machine) || !can_probe ||
+        !probing_.insert(report.machine).second)
         return respond(unavailable());
     Call call;
     call.target = Target::Worker;
-    call.addr = r.addr;
+    call.addr = report.addr;
     call.timeout = kProbeTimeout;
     call.method = "GET";
     call.path = "/show";
-    runtime_.call(std::move(call), [this, r, respond = std::move(respond)](const Reply& reply) {
-        probing_.erase(r.machine);
-        const auto shown = reply.status == 200 ? wire::parse_report(reply.body) : std::nullopt;
-        const bool there = shown && shown->machine == r.machine;
-        if (!there || !election_.leading() || !lease_is_valid() || cache_.blocks.find_by_machine(r.machine))
+    runtime_.call(std::move(call), [this, report, respond = std::move(respond)](const Reply& reply) {
+        probing_.erase(report.machine);
+        const auto shown_report = reply.status == 200 ? wire::parse_report(reply.body) : std::nullopt;
+        const bool confirmed_by_machine = shown_report && shown_report->machine == report.machine;
+        if (!confirmed_by_machine || !election_.leading() || !lease_is_valid() ||
+            cache_.blocks.find_by_machine(report.machine))
             return respond(unavailable());
-        lease(r, respond);
+        allocate_machine(report, respond);
     });
 }
 
-/// MachineAllocator a machine, answers its report if its block is ours, or sends it to the holder.
-void HeartbeatRouter::lease(const Report& r, const ApiResponder& respond) {
-    if (machine_allocator_.is_allocating(r.machine)) return respond(unavailable());
-    machine_allocator_.allocate({r.machine, r.addr, 0, false, false}, r.type, r.zone, r.spot,
-                                [this, r, respond] {
-                                    const Block* block = cache_.blocks.find_by_machine(r.machine);
+/// Adds a machine to a block; then answers its report if this node holds the shard, or redirects it to the
+/// holder.
+void HeartbeatRouter::allocate_machine(const Report& report, const ApiResponder& respond) {
+    if (machine_allocator_.is_allocating(report.machine)) return respond(unavailable());
+    machine_allocator_.allocate({report.machine, report.addr, 0, false, false}, report.type, report.zone,
+                                report.spot, [this, report, respond] {
+                                    const Block* block = cache_.blocks.find_by_machine(report.machine);
                                     if (!block) return respond(unavailable());
-                                    ShardOwner* o = assignment_.find(block->shard);
-                                    if (auto a = o ? answer(*o, r) : std::nullopt)
-                                        return respond(std::move(*a));
-                                    const OwnershipRecord* d = cache_.membership.shard(block->shard);
-                                    if (o || !d) return respond(unavailable());
-                                    respond({421, wire::redirect(d->holder)});
+                                    ShardOwner* owner = assignment_.find(block->shard);
+                                    if (auto answer = owner ? answer_report(*owner, report) : std::nullopt)
+                                        return respond(std::move(*answer));
+                                    const OwnershipRecord* shard_record =
+                                        cache_.membership.shard(block->shard);
+                                    if (owner || !shard_record) return respond(unavailable());
+                                    respond({421, wire::redirect(shard_record->holder)});
                                 });
 }
 
-/// A worker whose holder is another node. It is sent there; if it comes back, it can't reach it: then its
-/// report is passed on, and where that fails as well its lease is renewed on the holder's behalf.
-void HeartbeatRouter::help(const Report& r, const Block& block, const std::string& bytes,
-                           ApiResponder respond) {
+/// Handles a report of a worker whose holder is another node. The worker is redirected to the holder. If it
+/// reports here again soon it can't reach the holder: then the report is relayed, and if that fails the lease
+/// is renewed on the holder's behalf.
+void HeartbeatRouter::handle_report_for_other_holder(const Report& report, const Block& block,
+                                                     const std::string& bytes, ApiResponder respond) {
     const Micros now = runtime_.now();
-    const OwnershipRecord* d = cache_.membership.shard(block.shard);
-    if (!d || d->holder == settings_.node) return respond(unavailable());
-    ProxiedWorker& proxied = proxied_workers_[r.machine];
-    // A worker has one report in flight, so one that is older than another, or its copy, was given up:
-    // nothing that it is answered arrives, and taken for a renewal it would only keep tasks in doubt.
-    if (!recovery::is_news({r.session, r.seq}, {proxied.session, proxied.seq}, 0))
+    const OwnershipRecord* shard_record = cache_.membership.shard(block.shard);
+    if (!shard_record || shard_record->holder == settings_.node) return respond(unavailable());
+    ProxiedWorker& proxied = proxied_workers_[report.machine];
+    // A worker has one report in flight, so it gave up on a report that is older than another one or a copy
+    // of it. It would not receive the answer, and a renewal would only delay the proof that its tasks have
+    // stopped.
+    if (!recovery::is_news({report.session, report.seq}, {proxied.session, proxied.seq}, 0))
         return respond(unavailable());
-    proxied.session = r.session;
-    proxied.seq = r.seq;
-    const auto peer = peers_.named(d->holder);
+    proxied.session = report.session;
+    proxied.seq = report.seq;
+    const auto peer = peers_.named(shard_record->holder);
     if (!peer) return respond(unavailable());
-    if (!cache_.membership.is_alive(d->holder)) return renew_on_behalf(r, block, respond);
-    // Where we can't reach the holder either, another try would only cost the worker its lease.
-    if (!peers_.reachable(*peer)) return renew_on_behalf(r, block, respond);
-    // Where the lease leaves no time to find that out, the report is passed on first; the holder tells
-    // whether it reaches the worker itself.
-    const bool back = proxied.sent_on > 0 && now - proxied.sent_on < kBack;
-    const bool no_time = settings_.lease < settings_.report_every * 5 / 4 + 2 * kWorkerTry + kSecond;
-    if (!back && (!no_time || std::exchange(proxied.direct, false))) {
-        proxied.sent_on = now;
-        return respond({421, wire::redirect(d->holder)});
+    if (!cache_.membership.is_alive(shard_record->holder)) return renew_on_behalf(report, block, respond);
+    // This node can't reach the holder either, so with a redirect the worker would only lose its lease.
+    if (!peers_.reachable(*peer)) return renew_on_behalf(report, block, respond);
+    // If the lease is too short for the worker to try an unreachable holder and come back, the report is
+    // relayed first. The holder answers whether it reaches the worker; if so, the worker is redirected the
+    // next time.
+    const bool returned_after_redirect =
+        proxied.redirected_at > 0 && now - proxied.redirected_at < kReturnedAfterRedirectWindow;
+    const bool lease_too_short_for_redirect =
+        settings_.lease < settings_.report_every * 5 / 4 + 2 * kWorkerAttemptTimeout + kSecond;
+    if (!returned_after_redirect &&
+        (!lease_too_short_for_redirect || std::exchange(proxied.holder_reaches_worker, false))) {
+        proxied.redirected_at = now;
+        return respond({421, wire::redirect(shard_record->holder)});
     }
-    relay(r, *peer, bytes, std::move(respond));
+    relay_report(report, *peer, bytes, std::move(respond));
 }
 
-void HeartbeatRouter::relay(const Report& r, std::size_t peer, const std::string& bytes,
-                            ApiResponder respond) {
+void HeartbeatRouter::relay_report(const Report& report, std::size_t peer, const std::string& bytes,
+                                   ApiResponder respond) {
     peers_.call(peer, peer::pack(peer::Relay{bytes}), kRelayTimeout,
-                [this, r, respond = std::move(respond)](const Reply& reply) {
+                [this, report, respond = std::move(respond)](const Reply& reply) {
                     auto relayed = peer::unpack<peer::Relayed>(reply.bytes);
                     if (!relayed) {
-                        // The holder may have answered all the same; renewing a lease does no harm then.
-                        const Block* block = cache_.blocks.find_by_machine(r.machine);
+                        // The holder may have answered the report anyway; another renewal does no harm.
+                        const Block* block = cache_.blocks.find_by_machine(report.machine);
                         if (!block || assignment_.find(block->shard)) return respond(unavailable());
-                        return renew_on_behalf(r, *block, respond);
+                        return renew_on_behalf(report, *block, respond);
                     }
-                    if (relayed->direct) {  // sent there next time
-                        proxied_workers_[r.machine].sent_on = 0;
-                        proxied_workers_[r.machine].direct = true;
+                    if (relayed->direct) {  // redirect it the next time
+                        proxied_workers_[report.machine].redirected_at = 0;
+                        proxied_workers_[report.machine].holder_reaches_worker = true;
                     }
                     auto body = wire::decode(relayed->body);
                     if (relayed->status != 200 || !body) return respond(unavailable());
@@ -176,61 +190,64 @@
 
 std::optional<peer::Relayed> HeartbeatRouter::handle_relayed_report(const peer::Relay& message) {
     auto body = wire::decode(message.report);
-    auto r = body ? wire::parse_report(*body) : std::nullopt;
-    if (!r) return std::nullopt;
-    const Block* block = cache_.blocks.find_by_machine(r->machine);
-    ShardOwner* o = block ? assignment_.find(block->shard) : nullptr;
-    auto answer = o ? o->on_report(*r, true) : std::nullopt;
+    auto report = body ? wire::parse_report(*body) : std::nullopt;
+    if (!report) return std::nullopt;
+    const Block* block = cache_.blocks.find_by_machine(report->machine);
+    ShardOwner* owner = block ? assignment_.find(block->shard) : nullptr;
+    auto answer = owner ? owner->on_report(*report, true) : std::nullopt;
     if (!answer) return peer::Relayed{503, false, ""};
     return peer::Relayed{200, answer->direct,
-                         wire::encode(renewal(*r, answer->token, std::move(answer->orders)))};
+                         wire::encode(renewal_answer(*report, answer->token, std::move(answer->orders)))};
 }
 
-/// Renews a worker's lease on behalf of a holder that neither it nor we can reach, with the holder's own
-/// token and no orders but to stop what is over. Safe as long as the holder does not presume the lease to be
-/// over: for that it needs our promise not to do this (see `promise`), or our end. Limited by our own
-/// authority, so that a cancellation ends every task in time.
-void HeartbeatRouter::renew_on_behalf(const Report& r, const Block& block, const ApiResponder& respond) {
+/// Renews a worker's lease on behalf of a holder that neither the worker nor this node can reach. The answer
+/// has the holder's token, and its only orders are stops for tasks of finished jobs. This is safe because the
+/// holder presumes the lease to be over only once this node has promised not to renew it (see
+/// `relinquish_leases`) or has ended. It is limited by this node's own authority, so that a cancellation ends
+/// every task in time.
+void HeartbeatRouter::renew_on_behalf(const Report& report, const Block& block, const ApiResponder& respond) {
     const Micros now = runtime_.now();
     const OwnershipRecord* shard = cache_.membership.shard(block.shard);
-    const Block::Machine* machine = block.find(r.machine);
+    const Block::Machine* machine = block.find(report.machine);
     const Revision token = std::max(shard ? shard->mod_revision : 0, machine ? machine->token : 0);
-    const permission::Decision decision = may_renew_on_behalf(r, block, token);
+    const permission::Decision decision = may_renew_on_behalf(report, block, token);
     decisions_.renewal(decision);
     if (decision) return respond(unavailable());
-    ProxiedWorker& proxied = proxied_workers_[r.machine];
-    if (proxied.renewed == 0 || now - proxied.renewed > 30 * kSecond)
-        spdlog::info("machine {}: kept alive on behalf of {}", r.machine, shard->holder);
-    proxied.renewed = now;
-    respond({200, renewal(r, token, cache_.jobs.stops_for_finished_jobs(r))});
+    ProxiedWorker& proxied = proxied_workers_[report.machine];
+    if (proxied.renewed_at == 0 || now - proxied.renewed_at > 30 * kSecond)
+        spdlog::info("machine {}: lease renewed on behalf of {}, which is unreachable", report.machine,
+                     shard->holder);
+    proxied.renewed_at = now;
+    respond({200, renewal_answer(report, token, cache_.jobs.stops_for_finished_jobs(report))});
 }
 
-permission::Decision HeartbeatRouter::may_renew_on_behalf(const Report& r, const Block& block,
+permission::Decision HeartbeatRouter::may_renew_on_behalf(const Report& report, const Block& block,
                                                           Revision token) {
     const Micros now = runtime_.now();
-    const Block::Machine* machine = block.find(r.machine);
-    const auto proxied = proxied_workers_.find(r.machine);
+    const Block::Machine* machine = block.find(report.machine);
+    const auto proxied = proxied_workers_.find(report.machine);
     permission::ProxyEvidence evidence;
     evidence.member = membership_lease_.announced() && cache_.membership.is_alive(settings_.node);
     evidence.store_read_valid = lease_is_valid();
     evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
-    // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
-    evidence.former_promises_over = now - started_ > kForgotten * with_drift(settings_.lease);
+    // This process does not know what a former process of this node promised, so it waits until those
+    // promises have expired.
+    evidence.former_promises_over = now - started_at_ > kForgottenPromiseLeases * with_drift(settings_.lease);
     evidence.relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
     evidence.machine_listed = machine && !machine->retired;
-    evidence.jobs_known = history_.knows_jobs_of(r);
+    evidence.jobs_known = job_archiver_.knows_jobs_of(report);
     evidence.token = token;
-    evidence.token_seen = r.token;
+    evidence.token_seen = report.token;
     return permission::renewal_on_behalf(evidence);
 }
 
-peer::Relinquished HeartbeatRouter::relinquish_leases(const peer::Relinquish& ask) {
+peer::Relinquished HeartbeatRouter::relinquish_leases(const peer::Relinquish& request) {
     const Micros now = runtime_.now();
     peer::Relinquished answer;
-    for (const auto& name : ask.machines) {
+    for (const auto& name : request.machines) {
         ProxiedWorker& proxied = proxied_workers_[name];
         proxied.refused_until = now + 3 * with_drift(settings_.lease);
-        answer.ages.push_back(now - std::max(proxied.renewed, started_));
+        answer.ages.push_back(now - std::max(proxied.renewed_at, started_at_));
     }
     return answer;
 }
@@ -239,19 +256,20 @@
     const Micros now = runtime_.now();
     if (now - relinquish_requested_at_ < kRelinquishInterval) return;
     relinquish_requested_at_ = now;
-    for (const auto& [name, o] : assignment_.all()) {
-        if (!o || !o->active()) continue;
+    for (const auto& [name, owner] : assignment_.all()) {
+        if (!owner || !owner->active()) continue;
         for (std::size_t i = 0; i < peers_.count(); ++i) {
-            if (in_flight_[i] > 0 || !cache_.membership.is_alive(settings_.peers[i].name)) continue;
-            auto machines = o->machines_to_relinquish(i);
-            // Of a name that is cut short on its way another machine's promise would come back.
+            if (relinquish_requests_in_flight_[i] > 0 || !cache_.membership.is_alive(settings_.peers[i].name))
+                continue;
+            auto machines = owner->machines_to_relinquish(i);
+            // A name that is too long is truncated in the message: the promise would be for another machine.
             std::erase_if(machines, [](const auto& machine) { return !peer::name_fits(machine); });
-            // Several messages, none longer than the version before reads.
+            // Split into messages that the previous version can read.
             for (std::size_t from = 0; from < machines.size(); from += peer::kMaxMachines) {
                 const auto end = std::min(machines.size(), from + peer::kMaxMachines);
                 const auto first = machines.begin();
                 request_relinquishment(
-                    i, *o,
+                    i, *owner,
                     {first + static_cast<std::ptrdiff_t>(from), first + static_cast<std::ptrdiff_t>(end)});
             }
         }
@@ -261,24 +279,25 @@
 void HeartbeatRouter::request_relinquishment(std::size_t peer, const ShardOwner& owner,
                                              std::vector<std::string> machines) {
     const peer::Relinquish message{settings_.node, owner.shard(), owner.mod_revision(), machines};
-    ++in_flight_[peer];
-    peers_.call(
-        peer, peer::pack(message), kPeerTimeout,
-        [this, peer, shard = owner.shard(), mod_revision = owner.mod_revision(),
-         machines = std::move(machines), sent = runtime_.now()](const Reply& r) {
-            --in_flight_[peer];
-            const auto answer = peer::unpack<peer::Relinquished>(r.bytes);
-            ShardOwner* o = assignment_.find(shard);
-            if (!answer || answer->ages.size() != machines.size() || !o || o->mod_revision() != mod_revision)
-                return;
-            // Given for longer, but a process that follows the giver's knows nothing of it, and
-            // waits for this long.
-            const Micros promised = kForgotten * with_drift(settings_.lease);
-            for (std::size_t m = 0; m < machines.size(); ++m)
-                o->on_relinquished(peer, machines[m],
-                                   {sent + promised - promised / 100,
-                                    runtime_.now() - std::max<Micros>(answer->ages[m], 0)});
-        });
+    ++relinquish_requests_in_flight_[peer];
+    peers_.call(peer, peer::pack(message), kPeerTimeout,
+                [this, peer, shard = owner.shard(), mod_revision = owner.mod_revision(),
+                 machines = std::move(machines), sent_at = runtime_.now()](const Reply& reply) {
+                    --relinquish_requests_in_flight_[peer];
+                    const auto answer = peer::unpack<peer::Relinquished>(reply.bytes);
+                    ShardOwner* current_owner = assignment_.find(shard);
+                    if (!answer || answer->ages.size() != machines.size() || !current_owner ||
+                        current_owner->mod_revision() != mod_revision)
+                        return;
+                    // The peer promised for longer, but a successor process on its node does not know of the
+                    // promise and waits only for this long before it renews leases.
+                    const Micros promised = kForgottenPromiseLeases * with_drift(settings_.lease);
+                    for (std::size_t i = 0; i < machines.size(); ++i)
+                        current_owner->on_relinquished(
+                            peer, machines[i],
+                            {sent_at + promised - promised / 100,
+                             runtime_.now() - std::max<Micros>(answer->ages[i], 0)});
+                });
 }
 
 }  // namespace cottonway
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr std::size_t kMaxReading = 4;
-constexpr int kMaxAbortTries = 8;
-constexpr Micros kTooLate = 400 * kMillisecond;
-constexpr double kPollsPerCore = 3000;  // that may wait for one look at the store
-constexpr std::size_t kFewPolls = 100;
-constexpr std::size_t kManyPolls = 2000;
-constexpr Micros kUnserved = 3 * kSecond;
-constexpr std::size_t kRecordBytes = 80;  // of a job's record besides its description
-constexpr Micros kImageLasts = 300 * kSecond;
-constexpr double kOursFirst = 0.05;  // share of a shard's cores
+constexpr std::size_t kMaxConcurrentDependencyReads = 4;
+constexpr int kMaxAbortAttempts = 8;
+constexpr Micros kMaxTimerLagForPolls = 400 * kMillisecond;
+constexpr double kMaxWaitingPollsPerCore = 3000;  // that may wait for one refresh of the cache
+constexpr std::size_t kMinWaitingPollLimit = 100;
+constexpr std::size_t kMaxWaitingPollLimit = 2000;
+constexpr Micros kUnhealthyAfter = 3 * kSecond;
+constexpr std::size_t kRecordOverheadBytes = 80;  // size of a job's record without its spec
+constexpr Micros kImageCachedFor = 300 * kSecond;
+constexpr double kLocalShardBonus = 0.05;  // as a share of a shard's cores
 
-std::string_view stage_name(const JobView& v) {
-    switch (v.stage) {
+std::string_view stage_name(const JobView& view) {
+    switch (view.stage) {
         case Stage::Done:
             return "done";
         case Stage::Cancelled:
@@ -30,216 +30,225 @@
         case Stage::Queued:
             break;
     }
-    return v.running > 0 ? "running" : "pending";
+    return view.running > 0 ? "running" : "pending";
 }
 
 }  // namespace
 
-/// Of its description, as it would be stored. What it needs is not in its record any more once anything of it
-/// is bound, and may be stored in pieces.
-std::size_t JobService::stored_size(const JobSpec& spec) {
+/// Returns the size of the spec as it would be stored, without its dependencies: they are removed from the
+/// record before any task is bound, and may be stored in chunks.
+std::size_t JobService::stored_spec_size(const JobSpec& spec) {
     JobSpec alone = spec;
     alone.needs.clear();
     return chunks::stored_size(wire::job_value(alone));
 }
 
-JobService::ReconcileAction JobService::judge(const JobSpec& s) const {
-    if (stored_size(s) > settings_.value_bytes_now * 3 / 4) return ReconcileAction::TooLong;
+JobService::Feasibility JobService::assess_feasibility(const JobSpec& spec) const {
+    if (stored_spec_size(spec) > settings_.value_bytes_now * 3 / 4) return Feasibility::TooLarge;
     const Team* team = nullptr;
-    for (const auto& t : settings_.teams)
-        if (t.name == s.team) team = &t;
-    if (!team) return ReconcileAction::Never;
-    const Milli at_once = s.kind == JobKind::Array ? 1 : s.tasks;
-    if (s.request.cores * at_once > team->limit.cores || s.request.gpus * at_once > team->limit.gpus)
-        return ReconcileAction::Never;
-    if (cache_.machine_types.empty()) return ReconcileAction::NotYet;
-    for (const auto& t : cache_.machine_types.types()) {
-        if (s.types && std::find(s.types->begin(), s.types->end(), t.name) == s.types->end()) continue;
-        if (s.zone && std::find(t.zones.begin(), t.zones.end(), *s.zone) == t.zones.end()) continue;
-        if (s.request.fits(t.size)) return ReconcileAction::Fits;
+    for (const auto& candidate : settings_.teams)
+        if (candidate.name == spec.team) team = &candidate;
+    if (!team) return Feasibility::Infeasible;
+    const Milli concurrent_tasks = spec.kind == JobKind::Array ? 1 : spec.tasks;
+    if (spec.request.cores * concurrent_tasks > team->limit.cores ||
+        spec.request.gpus * concurrent_tasks > team->limit.gpus)
+        return Feasibility::Infeasible;
+    if (cache_.machine_types.empty()) return Feasibility::MachineTypesUnknown;
+    for (const auto& type : cache_.machine_types.types()) {
+        if (spec.types && std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end())
+            continue;
+        if (spec.zone && std::find(type.zones.begin(), type.zones.end(), *spec.zone) == type.zones.end())
+            continue;
+        if (spec.request.fits(type.size)) return Feasibility::Feasible;
     }
-    return ReconcileAction::Never;
+    return Feasibility::Infeasible;
 }
 
 void JobService::submit(const Json& body, ApiResponder respond) {
     auto parsed = wire::parse_job(body);
-    // Names of types that don't exist would only fill the record.
+    // Names of machine types that don't exist would only take space in the record.
     if (parsed.spec && parsed.spec->types && !cache_.machine_types.empty())
         std::erase_if(*parsed.spec->types,
-                      [&](const std::string& t) { return !cache_.machine_types.find(t); });
-    const ReconcileAction verdict = parsed.spec ? judge(*parsed.spec) : ReconcileAction::Never;
-    if (verdict == ReconcileAction::Fits && !known(parsed.spec->ref) && parsed.spec->needs.empty())
+                      [&](const std::string& name) { return !cache_.machine_types.find(name); });
+    const Feasibility feasibility = parsed.spec ? assess_feasibility(*parsed.spec) : Feasibility::Infeasible;
+    if (feasibility == Feasibility::Feasible && !find_view(parsed.spec->ref) && parsed.spec->needs.empty())
         return create(std::move(*parsed.spec), std::move(respond));
     const auto ref = wire::ref_of(body);
     if (!ref) return respond({400, Json{{"error", parsed.error}}});
-    // Whatever the request looks like, a job that is known is answered with its state.
-    check(*ref, [this, ref = *ref, parsed, verdict, respond = std::move(respond)](
-                    bool ok, const std::optional<JobView>& view) mutable {
+    // A job that was accepted before is answered with its state, whether or not the request is valid.
+    check_in_store(*ref, [this, ref = *ref, parsed, feasibility, respond = std::move(respond)](
+                             bool ok, const std::optional<JobView>& view) mutable {
         if (!ok) return respond(unavailable());
         if (view) return respond({200, wire::job_answer(ref, stage_name(*view))});
         if (!parsed.spec) return respond({400, Json{{"error", parsed.error}}});
-        if (verdict == ReconcileAction::TooLong) return respond({400, Json{{"error", "too long"}}});
-        if (verdict == ReconcileAction::Never) return respond({422, Json{{"error", "can never run"}}});
-        if (verdict == ReconcileAction::NotYet) return respond(unavailable(2));
-        if (!parsed.spec->needs.empty()) return resolve(std::move(*parsed.spec), std::move(respond));
+        if (feasibility == Feasibility::TooLarge) return respond({400, Json{{"error", "too long"}}});
+        if (feasibility == Feasibility::Infeasible) return respond({422, Json{{"error", "can never run"}}});
+        if (feasibility == Feasibility::MachineTypesUnknown) return respond(unavailable(2));
+        if (!parsed.spec->needs.empty())
+            return create_with_dependencies(std::move(*parsed.spec), std::move(respond));
         create(std::move(*parsed.spec), std::move(respond));
     });
 }
 
-/// What it needs must have been accepted, by whatever node and however long ago. That is proven by the store,
-/// where this node does not know the job.
-void JobService::resolve(JobSpec spec, ApiResponder respond) {
-    // As long as a controller may be of the version before, it would lose what the job waits for.
+/// Creates the job if all its dependencies have been accepted, by any node and at any time. If a dependency
+/// is not cached here, the store has to prove it.
+void JobService::create_with_dependencies(JobSpec spec, ApiResponder respond) {
+    // A controller of the previous version would drop the dependencies from the record.
     if (!cache_.formats.is_read_by_all(format::kChunksAndDependencies)) return respond(unavailable(2));
-    auto never = [](const std::string& ref) {
+    auto rejection = [](const std::string& ref) {
         return ApiResponse{422, Json{{"error", "was never accepted: " + ref}}};
     };
     if (std::find(spec.needs.begin(), spec.needs.end(), spec.ref) != spec.needs.end())
-        return respond(never(spec.ref));
-    std::vector<std::string> unsure;
-    for (const auto& need : spec.needs)
-        if (!known(need) && !cache_.jobs.find(need)) unsure.push_back(need);
-    if (unsure.empty()) return create(std::move(spec), std::move(respond));
-    struct Asked {
+        return respond(rejection(spec.ref));
+    std::vector<std::string> unconfirmed;
+    for (const auto& dependency : spec.needs)
+        if (!find_view(dependency) && !cache_.jobs.find(dependency)) unconfirmed.push_back(dependency);
+    if (unconfirmed.empty()) return create(std::move(spec), std::move(respond));
+    struct PendingCheck {
         JobSpec spec;
         ApiResponder respond;
-        std::size_t missing = 0;
+        std::size_t unanswered = 0;
         bool ok = true;
-        std::string never;
+        std::string never_accepted;
     };
-    auto asked = std::make_shared<Asked>(Asked{std::move(spec), std::move(respond), unsure.size(), true, ""});
-    for (const auto& need : unsure)
-        check(need, [this, asked, need, never](bool ok, const std::optional<JobView>& view) {
-            asked->ok = asked->ok && ok;
-            if (ok && !view) asked->never = need;
-            if (--asked->missing > 0) return;
-            if (!asked->never.empty()) return asked->respond(never(asked->never));
-            if (!asked->ok) return asked->respond(unavailable());
-            create(std::move(asked->spec), std::move(asked->respond));
-        });
+    auto pending = std::make_shared<PendingCheck>(
+        PendingCheck{std::move(spec), std::move(respond), unconfirmed.size(), true, ""});
+    for (const auto& dependency : unconfirmed)
+        check_in_store(dependency,
+                       [this, pending, dependency, rejection](bool ok, const std::optional<JobView>& view) {
+                           pending->ok = pending->ok && ok;
+                           if (ok && !view) pending->never_accepted = dependency;
+                           if (--pending->unanswered > 0) return;
+                           if (!pending->never_accepted.empty())
+                               return pending->respond(rejection(pending->never_accepted));
+                           if (!pending->ok) return pending->respond(unavailable());
+                           create(std::move(pending->spec), std::move(pending->respond));
+                       });
 }
 
-/// Jobs that are needed may be long over, and forgotten here.
 void JobService::read_unknown_dependencies() {
-    if (!feed_.loaded() || out_of_reach()) return;
+    if (!feed_.loaded() || store_unreachable()) return;
     for (const auto& ref : cache_.jobs.dependency_graph().unknown_dependencies()) {
-        if (reading_.size() >= kMaxReading) return;
-        if (!reading_.insert(ref).second) continue;
-        store_.read(keys::job + ref, [this, ref](const ReadResult& r) {
-            // One that is not there any more than it was before is asked after again.
-            runtime_.after(r.ok && r.found ? 0 : kSecond, [this, ref] { reading_.erase(ref); });
-            if (r.ok && r.found) cache_.apply(keys::job + ref, &r.value, r.mod_revision);
+        if (dependency_reads_.size() >= kMaxConcurrentDependencyReads) return;
+        if (!dependency_reads_.insert(ref).second) continue;
+        store_.read(keys::job + ref, [this, ref](const ReadResult& result) {
+            // A record that was not found is read again after a delay.
+            runtime_.after(result.ok && result.found ? 0 : kSecond,
+                           [this, ref] { dependency_reads_.erase(ref); });
+            if (result.ok && result.found) cache_.apply(keys::job + ref, &result.value, result.mod_revision);
         });
     }
 }
 
 void JobService::create(JobSpec spec, ApiResponder respond) {
     if (!store_.reachable()) return respond(unavailable());
-    const std::size_t size = stored_size(spec);
+    const std::size_t size = stored_spec_size(spec);
     const std::string ref = spec.ref;
-    const std::string shard = shard_for(spec);
+    const std::string shard = select_shard(spec);
     if (shard.empty()) return respond(unavailable());
-    const DependencyStatus dependency_status =
-        DependencyGraph::preview(spec, [this](const auto& need) { return cache_.jobs.outcome(need); });
-    const std::string what = spec.job_class + ", " + std::to_string(spec.tasks) + " tasks of about " +
-                             std::to_string(spec.estimate / kSecond) + " s for " + spec.team + ", in " +
-                             shard;
-    auto answer = [this, ref, what, asked = runtime_.now(),
-                   respond = std::move(respond)](const Admission& a) mutable {
-        switch (a.status) {
+    const DependencyStatus dependency_status = DependencyGraph::preview(
+        spec, [this](const auto& dependency) { return cache_.jobs.outcome(dependency); });
+    const std::string summary = spec.job_class + ", " + std::to_string(spec.tasks) + " tasks of about " +
+                                std::to_string(spec.estimate / kSecond) + " s for " + spec.team + ", in " +
+                                shard;
+    auto answer = [this, ref, summary, received_at = runtime_.now(),
+                   respond = std::move(respond)](const Admission& admission) mutable {
+        switch (admission.status) {
             case CommitStatus::Ok:
-                cache_.apply(record_key(a.place, ref), &a.record, a.revision);
-                spdlog::info("job {}: accepted in {} ms: {}", ref, (runtime_.now() - asked) / kMillisecond,
-                             what);
-                if (const JobView* view = known(ref); view && view->is_final())
+                cache_.apply(record_key(admission.place, ref), &admission.record, admission.revision);
+                spdlog::info("job {}: accepted in {} ms: {}", ref,
+                             (runtime_.now() - received_at) / kMillisecond, summary);
+                if (const JobView* view = find_view(ref); view && view->is_final())
                     return respond({201, wire::job_answer(ref, stage_name(*view))});
                 return respond({201, wire::job_answer(ref, "pending")});
             case CommitStatus::Conflict:
             case CommitStatus::Unknown:
-                return recheck(ref, 0, [ref, respond](bool ok, const std::optional<JobView>& view) {
-                    if (!ok || !view) return respond(unavailable());
-                    respond({200, wire::job_answer(ref, stage_name(*view))});
-                });
+                return read_after_conflict(ref, 0,
+                                           [ref, respond](bool ok, const std::optional<JobView>& view) {
+                                               if (!ok || !view) return respond(unavailable());
+                                               respond({200, wire::job_answer(ref, stage_name(*view))});
+                                           });
             case CommitStatus::Unavailable:
             case CommitStatus::Rejected:
                 return respond(unavailable());
         }
     };
-    const bool idle = spec.rank == PriorityClass::Low;
-    // In a shard of ours the change that admits the job binds its tasks as well.
-    if (ShardOwner* o = assignment_.find(shard);
-        o && o->active() && !dependency_status.cancelled_by_dependency)
-        return o->admit(std::move(spec), runtime_.wall_ms(), dependency_status, answer);
+    const bool best_effort = spec.rank == PriorityClass::Low;
+    // In a shard held here the commit that admits the job also binds its tasks.
+    if (ShardOwner* owner = assignment_.find(shard);
+        owner && owner->active() && !dependency_status.cancelled_by_dependency)
+        return owner->admit(std::move(spec), runtime_.wall_ms(), dependency_status, answer);
     Json record{{"s", "queued"},
                 {"dom", shard},
                 {"k", spec.tasks},
                 {"d", wire::job_value(spec)},
                 {"at", runtime_.wall_ms()},
-                {"ps", part_tasks_for(settings_.value_bytes, size + kRecordBytes)}};
-    // Cancelled with one before it already: accepted, and over.
+                {"ps", part_tasks_for(settings_.value_bytes, size + kRecordOverheadBytes)}};
+    // A dependency is cancelled already: the job is accepted and is cancelled at once.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
-    const RecordLocation place = cache_.formats.is_read_by_all(format::kSeparateActiveRecords) &&
-                                         !dependency_status.cancelled_by_dependency
-                                     ? RecordLocation::Active
-                                     : RecordLocation::Job;
+    const RecordLocation location = cache_.formats.is_read_by_all(format::kSeparateActiveRecords) &&
+                                            !dependency_status.cancelled_by_dependency
+                                        ? RecordLocation::Active
+                                        : RecordLocation::Job;
     Change change;
     change.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
-    // Nothing of old form may be added once that is closed.
-    if (place == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
+    // An unfinished job may be added under c/job/ only while legacy writes are not closed.
+    if (location == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
         change.when.push_back({keys::history, 0});
-    change.then.push_back({record_key(place, ref), record});
-    change.priority = idle ? Priority::Normal : Priority::Urgent;
+    change.then.push_back({record_key(location, ref), record});
+    change.priority = best_effort ? Priority::Normal : Priority::Urgent;
     change.purpose = "admit";
     store_.commit(std::move(change),
-                  [answer = std::move(answer), record, place](const CommitResult& r) mutable {
-                      answer({r.status, r.revision, record, place});
+                  [answer = std::move(answer), record, location](const CommitResult& result) mutable {
+                      answer({result.status, result.revision, record, location});
                   });
 }
 
 void JobService::poll(const std::string& ref, ApiResponder respond) {
-    check(ref, [ref, respond = std::move(respond)](bool ok, const std::optional<JobView>& view) {
+    check_in_store(ref, [ref, respond = std::move(respond)](bool ok, const std::optional<JobView>& view) {
         if (!ok) return respond(unavailable());
         if (!view) return respond({404, Json::object()});
         respond({200, wire::job_state(ref, stage_name(*view), view->done, view->running)});
     });
 }
 
-void JobService::abort(const std::string& ref, int tries, ApiResponder respond) {
-    if (const JobView* v = known(ref); v && v->is_final())
-        return respond({200, wire::job_answer(ref, stage_name(*v))});
-    if (tries >= kMaxAbortTries || out_of_reach()) return respond(unavailable());
+void JobService::abort(const std::string& ref, int attempt, ApiResponder respond) {
+    if (const JobView* view = find_view(ref); view && view->is_final())
+        return respond({200, wire::job_answer(ref, stage_name(*view))});
+    if (attempt >= kMaxAbortAttempts || store_unreachable()) return respond(unavailable());
     if (const LiveJob* live = cache_.jobs.find(ref);
-        tries == 0 && live && !cache_.has_only_legacy_record(ref))
-        return cancel(ref, {live->location, live->record, live->mod_revision, live->legacy_revision}, tries,
+        attempt == 0 && live && !cache_.has_only_legacy_record(ref))
+        return cancel(ref, {live->location, live->record, live->mod_revision, live->legacy_revision}, attempt,
                       std::move(respond));
-    read_either(
-        ref, [this, ref, tries, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
+    read_record(
+        ref, [this, ref, attempt, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
             if (!ok) return respond(unavailable());
-            if (!found)  // never accepted, or on its way from one key to the other
-                return check(ref, [this, ref, tries, respond = std::move(respond)](
-                                      bool known, const std::optional<JobView>& view) mutable {
+            if (!found)  // never accepted, or its record is being moved between the keys
+                return check_in_store(ref, [this, ref, attempt, respond = std::move(respond)](
+                                               bool known, const std::optional<JobView>& view) mutable {
                     if (!known) return respond(unavailable());
                     if (!view) return respond({404, Json::object()});
-                    abort(ref, tries + 1, std::move(respond));
+                    abort(ref, attempt + 1, std::move(respond));
                 });
             const JobView view = JobView::from_record(found->record, found->mod_revision);
             if (view.is_final()) {
-                cache_.apply(record_key(found->place, ref), &found->record, found->mod_revision);
+                cache_.apply(record_key(found->location, ref), &found->record, found->mod_revision);
                 return respond({200, wire::job_answer(ref, stage_name(view))});
             }
-            // It came late, from a process that has ended, and is accepted only once its holder has moved it.
-            if (found->place == RecordLocation::Job && cache_.is_history_separated())
+            // A process that has ended wrote this record late: the job is accepted only once the record is
+            // moved.
+            if (found->location == RecordLocation::Job && cache_.is_history_separated())
                 return respond(unavailable());
-            cancel(ref, std::move(*found), tries, std::move(respond));
+            cancel(ref, std::move(*found), attempt, std::move(respond));
         });
 }
 
-void JobService::read_either(const std::string& ref, std::function<void(bool, std::optional<Found>)> done) {
+void JobService::read_record(const std::string& ref, std::function<void(bool, std::optional<Found>)> done) {
     store_.read(keys::job + ref, [this, ref, done = std::move(done)](const ReadResult& job) {
         if (!job.ok) return done(false, std::nullopt);
-        const bool final = job.found && JobView::from_record(job.value, job.mod_revision).is_final();
-        if (final || !cache_.formats.is_read_by_all(format::kSeparateActiveRecords)) {
+        const bool is_final = job.found && JobView::from_record(job.value, job.mod_revision).is_final();
+        if (is_final || !cache_.formats.is_read_by_all(format::kSeparateActiveRecords)) {
             if (!job.found) return done(true, std::nullopt);
             return done(true, Found{RecordLocation::Job, job.value, job.mod_revision, 0});
         }
@@ -254,16 +263,17 @@
     });
 }
 
-/// A commit on the job's record, so it competes with binds there; whoever loses sees the other.
-void JobService::cancel(const std::string& ref, Found job, int tries, ApiResponder respond) {
+/// Cancels by a conditional commit on the job's record. It races with commits that bind tasks; the loser gets
+/// a conflict and sees the other change.
+void JobService::cancel(const std::string& ref, Found job, int attempt, ApiResponder respond) {
     job.record["s"] = "cancelled";
-    const std::string key = record_key(job.place, ref);
+    const std::string key = record_key(job.location, ref);
     Change change;
-    change.when = JobCache::unchanged_conditions(ref, job.place, job.mod_revision, job.legacy_revision);
+    change.when = JobCache::unchanged_conditions(ref, job.location, job.mod_revision, job.legacy_revision);
     change.then.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
-    store_.commit(std::move(change), [this, ref, key, tries, record = std::move(job.record),
+    store_.commit(std::move(change), [this, ref, key, attempt, record = std::move(job.record),
                                       respond = std::move(respond)](const CommitResult& result) mutable {
         if (result.status == CommitStatus::Ok) {
             spdlog::info("job {}: cancelled by its user", ref);
@@ -271,147 +281,160 @@
             return respond({200, wire::job_answer(ref, "cancelled")});
         }
         if (result.status == CommitStatus::Conflict || result.status == CommitStatus::Unknown)
-            return abort(ref, tries + 1, std::move(respond));
+            return abort(ref, attempt + 1, std::move(respond));
         respond(unavailable());
     });
 }
 
-/// Polls give way to reports, leases, submissions and placing: those that come while the process falls
-/// behind, or more at a time than a look at the store should have to answer, are told to come back, spread
-/// out.
-bool JobService::too_busy_for_polls(Micros late) {
-    const auto most = std::clamp<std::size_t>(static_cast<std::size_t>(kPollsPerCore * settings_.cpu_share),
-                                              kFewPolls, kManyPolls);
-    if (late < kTooLate && feed_.waiter_count() < most) return false;
-    ++polls_shed_;
-    if (runtime_.now() - shed_logged_ > 10 * kSecond) {
-        shed_logged_ = runtime_.now();
-        spdlog::info("polls are turned away, {} so far: {} wait, {} ms behind", polls_shed_,
-                     feed_.waiter_count(), late / kMillisecond);
+/// Polls have lower priority than reports, leases, submissions and placement. They are rejected with a random
+/// retry delay while the process lags behind its timers, or when too many already wait for the same refresh
+/// of the cache.
+bool JobService::too_busy_for_polls(Micros timer_lag) {
+    const auto max_waiting =
+        std::clamp<std::size_t>(static_cast<std::size_t>(kMaxWaitingPollsPerCore * settings_.cpu_share),
+                                kMinWaitingPollLimit, kMaxWaitingPollLimit);
+    if (timer_lag < kMaxTimerLagForPolls && feed_.waiter_count() < max_waiting) return false;
+    ++rejected_polls_;
+    if (runtime_.now() - shedding_logged_at_ > 10 * kSecond) {
+        shedding_logged_at_ = runtime_.now();
+        spdlog::info("rejecting polls because of load, {} so far: {} waiting, timer lag {} ms",
+                     rejected_polls_, feed_.waiter_count(), timer_lag / kMillisecond);
     }
     return true;
 }
 
-/// An outage of the state service is the same everywhere: leaving the
-/// load balancer would only make coming back slower. If others are served, it is this node's own trouble.
+/// An outage of the state service affects all nodes, and leaving the load balancer would only delay the
+/// recovery. The node is unhealthy only if the state service answers another node.
 bool JobService::is_healthy() const {
     if (!feed_.loaded() || cache_.machine_types.empty()) return false;
-    if (feed_.confirmed_age() < kUnserved) return true;
+    if (feed_.confirmed_age() < kUnhealthyAfter) return true;
     for (std::size_t i = 0; i < peers_.count(); ++i)
-        if (const auto* told = peers_.told(i, kUnserved); told && told->state.confirmed_age < kUnserved / 2)
+        if (const auto* told = peers_.told(i, kUnhealthyAfter);
+            told && told->state.confirmed_age < kUnhealthyAfter / 2)
             return false;
     return true;
 }
 
-/// Known to be out of reach: users are told at once.
-bool JobService::out_of_reach() const {
+/// Returns whether the store is known to be unreachable, so that users get an error without a further
+/// attempt.
+bool JobService::store_unreachable() const {
     return !store_.reachable() && runtime_.now() - store_.last_contact() > kSecond;
 }
 
-void JobService::check(const std::string& ref, Checked done) {
-    const JobView* view = known(ref);
+void JobService::check_in_store(const std::string& ref, Checked done) {
+    const JobView* view = find_view(ref);
     if (view && view->is_final()) return done(true, *view);
-    if (out_of_reach()) return done(false, std::nullopt);
+    if (store_unreachable()) return done(false, std::nullopt);
     if (cache_.has_only_legacy_record(ref)) return done(false, std::nullopt);
-    // Its final record may stand where nobody reads at a start.
+    // Its final record may be under c/job/, which a start does not read.
     if (view && cache_.jobs.is_unverified(ref))
-        return history_.prove({ref}, false, [this, ref, done = std::move(done)](bool known) mutable {
+        return job_archiver_.prove({ref}, false, [this, ref, done = std::move(done)](bool known) mutable {
             if (!known || cache_.jobs.is_unverified(ref)) return done(false, std::nullopt);
-            check(ref, std::move(done));
+            check_in_store(ref, std::move(done));
         });
     if (view) {
-        // The next look at the store proves that what is known then is current, also of the jobs before it.
+        // The next refresh proves that the cache is up to date then, for the job's dependencies as well.
         feed_.after_next_refresh([this, ref, done = std::move(done)](bool ok) {
-            const JobView* now = known(ref);
-            const auto doubted = [this](const std::string& name) { return cache_.jobs.is_unverified(name); };
-            if (!ok || !now || cache_.jobs.dependency_graph().is_cancellation_uncertain(ref, doubted))
+            const JobView* current = find_view(ref);
+            const auto is_unverified = [this](const std::string& name) {
+                return cache_.jobs.is_unverified(name);
+            };
+            if (!ok || !current ||
+                cache_.jobs.dependency_graph().is_cancellation_uncertain(ref, is_unverified))
                 return done(false, std::nullopt);
-            done(true, *now);
+            done(true, *current);
         });
         return;
     }
     Change compare;
     compare.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
-    store_.commit(std::move(compare), [this, ref, done = std::move(done)](const CommitResult& r) mutable {
-        if (r.status == CommitStatus::Ok) return done(true, std::nullopt);
-        if (r.status == CommitStatus::Conflict) return recheck(ref, 0, std::move(done));
-        done(false, std::nullopt);
-    });
+    store_.commit(std::move(compare),
+                  [this, ref, done = std::move(done)](const CommitResult& result) mutable {
+                      if (result.status == CommitStatus::Ok) return done(true, std::nullopt);
+                      if (result.status == CommitStatus::Conflict)
+                          return read_after_conflict(ref, 0, std::move(done));
+                      done(false, std::nullopt);
+                  });
 }
 
-void JobService::recheck(const std::string& ref, int tries, Checked done) {
-    read_either(ref, [this, ref, tries, done = std::move(done)](bool ok, std::optional<Found> found) mutable {
-        if (!ok && tries < 1 && store_.reachable()) return recheck(ref, tries + 1, std::move(done));
-        // None found: it is on its way from one key to the other.
-        if (!ok || !found) return done(false, std::nullopt);
-        const JobView view = JobView::from_record(found->record, found->mod_revision);
-        if (!view.is_final() && found->place == RecordLocation::Job && cache_.is_history_separated())
-            return done(false, std::nullopt);
-        const Json* spec = wire::find(found->record, "d");
-        if (!view.is_final() && spec && wire::find(*spec, "warp")) {
-            // Whether one before it is cancelled is not in its record. What is in the news already is not
-            // taken from elsewhere: an owner here relies on their order.
-            if (!cache_.jobs.find(ref))
-                cache_.apply(record_key(found->place, ref), &found->record, found->mod_revision);
-            else
-                cache_.jobs.remember(ref, view);
-            if (cache_.jobs.dependency_graph().dependency_status(ref).cancelled_by_dependency)
-                return done(true, view.as_cancelled());
-            return check(ref, std::move(done));
-        }
-        cache_.jobs.remember(ref, view);
-        done(true, view);
-    });
+void JobService::read_after_conflict(const std::string& ref, int attempt, Checked done) {
+    read_record(
+        ref, [this, ref, attempt, done = std::move(done)](bool ok, std::optional<Found> found) mutable {
+            if (!ok && attempt < 1 && store_.reachable())
+                return read_after_conflict(ref, attempt + 1, std::move(done));
+            // The job exists, so a missing record is being moved from one key to the other.
+            if (!ok || !found) return done(false, std::nullopt);
+            const JobView view = JobView::from_record(found->record, found->mod_revision);
+            if (!view.is_final() && found->location == RecordLocation::Job && cache_.is_history_separated())
+                return done(false, std::nullopt);
+            const Json* spec = wire::find(found->record, "d");
+            if (!view.is_final() && spec && wire::find(*spec, "warp")) {
+                // The record does not tell whether a dependency is cancelled. A job that the change feed has
+                // delivered is not updated from this read: the shard owner here relies on the order of the
+                // feed.
+                if (!cache_.jobs.find(ref))
+                    cache_.apply(record_key(found->location, ref), &found->record, found->mod_revision);
+                else
+                    cache_.jobs.remember(ref, view);
+                if (cache_.jobs.dependency_graph().dependency_status(ref).cancelled_by_dependency)
+                    return done(true, view.as_cancelled());
+                return check_in_store(ref, std::move(done));
+            }
+            cache_.jobs.remember(ref, view);
+            done(true, view);
+        });
 }
 
-/// The owner of a new job: the shard with the most room left, after what waits there already and what we
-/// have sent there since it last told; a shard of ours is preferred a little, since it hears at once.
-/// Production work stops other work where it must, so for it only other production work counts. Before any
-/// machines are known, any shard.
-std::string JobService::shard_for(const JobSpec& spec) {
-    // With what it needs: there the change that ends that can begin this.
-    for (const auto& need : spec.needs) {
-        const LiveJob* live = cache_.jobs.find(need);
-        const OwnershipRecord* at = live ? cache_.membership.shard(live->shard) : nullptr;
-        if (at && cache_.membership.is_alive(at->holder)) return live->shard;
+/// Selects the shard of a new job: the one with the largest share of free capacity, after the jobs that wait
+/// there and the jobs sent there since its holder last reported its load. A shard held here gets a small
+/// bonus because it learns of the job at once. Production jobs may preempt others, so only other production
+/// jobs count for them. If no machines are known a random shard is chosen.
+std::string JobService::select_shard(const JobSpec& spec) {
+    // The shard of a dependency: the commit that finishes the dependency can start this job there.
+    for (const auto& dependency : spec.needs) {
+        const LiveJob* live = cache_.jobs.find(dependency);
+        const OwnershipRecord* shard = live ? cache_.membership.shard(live->shard) : nullptr;
+        if (shard && cache_.membership.is_alive(shard->holder)) return live->shard;
     }
-    const Milli need = scheduling::gpu_bound_cores(spec.request, cache_.machine_types.types()) * spec.tasks;
-    std::vector<std::string> all;
-    std::string best;
-    double best_room = 0;
-    for (const auto& [name, d] : cache_.membership.shards()) {
-        if (!cache_.membership.is_alive(d.holder)) continue;
-        all.push_back(name);
+    const Milli needed_cores =
+        scheduling::gpu_bound_cores(spec.request, cache_.machine_types.types()) * spec.tasks;
+    std::vector<std::string> candidates;
+    std::string best_shard;
+    double best_share = 0;
+    for (const auto& [name, shard] : cache_.membership.shards()) {
+        if (!cache_.membership.is_alive(shard.holder)) continue;
+        candidates.push_back(name);
         const Milli capacity = cache_.capacity_of(name);
         if (capacity == 0) continue;
         std::optional<peer::ShardLoad> load;
-        if (const ShardOwner* o = assignment_.find(name)) {
-            if (o->active()) load = o->load();
+        if (const ShardOwner* owner = assignment_.find(name)) {
+            if (owner->active()) load = owner->load();
         } else if (const auto* told = peers_.load_of(name)) {
             load = *told;
         }
-        Milli room = 0, of = capacity;
+        Milli free_cores = 0, reference_cores = capacity;
         if (load && spec.rank == PriorityClass::Production) {
-            room = (spec.spot ? load->capacity : load->ordinary) - load->production;
-            of = std::max<Milli>(spec.spot ? load->capacity : load->ordinary, 1);
+            free_cores = (spec.spot ? load->capacity : load->ordinary) - load->production;
+            reference_cores = std::max<Milli>(spec.spot ? load->capacity : load->ordinary, 1);
         } else if (load) {
-            room = load->free_ordinary + (spec.spot ? load->free_spot : 0) - load->waiting;
+            free_cores = load->free_ordinary + (spec.spot ? load->free_spot : 0) - load->waiting;
         }
-        if (!assignment_.find(name)) room -= peers_.sent_to(name);
-        double share = static_cast<double>(room) / static_cast<double>(of) +
-                       (d.holder == settings_.node ? kOursFirst : 0.0);
-        // Urgent work goes where its image has been lately, if there is room for all of it.
-        if (spec.rank <= PriorityClass::High && room >= need)
-            if (const Micros seen = cache_.jobs.image_last_used(spec.image, name);
-                seen > 0 && runtime_.now() - seen < kImageLasts)
+        if (!assignment_.find(name)) free_cores -= peers_.sent_to(name);
+        double share = static_cast<double>(free_cores) / static_cast<double>(reference_cores) +
+                       (shard.holder == settings_.node ? kLocalShardBonus : 0.0);
+        // A job of high priority goes to a shard that recently used its image, if there is room for all of
+        // it.
+        if (spec.rank <= PriorityClass::High && free_cores >= needed_cores)
+            if (const Micros last_used = cache_.jobs.image_last_used(spec.image, name);
+                last_used > 0 && runtime_.now() - last_used < kImageCachedFor)
                 share += 1.0;
-        if (!best.empty() && share <= best_room) continue;
-        best = name;
-        best_room = share;
+        if (!best_shard.empty() && share <= best_share) continue;
+        best_shard = name;
+        best_share = share;
     }
-    if (best.empty() && !all.empty()) return all[runtime_.random()() % all.size()];
-    if (!best.empty()) peers_.sent(best, need);
-    return best;
+    if (best_shard.empty() && !candidates.empty()) return candidates[runtime_.random()() % candidates.size()];
+    if (!best_shard.empty()) peers_.sent(best_shard, needed_cores);
+    return best_shard;
 }
 
 }  // namespace cottonway
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What users ask: submissions, polls, cancellations. Answers rest on the store.
+// User API: submissions, polls and cancellations of jobs. Answers reflect the state of the store.
 
 #include <functional>
 #include <optional>
@@ -17,7 +17,7 @@
   public:
     JobService(Runtime& runtime, StoreClient& store, const Settings& settings, ChangeFeed& feed,
                StateCache& cache, const ShardAssignment& assignment, PeerDirectory& peers,
-               JobArchiver& history)
+               JobArchiver& job_archiver)
         : runtime_(runtime),
           store_(store),
           settings_(settings),
@@ -25,45 +25,47 @@
           cache_(cache),
           assignment_(assignment),
           peers_(peers),
-          history_(history) {}
+          job_archiver_(job_archiver) {}
 
     void submit(const Json& body, ApiResponder respond);
     void poll(const std::string& ref, ApiResponder respond);
     void abort(const std::string& ref, ApiResponder respond) { abort(ref, 0, std::move(respond)); }
-    /// Whether users had better come here.
+    /// Returns whether the load balancer should send users to this node.
     bool is_healthy() const;
-    /// `late`: by how much the process is behind its own timer.
-    bool too_busy_for_polls(Micros late);
-    /// Reads jobs that others need and that nothing is known of: they may be long over, and forgotten here.
+    /// Returns whether a poll must be rejected because of load. `timer_lag`: how late the process's last
+    /// timer ran.
+    bool too_busy_for_polls(Micros timer_lag);
+    /// Reads the records of dependencies that are not cached: they may have finished long ago.
     void read_unknown_dependencies();
 
   private:
-    enum class ReconcileAction { Fits, Never, TooLong, NotYet };
+    enum class Feasibility { Feasible, Infeasible, TooLarge, MachineTypesUnknown };
     using Checked = std::function<void(bool ok, std::optional<JobView>)>;
 
-    void resolve(JobSpec spec, ApiResponder respond);
+    void create_with_dependencies(JobSpec spec, ApiResponder respond);
     void create(JobSpec spec, ApiResponder respond);
-    std::string shard_for(const JobSpec& spec);
-    void abort(const std::string& ref, int tries, ApiResponder respond);
+    std::string select_shard(const JobSpec& spec);
+    void abort(const std::string& ref, int attempt, ApiResponder respond);
     struct Found {
-        RecordLocation place = RecordLocation::Job;
+        RecordLocation location = RecordLocation::Job;
         Json record;
         Revision mod_revision = 0;
         Revision legacy_revision = 0;
     };
-    void cancel(const std::string& ref, Found job, int tries, ApiResponder respond);
-    /// Reads a job's record under either key; none found proves nothing, since it may be on its way from one
-    /// to the other.
-    void read_either(const std::string& ref, std::function<void(bool ok, std::optional<Found>)> done);
-    /// A job's state as the store has it now; no view: never accepted. `ok` false: nothing is known.
-    void check(const std::string& ref, Checked done);
-    void recheck(const std::string& ref, int tries, Checked done);
-    const JobView* known(const std::string& ref) const { return cache_.jobs.find_view(ref); }
-    /// Whether the job could be accepted. What can't is refused only where the store proves that it never
-    /// was.
-    ReconcileAction judge(const JobSpec& spec) const;
-    static std::size_t stored_size(const JobSpec& spec);
-    bool out_of_reach() const;
+    void cancel(const std::string& ref, Found job, int attempt, ApiResponder respond);
+    /// Reads a job's record under c/job/ and c/active/. If none is found the job may still exist: its record
+    /// may be moved from one key to the other between the two reads.
+    void read_record(const std::string& ref, std::function<void(bool ok, std::optional<Found>)> done);
+    /// Calls back with the job's current state in the store. No view: the job was never accepted. `ok` false:
+    /// its state could not be determined.
+    void check_in_store(const std::string& ref, Checked done);
+    void read_after_conflict(const std::string& ref, int attempt, Checked done);
+    const JobView* find_view(const std::string& ref) const { return cache_.jobs.find_view(ref); }
+    /// Checks whether the job could be accepted. A job that can't is rejected only once the store proves that
+    /// it was not accepted before.
+    Feasibility assess_feasibility(const JobSpec& spec) const;
+    static std::size_t stored_spec_size(const JobSpec& spec);
+    bool store_unreachable() const;
 
     Runtime& runtime_;
     StoreClient& store_;
@@ -72,10 +74,10 @@
     StateCache& cache_;
     const ShardAssignment& assignment_;
     PeerDirectory& peers_;
-    JobArchiver& history_;
-    std::set<std::string> reading_;  // jobs that are needed and that nothing is known of
-    std::uint64_t polls_shed_ = 0;
-    Micros shed_logged_ = 0;
+    JobArchiver& job_archiver_;
+    std::set<std::string> dependency_reads_;  // dependencies whose records are being read
+    std::uint64_t rejected_polls_ = 0;
+    Micros shedding_logged_at_ = 0;
 };
 
 }  // namespace cottonway
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Requests of users, workers and the load balancer, as the core sees them.
+// HTTP requests of users, workers and the load balancer, and the responses to them, without the transport.
 
 #include <functional>
 #include <string>
@@ -14,18 +14,18 @@
     std::string path;
     std::string body;
     bool too_large = false;
-    Micros queue_time = 0;  // how long it may have queue_time unread, since the process stood still
+    Micros queue_time = 0;  // how long it may have waited unread while the process was stalled
 };
 
 struct ApiResponse {
     int status = 200;
     Json body;
-    int retry_after_s = 0;  // seconds
+    int retry_after_s = 0;  // 0: no Retry-After header
 };
 
 using ApiResponder = std::function<void(ApiResponse)>;
 
-/// What can't be served now, with when to come back, in seconds.
+/// Returns a 503 that asks the client to retry after a delay.
 inline ApiResponse unavailable(int retry_after_s = 1) {
     return {503, Json::object(), retry_after_s};
 }
