--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr Micros kTick = 100 * kMillisecond;
-constexpr Micros kSumUp = 30 * kSecond;
-constexpr Micros kSweepEvery = 5 * kSecond;
-constexpr Micros kPatience = 4 * kSecond;      // of workers; users wait for 5 s
-constexpr Micros kPollPatience = 2 * kSecond;  // of users who poll
-constexpr unsigned kPollSpread = 4;
+constexpr Micros kSummaryInterval = 30 * kSecond;
+constexpr Micros kOrphanedChunksInterval = 5 * kSecond;
+// A request that has waited longer than this is rejected, since its sender no longer waits for the answer.
+constexpr Micros kWorkerRequestTimeout = 4 * kSecond;  // workers wait 4 s, users 5 s
+constexpr Micros kPollRequestTimeout = 2 * kSecond;    // users wait 2 s for the answer to a poll
+constexpr unsigned kMaxExtraRetrySeconds = 4;
 
 bool starts_with(const std::string& s, const std::string& prefix) {
     return s.compare(0, prefix.size(), prefix) == 0;
@@ -31,9 +32,9 @@
       feed_(runtime, store_, settings_, cache_),
       membership_lease_(runtime, store_, settings_, cache_),
       election_(runtime, store_, settings_, feed_, cache_, membership_lease_),
-      history_(runtime, store_, settings_, feed_, cache_, election_),
-      policies_(runtime, store_, settings_, feed_, cache_),
-      assignment_(*this, feed_, cache_, membership_lease_, machine_allocator_, history_),
+      job_archiver_(runtime, store_, settings_, feed_, cache_, election_),
+      policy_publisher_(runtime, store_, settings_, feed_, cache_),
+      assignment_(*this, feed_, cache_, membership_lease_, machine_allocator_, job_archiver_),
       machine_allocator_(runtime, store_, settings_, feed_, cache_, assignment_, election_, autoscaler_,
                          peers_),
       peers_(runtime, settings_, feed_, cache_, assignment_, election_, autoscaler_),
@@ -41,25 +42,25 @@
       quota_allocator_(runtime, store_, settings_, feed_, cache_, assignment_, election_, machine_allocator_),
       capacity_broker_(runtime, cache_, assignment_, machine_allocator_, quota_allocator_, peers_),
       heartbeat_router_(runtime, settings_, feed_, cache_, membership_lease_, assignment_, election_,
-                        machine_allocator_, peers_, history_, decisions_),
-      job_service_(runtime, store_, settings_, feed_, cache_, assignment_, peers_, history_) {}
+                        machine_allocator_, peers_, job_archiver_, decisions_),
+      job_service_(runtime, store_, settings_, feed_, cache_, assignment_, peers_, job_archiver_) {}
 
 Controller::~Controller() {
     assignment_.end();
 }
 
 void Controller::start() {
-    spdlog::info("node {} starts in zone {}", settings_.node, settings_.zone);
-    for (const auto& t : settings_.teams)
+    spdlog::info("node {} starting in zone {}", settings_.node, settings_.zone);
+    for (const auto& team : settings_.teams)
         spdlog::info(
-            "team {}: {} cores guaranteed, {}", t.name, t.guarantee.cores / 1000,
-            t.limit.cores < kNoLimit ? std::to_string(t.limit.cores / 1000) + " at most" : "no limit");
+            "team {}: {} cores guaranteed, {}", team.name, team.guarantee.cores / 1000,
+            team.limit.cores < kNoLimit ? std::to_string(team.limit.cores / 1000) + " at most" : "no limit");
     if (!cancels_in_time(settings_))
         spdlog::error(
-            "cancel_s leaves too little beyond lease_s: where a controller can't hear of a cancellation, "
-            "tasks may run for up to {} s after it",
+            "cancel_s is too short for lease_s: if a controller is cut off from the state service, tasks may "
+            "run for up to {} s after their job is cancelled",
             (settings_.cancel - beyond_lease(settings_) + kLeastAuthority) / kSecond);
-    fetch_types();
+    fetch_machine_types();
     feed_.start();
     membership_lease_.join();
     tick();
@@ -68,8 +69,8 @@
 void Controller::tick() {
     runtime_.after(kTick, [this] { tick(); });
     const Micros now = runtime_.now();
-    late_ = tick_due_ > 0 ? std::max<Micros>(now - tick_due_, 0) : 0;
-    tick_due_ = now + kTick;
+    timer_lag_ = next_tick_due_ > 0 ? std::max<Micros>(now - next_tick_due_, 0) : 0;
+    next_tick_due_ = now + kTick;
     feed_.tick();
     assignment_.rebalance_shards();
     election_.rebalance_shards();
@@ -81,26 +82,26 @@
     quota_allocator_.allocate_initial_quota();
     election_.store_types();
     announce_format();
-    policies_.tick();
+    policy_publisher_.tick();
     cache_.jobs.dependency_graph().propagate_priorities();
     cache_.propagate_dependency_changes();
-    history_.tick();
+    job_archiver_.tick();
     job_service_.read_unknown_dependencies();
-    sweep_pieces();
+    delete_orphaned_chunks();
     machine_allocator_.split_blocks();
     machine_allocator_.flush_edits();
     autoscaler_.tick();
     assignment_.tick();
-    sum_up();
+    log_summary();
 }
 
-void Controller::sum_up() {
+void Controller::log_summary() {
     const Micros now = runtime_.now();
-    if (now - summed_up_ <= kSumUp) return;
-    summed_up_ = now;
-    cache_.jobs.forget_images_before(now - 20 * kSumUp);
+    if (now - summary_logged_at_ <= kSummaryInterval) return;
+    summary_logged_at_ = now;
+    cache_.jobs.forget_images_before(now - 20 * kSummaryInterval);
     std::string line;
-    for (const auto& [purpose, n] : store_.sent()) line += " " + purpose + " " + std::to_string(n);
+    for (const auto& [purpose, count] : store_.sent()) line += " " + purpose + " " + std::to_string(count);
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
                  feed_.confirmed_age() / kMillisecond, feed_.store_revision(), election_.leader(),
@@ -108,28 +109,29 @@
 }
 
 void Controller::wake() {
-    if (std::exchange(waking_, true)) return;
+    if (std::exchange(wake_scheduled_, true)) return;
     runtime_.after(0, [this] {
-        waking_ = false;
+        wake_scheduled_ = false;
         assignment_.work();
     });
 }
 
-void Controller::fetch_types() {
+void Controller::fetch_machine_types() {
     Call call;
     call.target = Target::Cloud;
     call.method = "GET";
     call.path = "/machine_types";
-    runtime_.call(std::move(call), [this](const Reply& r) {
-        if (r.status == 200) cache_.apply_machine_types(r.body);
+    runtime_.call(std::move(call), [this](const Reply& reply) {
+        if (reply.status == 200) cache_.apply_machine_types(reply.body);
         if (!cache_.machine_types.cloud_response().is_null()) return;
         runtime_.after(kSecond + static_cast<Micros>(runtime_.random()() % 500) * kMillisecond,
-                       [this] { fetch_types(); });
+                       [this] { fetch_machine_types(); });
     });
 }
 
-/// A node whose key is gone had its last confirmation before that, so it renews no lease beyond its
-/// authority. It may be back since our last look, so what follows from that is true as of then.
+/// Returns the time by which a peer whose liveness key is gone has stopped renewing leases. Its last
+/// confirmation was before its key ended, and its authority ends a fixed time later. The peer may have
+/// restarted since the last refresh of the cache, so the age of that refresh is added.
 std::optional<Micros> Controller::peer_ended(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
@@ -140,12 +142,12 @@
     return cottonway::has_valid_lease(feed_.confirmed_age(), settings_);
 }
 
-// ---------------------------------------------------------------- news
+// ---------------------------------------------------------------- changes of the cached state
 
-void Controller::on_job(const std::string& ref, RecordLocation place, const Json& value,
+void Controller::on_job(const std::string& ref, RecordLocation location, const Json& value,
                         Revision mod_revision) {
     for (const auto& [name, owner] : assignment_.all())
-        if (owner && owner->active()) owner->on_job(ref, place, value, mod_revision);
+        if (owner && owner->active()) owner->on_job(ref, location, value, mod_revision);
 }
 
 void Controller::on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) {
@@ -165,7 +167,7 @@
         if (shard == block.shard)
             owner->on_machine(block, machine);
         else
-            owner->on_machine_gone(machine.name, "it is in another domain");
+            owner->on_machine_gone(machine.name, "the machine is in another domain now");
     }
 }
 
@@ -173,7 +175,8 @@
     heartbeat_router_.forget_machine(machine);
     machine_allocator_.left(machine);
     for (const auto& [shard, owner] : assignment_.all())
-        if (owner) owner->on_machine_gone(machine, "it is deleted, or given away empty");
+        if (owner)
+            owner->on_machine_gone(machine, "the machine was deleted or given to another shard while empty");
 }
 
 void Controller::on_format() {
@@ -183,7 +186,7 @@
 }
 
 void Controller::on_policy() {
-    policies_.changed();
+    policy_publisher_.changed();
     for (const auto& [name, owner] : assignment_.all())
         if (owner) owner->on_policy();
     wake();
@@ -201,54 +204,57 @@
     return runtime_.now() - since;
 }
 
-/// Once, for all processes of this node that are still to come.
+/// Announces the newest format that this node reads. One announcement also holds for later processes of this
+/// node.
 void Controller::announce_format() {
-    const std::uint64_t reads =
+    const std::uint64_t newest_format =
         settings_.ops.history_apart ? format::kSeparateActiveRecords : format::kChunksAndDependencies;
-    if (!settings_.announces_format || !feed_.loaded() || announcing_ ||
-        cache_.formats.format_read_by(settings_.node) >= reads)
+    if (!settings_.announces_format || !feed_.loaded() || announcing_format_ ||
+        cache_.formats.format_read_by(settings_.node) >= newest_format)
         return;
-    announcing_ = true;
+    announcing_format_ = true;
     const std::string key = keys::format + settings_.node;
-    const Json value{{"reads", reads}};
+    const Json value{{"reads", newest_format}};
     Change change;
     change.then.push_back({key, value});
     change.purpose = "format";
-    store_.commit(std::move(change), [this, key, value](const CommitResult& r) {
-        if (r.status == CommitStatus::Ok) cache_.apply(key, &value, r.revision);
-        runtime_.after(kSecond, [this] { announcing_ = false; });
+    store_.commit(std::move(change), [this, key, value](const CommitResult& result) {
+        if (result.status == CommitStatus::Ok) cache_.apply(key, &value, result.revision);
+        runtime_.after(kSecond, [this] { announcing_format_ = false; });
     });
 }
 
-/// Pieces that no record names are left by writes that did not come to their end. They are dropped on the
-/// mark of the record that they are of, as of a moment after which nothing named them: a head that is
-/// committed later fails on their marks, and one that came first makes the dropping fail, however late that
-/// is.
-void Controller::sweep_pieces() {
+/// Deletes chunks that no record refers to; incomplete writes leave them behind. The deletion is conditional
+/// on the revision of the record that the chunks were written for, read before a refresh shows that nothing
+/// refers to them. A head record that is committed later fails because it is conditional on its chunks, and a
+/// head record that is committed earlier makes the deletion fail, however late the deletion is executed.
+void Controller::delete_orphaned_chunks() {
     const Micros now = runtime_.now();
-    if (!election_.leading() || store_.chunk_store().size() == 0 || now - swept_at_ < kSweepEvery) return;
+    if (!election_.leading() || store_.chunk_store().size() == 0 ||
+        now - chunks_checked_at_ < kOrphanedChunksInterval)
+        return;
     if (!store_.room(Priority::Deferrable)) return;
-    swept_at_ = now;
+    chunks_checked_at_ = now;
     std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
-    std::size_t n = 0;
-    for (const auto& left : store_.chunk_store().left_over(now))
-        if (++n <= settings_.txn_ops) by_record[left.of].push_back(left);
-    for (const auto& [key, list] : by_record)
-        store_.read(key, [this, list = list](const ReadResult& r) {
-            if (!r.ok) return;
-            feed_.after_next_refresh([this, list, mod_revision = r.mod_revision](bool looked) {
-                for (const auto& left : list)
-                    if (looked && !store_.chunk_store().named(left.name, left.of))
-                        drop_piece(left, mod_revision);
+    std::size_t count = 0;
+    for (const auto& orphan : store_.chunk_store().left_over(now))
+        if (++count <= settings_.txn_ops) by_record[orphan.of].push_back(orphan);
+    for (const auto& [key, orphans] : by_record)
+        store_.read(key, [this, orphans = orphans](const ReadResult& result) {
+            if (!result.ok) return;
+            feed_.after_next_refresh([this, orphans, mod_revision = result.mod_revision](bool refreshed) {
+                for (const auto& orphan : orphans)
+                    if (refreshed && !store_.chunk_store().named(orphan.name, orphan.of))
+                        delete_chunk(orphan, mod_revision);
             });
         });
 }
 
-void Controller::drop_piece(const chunks::ChunkStore::LeftOver& left, Revision mod_revision) {
+void Controller::delete_chunk(const chunks::ChunkStore::LeftOver& orphan, Revision mod_revision) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back({left.of, mod_revision});
-    change.then.push_back({left.key, Json()});
+    change.when.push_back({orphan.of, mod_revision});
+    change.then.push_back({orphan.key, Json()});
     change.purpose = "cleanup";
     store_.commit(std::move(change), [](const CommitResult&) {});
 }
@@ -257,40 +263,41 @@
 
 void Controller::handle_request(ApiRequest request, ApiResponder respond) {
     if (request.too_large) return respond({413, Json::object()});
-    // What nobody waits for any more costs no more than this, so that a process that stood still does not
-    // fall behind a second time.
-    if (request.queue_time >= (request.method == "GET" ? kPollPatience : kPatience))
+    // The sender of a request that has waited this long no longer waits for the answer. Rejecting it cheaply
+    // keeps a process that was stalled from falling behind again.
+    if (request.queue_time >= (request.method == "GET" ? kPollRequestTimeout : kWorkerRequestTimeout))
         return respond(unavailable());
     const std::string path = request.path.substr(0, request.path.find('?'));
-    const bool get = request.method == "GET", post = request.method == "POST";
+    const bool is_get = request.method == "GET", is_post = request.method == "POST";
     auto wrong_method = [&] { respond({405, Json::object()}); };
     auto body = [&]() { return wire::decode(request.body); };
     if (path == "/healthz") {
-        if (!get) return wrong_method();
+        if (!is_get) return wrong_method();
         return respond({job_service_.is_healthy() ? 200 : 503, Json::object()});
     }
     if (path == "/v1/report") {
-        if (!post) return wrong_method();
+        if (!is_post) return wrong_method();
         return heartbeat_router_.handle_report(request.body, std::move(respond));
     }
-    static const std::string jobs = "/v1/jobs";
-    if (path == jobs) {
-        if (!post) return wrong_method();
-        auto v = body();
-        return v ? job_service_.submit(*v, std::move(respond)) : respond({400, Json::object()});
+    static const std::string jobs_path = "/v1/jobs";
+    if (path == jobs_path) {
+        if (!is_post) return wrong_method();
+        auto job = body();
+        return job ? job_service_.submit(*job, std::move(respond)) : respond({400, Json::object()});
     }
-    if (starts_with(path, jobs + "/")) {
-        if (get && job_service_.too_busy_for_polls(late_))
-            return respond(unavailable(1 + static_cast<int>(runtime_.random()() % kPollSpread)));
-        std::string ref = path.substr(jobs.size() + 1);
-        static const std::string abort_end = "/abort";
-        const bool aborting = ref.size() > abort_end.size() &&
-                              ref.compare(ref.size() - abort_end.size(), abort_end.size(), abort_end) == 0;
-        if (aborting) ref.resize(ref.size() - abort_end.size());
+    if (starts_with(path, jobs_path + "/")) {
+        if (is_get && job_service_.too_busy_for_polls(timer_lag_))
+            return respond(unavailable(1 + static_cast<int>(runtime_.random()() % kMaxExtraRetrySeconds)));
+        std::string ref = path.substr(jobs_path.size() + 1);
+        static const std::string abort_suffix = "/abort";
+        const bool is_abort =
+            ref.size() > abort_suffix.size() &&
+            ref.compare(ref.size() - abort_suffix.size(), abort_suffix.size(), abort_suffix) == 0;
+        if (is_abort) ref.resize(ref.size() - abort_suffix.size());
         if (ref.find('/') == std::string::npos) {
-            if (aborting ? !post : !get) return wrong_method();
+            if (is_abort ? !is_post : !is_get) return wrong_method();
             if (!wire::valid_ref(ref)) return respond({404, Json::object()});
-            return aborting ? job_service_.abort(ref, std::move(respond))
+            return is_abort ? job_service_.abort(ref, std::move(respond))
                             : job_service_.poll(ref, std::move(respond));
         }
     }
@@ -299,44 +306,44 @@
 
 void Controller::handle_peer_message(const std::string& bytes, std::function<void(std::string)> respond) {
     const auto kind = peer::kind_of(bytes);
-    auto nothing = [&] {
-        spdlog::error("a message of a peer is not in the protocol, {} bytes", bytes.size());
+    auto reject_message = [&] {
+        spdlog::error("invalid message from a peer, {} bytes", bytes.size());
         respond("");
     };
-    auto granted = [respond](const peer::Grant& g) { respond(peer::pack(g)); };
-    if (!kind) return nothing();
+    auto respond_with_grant = [respond](const peer::Grant& grant) { respond(peer::pack(grant)); };
+    if (!kind) return reject_message();
     switch (*kind) {
         case peer::Kind::State: {
-            auto m = peer::unpack<peer::State>(bytes);
-            if (!m) return nothing();
-            peers_.heard(*m);
+            auto message = peer::unpack<peer::State>(bytes);
+            if (!message) return reject_message();
+            peers_.heard(*message);
             return respond(peer::pack(peers_.own_state()));
         }
         case peer::Kind::Relinquish: {
-            auto m = peer::unpack<peer::Relinquish>(bytes);
-            if (!m) return nothing();
-            return respond(peer::pack(heartbeat_router_.relinquish_leases(*m)));
+            auto message = peer::unpack<peer::Relinquish>(bytes);
+            if (!message) return reject_message();
+            return respond(peer::pack(heartbeat_router_.relinquish_leases(*message)));
         }
         case peer::Kind::CapacityRequest: {
-            auto m = peer::unpack<peer::CapacityRequest>(bytes);
-            if (!m) return nothing();
-            return capacity_broker_.grant_machines(*m, granted);
+            auto message = peer::unpack<peer::CapacityRequest>(bytes);
+            if (!message) return reject_message();
+            return capacity_broker_.grant_machines(*message, respond_with_grant);
         }
         case peer::Kind::Share: {
-            auto m = peer::unpack<peer::QuotaRequest>(bytes);
-            if (!m) return nothing();
-            return capacity_broker_.grant_quota(*m, granted);
+            auto message = peer::unpack<peer::QuotaRequest>(bytes);
+            if (!message) return reject_message();
+            return capacity_broker_.grant_quota(*message, respond_with_grant);
         }
         case peer::Kind::Relay: {
-            auto m = peer::unpack<peer::Relay>(bytes);
-            auto answer = m ? heartbeat_router_.handle_relayed_report(*m) : std::nullopt;
-            if (!answer) return nothing();
+            auto message = peer::unpack<peer::Relay>(bytes);
+            auto answer = message ? heartbeat_router_.handle_relayed_report(*message) : std::nullopt;
+            if (!answer) return reject_message();
             return respond(peer::pack(*answer));
         }
         case peer::Kind::Relinquished:
         case peer::Kind::Grant:
         case peer::Kind::Relayed:
-            return nothing();  // only ever answers
+            return reject_message();  // these kinds are only sent as answers
     }
 }
 
@@ -344,68 +351,69 @@
     const LiveJob* live = cache_.jobs.find(ref);
     const JobView* view = cache_.jobs.find_view(ref);
     if (!live && !view) return {};
-    Json v{{"ref", ref}, {"policy", policy().revision}};
+    Json explanation{{"ref", ref}, {"policy", policy().revision}};
     if (!live) {
-        v["why"] = {view->stage == Stage::Done        ? "it is done"
-                    : view->stage == Stage::Cancelled ? "it is cancelled"
-                                                      : "it is over, or about to be heard of again"};
-        return v;
+        explanation["why"] = {view->stage == Stage::Done ? "it is done"
+                              : view->stage == Stage::Cancelled
+                                  ? "it is cancelled"
+                                  : "it is finished, or its record is being read"};
+        return explanation;
     }
     const OwnershipRecord* shard = cache_.membership.shard(live->shard);
-    v["domain"] = live->shard;
-    v["holder"] = shard ? shard->holder : "";
+    explanation["domain"] = live->shard;
+    explanation["holder"] = shard ? shard->holder : "";
     const ShardOwner* owner = assignment_.find(live->shard);
     if (!owner || !owner->active()) {
-        v["why"] = {owner ? "its domain is being taken over here"
-                    : shard && !shard->holder.empty()
-                        ? "its domain is held by " + shard->holder + ", which knows more"
-                        : "nobody holds its domain yet"};
-        return v;
+        explanation["why"] = {owner ? "its domain is being taken over here"
+                              : shard && !shard->holder.empty()
+                                  ? "its domain is held by " + shard->holder + ", ask that node"
+                                  : "nobody holds its domain yet"};
+        return explanation;
     }
-    const Json known = owner->explain(ref);
-    if (known.is_null()) {
-        v["why"] = {"its holder has not taken it in yet"};
-        return v;
+    const Json details = owner->explain(ref);
+    if (details.is_null()) {
+        explanation["why"] = {"its holder has not loaded it yet"};
+        return explanation;
     }
-    v.update(known);
+    explanation.update(details);
     if (!live->dependencies_done)
-        v["waits_for"] = cache_.jobs.dependency_graph().unfinished_dependencies(ref);
-    return v;
+        explanation["waits_for"] = cache_.jobs.dependency_graph().unfinished_dependencies(ref);
+    return explanation;
 }
 
 Json Controller::status() {
     const Membership& membership = cache_.membership;
-    Json v{{"node", settings_.node},
-           {"version", COTTONWAY_VERSION},
-           {"ledger", feed_.store_revision()},
-           {"alive", membership.alive_nodes()},
-           {"jobs_known", cache_.jobs.view_count()},
-           {"jobs_live", cache_.jobs.live_jobs().size()},
-           {"leader", membership.leader().holder},
-           {"confirmed_ms_ago", feed_.confirmed_age() / kMillisecond}};
-    v["domains"] = Json::array();
-    for (const auto& [name, d] : membership.shards()) {
+    Json status{{"node", settings_.node},
+                {"version", COTTONWAY_VERSION},
+                {"ledger", feed_.store_revision()},
+                {"alive", membership.alive_nodes()},
+                {"jobs_known", cache_.jobs.view_count()},
+                {"jobs_live", cache_.jobs.live_jobs().size()},
+                {"leader", membership.leader().holder},
+                {"confirmed_ms_ago", feed_.confirmed_age() / kMillisecond}};
+    status["domains"] = Json::array();
+    for (const auto& [name, shard] : membership.shards()) {
         const auto* stored = cache_.quotas.find(name);
-        v["domains"].push_back({{"name", name},
-                                {"holder", d.holder},
-                                {"mark", d.mod_revision},
-                                {"cores", cache_.capacity_of(name) / 1000},
-                                {"share", stored ? shares_value(stored->allocation) : Json::object()}});
+        status["domains"].push_back({{"name", name},
+                                     {"holder", shard.holder},
+                                     {"mark", shard.mod_revision},
+                                     {"cores", cache_.capacity_of(name) / 1000},
+                                     {"share", stored ? shares_value(stored->allocation) : Json::object()}});
     }
-    v["held"] = Json::array();
-    for (const auto& [name, o] : assignment_.all())
-        if (o) v["held"].push_back(o->status());
+    status["held"] = Json::array();
+    for (const auto& [name, owner] : assignment_.all())
+        if (owner) status["held"].push_back(owner->status());
     const DependencyGraph& dependency_graph = cache_.jobs.dependency_graph();
-    v["waiting"] = Json::object();
+    status["waiting"] = Json::object();
     for (const auto& ref : dependency_graph.waiting_jobs())
-        v["waiting"][ref] = dependency_graph.unfinished_dependencies(ref);
-    v["format"] = {{"all_new", cache_.formats.is_read_by_all(format::kChunksAndDependencies)},
-                   {"reads", cache_.formats.all()}};
-    v["policy"] = policies_.status();
-    v["fleet"] = autoscaler_.status();
-    v["changes_sent"] = store_.sent();
-    v["decisions"] = decisions_.value();
-    return v;
+        status["waiting"][ref] = dependency_graph.unfinished_dependencies(ref);
+    status["format"] = {{"all_new", cache_.formats.is_read_by_all(format::kChunksAndDependencies)},
+                        {"reads", cache_.formats.all()}};
+    status["policy"] = policy_publisher_.status();
+    status["fleet"] = autoscaler_.status();
+    status["changes_sent"] = store_.sent();
+    status["decisions"] = decisions_.value();
+    return status;
 }
 
 }  // namespace cottonway
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// Controller: one node. It puts the rooms together: the replica of the store, presence and leadership, the
-// shards held here, the records of blocks and shares, users, workers, the other controllers and the cloud.
-// Each room has a header of its own that says what it may touch; the controller passes on what has changed.
+// Controller: one node of the cluster. It wires its components together: the cache of the store, membership
+// and leadership, the shards held here, the allocation of machines and quota, the APIs for users and workers,
+// and the communication with the other controllers and the cloud. It forwards changes of the cached state to
+// them.
 
 #include <memory>
 #include <string>
@@ -23,18 +24,18 @@
     ~Controller() override;
 
     void start();
-    /// Requests of users, workers and the load balancer.
+    /// Handles a request of a user, a worker or the load balancer.
     void handle_request(ApiRequest request, ApiResponder respond);
-    /// A packed message of another controller; answered with "" if there is nothing to say.
+    /// Handles a packed message of another controller. Answers "" if the message is invalid.
     void handle_peer_message(const std::string& bytes, std::function<void(std::string)> respond);
     Json status();
-    /// Why a job waits, or who would know; null if it is not known to be there.
+    /// Explains why a job waits, or names the node that can; null: the job is unknown here.
     Json explain(const std::string& ref) const;
-    /// The policy of this node's file, which has changed while we run.
-    void set_policy_file(policy::Policy file) { policies_.set_file(std::move(file)); }
+    /// Sets the policy from this node's policy file after the file has changed.
+    void set_policy_file(policy::Policy file) { policy_publisher_.set_file(std::move(file)); }
 
     const StateCache& cache() const { return cache_; }
-    /// Whether this process leads, as far as it knows.
+    /// Returns whether this process is the leader, as far as it knows.
     bool is_leader() const { return election_.leading(); }
     const std::map<std::string, std::unique_ptr<ShardOwner>>& owners() const { return assignment_.all(); }
     ShardOwner* owner(const std::string& shard) const { return assignment_.find(shard); }
@@ -74,14 +75,14 @@
     std::vector<Order> stops_for_finished_jobs(const Report& report) const override {
         return cache_.jobs.stops_for_finished_jobs(report);
     }
-    bool knows_jobs_of(const Report& report) override { return history_.knows_jobs_of(report); }
+    bool knows_jobs_of(const Report& report) override { return job_archiver_.knows_jobs_of(report); }
     void edit_machine(const std::string& shard, const std::string& machine, MachineEdit edit,
                       std::function<void(bool)> done) override {
         machine_allocator_.edit(shard, machine, edit, std::move(done));
     }
 
     // StateCache::Listener.
-    void on_job(const std::string& ref, RecordLocation place, const Json& value,
+    void on_job(const std::string& ref, RecordLocation location, const Json& value,
                 Revision mod_revision) override;
     void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) override;
     void on_dependency_status(const std::string& ref) override;
@@ -94,11 +95,11 @@
 
   private:
     void tick();
-    void fetch_types();
+    void fetch_machine_types();
     void announce_format();
-    void sweep_pieces();
-    void drop_piece(const chunks::ChunkStore::LeftOver& left, Revision mod_revision);
-    void sum_up();
+    void delete_orphaned_chunks();
+    void delete_chunk(const chunks::ChunkStore::LeftOver& orphan, Revision mod_revision);
+    void log_summary();
 
     Runtime& runtime_;
     Settings settings_;
@@ -108,8 +109,8 @@
     ChangeFeed feed_;
     MembershipLease membership_lease_;
     LeaderElection election_;
-    JobArchiver history_;
-    PolicyPublisher policies_;
+    JobArchiver job_archiver_;
+    PolicyPublisher policy_publisher_;
     ShardAssignment assignment_;
     MachineAllocator machine_allocator_;
     PeerDirectory peers_;
@@ -118,12 +119,12 @@
     CapacityBroker capacity_broker_;
     HeartbeatRouter heartbeat_router_;
     JobService job_service_;
-    bool waking_ = false;
-    bool announcing_ = false;
-    Micros swept_at_ = 0;
-    Micros tick_due_ = 0;
-    Micros late_ = 0;  // by how much the last tick came late: a sign of too little processor time
-    Micros summed_up_ = 0;
+    bool wake_scheduled_ = false;
+    bool announcing_format_ = false;
+    Micros chunks_checked_at_ = 0;
+    Micros next_tick_due_ = 0;
+    Micros timer_lag_ = 0;  // how late the last tick ran: a sign of too little CPU time
+    Micros summary_logged_at_ = 0;
 };
 
 }  // namespace cottonway
