--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,5 +1,5 @@
-// What versions read and write: records and messages that the version in production wrote itself
-// (tests/data), and the limits of the state service, now and to come.
+// Compatibility with the version in production, by records and messages that it wrote (tests/data), and with
+// the current and the coming limits of the state service.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_RULES(simulator) \
+    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
 
 std::vector<Json> production_records() {
     std::vector<Json> out;
@@ -23,241 +24,252 @@
     return out;
 }
 
-std::vector<Json> records_of(Simulator& w) {
-    auto r = w.state().handle("GET", "/store?starts=c/&page=1000", Json(), w.now());
-    return r.body["pairs"].get<std::vector<Json>>();
+std::vector<Json> records_of(Simulator& simulator) {
+    auto response = simulator.state().handle("GET", "/store?starts=c/&page=1000", Json(), simulator.now());
+    return response.body["pairs"].get<std::vector<Json>>();
 }
 
-/// The night that the records in tests/data are from.
-void production_night(Simulator& w, std::set<int> old) {
-    for (int i = 0; i < 6; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i >= 4);
-    w.start_nodes(3, std::move(old));
-    w.run(6 * kSecond);
-    JobSpec service = w.job(1, JobKind::Service, 3);
+/// Runs the scenario in which the records in tests/data were written.
+void run_production_scenario(Simulator& simulator, std::set<int> old_nodes) {
+    for (int i = 0; i < 6; ++i)
+        simulator.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i >= 4);
+    simulator.start_nodes(3, std::move(old_nodes));
+    simulator.run(6 * kSecond);
+    JobSpec service = simulator.job(1, JobKind::Service, 3);
     service.spread = true;
     service.spot = false;
-    w.submit(service, 0);
-    JobSpec gang = w.job(2, JobKind::Gang, 2);
+    simulator.submit(service, 0);
+    JobSpec gang = simulator.job(2, JobKind::Gang, 2);
     gang.one_zone = true;
     gang.checkpoint = 3 * kSecond;
     gang.save = kSecond;
-    w.submit(gang, 60 * kSecond);
-    JobSpec array = w.job(3, JobKind::Array, 6, 2);
+    simulator.submit(gang, 60 * kSecond);
+    JobSpec array = simulator.job(3, JobKind::Array, 6, 2);
     array.deadline = 90 * kSecond;
     array.types = {"small", "large"};
     array.zone = "a";
-    w.submit(array, 3 * kSecond);
-    w.submit(w.job(4, JobKind::Array, 2), 2 * kSecond);
-    JobSpec broken = w.job(5, JobKind::Array, 3);
+    simulator.submit(array, 3 * kSecond);
+    simulator.submit(simulator.job(4, JobKind::Array, 2), 2 * kSecond);
+    JobSpec broken = simulator.job(5, JobKind::Array, 3);
     broken.team = "blue";
-    w.submit(broken, 0, 100 * kMillisecond, true);
-    JobSpec wide = w.job(6, JobKind::Array, 250);
+    simulator.submit(broken, 0, 100 * kMillisecond, true);
+    JobSpec wide = simulator.job(6, JobKind::Array, 250);
     wide.team = "guests";
     wide.rank = PriorityClass::Low;
-    w.submit(wide, 4 * kSecond);
-    w.submit(w.job(7, JobKind::Service, 2), 0);
-    w.run(8 * kSecond);
-    w.cancel("req-000007");
-    w.submit(w.job(8, JobKind::Service, 1), 0);
-    w.run(30 * kSecond);
+    simulator.submit(wide, 4 * kSecond);
+    simulator.submit(simulator.job(7, JobKind::Service, 2), 0);
+    simulator.run(8 * kSecond);
+    simulator.cancel("req-000007");
+    simulator.submit(simulator.job(8, JobKind::Service, 1), 0);
+    simulator.run(30 * kSecond);
 }
 
-std::string kind_of(const std::string& key) {
+std::string key_prefix(const std::string& key) {
     return key.substr(0, key.find('/', 2));
 }
 
-/// Every field of a record with the type of what is in it; names that are data are left out.
-void shape_of(const std::string& path, const Json& v, std::set<std::string>& out) {
-    out.insert(path + ":" + v.type_name());
-    if (v.is_object() && path.find("c/share") == std::string::npos)
-        for (const auto& [key, item] : v.items()) shape_of(path + "." + key, item, out);
-    if (v.is_array())
-        for (const auto& item : v) shape_of(path + "[]", item, out);
+/// Collects every field of a record with the type of its value, without names that are data.
+void collect_field_types(const std::string& path, const Json& value, std::set<std::string>& out) {
+    out.insert(path + ":" + value.type_name());
+    if (value.is_object() && path.find("c/share") == std::string::npos)
+        for (const auto& [key, item] : value.items()) collect_field_types(path + "." + key, item, out);
+    if (value.is_array())
+        for (const auto& item : value) collect_field_types(path + "[]", item, out);
 }
 
-std::set<std::string> shapes(const std::vector<Json>& records) {
+std::set<std::string> field_types(const std::vector<Json>& records) {
     std::set<std::string> out;
-    for (const auto& r : records) shape_of(kind_of(r["k"].get<std::string>()), r["data"], out);
+    for (const auto& record : records)
+        collect_field_types(key_prefix(record["k"].get<std::string>()), record["data"], out);
     return out;
 }
 
-TEST(Formats, WhatIsWrittenWhileANodeMayBeOldLooksAsProductionWroteIt) {
-    Simulator w(4711);
-    production_night(w, {0, 1, 2});
-    const auto theirs = shapes(production_records()), ours = shapes(records_of(w));
-    EXPECT_EQ(ours, theirs);
-    // With two nodes brought up to date there is their word for it besides, and nothing else.
-    Simulator half(4711);
-    production_night(half, {2});
-    auto more = shapes(records_of(half));
-    for (const char* said : {"c/format:object", "c/format.reads:number"}) more.erase(said);
-    for (const auto& s : more) EXPECT_TRUE(theirs.count(s)) << s;
+TEST(Formats, RecordsMatchProductionWhileANodeMayBeOld) {
+    Simulator simulator(4711);
+    run_production_scenario(simulator, {0, 1, 2});
+    const auto production_fields = field_types(production_records()),
+               own_fields = field_types(records_of(simulator));
+    EXPECT_EQ(own_fields, production_fields);
+    // With two upgraded nodes, their format announcements are the only addition.
+    Simulator partly_upgraded(4711);
+    run_production_scenario(partly_upgraded, {2});
+    auto remaining_fields = field_types(records_of(partly_upgraded));
+    for (const char* announced_field : {"c/format:object", "c/format.reads:number"})
+        remaining_fields.erase(announced_field);
+    for (const auto& field : remaining_fields) EXPECT_TRUE(production_fields.count(field)) << field;
 }
 
-TEST(Formats, ProductionsRecordsAreTakenOver) {
+TEST(Formats, ProductionRecordsAreLoaded) {
     auto records = production_records();
     std::stable_sort(records.begin(), records.end(),
                      [](const Json& a, const Json& b) { return a["mark"] < b["mark"]; });
-    Simulator w(1);
-    for (const auto& r : records) {
-        const std::string key = r["k"];
-        if (kind_of(key) == "c/live") continue;  // attached to leases that are over
-        w.state().handle(
+    Simulator simulator(1);
+    for (const auto& record : records) {
+        const std::string key = record["k"];
+        if (key_prefix(key) == "c/live") continue;  // attached to a lease that has expired
+        simulator.state().handle(
             "POST", "/commit",
-            Json{{"when", Json::array()}, {"then", Json::array({Json{{"write", key}, {"data", r["data"]}}})}},
-            w.now());
+            Json{{"when", Json::array()},
+                 {"then", Json::array({Json{{"write", key}, {"data", record["data"]}}})}},
+            simulator.now());
     }
-    w.start_nodes();
-    w.run(4 * kSecond);
+    simulator.start_nodes();
+    simulator.run(4 * kSecond);
     const ShardOwner* owner = nullptr;
     for (int i = 0; i < 3; ++i)
-        if (const ShardOwner* o = w.node(i)->owner("loom-1"); o && o->active()) owner = o;
-    ASSERT_TRUE(owner) << w.story();
+        if (const ShardOwner* candidate = simulator.node(i)->owner("loom-1");
+            candidate && candidate->active())
+            owner = candidate;
+    ASSERT_TRUE(owner) << simulator.story();
     EXPECT_EQ(owner->machines().size(), 5u);
     ASSERT_TRUE(owner->jobs().count("req-000006"));
     const Job& wide = *owner->jobs().at("req-000006");
     EXPECT_EQ(wide.done, 64);
-    EXPECT_EQ(wide.bound, 10) << "in doubt until their machines are heard";
+    EXPECT_EQ(wide.bound, 10) << "unconfirmed until their machines report";
     EXPECT_EQ(wide.part_tasks, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
-    EXPECT_EQ(w.node(0)->share("loom-1", "red").cores, 24'000);
-    EXPECT_EQ(wire::text(w.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
-    EXPECT_EQ(wire::text(w.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
+    EXPECT_EQ(simulator.node(0)->share("loom-1", "red").cores, 24'000);
+    EXPECT_EQ(wire::text(simulator.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
+    EXPECT_EQ(wire::text(simulator.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
 }
 
-std::string bytes_of(const std::string& hex) {
+std::string decode_hex(const std::string& hex) {
     std::string out;
     for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
         out.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
     return out;
 }
 
-template <class M>
-void same(const std::string& bytes) {
-    auto m = peer::unpack<M>(bytes);
-    ASSERT_TRUE(m);
-    EXPECT_EQ(peer::pack(*m), bytes);
+template <class Message>
+void expect_round_trip(const std::string& bytes) {
+    auto message = peer::unpack<Message>(bytes);
+    ASSERT_TRUE(message);
+    EXPECT_EQ(peer::pack(*message), bytes);
 }
 
-TEST(Formats, ProductionsMessagesAreUnderstoodAndSpoken) {
+TEST(Formats, ProductionMessagesRoundTrip) {
     std::ifstream in(std::string(COTTONWAY_TEST_DATA) + "/production_messages.txt");
     std::map<std::string, std::string> messages;
-    for (std::string name, hex; in >> name >> hex;) messages[name] = bytes_of(hex);
+    for (std::string name, hex; in >> name >> hex;) messages[name] = decode_hex(hex);
     ASSERT_EQ(messages.size(), 8u);
-    same<peer::State>(messages["State"]);
-    same<peer::Relinquish>(messages["Renounce"]);
-    same<peer::Relinquished>(messages["Renounced"]);
-    same<peer::CapacityRequest>(messages["Want"]);
-    same<peer::QuotaRequest>(messages["Share"]);
-    same<peer::Grant>(messages["Granted"]);
-    same<peer::Relay>(messages["Relay"]);
-    same<peer::Relayed>(messages["Relayed"]);
+    expect_round_trip<peer::State>(messages["State"]);
+    expect_round_trip<peer::Relinquish>(messages["Renounce"]);
+    expect_round_trip<peer::Relinquished>(messages["Renounced"]);
+    expect_round_trip<peer::CapacityRequest>(messages["Want"]);
+    expect_round_trip<peer::QuotaRequest>(messages["Share"]);
+    expect_round_trip<peer::Grant>(messages["Granted"]);
+    expect_round_trip<peer::Relay>(messages["Relay"]);
+    expect_round_trip<peer::Relayed>(messages["Relayed"]);
     EXPECT_EQ(peer::unpack<peer::State>(messages["State"])->shards.at(0).teams.at(0).used.gpus, 5);
 }
 
 // ---------------------------------------------------------------- limits
 
-TEST(Pieces, AValueComesBackWhole) {
-    Json v{{"s", "queued"}, {"k", 3}, {"d", {{"name", "a\"b\\c, d: e\nf\xc3\xa9"}}}, {"b", Json::array()}};
-    for (int i = 0; i < 400; ++i) v["b"].push_back(Json::array({i, "n-000" + std::to_string(i)}));
-    const auto split = chunks::split(v, "feed", 1024);
+TEST(Chunks, ValueRoundTrips) {
+    Json value{
+        {"s", "queued"}, {"k", 3}, {"d", {{"name", "a\"b\\c, d: e\nf\xc3\xa9"}}}, {"b", Json::array()}};
+    for (int i = 0; i < 400; ++i) value["b"].push_back(Json::array({i, "n-000" + std::to_string(i)}));
+    const auto split = chunks::split(value, "feed", 1024);
     EXPECT_GT(split.texts.size(), 5u);
-    EXPECT_EQ(split.head["s"], "queued") << "polls need no more";
-    for (const auto& t : split.texts)
-        EXPECT_LE(chunks::stored_size(chunks::chunk("c/job/req-000000000000000001", t)), 1024u);
-    EXPECT_EQ(chunks::join(split.head, split.texts), v);
+    EXPECT_EQ(split.head["s"], "queued") << "polls need only the head";
+    for (const auto& text : split.texts)
+        EXPECT_LE(chunks::stored_size(chunks::chunk("c/job/req-000000000000000001", text)), 1024u);
+    EXPECT_EQ(chunks::join(split.head, split.texts), value);
     chunks::ChunkStore chunk_store;
     for (std::size_t i = 0; i < split.texts.size(); ++i) {
-        EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some are missing";
+        EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some chunks are missing";
         const Json chunk = chunks::chunk("c/job/x", split.texts[i]);
         chunk_store.take(chunks::key("feed", i), &chunk, kSecond);
     }
-    EXPECT_EQ(chunk_store.whole("c/job/x", split.head), v);
+    EXPECT_EQ(chunk_store.whole("c/job/x", split.head), value);
     EXPECT_TRUE(chunk_store.left_over(500 * kSecond).empty());
     EXPECT_EQ(chunk_store.whole("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
-    EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no longer named";
+    EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no head refers to them";
 }
 
-/// A site whose limits fall while it has records of every kind at their largest.
-Settings falling() {
-    Settings s = small_site();
-    s.value_bytes_now = 4096;
-    s.value_bytes = 1024;
-    s.txn_ops = 4;
-    s.next_write_rps = 60;
-    s.ops.idle_return = 600 * kSecond;
-    s.teams.push_back({std::string(48, 't'), {8'000, 0, 0}, {100'000, 0, 0}});
-    return s;
+/// Returns the settings after the limits of the state service were lowered.
+Settings settings_with_lowered_limits() {
+    Settings settings = small_site();
+    settings.value_bytes_now = 4096;
+    settings.value_bytes = 1024;
+    settings.txn_ops = 4;
+    settings.next_write_rps = 60;
+    settings.ops.idle_return = 600 * kSecond;
+    settings.teams.push_back({std::string(48, 't'), {8'000, 0, 0}, {100'000, 0, 0}});
+    return settings;
 }
 
-TEST(Limits, MayFallWithBigRecordsOfEveryKind) {
-    // What production left behind: 150 tasks in one part, blocks of dozens of machines, a long description.
-    Settings before = falling();
+TEST(Limits, CanBeLoweredWithLargeRecordsOfEveryKind) {
+    // Records as production wrote them: 150 tasks in one part, blocks of dozens of machines, a long spec.
+    Settings before = settings_with_lowered_limits();
     before.value_bytes = 4096;
     before.txn_ops = 8;
-    Simulator w(5, before);
-    for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-    w.start_nodes(3, {0, 1, 2});
-    w.run(10 * kSecond);
-    JobSpec wide = w.job(1, JobKind::Array, 60, 4);
+    Simulator simulator(5, before);
+    for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+    simulator.start_nodes(3, {0, 1, 2});
+    simulator.run(10 * kSecond);
+    JobSpec wide = simulator.job(1, JobKind::Array, 60, 4);
     wide.team = std::string(48, 't');
     wide.request.cores = 1600;
     wide.request.ram = 20'000;  // one to a machine
     wide.job_class = std::string(250, 'c');
     wide.image = std::string(250, 'i');
-    w.submit(wide, 25 * kSecond, 0);
+    simulator.submit(wide, 25 * kSecond, 0);
     JobSpec other = wide;
     other.ref = "req-000002";
     other.request.ram = 100;
     other.request.cores = 10;
-    w.submit(other, 25 * kSecond, 0);
-    w.run(4 * kSecond);
-    EXPECT_EQ(w.running("req-000001"), 60) << w.story();
-    // All are brought up to date, and the limits fall before anything else can be done.
-    w.settings = falling();
-    for (int i = 0; i < 3; ++i) w.upgrade(i, kSecond);
-    w.run(2 * kSecond);
-    w.state().limits = {1024, 4, 60};
-    w.run(kSecond);
-    w.cancel("req-000002");
-    w.run(8 * kSecond);
-    EXPECT_EQ(w.told("req-000002"), "cancelled") << w.story();
-    EXPECT_EQ(w.running("req-000002"), 0);
-    for (int i = 0; i < 3; ++i) w.crash(i, kSecond);  // handed over as it is stored now
-    w.run(60 * kSecond);
-    EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-    EXPECT_EQ(w.starts("req-000001"), 60);
-    for (const auto& r : records_of(w)) EXPECT_LE(r["data"].dump().size(), 1024u) << r["k"];
-    EXPECT_RULES(w);
+    simulator.submit(other, 25 * kSecond, 0);
+    simulator.run(4 * kSecond);
+    EXPECT_EQ(simulator.running("req-000001"), 60) << simulator.story();
+    // All nodes are upgraded, and the limits are lowered before the nodes can rewrite any record.
+    simulator.settings = settings_with_lowered_limits();
+    for (int i = 0; i < 3; ++i) simulator.upgrade(i, kSecond);
+    simulator.run(2 * kSecond);
+    simulator.state().limits = {1024, 4, 60};
+    simulator.run(kSecond);
+    simulator.cancel("req-000002");
+    simulator.run(8 * kSecond);
+    EXPECT_EQ(simulator.told("req-000002"), "cancelled") << simulator.story();
+    EXPECT_EQ(simulator.running("req-000002"), 0);
+    for (int i = 0; i < 3; ++i)
+        simulator.crash(i, kSecond);  // new holders load the records as they are stored now
+    simulator.run(60 * kSecond);
+    EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
+    EXPECT_EQ(simulator.starts("req-000001"), 60);
+    for (const auto& record : records_of(simulator))
+        EXPECT_LE(record["data"].dump().size(), 1024u) << record["k"];
+    EXPECT_RULES(simulator);
 }
 
-TEST(Limits, ASplitBlockLosesNoTaskWhateverIsHeardOfItFirst) {
+TEST(Limits, SplitBlockLosesNoTaskWhicheverUpdateArrivesFirst) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        Settings before = falling();
+        Settings before = settings_with_lowered_limits();
         before.value_bytes = 4096;
-        Simulator w(seed, before);
-        for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-        w.start_nodes(3, {0, 1, 2});
-        w.run(10 * kSecond);
-        JobSpec service = w.job(1, JobKind::Service, 60, 0.4);
+        Simulator simulator(seed, before);
+        for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+        simulator.start_nodes(3, {0, 1, 2});
+        simulator.run(10 * kSecond);
+        JobSpec service = simulator.job(1, JobKind::Service, 60, 0.4);
         service.request.ram = 20'000;  // one to a machine
-        w.submit(service, 0, 0);
-        w.run(3 * kSecond);
-        EXPECT_EQ(w.running("req-000001"), 60) << w.story();
-        w.settings = falling();
-        for (int i = 0; i < 3; ++i) w.upgrade(i, kSecond);
-        w.run(2 * kSecond);
-        w.answers_lost = 0.4;  // those to the split among them
-        w.run(10 * kSecond);
-        w.answers_lost = 0;
-        w.run(10 * kSecond);
-        std::size_t most = 0;
-        for (const auto& r : records_of(w))
-            if (r["data"].contains("m")) most = std::max(most, r["data"]["m"].size());
-        EXPECT_LE(most, 15u) << "they have been split";
-        EXPECT_EQ(w.starts("req-000001"), 60) << "seed " << seed << "\n" << w.story();
-        EXPECT_RULES(w);
+        simulator.submit(service, 0, 0);
+        simulator.run(3 * kSecond);
+        EXPECT_EQ(simulator.running("req-000001"), 60) << simulator.story();
+        simulator.settings = settings_with_lowered_limits();
+        for (int i = 0; i < 3; ++i) simulator.upgrade(i, kSecond);
+        simulator.run(2 * kSecond);
+        simulator.answers_lost = 0.4;  // the answers to the split among them
+        simulator.run(10 * kSecond);
+        simulator.answers_lost = 0;
+        simulator.run(10 * kSecond);
+        std::size_t largest_block = 0;
+        for (const auto& record : records_of(simulator))
+            if (record["data"].contains("m"))
+                largest_block = std::max(largest_block, record["data"]["m"].size());
+        EXPECT_LE(largest_block, 15u) << "the blocks have been split";
+        EXPECT_EQ(simulator.starts("req-000001"), 60) << "seed " << seed << "\n" << simulator.story();
+        EXPECT_RULES(simulator);
     }
 }
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -1,4 +1,4 @@
-// What a controller still knows of jobs after many others.
+// JobCache: what it keeps of live and finished jobs while many other jobs finish.
 
 #include "cache/job_cache.hpp"
 
@@ -10,9 +10,9 @@
 namespace {
 
 TEST(JobCache, StillStopsACancelledTaskAfterReadingManyFinishedJobs) {
-    constexpr int kFinished = 20'001;
-    const Settings site = simulation::small_site();
-    JobCache cache(site);
+    constexpr int kFinishedJobs = 20'001;
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings);
     JobSpec spec;
     spec.ref = "req-000001";
     spec.job_class = "class";
@@ -26,16 +26,16 @@
     report.tasks.push_back({spec.ref, 0, 1, Phase::Running, ExitCause::Stopped, false});
     ASSERT_EQ(cache.stops_for_finished_jobs(report).size(), 1u);
 
-    for (int i = 0; i < kFinished; ++i)
+    for (int i = 0; i < kFinishedJobs; ++i)
         cache.apply("req-1" + std::to_string(100'000 + i), RecordLocation::Job, {{"s", "done"}, {"k", 1}},
                     static_cast<Revision>(2 + i), 0);
-    EXPECT_TRUE(cache.find(spec.ref)) << "its record is still there, with its tasks";
+    EXPECT_TRUE(cache.find(spec.ref)) << "the record still exists, and its tasks may run";
     EXPECT_EQ(cache.stops_for_finished_jobs(report).size(), 1u);
 }
 
-constexpr std::size_t kFewFinished = 50;
+constexpr std::size_t kSmallCapacity = 50;
 
-JobSpec one_task(const std::string& ref, std::vector<std::string> needs = {}) {
+JobSpec one_task_job(const std::string& ref, std::vector<std::string> dependencies = {}) {
     JobSpec spec;
     spec.ref = ref;
     spec.job_class = "class";
@@ -43,7 +43,7 @@
     spec.tasks = 1;
     spec.request = {1'000, 0, 1'000};
     spec.image = "img-0";
-    spec.needs = std::move(needs);
+    spec.needs = std::move(dependencies);
     return spec;
 }
 
@@ -53,35 +53,35 @@
 
 const Json kDone{{"s", "done"}, {"k", 1}, {"fd", 1}};
 
-/// More than the cache keeps, at the given revision.
-void hear_of_finished_jobs(JobCache& cache, Revision mod_revision) {
-    for (std::size_t i = 0; i <= kFewFinished; ++i)
+/// Applies final records of more jobs than the cache keeps, all at the given revision.
+void apply_finished_jobs(JobCache& cache, Revision mod_revision) {
+    for (std::size_t i = 0; i <= kSmallCapacity; ++i)
         cache.apply("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, mod_revision, 0);
 }
 
-// A job that nothing is known of counted as one that goes on.
-TEST(JobCache, TellsWhatIsUnknownFromWhatIsUnfinished) {
-    const Settings site = simulation::small_site();
-    JobCache cache(site, kFewFinished);
-    const JobSpec spec = one_task("req-000001");
+// Guards against a job that is unknown being taken for an unfinished one.
+TEST(JobCache, DistinguishesUnknownFromUnfinishedJobs) {
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings, kSmallCapacity);
+    const JobSpec spec = one_task_job("req-000001");
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
     cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unfinished);
-    hear_of_finished_jobs(cache, 2);
+    apply_finished_jobs(cache, 2);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unfinished);
     cache.apply(spec.ref, RecordLocation::Job, kDone, 3, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Finished);
     cache.set_watermark(4);
-    for (std::size_t i = 0; i <= kFewFinished; ++i)
+    for (std::size_t i = 0; i <= kSmallCapacity; ++i)
         cache.apply("req-3" + std::to_string(i), RecordLocation::Job, kDone, 4, 0);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
 }
 
-// A job whose record had gone counted as one that goes on until its outcome was read.
-TEST(JobCache, DoesNotKnowWhatBecameOfAJobWhoseRecordIsGone) {
-    const Settings site = simulation::small_site();
-    JobCache cache(site);
-    const JobSpec spec = one_task("req-000001");
+// Guards against a job whose record was deleted being taken for unfinished until its outcome is read.
+TEST(JobCache, FinalityIsUnknownAfterTheRecordIsRemoved) {
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings);
+    const JobSpec spec = one_task_job("req-000001");
     cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
     cache.on_record_removed(spec.ref);
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
@@ -92,65 +92,66 @@
     EXPECT_TRUE(cache.stops_for_finished_jobs(report).empty());
 }
 
-// A user who had heard that the job was cancelled with another one heard that it ran.
-TEST(JobCache, KeepsACancellationWithAnotherJobAfterManyFinishedJobs) {
-    const Settings site = simulation::small_site();
-    JobCache cache(site, kFewFinished);
-    const JobSpec first = one_task("req-000001"), second = one_task("req-000002", {first.ref});
+// Guards against a user being told that a job runs after being told that its dependency cancelled it.
+TEST(JobCache, KeepsACancellationByADependencyAfterManyFinishedJobs) {
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings, kSmallCapacity);
+    const JobSpec first = one_task_job("req-000001"), second = one_task_job("req-000002", {first.ref});
     cache.apply(first.ref, RecordLocation::Active, record(first, "queued"), 1, 0);
     cache.apply(second.ref, RecordLocation::Active, record(second, "queued"), 2, 0);
     cache.set_watermark(3);
-    hear_of_finished_jobs(cache, 3);
+    apply_finished_jobs(cache, 3);
     cache.apply(first.ref, RecordLocation::Job, {{"s", "cancelled"}, {"k", 1}}, 4, 0);
     for (const auto& ref : cache.dependency_graph().take_changed()) cache.apply_dependency_status(ref);
     cache.set_watermark(5);
-    hear_of_finished_jobs(cache, 5);
+    apply_finished_jobs(cache, 5);
     ASSERT_TRUE(cache.find_view(second.ref));
     EXPECT_EQ(cache.find_view(second.ref)->stage, Stage::Cancelled);
-    // What was read of it meanwhile tells nothing of the other one.
+    // A record of the job that was read meanwhile says nothing about its dependency.
     cache.remember(second.ref, JobView::from_record(record(second, "queued"), 6));
     EXPECT_EQ(cache.find_view(second.ref)->stage, Stage::Cancelled);
     EXPECT_EQ(cache.finality(second.ref), JobFinality::Finished);
 }
 
-// Older news of a live job were taken in once its view had been dropped.
-TEST(JobCache, TakesNoOlderNewsOfALiveJobAfterManyFinishedJobs) {
-    const Settings site = simulation::small_site();
-    JobCache cache(site, kFewFinished);
-    const JobSpec spec = one_task("req-000001");
+// Guards against an older update of a live job being applied after its view was evicted.
+TEST(JobCache, RejectsOlderUpdatesOfALiveJobAfterManyFinishedJobs) {
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings, kSmallCapacity);
+    const JobSpec spec = one_task_job("req-000001");
     cache.apply(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0);
     cache.set_watermark(6);
-    hear_of_finished_jobs(cache, 6);
+    apply_finished_jobs(cache, 6);
     EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
     EXPECT_TRUE(cache.find(spec.ref)->cancelled);
 }
 
-// A finished job came back to life with a record from before its end.
-TEST(JobCache, TakesNoRecordFromBeforeTheEndOfAForgottenJob) {
-    const Settings site = simulation::small_site();
-    for (const std::size_t others : {kFewFinished - 1, kFewFinished, kFewFinished + 1}) {
-        JobCache cache(site, kFewFinished);
-        const JobSpec spec = one_task("req-000001");
+// Guards against a finished job becoming live again by a record from before its end.
+TEST(JobCache, RejectsRecordsFromBeforeTheEndOfAnEvictedJob) {
+    const Settings settings = simulation::small_site();
+    for (const std::size_t other_jobs : {kSmallCapacity - 1, kSmallCapacity, kSmallCapacity + 1}) {
+        JobCache cache(settings, kSmallCapacity);
+        const JobSpec spec = one_task_job("req-000001");
         cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0);
-        cache.apply(spec.ref, RecordLocation::Job, kDone, 9, 0);  // by our own write; the news are at 4
+        cache.apply(spec.ref, RecordLocation::Job, kDone, 9, 0);  // by our own write; the change feed is at 4
         cache.set_watermark(4);
-        for (std::size_t i = 0; i < others; ++i)
+        for (std::size_t i = 0; i < other_jobs; ++i)
             cache.apply("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 3, 0);
-        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0)) << "news";
+        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0))
+            << "an update of the change feed";
         cache.set_watermark(10);
-        for (std::size_t i = 0; i < others; ++i)
+        for (std::size_t i = 0; i < other_jobs; ++i)
             cache.apply("req-3" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 10, 0);
         EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0))
-            << "an answer that was under way for long";
+            << "the result of a slow read";
         EXPECT_FALSE(cache.find(spec.ref));
     }
 }
 
-// What was read of a job before its record came in the news was lost with the record.
-TEST(JobCache, KeepsWhatWasReadOfAJobBeforeItsRecordIsHeardOf) {
-    const Settings site = simulation::small_site();
-    JobCache cache(site);
-    const JobSpec spec = one_task("req-000001");
+// Guards against losing the result of a read when the first update of the job's record arrives.
+TEST(JobCache, KeepsAViewThatWasReadBeforeTheFirstUpdate) {
+    const Settings settings = simulation::small_site();
+    JobCache cache(settings);
+    const JobSpec spec = one_task_job("req-000001");
     cache.remember(spec.ref, JobView::from_record(record(spec, "cancelled"), 5));
     EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 4, 0));
     EXPECT_TRUE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0));
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reports that arrive whenever a test likes, and what became of a machine.
+// Helpers for tests that deliver reports late or repeatedly and check what becomes of a machine.
 
 #include <vector>
 
@@ -7,72 +7,73 @@
 
 namespace cottonway::test {
 
-/// A report that is on its way from now on.
-inline Json current_report(simulation::Simulator& w, const std::string& machine) {
-    return w.worker(machine)->report(w.now());
+/// Returns the report that the machine's worker would send now, to be delivered later.
+inline Json current_report(simulation::Simulator& simulator, const std::string& machine) {
+    return simulator.worker(machine)->report(simulator.now());
 }
 
-inline void deliver_report(simulation::Simulator& w, int node, const Json& report) {
+inline void deliver_report(simulation::Simulator& simulator, int node, const Json& report) {
     const std::string bytes = wire::encode(report);
-    if (w.node(node)) w.node(node)->handle_request({"POST", "/v1/report", bytes, false}, [](const auto&) {});
+    if (simulator.node(node))
+        simulator.node(node)->handle_request({"POST", "/v1/report", bytes, false}, [](const auto&) {});
 }
 
-inline void deliver_report_to_all(simulation::Simulator& w, const Json& report) {
-    for (int i = 0; i < w.node_count(); ++i) deliver_report(w, i, report);
+inline void deliver_report_to_all(simulation::Simulator& simulator, const Json& report) {
+    for (int i = 0; i < simulator.node_count(); ++i) deliver_report(simulator, i, report);
 }
 
-inline bool is_leased(simulation::Simulator& w, const std::string& machine) {
-    for (int i = 0; i < w.node_count(); ++i)
-        if (w.node(i))
-            for (const auto& [name, owner] : w.node(i)->owners())
+inline bool is_leased(simulation::Simulator& simulator, const std::string& machine) {
+    for (int i = 0; i < simulator.node_count(); ++i)
+        if (simulator.node(i))
+            for (const auto& [name, owner] : simulator.node(i)->owners())
                 if (owner && owner->machines().count(machine)) return true;
     return false;
 }
 
-inline void cut_from_all_nodes(simulation::Simulator& w, const std::string& machine) {
-    for (int i = 0; i < w.node_count(); ++i) w.cut(host(i), machine);
+inline void cut_from_all_nodes(simulation::Simulator& simulator, const std::string& machine) {
+    for (int i = 0; i < simulator.node_count(); ++i) simulator.cut(host(i), machine);
 }
 
-/// A service of one task (job 1), whose machine hangs until the task is started elsewhere, and then goes on
-/// without it. That machine, and a report of before that shows the task there.
+/// A machine that hung until its only task (of service job 1) was restarted on another machine, and an old
+/// report of it that still shows the task.
 struct RestartedElsewhere {
     std::string machine;
     Json old_report;
 };
-inline RestartedElsewhere restart_elsewhere(simulation::Simulator& w) {
-    w.submit(w.job(1, JobKind::Service, 1), 0);
-    w.run(3 * kSecond);
-    const std::string machine = *w.machines_of("req-000001").begin();
-    const Json running = current_report(w, machine);
-    w.hang(machine, true);
-    w.run(25 * kSecond);
-    w.hang(machine, false);
-    w.run(5 * kSecond);
-    EXPECT_EQ(w.machines_of("req-000001").count(machine), 0u) << w.story();
-    return {machine, running};
+inline RestartedElsewhere restart_elsewhere(simulation::Simulator& simulator) {
+    simulator.submit(simulator.job(1, JobKind::Service, 1), 0);
+    simulator.run(3 * kSecond);
+    const std::string machine = *simulator.machines_of("req-000001").begin();
+    const Json old_report = current_report(simulator, machine);
+    simulator.hang(machine, true);
+    simulator.run(25 * kSecond);
+    simulator.hang(machine, false);
+    simulator.run(5 * kSecond);
+    EXPECT_EQ(simulator.machines_of("req-000001").count(machine), 0u) << simulator.story();
+    return {machine, old_report};
 }
 
-/// Nothing is returned for being idle.
+/// Settings with which no machine is returned to the cloud for being idle.
 inline Settings settings_without_idle_return(double cpu_share = 1.0) {
-    Settings site = simulation::small_site();
-    site.ops.idle_return = 600 * kSecond;
-    site.cpu_share = cpu_share;  // where there is little: several shards
-    return site;
+    Settings settings = simulation::small_site();
+    settings.ops.idle_return = 600 * kSecond;
+    settings.cpu_share = cpu_share;  // a small value spreads the machines over several shards
+    return settings;
 }
 
-/// Lines of the story that tell this, e.g. starts on a machine.
-inline int count_trace_lines(const simulation::Simulator& w, const std::string& what) {
-    int n = 0;
-    for (const auto& line : w.trace) n += line.find(what) != std::string::npos;
-    return n;
+/// Counts the lines of the trace that contain a text, e.g. starts on a machine.
+inline int count_trace_lines(const simulation::Simulator& simulator, const std::string& text) {
+    int count = 0;
+    for (const auto& line : simulator.trace) count += line.find(text) != std::string::npos;
+    return count;
 }
 
-/// From now until the condition holds, at most so long; what it took.
+/// Runs until the condition holds, for at most `timeout`. Returns how long that took.
 template <class F>
-Micros run_until(simulation::Simulator& w, Micros most, F holds) {
-    const Micros from = w.now();
-    while (!holds() && w.now() - from < most) w.run(100 * kMillisecond);
-    return w.now() - from;
+Micros run_until(simulation::Simulator& simulator, Micros timeout, F condition) {
+    const Micros started_at = simulator.now();
+    while (!condition() && simulator.now() - started_at < timeout) simulator.run(100 * kMillisecond);
+    return simulator.now() - started_at;
 }
 
 }  // namespace cottonway::test
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -1,5 +1,5 @@
-// Messages that arrive late, or once more: old reports after newer ones, commands and their answers that are
-// held up, and jobs whose tasks end far apart while those who hear of it change.
+// Messages that arrive late or repeatedly: old reports after newer ones, delayed commands and answers, and
+// jobs whose tasks end far apart while the holder of their shard changes.
 
 #include "late_messages.hpp"
 
@@ -11,335 +11,348 @@
 using namespace simulation;
 namespace {
 
-/// A copy of a direct launch that was carried out.
-void launch_again(Simulator& w, const std::string& machine, std::uint64_t token, std::uint64_t session,
-                  const ReportedTask& task) {
+/// Delivers a copy of a direct launch command that was executed before.
+void deliver_launch_again(Simulator& simulator, const std::string& machine, std::uint64_t token,
+                          std::uint64_t session, const ReportedTask& task) {
     const Json body =
         wire::direct_orders(token, session, {{OrderKind::Launch, task.job, task.task, task.attempt, 0}});
-    w.note("a launch of " + task.job + " arrives at " + machine + " once more");
-    w.worker(machine)->handle("POST", "/do", body, w.now());
+    simulator.note("a launch of " + task.job + " arrives at " + machine + " once more");
+    simulator.worker(machine)->handle("POST", "/do", body, simulator.now());
 }
 
-std::vector<ReportedTask> tasks_on(Simulator& w, const std::string& machine) {
-    return wire::parse_report(w.worker(machine)->report(w.now()))->tasks;
+std::vector<ReportedTask> tasks_on(Simulator& simulator, const std::string& machine) {
+    return wire::parse_report(simulator.worker(machine)->report(simulator.now()))->tasks;
 }
 
 // ---------------------------------------------------------------- old reports
 
-TEST(LateMessages, AnOldReportOfAReturnedMachineLeasesNoGhost) {
-    auto w = settled_simulator(21, 4);
-    const std::string machine = w->machine_names().back();
-    const Json old = current_report(*w, machine);
-    w->owner_at(w->holder())->retire(machine, "the test wants it");
-    w->run(6 * kSecond);
-    ASSERT_EQ(w->worker(machine), nullptr) << w->story();
-    for (int i = 0; i < 3; ++i) deliver_report(*w, i, old);
-    w->run(2 * kSecond);
-    EXPECT_FALSE(is_leased(*w, machine)) << w->story();
-    // Nor by a leader that has not deleted it itself.
-    w->crash(w->leader(), 60 * kSecond);
-    w->run(8 * kSecond);
-    ASSERT_GE(w->leader(), 0);
-    deliver_report(*w, w->leader(), old);
-    w->run(2 * kSecond);
-    EXPECT_FALSE(is_leased(*w, machine)) << w->story();
-    EXPECT_RULES(*w);
+TEST(LateMessages, OldReportOfAReturnedMachineDoesNotAllocateIt) {
+    auto simulator = settled_simulator(21, 4);
+    const std::string machine = simulator->machine_names().back();
+    const Json old_report = current_report(*simulator, machine);
+    simulator->owner_at(simulator->holder())->retire(machine, "retired by the test");
+    simulator->run(6 * kSecond);
+    ASSERT_EQ(simulator->worker(machine), nullptr) << simulator->story();
+    for (int i = 0; i < 3; ++i) deliver_report(*simulator, i, old_report);
+    simulator->run(2 * kSecond);
+    EXPECT_FALSE(is_leased(*simulator, machine)) << simulator->story();
+    // A new leader that did not return the machine itself doesn't allocate it either.
+    simulator->crash(simulator->leader(), 60 * kSecond);
+    simulator->run(8 * kSecond);
+    ASSERT_GE(simulator->leader(), 0);
+    deliver_report(*simulator, simulator->leader(), old_report);
+    simulator->run(2 * kSecond);
+    EXPECT_FALSE(is_leased(*simulator, machine)) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// A machine that nobody has leased reports: late or not, it exists, and is used.
-TEST(LateMessages, AMachineThatWasNeverLeasedIsLeasedByItsReport) {
-    auto w = settled_simulator(22, 2);
-    w->cloud().down = true;
-    const std::string machine = w->add_machine("small", "a");
-    w->run(8 * kSecond);
-    EXPECT_TRUE(is_leased(*w, machine)) << w->story();
+/// A machine in no block reports while the cloud API is down: it exists, so it is added to a block and used.
+TEST(LateMessages, UnknownMachineIsAllocatedByItsReport) {
+    auto simulator = settled_simulator(22, 2);
+    simulator->cloud().down = true;
+    const std::string machine = simulator->add_machine("small", "a");
+    simulator->run(8 * kSecond);
+    EXPECT_TRUE(is_leased(*simulator, machine)) << simulator->story();
 }
 
-TEST(LateMessages, OldReportsRenewNoDoubt) {
-    auto w = settled_simulator(23, 4);
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(3 * kSecond);
-    const std::string machine = *w->machines_of("req-000001").begin();
-    const Json old = current_report(*w, machine);
-    w->run(3 * kSecond);
-    for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
+TEST(LateMessages, OldReportsDoNotRenewALease) {
+    auto simulator = settled_simulator(23, 4);
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(3 * kSecond);
+    const std::string machine = *simulator->machines_of("req-000001").begin();
+    const Json old_report = current_report(*simulator, machine);
+    simulator->run(3 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator->cut(host(i), machine);
     for (int second = 0; second < 22; ++second) {
-        for (int i = 0; i < 3; ++i) deliver_report(*w, i, old);
-        w->run(kSecond);
+        for (int i = 0; i < 3; ++i) deliver_report(*simulator, i, old_report);
+        simulator->run(kSecond);
         if (second == 7) {
-            EXPECT_EQ(w->machines_of("req-000001"), std::set{machine}) << "in doubt";
+            EXPECT_EQ(simulator->machines_of("req-000001"), std::set{machine})
+                << "its lease may still be valid";
         }
     }
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_EQ(w->machines_of("req-000001").count(machine), 0u) << "its lease is over\n" << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
+    EXPECT_EQ(simulator->machines_of("req-000001").count(machine), 0u) << "its lease is over\n"
+                                                                       << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// A report that its worker gave up arrives once more at a node that can't reach the holder: taken for a
-/// renewal on its behalf, it would keep the tasks in doubt for another lease.
-TEST(LateMessages, AnOldReportAtAnotherNodeRenewsNoDoubt) {
-    auto w = settled_simulator(24, 4);
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(30 * kSecond);  // so long that other nodes may renew leases
-    const std::string machine = *w->machines_of("req-000001").begin();
-    const int holder = w->holder(), other = (holder + 1) % 3;
-    const Json old = current_report(*w, machine);
-    deliver_report(*w, other, old);
-    w->run(kSecond);
-    for (int i = 0; i < 3; ++i) w->cut(host(i), machine);
-    w->cut(host(holder), host(other));
-    w->run(8 * kSecond);
-    deliver_report(*w, other, old);
-    w->run(kSecond);
-    w->heal(host(holder), host(other));
-    w->run(10 * kSecond);
-    ASSERT_TRUE(w->owner_at(holder));
-    EXPECT_TRUE(w->owner_at(holder)->machines().at(machine)->tasks.empty()) << "its lease is over\n"
-                                                                            << w->story();
-    EXPECT_RULES(*w);
+/// A copy of a report that its worker gave up on arrives at a node that can't reach the holder. If that node
+/// renewed the lease on the holder's behalf, the tasks could not be restarted elsewhere for another lease.
+TEST(LateMessages, OldReportAtAnotherNodeDoesNotRenewALease) {
+    auto simulator = settled_simulator(24, 4);
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(30 * kSecond);  // long enough that other nodes may renew leases
+    const std::string machine = *simulator->machines_of("req-000001").begin();
+    const int holder = simulator->holder(), other = (holder + 1) % 3;
+    const Json old_report = current_report(*simulator, machine);
+    deliver_report(*simulator, other, old_report);
+    simulator->run(kSecond);
+    for (int i = 0; i < 3; ++i) simulator->cut(host(i), machine);
+    simulator->cut(host(holder), host(other));
+    simulator->run(8 * kSecond);
+    deliver_report(*simulator, other, old_report);
+    simulator->run(kSecond);
+    simulator->heal(host(holder), host(other));
+    simulator->run(10 * kSecond);
+    ASSERT_TRUE(simulator->owner_at(holder));
+    EXPECT_TRUE(simulator->owner_at(holder)->machines().at(machine)->tasks.empty()) << "its lease is over\n"
+                                                                                    << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// Reports of before, with a task that has since been started elsewhere, are the first that a new holder
-/// hears.
-TEST(LateMessages, ANewHolderHearsOldReportsFirst) {
-    for (Micros first = 0; first < 4 * kSecond; first += 1500 * kMillisecond) {
-        auto w = settled_simulator(25, 3);
-        const auto [machine, running] = restart_elsewhere(*w);
+/// The first reports that a new holder receives are old ones that show a task which has since been restarted
+/// on another machine.
+TEST(LateMessages, NewHolderReceivesOldReportsFirst) {
+    for (Micros first_delay = 0; first_delay < 4 * kSecond; first_delay += 1500 * kMillisecond) {
+        auto simulator = settled_simulator(25, 3);
+        const auto [machine, old_report] = restart_elsewhere(*simulator);
         ASSERT_FALSE(testing::Test::HasFailure());
-        for (int i = 0; i < 3; ++i) w->cut(host(i), machine);  // nothing newer arrives from it
-        w->crash(w->holder(), 60 * kSecond);
-        w->run(first);
+        for (int i = 0; i < 3; ++i) simulator->cut(host(i), machine);  // no newer report arrives
+        simulator->crash(simulator->holder(), 60 * kSecond);
+        simulator->run(first_delay);
         for (int n = 0; n < 50; ++n) {
-            for (int i = 0; i < 3; ++i) deliver_report(*w, i, running);
-            w->run(100 * kMillisecond);
+            for (int i = 0; i < 3; ++i) deliver_report(*simulator, i, old_report);
+            simulator->run(100 * kMillisecond);
         }
-        w->submit(w->job(2, JobKind::Array, 6, 4), 2 * kSecond);
-        w->run(4 * kSecond);
-        EXPECT_EQ(w->machines_of("req-000002").count(machine), 0u) << "not usable\n" << w->story();
-        w->run(16 * kSecond);
-        EXPECT_EQ(w->told("req-000002"), "done") << w->story();
-        w->heal_all();
-        w->run(20 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 1);
-        EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
-        EXPECT_RULES(*w);
+        simulator->submit(simulator->job(2, JobKind::Array, 6, 4), 2 * kSecond);
+        simulator->run(4 * kSecond);
+        EXPECT_EQ(simulator->machines_of("req-000002").count(machine), 0u) << "the machine is not usable\n"
+                                                                           << simulator->story();
+        simulator->run(16 * kSecond);
+        EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
+        simulator->heal_all();
+        simulator->run(20 * kSecond);
+        EXPECT_EQ(simulator->running("req-000001"), 1);
+        EXPECT_EQ(simulator->starts("req-000001"), 2) << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-// ---------------------------------------------------------------- commands held up
+// ---------------------------------------------------------------- delayed commands
 
-TEST(LateMessages, ACommandHeldByAMachineThatHangsIsCarriedOutOnce) {
-    for (const Micros hung : {1, 6, 10, 14}) {
-        auto w = settled_simulator(26, 2);
-        w->submit(w->job(1, JobKind::Service, 2), 0);
-        w->run(3 * kSecond);
-        const std::string machine = *w->machines_of("req-000001").begin();
-        w->submit(w->job(2, JobKind::Array, 10, 2), 2 * kSecond);  // launches
-        w->cancel("req-000001");                                   // and stops
-        w->run(20 * kMillisecond);
-        w->hang(machine, true);
-        w->run(hung * kSecond);
-        w->hang(machine, false);
-        w->run(45 * kSecond);
-        EXPECT_EQ(w->told("req-000002"), "done") << w->story();
-        EXPECT_EQ(w->running("req-000001"), 0);
-        EXPECT_RULES(*w);
+TEST(LateMessages, CommandDelayedByAHungMachineIsExecutedOnce) {
+    for (const Micros hang_s : {1, 6, 10, 14}) {
+        auto simulator = settled_simulator(26, 2);
+        simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+        simulator->run(3 * kSecond);
+        const std::string machine = *simulator->machines_of("req-000001").begin();
+        simulator->submit(simulator->job(2, JobKind::Array, 10, 2), 2 * kSecond);  // launch commands
+        simulator->cancel("req-000001");                                           // and stop commands
+        simulator->run(20 * kMillisecond);
+        simulator->hang(machine, true);
+        simulator->run(hang_s * kSecond);
+        simulator->hang(machine, false);
+        simulator->run(45 * kSecond);
+        EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
+        EXPECT_EQ(simulator->running("req-000001"), 0);
+        EXPECT_RULES(*simulator);
     }
 }
 
-TEST(LateMessages, AStopHeldUpEndsNothingElse) {
-    auto w = settled_simulator(27, 1);
-    const std::string machine = w->machine_names().front();
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(3 * kSecond);
-    w->hold_next(host(w->holder()), machine);
-    w->cancel("req-000001");
-    w->run(8 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0) << "told again\n" << w->story();
-    w->submit(w->job(2, JobKind::Service, 1), 0);
-    w->run(3 * kSecond);
-    w->release();
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->running("req-000002"), 1);
-    EXPECT_EQ(w->starts("req-000002"), 1) << w->story();
-    EXPECT_RULES(*w);
+TEST(LateMessages, DelayedStopEndsNoOtherTask) {
+    auto simulator = settled_simulator(27, 1);
+    const std::string machine = simulator->machine_names().front();
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(3 * kSecond);
+    simulator->hold_next(host(simulator->holder()), machine);
+    simulator->cancel("req-000001");
+    simulator->run(8 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 0) << "the stop was sent again\n" << simulator->story();
+    simulator->submit(simulator->job(2, JobKind::Service, 1), 0);
+    simulator->run(3 * kSecond);
+    simulator->release();
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->running("req-000002"), 1);
+    EXPECT_EQ(simulator->starts("req-000002"), 1) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// However late: token and session still match, and a cancelled job must not be seen again.
-TEST(LateMessages, ALaunchMinutesAfterItsCancellationStartsNothing) {
-    auto w = settled_simulator(28, 1);
-    const std::string machine = w->machine_names().front();
-    w->submit(w->job(1, JobKind::Service, 1), 0);
-    w->run(3 * kSecond);
-    const auto tasks = tasks_on(*w, machine);
+/// A copy of a launch arrives minutes after its job was cancelled, while token and session still match: no
+/// task of the cancelled job may start.
+TEST(LateMessages, LaunchMinutesAfterItsCancellationStartsNothing) {
+    auto simulator = settled_simulator(28, 1);
+    const std::string machine = simulator->machine_names().front();
+    simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
+    simulator->run(3 * kSecond);
+    const auto tasks = tasks_on(*simulator, machine);
     ASSERT_EQ(tasks.size(), 1u);
-    const auto token = w->worker(machine)->token(), session = w->worker(machine)->session();
-    w->cancel("req-000001");
-    w->run(120 * kSecond);
-    launch_again(*w, machine, token, session, tasks.front());
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->starts("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+    const auto token = simulator->worker(machine)->token(), session = simulator->worker(machine)->session();
+    simulator->cancel("req-000001");
+    simulator->run(120 * kSecond);
+    deliver_launch_again(*simulator, machine, token, session, tasks.front());
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->starts("req-000001"), 1) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// What is not cleared fills the reports: then a higher token ends the doubt about all of them at once.
-TEST(LateMessages, WhatWaitsToBeClearedIsBounded) {
-    auto w = settled_simulator(29, 1);
-    const std::string machine = w->machine_names().front();
-    const auto token = w->worker(machine)->token(), session = w->worker(machine)->session();
-    std::vector<ReportedTask> all;
+/// Exited tasks stay in a worker's reports until they are cleared. When too many accumulate, a higher token
+/// clears all of them at once.
+TEST(LateMessages, UnclearedTasksInReportsAreBounded) {
+    auto simulator = settled_simulator(29, 1);
+    const std::string machine = simulator->machine_names().front();
+    const auto token = simulator->worker(machine)->token(), session = simulator->worker(machine)->session();
+    std::vector<ReportedTask> all_tasks;
     for (int n = 0; n < 10; ++n) {
-        JobSpec job = w->job(1 + n, JobKind::Service, 8, 0.5);
-        w->submit(job, 0);
-        w->run(3 * kSecond);
-        for (const auto& t : tasks_on(*w, machine))
-            if (t.job == job.ref) all.push_back(t);
-        w->cancel(job.ref);
-        w->run(5 * kSecond);
-        EXPECT_LE(tasks_on(*w, machine).size(), 48u) << w->story();
+        JobSpec job = simulator->job(1 + n, JobKind::Service, 8, 0.5);
+        simulator->submit(job, 0);
+        simulator->run(3 * kSecond);
+        for (const auto& task : tasks_on(*simulator, machine))
+            if (task.job == job.ref) all_tasks.push_back(task);
+        simulator->cancel(job.ref);
+        simulator->run(5 * kSecond);
+        EXPECT_LE(tasks_on(*simulator, machine).size(), 48u) << simulator->story();
     }
-    ASSERT_GE(all.size(), 70u);
-    EXPECT_GT(w->worker(machine)->token(), token);
-    for (const auto& t : all) launch_again(*w, machine, token, session, t);
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->starts("req-000001"), 8) << w->story();
-    EXPECT_RULES(*w);
+    ASSERT_GE(all_tasks.size(), 70u);
+    EXPECT_GT(simulator->worker(machine)->token(), token);
+    for (const auto& task : all_tasks) deliver_launch_again(*simulator, machine, token, session, task);
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->starts("req-000001"), 8) << simulator->story();
+    EXPECT_RULES(*simulator);
 }
 
-/// Whatever is the next message to a machine, or from it, at one moment after another of a wave of launches,
-/// stops and clears: it arrives a second late, after its sender gave up, or after a lease. Meanwhile the
-/// machine hangs for a while, or the holder ends.
-TEST(LateMessages, WhateverIsHeldUpIsCarriedOutOnce) {
+/// Delays the next message to or from a machine at various times during a series of launches, stops and
+/// clears: by a second, until its sender gave up, or by more than a lease. Meanwhile the machine hangs or the
+/// holder crashes.
+TEST(LateMessages, AnyDelayedMessageIsExecutedOnce) {
     for (const bool to_machine : {true, false})
-        for (const bool ends : {false, true})
-            for (const Micros late : {1, 5, 16})
-                for (const Micros when : {0, 900, 1800}) {
-                    auto w = settled_simulator(31, 2);
-                    const std::string machine = w->machine_names().front();
-                    const int holder = w->holder();
-                    w->submit(w->job(1, JobKind::Service, 2), 0);
-                    w->run(3 * kSecond);
-                    w->submit(w->job(2, JobKind::Array, 16, 2), 2 * kSecond);
-                    w->run(when * kMillisecond);
+        for (const bool holder_crashes : {false, true})
+            for (const Micros late_s : {1, 5, 16})
+                for (const Micros delay_at_ms : {0, 900, 1800}) {
+                    auto simulator = settled_simulator(31, 2);
+                    const std::string machine = simulator->machine_names().front();
+                    const int holder = simulator->holder();
+                    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+                    simulator->run(3 * kSecond);
+                    simulator->submit(simulator->job(2, JobKind::Array, 16, 2), 2 * kSecond);
+                    simulator->run(delay_at_ms * kMillisecond);
                     if (to_machine)
-                        w->hold_next(host(holder), machine);
+                        simulator->hold_next(host(holder), machine);
                     else
-                        w->hold_next(machine, host(holder));
-                    if (when % 1800 == 0) w->cancel("req-000001");
-                    w->run(300 * kMillisecond);
-                    if (ends)
-                        w->crash(holder, 40 * kSecond);
+                        simulator->hold_next(machine, host(holder));
+                    if (delay_at_ms % 1800 == 0) simulator->cancel("req-000001");
+                    simulator->run(300 * kMillisecond);
+                    if (holder_crashes)
+                        simulator->crash(holder, 40 * kSecond);
                     else
-                        w->hang(machine, true);
-                    w->run(late * kSecond * 3 / 4);
-                    w->hang(machine, false);
-                    w->run(late * kSecond / 4);
-                    w->release();
-                    w->run(28 * kSecond);
+                        simulator->hang(machine, true);
+                    simulator->run(late_s * kSecond * 3 / 4);
+                    simulator->hang(machine, false);
+                    simulator->run(late_s * kSecond / 4);
+                    simulator->release();
+                    simulator->run(28 * kSecond);
                     const auto story = [&] {
-                        return fmt::format("to machine {} ends {} late {} when {}\n", to_machine, ends, late,
-                                           when) +
-                               w->story(120);
+                        return fmt::format("to machine {}, holder crashes {}, {} s late, at {} ms\n",
+                                           to_machine, holder_crashes, late_s, delay_at_ms) +
+                               simulator->story(120);
                     };
-                    EXPECT_EQ(w->told("req-000002"), "done") << story();
-                    if (late < 12) {
-                        EXPECT_EQ(w->starts("req-000002"), 16) << story();
+                    EXPECT_EQ(simulator->told("req-000002"), "done") << story();
+                    if (late_s < 12) {
+                        EXPECT_EQ(simulator->starts("req-000002"), 16) << story();
                     }
-                    EXPECT_EQ(w->running("req-000001"), when % 1800 == 0 ? 0 : 2) << story();
-                    EXPECT_RULES(*w);
+                    EXPECT_EQ(simulator->running("req-000001"), delay_at_ms % 1800 == 0 ? 0 : 2) << story();
+                    EXPECT_RULES(*simulator);
                 }
 }
 
-/// A share of all commands is carried out 2 to 16 s late and not answered, while work comes and goes and, now
-/// and then, the holder ends.
-TEST(LateMessages, LateCommandsStartNothingTwiceAndEndNothingElse) {
-    for (const double share : {0.5, 1.0})
-        for (const bool ends : {false, true}) {
-            auto w = settled_simulator(32, 4);
-            w->late_commands = share;
+/// A share of all commands is executed 2 to 16 s late and not answered, while jobs start and end. In some
+/// runs the holder crashes.
+TEST(LateMessages, LateCommandsStartNoTaskTwiceAndEndNoOtherTask) {
+    for (const double late_share : {0.5, 1.0})
+        for (const bool holder_crashes : {false, true}) {
+            auto simulator = settled_simulator(32, 4);
+            simulator->late_commands = late_share;
             for (int i = 0; i < 10; ++i) {
-                w->submit(w->job(1 + i, i % 3 ? JobKind::Array : JobKind::Service, 3), 4 * kSecond);
-                if (i >= 3 && i % 3 == 0) w->cancel(w->job(1 + i - 3, JobKind::Service, 3).ref);
-                w->run(3 * kSecond);
-                if (ends && i == 5) w->crash(w->holder(), 10 * kSecond);
+                simulator->submit(simulator->job(1 + i, i % 3 ? JobKind::Array : JobKind::Service, 3),
+                                  4 * kSecond);
+                if (i >= 3 && i % 3 == 0)
+                    simulator->cancel(simulator->job(1 + i - 3, JobKind::Service, 3).ref);
+                simulator->run(3 * kSecond);
+                if (holder_crashes && i == 5) simulator->crash(simulator->holder(), 10 * kSecond);
             }
-            w->late_commands = 0;
-            w->run(60 * kSecond);
+            simulator->late_commands = 0;
+            simulator->run(60 * kSecond);
             for (int i = 0; i < 10; ++i) {
-                const std::string ref = w->job(1 + i, JobKind::Array, 3).ref;
-                EXPECT_EQ(w->told(ref), i % 3 ? "done" : i < 9 ? "cancelled" : "accepted") << w->story(200);
-                EXPECT_EQ(w->running(ref), i == 9 ? 3 : 0) << ref << w->story(200);
+                const std::string ref = simulator->job(1 + i, JobKind::Array, 3).ref;
+                EXPECT_EQ(simulator->told(ref), i % 3   ? "done"
+                                                : i < 9 ? "cancelled"
+                                                        : "accepted")
+                    << simulator->story(200);
+                EXPECT_EQ(simulator->running(ref), i == 9 ? 3 : 0) << ref << simulator->story(200);
             }
-            EXPECT_RULES(*w);
+            EXPECT_RULES(*simulator);
         }
 }
 
-/// A launch, or a stop, of a holder that has ended or been deposed since arrives after its successor's first
-/// command.
-TEST(LateMessages, ACommandOfAFormerHolderAfterItsSuccessorsIsRefused) {
-    for (const bool deposed : {false, true})
-        for (const bool stop : {false, true}) {
-            auto w = settled_simulator(33, 2);
+/// A launch or a stop of a former holder, which has crashed or was cut off, arrives after its successor's
+/// first command.
+TEST(LateMessages, CommandOfAFormerHolderIsRejectedAfterOneOfItsSuccessor) {
+    for (const bool holder_cut_off : {false, true})
+        for (const bool is_stop : {false, true}) {
+            auto simulator = settled_simulator(33, 2);
             const auto story = [&] {
-                return fmt::format("deposed {} stop {}\n", deposed, stop) + w->story();
+                return fmt::format("holder cut off {}, stop {}\n", holder_cut_off, is_stop) +
+                       simulator->story();
             };
-            const std::string machine = w->machine_names().front();
-            const int former = w->holder();
-            w->kill_machine(w->machine_names().back());
-            if (stop) {
-                w->submit(w->job(1, JobKind::Service, 2), 0);
-                w->run(3 * kSecond);
+            const std::string machine = simulator->machine_names().front();
+            const int former = simulator->holder();
+            simulator->kill_machine(simulator->machine_names().back());
+            if (is_stop) {
+                simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+                simulator->run(3 * kSecond);
             }
-            w->run(10 * kMillisecond);
-            w->hold_next(host(former), machine);
-            if (stop)
-                w->cancel("req-000001");
+            simulator->run(10 * kMillisecond);
+            simulator->hold_next(host(former), machine);
+            if (is_stop)
+                simulator->cancel("req-000001");
             else
-                w->submit(w->job(1, JobKind::Service, 2), 0);
-            w->run(300 * kMillisecond);
-            if (deposed)
-                w->cut_off(former, true);
+                simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+            simulator->run(300 * kMillisecond);
+            if (holder_cut_off)
+                simulator->cut_off(former, true);
             else
-                w->crash(former, 60 * kSecond);
-            w->run(20 * kSecond);
-            ASSERT_NE(w->holder(), former) << story();
-            w->release();
-            w->run(5 * kSecond);
-            EXPECT_EQ(w->running("req-000001"), stop ? 0 : 2) << story();
-            EXPECT_EQ(w->starts("req-000001"), 2) << story();
-            EXPECT_RULES(*w);
+                simulator->crash(former, 60 * kSecond);
+            simulator->run(20 * kSecond);
+            ASSERT_NE(simulator->holder(), former) << story();
+            simulator->release();
+            simulator->run(5 * kSecond);
+            EXPECT_EQ(simulator->running("req-000001"), is_stop ? 0 : 2) << story();
+            EXPECT_EQ(simulator->starts("req-000001"), 2) << story();
+            EXPECT_RULES(*simulator);
         }
 }
 
 // ---------------------------------------------------------------- tasks that end far apart
 
-/// The tasks of one job end 20 s apart, since there is room for one at a time; around the first end the
-/// holder ends, or all do, and the first task's machine is gone or not.
-TEST(LateMessages, AJobWhoseTasksEndFarApartIsDoneWhenTheLastIs) {
-    for (const bool all : {false, true})
-        for (const bool lost : {false, true})
-            for (const Micros after : {50, 1500}) {
-                auto w = settled_simulator(30, 1);
-                const std::string machine = w->machine_names().front();
-                w->submit(w->job(1, JobKind::Array, 3, 8), 20 * kSecond, 0);
-                for (int n = 0; n < 1000 && w->completed_tasks("req-000001") == 0; ++n)
-                    w->run(50 * kMillisecond);
-                ASSERT_EQ(w->completed_tasks("req-000001"), 1) << w->story();
-                w->run(after * kMillisecond);
+/// The tasks of one job end 20 s apart, since only one fits at a time. Around the end of the first task the
+/// holder or all nodes crash, and in some runs the first task's machine is lost.
+TEST(LateMessages, JobIsDoneWhenTheLastOfItsTasksIs) {
+    for (const bool all_nodes_crash : {false, true})
+        for (const bool machine_lost : {false, true})
+            for (const Micros crash_after_ms : {50, 1500}) {
+                auto simulator = settled_simulator(30, 1);
+                const std::string machine = simulator->machine_names().front();
+                simulator->submit(simulator->job(1, JobKind::Array, 3, 8), 20 * kSecond, 0);
+                for (int n = 0; n < 1000 && simulator->completed_tasks("req-000001") == 0; ++n)
+                    simulator->run(50 * kMillisecond);
+                ASSERT_EQ(simulator->completed_tasks("req-000001"), 1) << simulator->story();
+                simulator->run(crash_after_ms * kMillisecond);
                 for (int i = 0; i < 3; ++i)
-                    if (all || i == w->holder()) w->crash(i, all ? 2 * kSecond : 60 * kSecond);
-                if (lost) {
-                    w->kill_machine(machine);
-                    w->add_machine("small", "b");
+                    if (all_nodes_crash || i == simulator->holder())
+                        simulator->crash(i, all_nodes_crash ? 2 * kSecond : 60 * kSecond);
+                if (machine_lost) {
+                    simulator->kill_machine(machine);
+                    simulator->add_machine("small", "b");
                 }
-                w->run(90 * kSecond);
-                EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-                // A result that no holder has heard of is lost with its machine; what was on it as well.
-                if (!lost) {
-                    EXPECT_EQ(w->starts("req-000001"), 3) << w->story();
+                simulator->run(90 * kSecond);
+                EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
+                // A result that no holder has received is lost with its machine, and so are the tasks running
+                // on it.
+                if (!machine_lost) {
+                    EXPECT_EQ(simulator->starts("req-000001"), 3) << simulator->story();
                 }
-                EXPECT_LE(w->starts("req-000001"), 5) << w->story();
-                EXPECT_RULES(*w);
+                EXPECT_LE(simulator->starts("req-000001"), 5) << simulator->story();
+                EXPECT_RULES(*simulator);
             }
 }
 
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -1,5 +1,5 @@
-// Transactions without an answer that are carried out late, after newer ones of the same controller, or at
-// once, while the other controllers read what they wrote.
+// Transactions that get no answer and are executed late, after newer ones of the same controller, or at once,
+// while the other controllers already read what they wrote.
 
 #include <gtest/gtest.h>
 
@@ -14,123 +14,136 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story(300)
+#define EXPECT_RULES(simulator) \
+    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story(300)
 
-// ---------------------------------------------------------------- every kind at random
+// ---------------------------------------------------------------- random transactions
 
 class LateWrites : public testing::TestWithParam<int> {};
 
-/// Several shards, so that machines, shares and jobs move; every third site has small values and few changes
-/// a transaction, so that jobs have many parts and lie in pieces.
-Settings site(int seed) {
-    Settings s = small_site();
-    s.cpu_share = 0.001;
+/// Returns settings with several shards, so that machines, quota and jobs are transferred. Every third seed
+/// has small values and few changes per transaction, so that jobs have many parts and are stored in chunks.
+Settings settings_for_seed(int seed) {
+    Settings settings = small_site();
+    settings.cpu_share = 0.001;
     if (seed % 3 == 0) {
-        s.value_bytes = 1024;
-        s.txn_ops = 4;
+        settings.value_bytes = 1024;
+        settings.txn_ops = 4;
     }
-    return s;
+    return settings;
 }
 
-/// Up to half of all transactions are late, or get no answer, alone and together with an end and a return
-/// within a second, a refusal, an outage, or a controller that stands still. Afterwards every job that was
-/// accepted is done, or cancelled and gone.
-void play(int seed, double Simulator::*trouble) {
-    Simulator w(static_cast<std::uint64_t>(seed), site(seed));
-    auto pick = [&](int n) { return static_cast<int>(w.random() % static_cast<std::uint64_t>(n)); };
-    for (int i = 0; i < 9; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "a" : "b", i % 6 >= 4);
-    w.cloud().capacity = 4;
-    w.start_nodes();
-    const Micros end = 100 * kSecond;
-    for (Micros t = 3 * kSecond; t < end; t += static_cast<Micros>(9 + pick(8)) * kSecond) {
-        const double part = 0.1 + 0.1 * pick(5);
-        w.at(t, [&w, part, trouble] {
-            w.note("transactions get no answer: " + std::to_string(part));
-            w.*trouble = part;
+/// Runs jobs while up to half of all transactions are late or get no answer, alone and together with crashes
+/// and restarts within a second, a controller that the store refuses, a store outage, or a frozen controller.
+/// Afterwards every accepted job is done, or cancelled with no task left.
+void run_with_faulty_writes(int seed, double Simulator::*fault_rate) {
+    Simulator simulator(static_cast<std::uint64_t>(seed), settings_for_seed(seed));
+    auto random_below = [&](int n) {
+        return static_cast<int>(simulator.random() % static_cast<std::uint64_t>(n));
+    };
+    for (int i = 0; i < 9; ++i)
+        simulator.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "a" : "b", i % 6 >= 4);
+    simulator.cloud().capacity = 4;
+    simulator.start_nodes();
+    const Micros faults_end = 100 * kSecond;
+    for (Micros fault_at = 3 * kSecond; fault_at < faults_end;
+         fault_at += static_cast<Micros>(9 + random_below(8)) * kSecond) {
+        const double share = 0.1 + 0.1 * random_below(5);
+        simulator.at(fault_at, [&simulator, share, fault_rate] {
+            simulator.note("transactions get no answer: " + std::to_string(share));
+            simulator.*fault_rate = share;
         });
-        w.at(t + static_cast<Micros>(4 + pick(7)) * kSecond, [&w, trouble] { w.*trouble = 0; });
-        const Micros other = t + static_cast<Micros>(pick(6000)) * kMillisecond;
-        const Micros span = static_cast<Micros>(1 + pick(10)) * kSecond;
-        const Micros back = static_cast<Micros>(50 + pick(950)) * kMillisecond;
-        const int node = pick(3);
-        switch (pick(trouble == &Simulator::late_writes ? 5 : 6)) {
+        simulator.at(fault_at + static_cast<Micros>(4 + random_below(7)) * kSecond,
+                     [&simulator, fault_rate] { simulator.*fault_rate = 0; });
+        const Micros second_fault_at = fault_at + static_cast<Micros>(random_below(6000)) * kMillisecond;
+        const Micros fault_duration = static_cast<Micros>(1 + random_below(10)) * kSecond;
+        const Micros restart_after = static_cast<Micros>(50 + random_below(950)) * kMillisecond;
+        const int node = random_below(3);
+        switch (random_below(fault_rate == &Simulator::late_writes ? 5 : 6)) {
             case 0:
-                w.at(other, [&w, node, back] { w.crash(node, back); });
+                simulator.at(second_fault_at,
+                             [&simulator, node, restart_after] { simulator.crash(node, restart_after); });
                 break;
             case 1:
-                w.at(other, [&w, back] {
-                    for (int i = 0; i < 3; ++i) w.crash(i, back);
+                simulator.at(second_fault_at, [&simulator, restart_after] {
+                    for (int i = 0; i < 3; ++i) simulator.crash(i, restart_after);
                 });
                 break;
             case 2:
-                w.at(other, [&w, node] { w.refuse(node, true); });
-                w.at(other + span, [&w, node] { w.refuse(node, false); });
+                simulator.at(second_fault_at, [&simulator, node] { simulator.refuse(node, true); });
+                simulator.at(second_fault_at + fault_duration,
+                             [&simulator, node] { simulator.refuse(node, false); });
                 break;
             case 3:
-                w.at(other, [&w] { w.state().set_down(true, w.now()); });
-                w.at(other + span, [&w] { w.state().set_down(false, w.now()); });
+                simulator.at(second_fault_at,
+                             [&simulator] { simulator.state().set_down(true, simulator.now()); });
+                simulator.at(second_fault_at + fault_duration,
+                             [&simulator] { simulator.state().set_down(false, simulator.now()); });
                 break;
             case 5:
-                w.at(other, [&w, node, span] { w.freeze(node, span); });
+                simulator.at(second_fault_at,
+                             [&simulator, node, fault_duration] { simulator.freeze(node, fault_duration); });
                 break;
             default:
-                break;  // alone
+                break;  // no other fault
         }
     }
-    int number = 1;
-    std::string before;
-    for (Micros t = 2 * kSecond; t < end - 10 * kSecond;
-         t += static_cast<Micros>(400 + pick(2500)) * kMillisecond)
-        w.at(t, [&w, &number, &before, pick] {
-            const JobKind kind = pick(5) == 0   ? JobKind::Service
-                                 : pick(4) == 0 ? JobKind::Gang
-                                                : JobKind::Array;
-            JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 24 : 4));
-            s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
-            s.spot = kind != JobKind::Service;
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
-            if (!before.empty() && !w.told(before).empty() && pick(4) == 0) s.needs.push_back(before);
-            w.submit(s, static_cast<Micros>(1000 + pick(6000)) * kMillisecond, 200 * kMillisecond);
-            if (pick(4) == 0 || kind == JobKind::Service)
-                w.at(w.now() + static_cast<Micros>(pick(20000)) * kMillisecond,
-                     [&w, ref = s.ref] { w.cancel(ref); });
-            before = kind == JobKind::Service ? "" : s.ref;
+    int next_job = 1;
+    std::string previous_job;
+    for (Micros submit_at = 2 * kSecond; submit_at < faults_end - 10 * kSecond;
+         submit_at += static_cast<Micros>(400 + random_below(2500)) * kMillisecond)
+        simulator.at(submit_at, [&simulator, &next_job, &previous_job, random_below] {
+            const JobKind kind = random_below(5) == 0   ? JobKind::Service
+                                 : random_below(4) == 0 ? JobKind::Gang
+                                                        : JobKind::Array;
+            JobSpec spec = simulator.job(next_job++, kind, 1 + random_below(kind == JobKind::Array ? 24 : 4));
+            spec.team = random_below(3) == 0 ? "blue" : "red";
+            spec.rank = static_cast<PriorityClass>(random_below(4));
+            spec.spot = kind != JobKind::Service;
+            if (random_below(3) == 0) spec.checkpoint = 3 * kSecond, spec.save = kSecond;
+            if (!previous_job.empty() && !simulator.told(previous_job).empty() && random_below(4) == 0)
+                spec.needs.push_back(previous_job);
+            simulator.submit(spec, static_cast<Micros>(1000 + random_below(6000)) * kMillisecond,
+                             200 * kMillisecond);
+            if (random_below(4) == 0 || kind == JobKind::Service)
+                simulator.at(simulator.now() + static_cast<Micros>(random_below(20000)) * kMillisecond,
+                             [&simulator, ref = spec.ref] { simulator.cancel(ref); });
+            previous_job = kind == JobKind::Service ? "" : spec.ref;
         });
-    w.run(end + 15 * kSecond);
-    w.*trouble = 0;
-    w.quiesce();
-    w.run(150 * kSecond);
-    EXPECT_RULES(w);
+    simulator.run(faults_end + 15 * kSecond);
+    simulator.*fault_rate = 0;
+    simulator.quiesce();
+    simulator.run(150 * kSecond);
+    EXPECT_RULES(simulator);
     int accepted = 0;
-    for (int i = 1; i < number; ++i) {
+    for (int i = 1; i < next_job; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%06d", i);
-        if (w.told(ref).empty()) continue;  // its user gave up
+        if (simulator.told(ref).empty()) continue;  // its user gave up on it
         ++accepted;
-        EXPECT_TRUE(w.told(ref) == "done" || w.told(ref) == "cancelled")
-            << ref << " is " << w.told(ref) << " in the end, seed " << seed << "\n"
-            << w.story(200);
-        EXPECT_EQ(w.running(ref), 0) << ref;
+        EXPECT_TRUE(simulator.told(ref) == "done" || simulator.told(ref) == "cancelled")
+            << ref << " is " << simulator.told(ref) << " at the end, seed " << seed << "\n"
+            << simulator.story(200);
+        EXPECT_EQ(simulator.running(ref), 0) << ref;
     }
-    EXPECT_GT(accepted, number / 2);
+    EXPECT_GT(accepted, next_job / 2);
 }
 
 TEST_P(LateWrites, LoseNothingAndRunNothingTwice) {
-    play(GetParam(), &Simulator::late_writes);
+    run_with_faulty_writes(GetParam(), &Simulator::late_writes);
 }
 
 class UnansweredWrites : public testing::TestWithParam<int> {};
 
 TEST_P(UnansweredWrites, LoseNothingAndRunNothingTwice) {
-    play(GetParam(), &Simulator::unanswered_writes);
+    run_with_faulty_writes(GetParam(), &Simulator::unanswered_writes);
 }
 
-/// WORLD_SEEDS="100 400" tries other seeds than the fixed ones.
+/// Returns the range of seeds; WORLD_SEEDS="100 400" replaces the default one.
 std::pair<int, int> seeds() {
-    int from = 1, to = 9;
-    if (const char* range = std::getenv("WORLD_SEEDS")) std::sscanf(range, "%d %d", &from, &to);
-    return {from, to};
+    int first = 1, last = 9;
+    if (const char* range = std::getenv("WORLD_SEEDS")) std::sscanf(range, "%d %d", &first, &last);
+    return {first, last};
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LateWrites, testing::Range(seeds().first, seeds().second));
@@ -138,136 +151,140 @@
                          testing::Range(seeds().first,
                                         std::getenv("WORLD_SEEDS") ? seeds().second : seeds().first + 3));
 
-// ---------------------------------------------------------------- one at a time
+// ---------------------------------------------------------------- single transactions
 
-/// The change that admits a job and binds its tasks is carried out just while its owner looks whether it was:
-/// the record is not there yet, and the news of it comes before that is settled.
-TEST(LateWrite, AnAdmissionThatComesWhileItsOwnerLooksForItIsNotLost) {
-    for (Micros late = 2002; late < 2014; ++late) {
-        Simulator w(7);
-        w.add_machine("small", "a");
-        w.start_nodes(1);
-        w.run(5 * kSecond);
-        w.late_next("c/active/req-000001", late * kMillisecond);
-        w.submit(w.job(1, JobKind::Array, 2), kSecond);
-        w.run(14 * kSecond);
-        EXPECT_EQ(w.late_to_come(), 0U);
-        EXPECT_EQ(w.told("req-000001"), "done") << late << " ms late\n" << w.story();
-        EXPECT_RULES(w);
+/// The transaction that admits a job and binds its tasks is executed while its shard owner checks whether it
+/// was: the read finds no record, and the update arrives before the check is finished.
+TEST(LateWrite, AdmissionExecutedWhileItsOutcomeIsCheckedIsNotLost) {
+    for (Micros late_by = 2002; late_by < 2014; ++late_by) {
+        Simulator simulator(7);
+        simulator.add_machine("small", "a");
+        simulator.start_nodes(1);
+        simulator.run(5 * kSecond);
+        simulator.late_next("c/active/req-000001", late_by * kMillisecond);
+        simulator.submit(simulator.job(1, JobKind::Array, 2), kSecond);
+        simulator.run(14 * kSecond);
+        EXPECT_EQ(simulator.late_to_come(), 0U);
+        EXPECT_EQ(simulator.told("req-000001"), "done") << late_by << " ms late\n" << simulator.story();
+        EXPECT_RULES(simulator);
     }
 }
 
-/// The block of a new machine is created once more since nobody answered, its machine moves on to a shard
-/// with waiting tasks and the block is dropped: its first sending must not bring it back.
-TEST(LateWrite, ALeaseTakesNoMachineBackThatHasMovedOn) {
-    Settings s = small_site();
-    s.cpu_share = 0.001;  // several shards
-    Simulator w(1, s);
-    w.add_machine("small", "a");
-    w.start_nodes();
-    w.run(6 * kSecond);
-    w.submit(w.job(1, JobKind::Array, 16), 40 * kSecond);  // half of it has room
-    w.run(2 * kSecond);
-    EXPECT_EQ(w.running("req-000001"), 8);
-    w.late_next("c/block/", 11 * kSecond);
-    w.add_machine("small", "a");
-    w.run(10 * kSecond);
-    EXPECT_EQ(w.late_to_come(), 0U);
-    EXPECT_EQ(w.running("req-000001"), 16) << "it has moved\n" << w.story();
-    w.run(5 * kSecond);
-    w.add_machine("small", "b");  // room for whatever is taken to be gone
-    w.run(80 * kSecond);
-    EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-    EXPECT_EQ(w.starts("req-000001"), 16) << w.story();
-    EXPECT_RULES(w);
+/// The transaction that creates a machine's block gets no answer and is sent again. The machine then moves to
+/// a shard with waiting tasks, and the block is deleted. The first transaction, executed late, must not
+/// create the block again.
+TEST(LateWrite, LateBlockCreationDoesNotTakeBackAMovedMachine) {
+    Settings settings = small_site();
+    settings.cpu_share = 0.001;  // several shards
+    Simulator simulator(1, settings);
+    simulator.add_machine("small", "a");
+    simulator.start_nodes();
+    simulator.run(6 * kSecond);
+    simulator.submit(simulator.job(1, JobKind::Array, 16), 40 * kSecond);  // half of its tasks fit
+    simulator.run(2 * kSecond);
+    EXPECT_EQ(simulator.running("req-000001"), 8);
+    simulator.late_next("c/block/", 11 * kSecond);
+    simulator.add_machine("small", "a");
+    simulator.run(10 * kSecond);
+    EXPECT_EQ(simulator.late_to_come(), 0U);
+    EXPECT_EQ(simulator.running("req-000001"), 16) << "the machine has moved\n" << simulator.story();
+    simulator.run(5 * kSecond);
+    simulator.add_machine("small", "b");  // room for tasks that are wrongly taken to be lost
+    simulator.run(80 * kSecond);
+    EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
+    EXPECT_EQ(simulator.starts("req-000001"), 16) << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
-/// Nobody answers when a job is given to another shard. It is bound here then, and of its parts the one
-/// whose mark the giving away rests on is written last: until that is done nothing of the job may run here.
-TEST(LateWrite, AJobIsNotGivenAwayOnceTasksOfItRun) {
-    Settings s = small_site();
-    s.cpu_share = 0.001;
-    s.value_bytes = 1024;  // three parts
-    s.txn_ops = 2;         // which do not fit into one change
-    Simulator w(1, s);
-    w.add_machine("small", "a");
-    w.start_nodes();
-    w.run(6 * kSecond);
-    w.submit(w.job(1, JobKind::Service, 8), 0);  // all of the machine
-    w.run(3 * kSecond);
-    JobSpec job = w.job(2, JobKind::Array, 60, 0.08);
+/// The transaction that transfers a job to another shard gets no answer, and the job's tasks are bound here
+/// afterwards. The transfer is conditional on the revision of the job's record, which is written last of its
+/// parts: until it is written, no task of the job may run here.
+TEST(LateWrite, JobWithRunningTasksIsNotTransferred) {
+    Settings settings = small_site();
+    settings.cpu_share = 0.001;
+    settings.value_bytes = 1024;  // three parts
+    settings.txn_ops = 2;         // too few to write them in one transaction
+    Simulator simulator(1, settings);
+    simulator.add_machine("small", "a");
+    simulator.start_nodes();
+    simulator.run(6 * kSecond);
+    simulator.submit(simulator.job(1, JobKind::Service, 8), 0);  // fills the machine
+    simulator.run(3 * kSecond);
+    JobSpec job = simulator.job(2, JobKind::Array, 60, 0.08);
     job.team = "blue";
-    w.submit(job, 25 * kSecond);
-    w.run(2 * kSecond);
-    EXPECT_EQ(w.told(job.ref), "accepted");
-    w.late_next("c/active/" + job.ref, 9 * kSecond);
-    const std::string machine = w.add_machine("large", "a");  // in another shard: the job goes there
-    for (int i = 0; i < 100 && w.late_to_come() > 0; ++i) w.run(100 * kMillisecond);
-    ASSERT_EQ(w.late_to_come(), 0U) << w.story();
-    for (int i = 0; i < 4; ++i) w.late_next("c/active/" + job.ref, 30 * kSecond);
-    w.run(8 * kSecond);
-    for (int i = 0; i < 3; ++i) w.cut("loom-" + std::to_string(i), machine);
-    for (int i = 0; i < 3; ++i) w.add_machine("large", "b");  // one for each shard
-    w.run(25 * kSecond);
-    w.heal_all();
-    w.run(70 * kSecond);
-    EXPECT_EQ(w.told(job.ref), "done") << w.story();
-    EXPECT_RULES(w);
+    simulator.submit(job, 25 * kSecond);
+    simulator.run(2 * kSecond);
+    EXPECT_EQ(simulator.told(job.ref), "accepted");
+    simulator.late_next("c/active/" + job.ref, 9 * kSecond);
+    const std::string machine =
+        simulator.add_machine("large", "a");  // in another shard: the job is transferred there
+    for (int i = 0; i < 100 && simulator.late_to_come() > 0; ++i) simulator.run(100 * kMillisecond);
+    ASSERT_EQ(simulator.late_to_come(), 0U) << simulator.story();
+    for (int i = 0; i < 4; ++i) simulator.late_next("c/active/" + job.ref, 30 * kSecond);
+    simulator.run(8 * kSecond);
+    for (int i = 0; i < 3; ++i) simulator.cut("loom-" + std::to_string(i), machine);
+    for (int i = 0; i < 3; ++i) simulator.add_machine("large", "b");  // one for each shard
+    simulator.run(25 * kSecond);
+    simulator.heal_all();
+    simulator.run(70 * kSecond);
+    EXPECT_EQ(simulator.told(job.ref), "done") << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
-Json stored(Simulator& w, const std::string& key) {
-    return w.state().handle("GET", key, Json(), w.now()).body;
+Json read_store(Simulator& simulator, const std::string& key) {
+    return simulator.state().handle("GET", key, Json(), simulator.now()).body;
 }
 
-/// A head that was on its way for longer than unnamed pieces are kept comes between the look that shows them
-/// unnamed and their dropping: that must find that the record is another.
-TEST(LateWrite, NoPieceOfAHeadThatCameAtLastIsSwept) {
-    Settings s = small_site();
-    s.value_bytes = 1024;
-    Simulator w(1, s);
-    w.add_machine("small", "a");
-    w.start_nodes();
-    w.run(6 * kSecond);
-    policy::Policy p;
-    p.revision = 3;
-    for (int i = 0; i < 60; ++i) p.tiers.push_back({{"red", "class-" + std::to_string(i)}, {}});
-    const int writer = (w.leader() + 1) % 3;
-    const Micros late = 70 * kSecond;
-    w.late_next("c/policy", late);
-    w.node(writer)->set_policy_file(p);
-    for (int i = 0; i < 100 && w.late_to_come() > 0; ++i) w.run(50 * kMillisecond);
-    ASSERT_EQ(w.late_to_come(), 0U);
-    const Micros comes = w.now() + late;
-    w.crash(writer, 300 * kSecond);  // so that it does not write the record once more
-    for (int i = 0; i < 40; ++i) w.late_next("c/0/", 15 * kSecond);  // the dropping of each piece
-    w.run(comes + 30 * kSecond - w.now());
-    EXPECT_LT(w.late_to_come(), 40U) << "they were to be dropped";
-    const auto head = chunks::named_by(stored(w, "/store/c/policy")["data"]);
-    ASSERT_TRUE(head) << "it came";
+/// A head record that is delayed for longer than unreferenced chunks are kept is written after a refresh has
+/// shown the chunks unreferenced and before they are deleted: the deletion must fail because the record has
+/// changed.
+TEST(LateWrite, ChunksOfALateHeadAreNotDeleted) {
+    Settings settings = small_site();
+    settings.value_bytes = 1024;
+    Simulator simulator(1, settings);
+    simulator.add_machine("small", "a");
+    simulator.start_nodes();
+    simulator.run(6 * kSecond);
+    policy::Policy new_policy;
+    new_policy.revision = 3;
+    for (int i = 0; i < 60; ++i) new_policy.tiers.push_back({{"red", "class-" + std::to_string(i)}, {}});
+    const int writer = (simulator.leader() + 1) % 3;
+    const Micros late_by = 70 * kSecond;
+    simulator.late_next("c/policy", late_by);
+    simulator.node(writer)->set_policy_file(new_policy);
+    for (int i = 0; i < 100 && simulator.late_to_come() > 0; ++i) simulator.run(50 * kMillisecond);
+    ASSERT_EQ(simulator.late_to_come(), 0U);
+    const Micros head_written_at = simulator.now() + late_by;
+    simulator.crash(writer, 300 * kSecond);  // so that it does not write the record again
+    for (int i = 0; i < 40; ++i) simulator.late_next("c/0/", 15 * kSecond);  // the deletion of each chunk
+    simulator.run(head_written_at + 30 * kSecond - simulator.now());
+    EXPECT_LT(simulator.late_to_come(), 40U) << "the chunks were to be deleted";
+    const auto head = chunks::named_by(read_store(simulator, "/store/c/policy")["data"]);
+    ASSERT_TRUE(head) << "the head was written";
     for (std::size_t i = 0; i < head->second; ++i)
-        EXPECT_TRUE(stored(w, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
-    EXPECT_RULES(w);
+        EXPECT_TRUE(read_store(simulator, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
+    EXPECT_RULES(simulator);
 }
 
-/// The first shares get no answer, and the shard that they are for is not the one that is to have them by
-/// the time of the next try: both together would share out the limits twice.
-TEST(LateWrite, FirstSharesForTwoDomainsShareOutNothingTwice) {
-    Simulator w(1);
-    w.add_machine("small", "a");
-    w.late_next("c/share/", 8 * kSecond);
-    w.start_nodes();
-    for (int i = 0; i < 200 && w.late_to_come() > 0; ++i) w.run(50 * kMillisecond);
-    ASSERT_EQ(w.late_to_come(), 0U);
-    const Json block = stored(w, "/store?starts=c/block/&page=10")["pairs"][0];
+/// The transaction that allocates the initial quota gets no answer, and another shard is to have the quota by
+/// the time of the next attempt: if both were executed, the limits would be allocated twice.
+TEST(LateWrite, InitialQuotaIsNotAllocatedTwice) {
+    Simulator simulator(1);
+    simulator.add_machine("small", "a");
+    simulator.late_next("c/share/", 8 * kSecond);
+    simulator.start_nodes();
+    for (int i = 0; i < 200 && simulator.late_to_come() > 0; ++i) simulator.run(50 * kMillisecond);
+    ASSERT_EQ(simulator.late_to_come(), 0U);
+    const Json block = read_store(simulator, "/store?starts=c/block/&page=10")["pairs"][0];
     Json moved = block["data"];
     moved["dom"] = moved["dom"] == "loom-0" ? "loom-1" : "loom-0";
     const Json then = Json::array({Json{{"write", block["k"]}, {"data", moved}}});
-    w.state().handle("POST", "/commit", Json{{"then", then}}, w.now());
-    w.run(20 * kSecond);
+    simulator.state().handle("POST", "/commit", Json{{"then", then}}, simulator.now());
+    simulator.run(20 * kSecond);
     Milli red = 0;
-    const Json shares = stored(w, "/store?starts=c/share/&page=10")["pairs"];
+    const Json shares = read_store(simulator, "/store?starts=c/share/&page=10")["pairs"];
     for (const auto& pair : shares) red += parse_shares(pair["data"])["red"].cores;
-    EXPECT_EQ(red, 24'000) << shares << w.story();
+    EXPECT_EQ(red, 24'000) << shares << simulator.story();
 }
 
 }  // namespace
