--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -432,7 +432,7 @@
     UnschedulableJob out;
     for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         const bool waits =
-            job.dependencies_done && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
+            job.dependencies_met && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
         if (!waits || job.eligible_since_ms > by || team == teams.end() ||
             !allocation::rents_machines(*team->second, job.priority) ||
--- a/src/allocation/demand.cpp
+++ b/src/allocation/demand.cpp
@@ -68,7 +68,7 @@
 
 void DemandEstimator::add(const LiveJob& job) {
     auto team = teams_.find(job.team);
-    if (job.cancelled || !job.dependencies_done || team == teams_.end()) return;
+    if (job.cancelled || !job.dependencies_met || team == teams_.end()) return;
     if (!rents_machines(*team->second.team, job.priority)) return;
     const MachineType* type = cheapest_type(job);
     if (!type) return;
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -187,21 +187,21 @@
     // A dependency is cancelled already: the job is accepted and is cancelled at once.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
-    const RecordLocation location = cache_.formats.is_read_by_all(format::kSeparateActiveRecords) &&
-                                            !dependency_status.cancelled_by_dependency
-                                        ? RecordLocation::Active
-                                        : RecordLocation::Job;
+    const RecordLocation record_location = cache_.formats.is_read_by_all(format::kSeparateActiveRecords) &&
+                                                   !dependency_status.cancelled_by_dependency
+                                               ? RecordLocation::Active
+                                               : RecordLocation::Job;
     Change change;
     change.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     // An unfinished job may be added under c/job/ only while legacy writes are not closed.
-    if (location == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
+    if (record_location == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
         change.when.push_back({keys::history, 0});
-    change.then.push_back({record_key(location, ref), record});
+    change.then.push_back({record_key(record_location, ref), record});
     change.priority = best_effort ? Priority::Normal : Priority::Urgent;
     change.purpose = "admit";
     store_.commit(std::move(change),
-                  [answer = std::move(answer), record, location](const CommitResult& result) mutable {
-                      answer({result.status, result.revision, record, location});
+                  [answer = std::move(answer), record, record_location](const CommitResult& result) mutable {
+                      answer({result.status, result.revision, record, record_location});
                   });
 }
 
@@ -219,8 +219,8 @@
     if (attempt >= kMaxAbortAttempts || store_unreachable()) return respond(unavailable());
     if (const LiveJob* live = cache_.jobs.find(ref);
         attempt == 0 && live && !cache_.has_only_legacy_record(ref))
-        return cancel(ref, {live->location, live->record, live->mod_revision, live->legacy_revision}, attempt,
-                      std::move(respond));
+        return cancel(ref, {live->record_location, live->record, live->mod_revision, live->legacy_revision},
+                      attempt, std::move(respond));
     read_record(
         ref, [this, ref, attempt, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
             if (!ok) return respond(unavailable());
@@ -233,12 +233,12 @@
                 });
             const JobView view = JobView::from_record(found->record, found->mod_revision);
             if (view.is_final()) {
-                cache_.apply(record_key(found->location, ref), &found->record, found->mod_revision);
+                cache_.apply(record_key(found->record_location, ref), &found->record, found->mod_revision);
                 return respond({200, wire::job_answer(ref, stage_name(view))});
             }
             // A process that has ended wrote this record late: the job is accepted only once the record is
             // moved.
-            if (found->location == RecordLocation::Job && cache_.is_history_separated())
+            if (found->record_location == RecordLocation::Job && cache_.is_history_separated())
                 return respond(unavailable());
             cancel(ref, std::move(*found), attempt, std::move(respond));
         });
@@ -267,9 +267,10 @@
 /// a conflict and sees the other change.
 void JobService::cancel(const std::string& ref, Found job, int attempt, ApiResponder respond) {
     job.record["s"] = "cancelled";
-    const std::string key = record_key(job.location, ref);
+    const std::string key = record_key(job.record_location, ref);
     Change change;
-    change.when = JobCache::unchanged_conditions(ref, job.location, job.mod_revision, job.legacy_revision);
+    change.when =
+        JobCache::unchanged_conditions(ref, job.record_location, job.mod_revision, job.legacy_revision);
     change.then.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
@@ -358,31 +359,32 @@
 }
 
 void JobService::read_after_conflict(const std::string& ref, int attempt, Checked done) {
-    read_record(
-        ref, [this, ref, attempt, done = std::move(done)](bool ok, std::optional<Found> found) mutable {
-            if (!ok && attempt < 1 && store_.reachable())
-                return read_after_conflict(ref, attempt + 1, std::move(done));
-            // The job exists, so a missing record is being moved from one key to the other.
-            if (!ok || !found) return done(false, std::nullopt);
-            const JobView view = JobView::from_record(found->record, found->mod_revision);
-            if (!view.is_final() && found->location == RecordLocation::Job && cache_.is_history_separated())
-                return done(false, std::nullopt);
-            const Json* spec = wire::find(found->record, "d");
-            if (!view.is_final() && spec && wire::find(*spec, "warp")) {
-                // The record does not tell whether a dependency is cancelled. A job that the change feed has
-                // delivered is not updated from this read: the shard owner here relies on the order of the
-                // feed.
-                if (!cache_.jobs.find(ref))
-                    cache_.apply(record_key(found->location, ref), &found->record, found->mod_revision);
-                else
-                    cache_.jobs.remember(ref, view);
-                if (cache_.jobs.dependency_graph().dependency_status(ref).cancelled_by_dependency)
-                    return done(true, view.as_cancelled());
-                return check_in_store(ref, std::move(done));
-            }
-            cache_.jobs.remember(ref, view);
-            done(true, view);
-        });
+    read_record(ref, [this, ref, attempt, done = std::move(done)](bool ok,
+                                                                  std::optional<Found> found) mutable {
+        if (!ok && attempt < 1 && store_.reachable())
+            return read_after_conflict(ref, attempt + 1, std::move(done));
+        // The job exists, so a missing record is being moved from one key to the other.
+        if (!ok || !found) return done(false, std::nullopt);
+        const JobView view = JobView::from_record(found->record, found->mod_revision);
+        if (!view.is_final() && found->record_location == RecordLocation::Job &&
+            cache_.is_history_separated())
+            return done(false, std::nullopt);
+        const Json* spec = wire::find(found->record, "d");
+        if (!view.is_final() && spec && wire::find(*spec, "warp")) {
+            // The record does not tell whether a dependency is cancelled. A job that the change feed has
+            // delivered is not updated from this read: the shard owner here relies on the order of the
+            // feed.
+            if (!cache_.jobs.find(ref))
+                cache_.apply(record_key(found->record_location, ref), &found->record, found->mod_revision);
+            else
+                cache_.jobs.remember(ref, view);
+            if (cache_.jobs.dependency_graph().dependency_status(ref).cancelled_by_dependency)
+                return done(true, view.as_cancelled());
+            return check_in_store(ref, std::move(done));
+        }
+        cache_.jobs.remember(ref, view);
+        done(true, view);
+    });
 }
 
 /// Selects the shard of a new job: the one with the largest share of free capacity, after the jobs that wait
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -47,7 +47,7 @@
     std::string select_shard(const JobSpec& spec);
     void abort(const std::string& ref, int attempt, ApiResponder respond);
     struct Found {
-        RecordLocation location = RecordLocation::Job;
+        RecordLocation record_location = RecordLocation::Job;
         Json record;
         Revision mod_revision = 0;
         Revision legacy_revision = 0;
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -20,10 +20,10 @@
     for (const auto& dependency : spec.needs) {
         const KnownOutcome known = lookup(dependency);
         if (known.outcome == Outcome::Cancelled) status.cancelled_by_dependency = true;
-        if (known.outcome != Outcome::Done) status.dependencies_done = false;
-        status.dependencies_done_ms = std::max(status.dependencies_done_ms, known.ended_ms);
+        if (known.outcome != Outcome::Done) status.dependencies_met = false;
+        status.dependencies_met_ms = std::max(status.dependencies_met_ms, known.ended_ms);
     }
-    if (!status.dependencies_done) status.dependencies_done_ms = 0;
+    if (!status.dependencies_met) status.dependencies_met_ms = 0;
     return status;
 }
 
@@ -43,7 +43,7 @@
     for (const auto& dependency : spec.needs) {
         const KnownOutcome known = lookup(dependency);
         if (known.outcome == Outcome::Done) {
-            node.dependencies_done_ms = std::max(node.dependencies_done_ms, known.ended_ms);
+            node.dependencies_met_ms = std::max(node.dependencies_met_ms, known.ended_ms);
             continue;
         }
         node.unfinished_dependencies.insert(dependency);
@@ -87,7 +87,7 @@
             continue;
         }
         dependent.unfinished_dependencies.erase(ref);
-        dependent.dependencies_done_ms = std::max(dependent.dependencies_done_ms, ended_ms);
+        dependent.dependencies_met_ms = std::max(dependent.dependencies_met_ms, ended_ms);
         if (dependent.unfinished_dependencies.empty()) changed_.insert(name);
     }
     for (const auto& dependency : node.unfinished_dependencies) {
@@ -112,12 +112,12 @@
     auto it = nodes_.find(ref);
     if (it == nodes_.end()) return status;
     const Node& node = it->second;
-    status.dependencies_done = node.unfinished_dependencies.empty();
+    status.dependencies_met = node.unfinished_dependencies.empty();
     status.cancelled_by_dependency = node.cancelled_by_dependency;
     status.has_dependents = std::any_of(
         node.dependents.begin(), node.dependents.end(),
         [this](const std::string& dependent) { return !nodes_.at(dependent).cancelled_by_dependency; });
-    status.dependencies_done_ms = node.dependencies_done_ms;
+    status.dependencies_met_ms = node.dependencies_met_ms;
     status.inherited_priority = node.inherited_priority;
     status.inherited_deadline_ms = node.inherited_deadline_ms;
     return status;
--- a/src/cache/dependency_graph.hpp
+++ b/src/cache/dependency_graph.hpp
@@ -18,10 +18,10 @@
 
 /// Status of a job that follows from its dependencies and its dependents.
 struct DependencyStatus {
-    bool dependencies_done = true;          // all dependencies of the job are done
-    bool cancelled_by_dependency = false;   // a dependency, direct or indirect, is cancelled
-    bool has_dependents = false;            // jobs that are not cancelled wait for this one
-    std::int64_t dependencies_done_ms = 0;  // when the last dependency was done, 0: there are none
+    bool dependencies_met = true;          // all dependencies of the job are done
+    bool cancelled_by_dependency = false;  // a dependency, direct or indirect, is cancelled
+    bool has_dependents = false;           // jobs that are not cancelled wait for this one
+    std::int64_t dependencies_met_ms = 0;  // when the last dependency was done, 0: there are none
     PriorityClass inherited_priority = PriorityClass::Low;  // the highest priority of the dependents
     std::int64_t inherited_deadline_ms = INT64_MAX;  // when the job must be done to meet their deadlines
 };
@@ -69,7 +69,7 @@
         std::set<std::string> dependents;
         bool cancelled_by_dependency = false;
         std::string cancelling_dependency;
-        std::int64_t dependencies_done_ms = 0;
+        std::int64_t dependencies_met_ms = 0;
         PriorityClass own_priority = PriorityClass::Low;
         std::int64_t own_deadline_ms = INT64_MAX;
         Micros estimate = 0;
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -14,10 +14,10 @@
 }
 }  // namespace
 
-std::vector<Condition> JobCache::unchanged_conditions(const std::string& ref, RecordLocation location,
+std::vector<Condition> JobCache::unchanged_conditions(const std::string& ref, RecordLocation record_location,
                                                       Revision mod_revision, Revision legacy_revision) {
-    std::vector<Condition> when{{record_key(location, ref), mod_revision}};
-    if (location == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
+    std::vector<Condition> when{{record_key(record_location, ref), mod_revision}};
+    if (record_location == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
     return when;
 }
 
@@ -30,17 +30,18 @@
     return change;
 }
 
-bool JobCache::apply(const std::string& ref, RecordLocation location, const Json& value,
+bool JobCache::apply(const std::string& ref, RecordLocation record_location, const Json& value,
                      Revision mod_revision, Micros now) {
     JobView view = JobView::from_record(value, mod_revision);
-    if (auto live = live_.find(ref); live != live_.end() && location == RecordLocation::Job &&
-                                     live->second.location == RecordLocation::Active && !view.is_final()) {
+    if (auto live = live_.find(ref); live != live_.end() && record_location == RecordLocation::Job &&
+                                     live->second.record_location == RecordLocation::Active &&
+                                     !view.is_final()) {
         // An update from before the move to c/active/ may arrive after the result of the move.
         if (mod_revision > live->second.moved_revision)
             live->second.legacy_revision = std::max(live->second.legacy_revision, mod_revision);
         return false;
     }
-    if (is_outdated(ref, location, view)) return false;
+    if (is_outdated(ref, record_location, view)) return false;
     if (view.is_final()) dependency_graph_.mark_finished(ref, view.stage == Stage::Done, view.ended_ms);
     guarantees_due_ = true;
     jobs_missing_record_.erase(ref);
@@ -55,7 +56,7 @@
     // A job that is cancelled by a dependency is shown as cancelled, whatever its own record says.
     if (!view.is_final() && dependency_graph_.dependency_status(ref).cancelled_by_dependency)
         view = view.as_cancelled();
-    update_live_job(job->second, location, value, view, now);
+    update_live_job(job->second, record_location, value, view, now);
     return true;
 }
 
@@ -72,7 +73,7 @@
     if (!view.is_final())
         dependency_graph_.add_job(*parsed, submitted_ms,
                                   [this](const auto& dependency) { return outcome(dependency); });
-    job.dependencies_done = dependency_graph_.dependency_status(ref).dependencies_done;
+    job.dependencies_met = dependency_graph_.dependency_status(ref).dependencies_met;
     job.team = parsed->team;
     job.request = parsed->request;
     job.image = parsed->image;
@@ -84,19 +85,19 @@
 }
 
 /// Sets the fields of a live job that follow from its newest record.
-void JobCache::update_live_job(LiveJob& job, RecordLocation location, const Json& value, const JobView& view,
-                               Micros now) {
+void JobCache::update_live_job(LiveJob& job, RecordLocation record_location, const Json& value,
+                               const JobView& view, Micros now) {
     job.record = value;
     job.mod_revision = view.mod_revision;
     // The commit that moved the record also deleted the one under c/job/.
-    if (location == RecordLocation::Active && job.location == RecordLocation::Job) {
+    if (record_location == RecordLocation::Active && job.record_location == RecordLocation::Job) {
         job.legacy_revision = 0;
         if (!full_read_in_progress_) job.moved_revision = view.mod_revision;
     }
-    job.location = location;
+    job.record_location = record_location;
     // Every change of a record under c/active/ is conditional on there being no final record, so an update
     // from the change feed proves that there was none.
-    job.verified_unfinished = location == RecordLocation::Job || !full_read_in_progress_;
+    job.verified_unfinished = record_location == RecordLocation::Job || !full_read_in_progress_;
     job.shard = wire::text(value, "dom").value_or("");
     if (view.running > 0) image_last_used_[{job.image, job.shard}] = now;
     job.tasks = view.tasks;
@@ -109,10 +110,11 @@
 
 /// Returns whether a view is older than the known state. The change feed may deliver our own writes after
 /// their results, and it may overtake the result of a read.
-bool JobCache::is_outdated(const std::string& ref, RecordLocation location, const JobView& view) const {
+bool JobCache::is_outdated(const std::string& ref, RecordLocation record_location,
+                           const JobView& view) const {
     if (const JobView* known = find_view(ref)) return known->mod_revision > view.mod_revision;
     // All jobs that are live at the watermark are cached, so this one has finished since.
-    return !full_read_in_progress_ && location == RecordLocation::Active && !view.is_final() &&
+    return !full_read_in_progress_ && record_location == RecordLocation::Active && !view.is_final() &&
            view.mod_revision <= watermark_;
 }
 
@@ -132,20 +134,20 @@
 
 void JobCache::on_record_removed(const std::string& ref) {
     auto live = live_.find(ref);
-    if (live != live_.end() && live->second.location == RecordLocation::Active)
+    if (live != live_.end() && live->second.record_location == RecordLocation::Active)
         jobs_missing_record_.insert(ref);
 }
 
 void JobCache::on_resync_begin() {
     full_read_in_progress_ = true;
     for (auto& [ref, job] : live_)
-        if (job.location == RecordLocation::Active) job.verified_unfinished = false;
+        if (job.record_location == RecordLocation::Active) job.verified_unfinished = false;
 }
 
 void JobCache::on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history) {
     full_read_in_progress_ = false;
     for (auto& [ref, job] : live_) {
-        if (job.location != RecordLocation::Active) continue;
+        if (job.record_location != RecordLocation::Active) continue;
         if (!seen(keys::active + ref)) jobs_missing_record_.insert(ref);
         job.verified_unfinished = job.verified_unfinished || with_history;
     }
@@ -153,7 +155,7 @@
 
 void JobCache::mark_verified_unfinished(const std::string& ref, Revision legacy_revision) {
     auto live = live_.find(ref);
-    if (live == live_.end() || live->second.location != RecordLocation::Active) return;
+    if (live == live_.end() || live->second.record_location != RecordLocation::Active) return;
     live->second.legacy_revision = legacy_revision;
     live->second.verified_unfinished = true;
 }
@@ -173,7 +175,7 @@
 
 std::size_t JobCache::legacy_record_count() const {
     return static_cast<std::size_t>(std::count_if(live_.begin(), live_.end(), [](const auto& entry) {
-        return entry.second.location == RecordLocation::Job;
+        return entry.second.record_location == RecordLocation::Job;
     }));
 }
 
@@ -253,9 +255,9 @@
                      dependency_graph_.cancelling_dependency(ref));
         replace_if_newer(job.view, job.view.as_cancelled());
     }
-    if (status.dependencies_done && !std::exchange(job.dependencies_done, true)) {
-        if (status.dependencies_done_ms > 0)
-            job.eligible_since_ms = std::max(job.eligible_since_ms, status.dependencies_done_ms);
+    if (status.dependencies_met && !std::exchange(job.dependencies_met, true)) {
+        if (status.dependencies_met_ms > 0)
+            job.eligible_since_ms = std::max(job.eligible_since_ms, status.dependencies_met_ms);
         spdlog::info("job {}: all dependencies are done, the job can start", ref);
     }
     guarantees_due_ = true;
@@ -276,7 +278,7 @@
     std::vector<LiveJob*> jobs_by_time;
     for (auto& [name, job] : live_) {
         job.within_guarantee = false;
-        if (!job.cancelled && job.dependencies_done) jobs_by_time.push_back(&job);
+        if (!job.cancelled && job.dependencies_met) jobs_by_time.push_back(&job);
     }
     // Stable: jobs with the same time stay in the order of their names.
     std::stable_sort(jobs_by_time.begin(), jobs_by_time.end(), [](const LiveJob* a, const LiveJob* b) {
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -27,7 +27,7 @@
     Json record;
     JobView view;  // at least as new as the record
     Revision mod_revision = 0;
-    RecordLocation location = RecordLocation::Job;
+    RecordLocation record_location = RecordLocation::Job;
     /// For a record under c/active/: the revision of another record of the job under c/job/, 0: there is
     /// none. Such a legacy record was written late and is ignored, but it occupies the key of the final
     /// record, so the commit of the final record must be conditional on its revision.
@@ -40,7 +40,7 @@
     std::string shard;
     std::string team;
     std::int64_t eligible_since_ms = 0;  // when it became eligible to run (see Job)
-    bool dependencies_done = true;       // it waits for no other job
+    bool dependencies_met = true;        // it waits for no other job
     Resources request;                   // of one task
     PriorityClass priority = PriorityClass::Normal;
     std::optional<std::vector<std::string>> allowed_types;  // nullopt: all
@@ -65,8 +65,8 @@
 
     /// Applies an update of a job's record. Returns false if it is older than the known state or must be
     /// ignored.
-    bool apply(const std::string& ref, RecordLocation location, const Json& value, Revision mod_revision,
-               Micros now);
+    bool apply(const std::string& ref, RecordLocation record_location, const Json& value,
+               Revision mod_revision, Micros now);
     /// Notes that a record under c/active/ was deleted: the job has finished, or an update of it follows.
     void on_record_removed(const std::string& ref);
     /// Starts a full read, which may not include final records.
@@ -86,7 +86,7 @@
     std::vector<std::string> unverified_dependencies() const;
     /// Returns the conditions for a change of the job's record: the record is unchanged and the job is
     /// unfinished.
-    static std::vector<Condition> unchanged_conditions(const std::string& ref, RecordLocation location,
+    static std::vector<Condition> unchanged_conditions(const std::string& ref, RecordLocation record_location,
                                                        Revision mod_revision, Revision legacy_revision);
     /// Returns a change that deletes the leftover record of a finished job under c/active/.
     static Change deletion_change(const Condition& leftover);
@@ -137,10 +137,10 @@
 
   private:
     void recompute_guarantees();
-    bool is_outdated(const std::string& ref, RecordLocation location, const JobView& view) const;
+    bool is_outdated(const std::string& ref, RecordLocation record_location, const JobView& view) const;
     void init_live_job(const std::string& ref, LiveJob& job, const Json& value, const Json& spec,
                        const JobView& view);
-    void update_live_job(LiveJob& job, RecordLocation location, const Json& value, const JobView& view,
+    void update_live_job(LiveJob& job, RecordLocation record_location, const Json& value, const JobView& view,
                          Micros now);
 
     const Settings& settings_;
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -40,11 +40,11 @@
     }
     const bool active = starts_with(key, keys::active);
     if (active || starts_with(key, keys::job)) {
-        const RecordLocation location = active ? RecordLocation::Active : RecordLocation::Job;
+        const RecordLocation record_location = active ? RecordLocation::Active : RecordLocation::Job;
         const std::string ref = suffix_after(active ? keys::active : keys::job);
         if (!value && active) return jobs.on_record_removed(ref);
-        if (!value || !jobs.apply(ref, location, *value, mod_revision, runtime_.now())) return;
-        listener_.on_job(ref, location, *value, mod_revision);
+        if (!value || !jobs.apply(ref, record_location, *value, mod_revision, runtime_.now())) return;
+        listener_.on_job(ref, record_location, *value, mod_revision);
         if (jobs.dependency_graph().has_changes()) propagate_dependency_changes();
     } else if (starts_with(key, keys::part)) {
         const std::string name = suffix_after(keys::part);
@@ -98,7 +98,7 @@
 
 bool StateCache::has_only_legacy_record(const std::string& ref) const {
     const LiveJob* job = jobs.find(ref);
-    return is_history_separated() && job && job->location == RecordLocation::Job;
+    return is_history_separated() && job && job->record_location == RecordLocation::Job;
 }
 
 std::string StateCache::continuation_key(const std::string& key) {
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -23,7 +23,7 @@
     /// Notified of changes after they have been applied.
     class Listener : public BlockCache::Listener {
       public:
-        virtual void on_job(const std::string& ref, RecordLocation location, const Json& value,
+        virtual void on_job(const std::string& ref, RecordLocation record_location, const Json& value,
                             Revision mod_revision) = 0;
         virtual void on_part(const std::string& ref, std::size_t part, const Json& value,
                              Revision mod_revision) = 0;
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -42,10 +42,10 @@
         const LiveJob* job = cache_.jobs.find(ref);
         if (!r.ok || !job) return done(r.ok);
         if (r.found && !wire::find(r.value, "d")) {
-            if (drop && job->location == RecordLocation::Active)
+            if (drop && job->record_location == RecordLocation::Active)
                 stale_records_.push_back({keys::active + ref, job->mod_revision});
             cache_.apply(keys::job + ref, &r.value, r.mod_revision);
-        } else if (job->location == RecordLocation::Active) {
+        } else if (job->record_location == RecordLocation::Active) {
             cache_.jobs.mark_verified_unfinished(
                 ref, r.mod_revision);  // of old form, and late: it counts for nothing
         }
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -141,7 +141,7 @@
     if (!o || o->mod_revision() != mod_revision) return;
     for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         if (job.shard != name) continue;
-        o->on_job(ref, job.location, job.record, job.mod_revision);
+        o->on_job(ref, job.record_location, job.record, job.mod_revision);
         o->on_legacy_revision(ref, job.legacy_revision);
         for (const auto& [part, value] : job.parts) o->on_part(ref, part, value.first, value.second);
     }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -144,10 +144,10 @@
 
 // ---------------------------------------------------------------- changes of the cached state
 
-void Controller::on_job(const std::string& ref, RecordLocation location, const Json& value,
+void Controller::on_job(const std::string& ref, RecordLocation record_location, const Json& value,
                         Revision mod_revision) {
     for (const auto& [name, owner] : assignment_.all())
-        if (owner && owner->active()) owner->on_job(ref, location, value, mod_revision);
+        if (owner && owner->active()) owner->on_job(ref, record_location, value, mod_revision);
 }
 
 void Controller::on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) {
@@ -376,7 +376,7 @@
         return explanation;
     }
     explanation.update(details);
-    if (!live->dependencies_done)
+    if (!live->dependencies_met)
         explanation["waits_for"] = cache_.jobs.dependency_graph().unfinished_dependencies(ref);
     return explanation;
 }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -82,7 +82,7 @@
     }
 
     // StateCache::Listener.
-    void on_job(const std::string& ref, RecordLocation location, const Json& value,
+    void on_job(const std::string& ref, RecordLocation record_location, const Json& value,
                 Revision mod_revision) override;
     void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision) override;
     void on_dependency_status(const std::string& ref) override;
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -160,9 +160,9 @@
     if (job.spec.deadline)
         job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
     set_rank(job, std::min(job.spec.rank, dependency_status.inherited_priority));
-    if (dependency_status.dependencies_done_ms > 0)
-        job.since_ms = std::max(job.submitted_ms, dependency_status.dependencies_done_ms);
-    if (dependency_status.dependencies_done && !dependency_status.cancelled_by_dependency && !job.open)
+    if (dependency_status.dependencies_met_ms > 0)
+        job.since_ms = std::max(job.submitted_ms, dependency_status.dependencies_met_ms);
+    if (dependency_status.dependencies_met && !dependency_status.cancelled_by_dependency && !job.open)
         open_gate(job);
 }
 
@@ -204,7 +204,7 @@
 void ShardOwner::take_heard(const std::string& ref) {
     const LiveJob* heard = context_.stored_job(ref);
     if (!heard || heard->shard != shard_) return;
-    on_job(ref, heard->location, heard->record, heard->mod_revision);
+    on_job(ref, heard->record_location, heard->record, heard->mod_revision);
     on_legacy_revision(ref, heard->legacy_revision);
     for (const auto& [part, value] : heard->parts) on_part(ref, part, value.first, value.second);
 }
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -103,7 +103,7 @@
     LiveJob cancelled = live_job("captions", {kCore, 0, 0}, 1), waits = cancelled, too_large = cancelled,
             elsewhere = cancelled;
     cancelled.cancelled = true;
-    waits.dependencies_done = false;
+    waits.dependencies_met = false;
     too_large.request.cores = 17 * kCore;
     elsewhere.allowed_types = {"other"};
     EXPECT_EQ(demand_of({unlimited("captions")}, {cancelled, waits, too_large, elsewhere}).ordinary, 0);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -268,14 +268,14 @@
     JobSpec spec = job_with_dependencies(*simulator, 10, {"req-000001", "req-000003"});
     graph.add_job(spec, 5, [](const std::string&) { return DependencyGraph::KnownOutcome{}; });
     EXPECT_TRUE(graph.is_cancellation_uncertain("req-000010", none_uncertain));
-    EXPECT_FALSE(graph.dependency_status("req-000010").dependencies_done);
+    EXPECT_FALSE(graph.dependency_status("req-000010").dependencies_met);
     graph.mark_finished("req-000001", true, 77);
-    EXPECT_FALSE(graph.dependency_status("req-000010").dependencies_done);
+    EXPECT_FALSE(graph.dependency_status("req-000010").dependencies_met);
     EXPECT_TRUE(graph.is_cancellation_uncertain("req-000010", none_uncertain));
     graph.mark_finished("req-000003", true, 99);
     EXPECT_FALSE(graph.is_cancellation_uncertain("req-000010", none_uncertain));
-    EXPECT_TRUE(graph.dependency_status("req-000010").dependencies_done);
-    EXPECT_EQ(graph.dependency_status("req-000010").dependencies_done_ms, 99);
+    EXPECT_TRUE(graph.dependency_status("req-000010").dependencies_met);
+    EXPECT_EQ(graph.dependency_status("req-000010").dependencies_met_ms, 99);
 }
 
 TEST(DependencyGraph, PriorityAndDeadlinePropagateToDependencies) {
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -89,7 +89,7 @@
     next.needs = {"req-502222"};
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(next)).status, 201);
     w->run(2 * kSecond);
-    EXPECT_TRUE(w->node(2)->cache().jobs.live_jobs().at("req-000002").dependencies_done)
+    EXPECT_TRUE(w->node(2)->cache().jobs.live_jobs().at("req-000002").dependencies_met)
         << "what it needs was done long ago";
     EXPECT_EQ(w->starts("req-000001"), 3);
     EXPECT_RULES(*w);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -262,7 +262,7 @@
     RC_ASSERT(view->is_final() == over);
     RC_ASSERT((book.find(spec.ref) == nullptr) == over);
     if (!over) {
-        RC_ASSERT(book.find(spec.ref)->location == RecordLocation::Active);
+        RC_ASSERT(book.find(spec.ref)->record_location == RecordLocation::Active);
         RC_ASSERT(book.find(spec.ref)->running == changes);
     }
 }
