--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -28,8 +28,8 @@
 void ChangeFeed::tick() {
     const Micros now = runtime_.now();
     for (auto it = waiters_.begin(); it != waiters_.end();) {
-        if (now - it->since < kRefreshTimeout &&
-            (store_.reachable() || now - it->since < kMaxRefreshInterval)) {
+        if (now - it->waiting_since < kRefreshTimeout &&
+            (store_.reachable() || now - it->waiting_since < kMaxRefreshInterval)) {
             ++it;
             continue;
         }
@@ -40,7 +40,7 @@
 }
 
 /// Lists all records once; afterwards refreshes keep the cache up to date.
-void ChangeFeed::load() {
+void ChangeFeed::resync() {
     auto seen = std::make_shared<std::set<std::string>>();
     const Micros started_at = runtime_.now();
     subscriber_.on_resync_begin();
@@ -55,7 +55,7 @@
         },
         [this, seen, started_at](const ListResult& result) {
             if (!result.ok) {
-                runtime_.after(kRetryDelay, [this] { load(); });
+                runtime_.after(kRetryDelay, [this] { resync(); });
                 return;
             }
             load_stats_ = {result.requests, seen->size(), runtime_.now() - started_at};
@@ -76,7 +76,7 @@
     store_.watch(keys::root, store_revision_, refresh_interval_, [this, sent_at](const Reply& reply) {
         if (reply.status == 410) {
             spdlog::info("the change feed is too far behind the store; reading all records again");
-            return load();
+            return resync();
         }
         auto store_revision = wire::count(reply.body, "ledger");
         if (reply.status != 200 || !store_revision) {
@@ -105,7 +105,7 @@
     // All changes committed before the request was sent are in the cache now.
     confirmed_at_ = sent_at;
     std::vector<std::function<void(bool)>> ready;
-    while (!waiters_.empty() && waiters_.front().since <= sent_at) {
+    while (!waiters_.empty() && waiters_.front().waiting_since <= sent_at) {
         ready.push_back(std::move(waiters_.front().done));
         waiters_.pop_front();
     }
--- a/src/cache/change_feed.hpp
+++ b/src/cache/change_feed.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Follows the store: lists all records once, then reads the changes at a fixed interval (a refresh). An
-// answered refresh also proves that the cache was up to date when the refresh was sent; answers to users rely
-// on that.
+// Follows the store: lists all records once (a resync), then reads the changes at a fixed interval (a
+// refresh). An answered refresh also proves that the cache was up to date when the refresh was sent; answers
+// to users rely on that.
 
 #include <functional>
 #include <list>
@@ -19,25 +19,25 @@
         virtual ~Subscriber() = default;
         /// Applies the current value of a record; null: the record was deleted.
         virtual void apply(const std::string& key, const Json* value, Revision mod_revision) = 0;
-        /// A full read starts; `apply` is called for each record until `on_resync_end`.
+        /// A resync starts: all records are listed, and `apply` is called for each until `on_resync_end`.
         virtual void on_resync_begin() = 0;
         /// Returns the key after which the list continues once `key` has been read: `key` itself, or a later
         /// key where the records in between need not be read.
         virtual std::string continuation_key(const std::string& key) = 0;
-        /// The full read is complete: a key that is not in `seen` did not exist at `store_revision`.
+        /// The resync is complete: a key that is not in `seen` did not exist at `store_revision`.
         virtual void on_resync_end(const std::set<std::string>& seen, Revision store_revision) = 0;
         /// No record older than this revision will be passed to `apply` any more.
         virtual void on_watermark(Revision store_revision) = 0;
     };
     ChangeFeed(Runtime& runtime, StoreClient& store, const Settings& settings, Subscriber& subscriber);
 
-    void start() { load(); }
+    void start() { resync(); }
     /// Called ten times a second: fails callbacks that have waited too long for a refresh.
     void tick();
 
     bool loaded() const { return loaded_; }
     Revision store_revision() const { return store_revision_; }
-    /// Cost of the last full read.
+    /// Cost of the last resync.
     struct LoadStats {
         std::uint64_t requests = 0;
         std::uint64_t records = 0;
@@ -58,10 +58,10 @@
 
   private:
     struct Waiter {
-        Micros since = 0;
+        Micros waiting_since = 0;
         std::function<void(bool)> done;
     };
-    void load();
+    void resync();
     void refresh();
     void on_refresh_answered(Micros sent_at);
 
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -92,12 +92,12 @@
     // The commit that moved the record also deleted the one under c/job/.
     if (record_location == RecordLocation::Active && job.record_location == RecordLocation::Job) {
         job.legacy_revision = 0;
-        if (!full_read_in_progress_) job.moved_revision = view.mod_revision;
+        if (!resync_in_progress_) job.moved_revision = view.mod_revision;
     }
     job.record_location = record_location;
     // Every change of a record under c/active/ is conditional on there being no final record, so an update
     // from the change feed proves that there was none.
-    job.verified_unfinished = record_location == RecordLocation::Job || !full_read_in_progress_;
+    job.verified_unfinished = record_location == RecordLocation::Job || !resync_in_progress_;
     job.shard = wire::text(value, "dom").value_or("");
     if (view.running > 0) image_last_used_[{job.image, job.shard}] = now;
     job.tasks = view.tasks;
@@ -114,7 +114,7 @@
                            const JobView& view) const {
     if (const JobView* known = find_view(ref)) return known->mod_revision > view.mod_revision;
     // All jobs that are live at the watermark are cached, so this one has finished since.
-    return !full_read_in_progress_ && record_location == RecordLocation::Active && !view.is_final() &&
+    return !resync_in_progress_ && record_location == RecordLocation::Active && !view.is_final() &&
            view.mod_revision <= watermark_;
 }
 
@@ -139,13 +139,13 @@
 }
 
 void JobCache::on_resync_begin() {
-    full_read_in_progress_ = true;
+    resync_in_progress_ = true;
     for (auto& [ref, job] : live_)
         if (job.record_location == RecordLocation::Active) job.verified_unfinished = false;
 }
 
 void JobCache::on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history) {
-    full_read_in_progress_ = false;
+    resync_in_progress_ = false;
     for (auto& [ref, job] : live_) {
         if (job.record_location != RecordLocation::Active) continue;
         if (!seen(keys::active + ref)) jobs_missing_record_.insert(ref);
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -33,8 +33,8 @@
     /// record, so the commit of the final record must be conditional on its revision.
     Revision legacy_revision = 0;
     Revision moved_revision = 0;  // of the commit that moved it to c/active/, if this process saw it
-    /// For a record under c/active/: whether the job is proven to be unfinished at the time of the last full
-    /// read. Its final record is stored under c/job/, which a full read skips, and the record under c/active/
+    /// For a record under c/active/: whether the job is proven to be unfinished at the time of the last
+    /// resync. Its final record is stored under c/job/, which a resync skips, and the record under c/active/
     /// may be deleted some time after the final one was written.
     bool verified_unfinished = true;
     std::string shard;
@@ -69,9 +69,9 @@
                Revision mod_revision, Micros now);
     /// Notes that a record under c/active/ was deleted: the job has finished, or an update of it follows.
     void on_record_removed(const std::string& ref);
-    /// Starts a full read, which may not include final records.
+    /// Starts a resync, which may not include final records.
     void on_resync_begin();
-    /// Ends a full read. `seen` returns whether a key was read. `with_history`: final records were read as
+    /// Ends a resync. `seen` returns whether a key was read. `with_history`: final records were read as
     /// well, so that every job without one is proven to be unfinished.
     void on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history);
 
@@ -148,7 +148,7 @@
     FinishedJobs finished_;  // none of them is in `live_`
     Revision watermark_ = 0;
     std::set<std::string> jobs_missing_record_;
-    bool full_read_in_progress_ = false;
+    bool resync_in_progress_ = false;
     DependencyGraph dependency_graph_;
     std::map<std::pair<std::string, std::string>, Micros> image_last_used_;  // image and shard
     bool guarantees_due_ = true;
--- a/src/cache/membership.hpp
+++ b/src/cache/membership.hpp
@@ -21,7 +21,7 @@
   public:
     /// Applies an update of a node's liveness key. Returns whether the node has just become silent.
     bool apply_liveness(const std::string& node, bool alive, Micros now);
-    /// Marks a node as silent whose key was missing in a full read; when it ended is not known.
+    /// Marks a node as silent whose key was missing in a resync; when it ended is not known.
     void mark_absent(const std::string& node, Micros now);
     /// Applies an update of a shard's or the leader's ownership record. Returns whether it is newer than the
     /// known one.
@@ -38,7 +38,7 @@
     /// Returns when this process noticed that the node was not alive; nullopt while it is alive or was never
     /// noticed.
     std::optional<Micros> silent_since(const std::string& node) const;
-    /// Notes a sign of life of a node: a message, or an update of its key. Its key in a full read is no proof
+    /// Notes a sign of life of a node: a message, or an update of its key. Its key in a resync is no proof
     /// of life: an outage of the state service may have kept it for long.
     void mark_heard_from(const std::string& node) { heard_from_.insert(node); }
     bool has_been_heard_from(const std::string& node) const { return heard_from_.count(node) > 0; }
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -60,7 +60,7 @@
     } else if (starts_with(key, keys::live)) {
         const std::string node = suffix_after(keys::live);
         membership.apply_liveness(node, value != nullptr, runtime_.now());
-        if (value && !full_read_in_progress_) membership.mark_heard_from(node);
+        if (value && !resync_in_progress_) membership.mark_heard_from(node);
     } else if (starts_with(key, keys::shard)) {
         const std::string name = suffix_after(keys::shard);
         if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
@@ -106,12 +106,12 @@
 }
 
 void StateCache::on_resync_begin() {
-    full_read_in_progress_ = true;
+    resync_in_progress_ = true;
     jobs.on_resync_begin();
 }
 
 void StateCache::on_resync_end(const std::set<std::string>& seen, Revision store_revision) {
-    full_read_in_progress_ = false;
+    resync_in_progress_ = false;
     std::vector<std::string> missing;
     for (const auto& name : membership.alive_nodes())
         if (!seen.count(keys::live + name) && name != settings_.node) missing.push_back(keys::live + name);
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -87,7 +87,7 @@
 
     HistorySeparation history_separation_ = HistorySeparation::NotStarted;
     Revision history_revision_ = 0;
-    bool full_read_in_progress_ = false;
+    bool resync_in_progress_ = false;
     Runtime& runtime_;
     StoreClient& store_;
     const Settings& settings_;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Micros kTick = 100 * kMillisecond;
+constexpr Micros kTickInterval = 100 * kMillisecond;
 constexpr Micros kSummaryInterval = 30 * kSecond;
 constexpr Micros kOrphanedChunksInterval = 5 * kSecond;
 // A request that has waited longer than this is rejected, since its sender no longer waits for the answer.
@@ -67,10 +67,10 @@
 }
 
 void Controller::tick() {
-    runtime_.after(kTick, [this] { tick(); });
+    runtime_.after(kTickInterval, [this] { tick(); });
     const Micros now = runtime_.now();
     timer_lag_ = next_tick_due_ > 0 ? std::max<Micros>(now - next_tick_due_, 0) : 0;
-    next_tick_due_ = now + kTick;
+    next_tick_due_ = now + kTickInterval;
     feed_.tick();
     assignment_.rebalance_shards();
     election_.rebalance_shards();
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -69,8 +69,8 @@
 }
 
 /// Runs until the condition holds, for at most `timeout`. Returns how long that took.
-template <class F>
-Micros run_until(simulation::Simulator& simulator, Micros timeout, F condition) {
+template <class Predicate>
+Micros run_until(simulation::Simulator& simulator, Micros timeout, Predicate condition) {
     const Micros started_at = simulator.now();
     while (!condition() && simulator.now() - started_at < timeout) simulator.run(100 * kMillisecond);
     return simulator.now() - started_at;
