--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -140,9 +140,9 @@
     const OwnershipRecord* shard_record = cache_.membership.shard(block.shard);
     if (!shard_record || shard_record->holder == settings_.node) return respond(unavailable());
     ProxiedWorker& proxied = proxied_workers_[report.machine];
-    // A worker has one report in flight, so it gave up on a report that is older than another one or a copy
-    // of it. It would not receive the answer, and a renewal would only delay the proof that its tasks have
-    // stopped.
+    // A worker has one report in flight at a time, so it has given up on a report that is older than the
+    // newest one received, or a copy of that. It would not receive the answer, and a renewal would only delay
+    // the proof that its tasks have stopped.
     if (!recovery::is_news({report.session, report.seq}, {proxied.session, proxied.seq}, 0))
         return respond(unavailable());
     proxied.session = report.session;
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -310,8 +310,8 @@
     if (!feed_.loaded() || cache_.machine_types.empty()) return false;
     if (feed_.confirmed_age() < kUnhealthyAfter) return true;
     for (std::size_t i = 0; i < peers_.count(); ++i)
-        if (const auto* told = peers_.told(i, kUnhealthyAfter);
-            told && told->state.confirmed_age < kUnhealthyAfter / 2)
+        if (const auto* peer_status = peers_.told(i, kUnhealthyAfter);
+            peer_status && peer_status->state.confirmed_age < kUnhealthyAfter / 2)
             return false;
     return true;
 }
@@ -411,8 +411,8 @@
         std::optional<peer::ShardLoad> load;
         if (const ShardOwner* owner = assignment_.find(name)) {
             if (owner->active()) load = owner->load();
-        } else if (const auto* told = peers_.load_of(name)) {
-            load = *told;
+        } else if (const auto* reported_load = peers_.load_of(name)) {
+            load = *reported_load;
         }
         Milli free_cores = 0, reference_cores = capacity;
         if (load && spec.rank == PriorityClass::Production) {
