--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -11,8 +11,7 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(simulator) \
-    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
+#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
 /// Returns a settled simulator with two shards in use: cpu_share is too small for one shard to hold all
 /// machines.
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -14,8 +14,7 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(simulator) \
-    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
+#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
 
 std::vector<Json> production_records() {
     std::vector<Json> out;
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -136,8 +136,7 @@
         cache.set_watermark(4);
         for (std::size_t i = 0; i < other_jobs; ++i)
             cache.apply("req-2" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 3, 0);
-        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0))
-            << "an update of the change feed";
+        EXPECT_FALSE(cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 5, 0)) << "news";
         cache.set_watermark(10);
         for (std::size_t i = 0; i < other_jobs; ++i)
             cache.apply("req-3" + std::to_string(100'000 + i), RecordLocation::Job, kDone, 10, 0);
