--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -123,7 +123,7 @@
         request.method = "GET";
         request.path = "/machine_types";
         call(std::move(request), 1, [this](const Reply& reply) {
-            if (reply.status == 200) cache_.learn(reply.body);
+            if (reply.status == 200) cache_.apply_machine_types(reply.body);
         });
     }
     evaluate_demand();
@@ -165,7 +165,7 @@
     current_list_.insert(machine.name);
     if (machine_allocator_.is_returned(machine.name)) return;  // the list is out of date
     first_listed_.try_emplace(machine.name, now);
-    const bool leased = cache_.blocks.of(machine.name) != nullptr;
+    const bool leased = cache_.blocks.find_by_machine(machine.name) != nullptr;
     if (machine.state == CloudState::Failed) {
         if (leased)
             retire(machine.name, "the cloud lists it as failed");
@@ -185,7 +185,7 @@
         !never_registered_.count(machine.name))
         machine_allocator_.allocate({machine.name, machine.addr, 0, false, false}, machine.type, machine.zone,
                                     machine.spot, nullptr);
-    const MachineType* type = cache_.types.find(machine.type);
+    const MachineType* type = cache_.machine_types.find(machine.type);
     const Micros boot = type ? type->boot : 60 * kSecond;
     // Far beyond its type's boot time the machine will hardly come up any more, but it is charged for.
     if (machine.state == CloudState::Starting && machine.age > 3 * boot + 30 * kSecond &&
@@ -207,7 +207,7 @@
             ++it;
             continue;
         }
-        if (cache_.blocks.of(name))
+        if (cache_.blocks.find_by_machine(name))
             retire(name, "it is no longer listed");
         else if (pending_instances_.erase(name) > 0)
             never_registered_.emplace(name, now);
@@ -217,7 +217,7 @@
 
 /// Retires a machine from the leader, whichever node holds its shard.
 void Autoscaler::retire(const std::string& machine, const char* reason) {
-    const Block* block = cache_.blocks.of(machine);
+    const Block* block = cache_.blocks.find_by_machine(machine);
     if (!block) return;
     for (const auto& entry : block->machines)
         if (entry.name == machine && entry.retired) return;
@@ -234,7 +234,7 @@
     const Micros now = runtime_.now();
     const Settings& settings = settings_;
     std::erase_if(pending_instances_,
-                  [&](const auto& entry) { return cache_.blocks.of(entry.first) != nullptr; });
+                  [&](const auto& entry) { return cache_.blocks.find_by_machine(entry.first) != nullptr; });
     balance_ = peer::FleetBalance{};
     balance_.term = election_.term();
     auto add = [&](Milli cores, bool spot) {
@@ -242,14 +242,14 @@
         if (!spot) balance_.ordinary += cores;
     };
     for (const auto& [id, block] : cache_.blocks.all())
-        if (const auto* type = cache_.types.find(block.type))
+        if (const auto* type = cache_.machine_types.find(block.type))
             for (const auto& entry : block.machines)
                 if (!entry.retired) add(type->size.cores, block.spot);
     for (const auto& [name, instance] : pending_instances_)
-        if (const auto* type = cache_.types.find(instance.type); type && !is_overdue(instance, *type))
+        if (const auto* type = cache_.machine_types.find(instance.type); type && !is_overdue(instance, *type))
             add(type->size.cores, instance.spot);
     for (const auto& [name, rental] : rentals_)
-        if (const auto* type = cache_.types.find(rental.type))
+        if (const auto* type = cache_.machine_types.find(rental.type))
             add(type->size.cores * rental.count, rental.spot);
     // Machines that the former leader rented may be neither in a block nor listed yet. Their cores are
     // counted, so that they are not rented again.
@@ -258,8 +258,8 @@
         balance_.ordinary = std::max(balance_.ordinary, inherited_.ordinary);
         balance_.total = std::max(balance_.total, inherited_.total);
     }
-    allocation::DemandEstimator estimator(settings.teams, cache_.types.types());
-    for (const auto& [ref, job] : cache_.jobs.live()) estimator.add(job);
+    allocation::DemandEstimator estimator(settings.teams, cache_.machine_types.types());
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) estimator.add(job);
     const allocation::Demand demand = estimator.total();
     const Milli spot = balance_.total - balance_.ordinary;
     const auto elapsed_us = static_cast<double>(evaluated_at_ > 0 ? now - evaluated_at_ : 0);
@@ -386,7 +386,8 @@
         for (const auto& entry : block.machines)
             if (entry.retired && names.size() < kMaxDeletesPerRequest) names.push_back(entry.name);
     for (const auto& [name, since] : never_registered_)
-        if (names.size() < kMaxDeletesPerRequest && !cache_.blocks.of(name)) names.push_back(name);
+        if (names.size() < kMaxDeletesPerRequest && !cache_.blocks.find_by_machine(name))
+            names.push_back(name);
     std::erase_if(names, [&](const std::string& name) { return deleted_in_blocks_.count(name) > 0; });
     if (names.empty() || now < backoff_until_) return;
     Call request;
@@ -401,9 +402,10 @@
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
-            if (cache_.blocks.of(name)) deleted_in_blocks_.insert(name);
+            if (cache_.blocks.find_by_machine(name)) deleted_in_blocks_.insert(name);
         }
-        std::erase_if(deleted_in_blocks_, [&](const std::string& name) { return !cache_.blocks.of(name); });
+        std::erase_if(deleted_in_blocks_,
+                      [&](const std::string& name) { return !cache_.blocks.find_by_machine(name); });
         // No task can be running on them any more. As long as their block records list them, their tasks
         // count as possibly running.
         machine_allocator_.remove_from_blocks(names);
@@ -423,7 +425,7 @@
         machines_per_zone[block.zone] += static_cast<int>(block.machines.size());
     for (const auto& [name, instance] : pending_instances_) ++machines_per_zone[instance.zone];
     std::vector<Offer> offers;
-    for (const auto& type : cache_.types.types())
+    for (const auto& type : cache_.machine_types.types())
         for (const auto& zone : type.zones)
             for (const bool spot : {false, true}) {
                 const Shape shape{type.name, zone, spot};
@@ -460,27 +462,28 @@
     const std::int64_t latest_ms = runtime_.wall_ms() - kUnschedulableMinWait / kMillisecond;
     const LiveJob* longest_waiting = nullptr;
     UnschedulableJob unschedulable;
-    for (const auto& [ref, job] : cache_.jobs.live()) {
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         const bool waits =
-            job.open && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
+            job.dependencies_met && !job.cancelled && !job.backing_off && job.done + job.running < job.tasks;
         const auto team = teams.find(job.team);
-        if (!waits || job.since_ms > latest_ms || team == teams.end() ||
-            !allocation::should_rent_for(*team->second, job.rank) ||
-            (longest_waiting && longest_waiting->since_ms <= job.since_ms))
+        if (!waits || job.eligible_since_ms > latest_ms || team == teams.end() ||
+            !allocation::should_rent_for(*team->second, job.priority) ||
+            (longest_waiting && longest_waiting->eligible_since_ms <= job.eligible_since_ms))
             continue;
         const Json* spec = wire::find(job.record, "d");
         if (!spec) continue;
         auto may_use = [&job = job](const Shape& shape) {
-            return (!shape.spot || job.spot) && (!job.zone || *job.zone == shape.zone) &&
-                   (!job.types ||
-                    std::find(job.types->begin(), job.types->end(), shape.type) != job.types->end());
+            return (!shape.spot || job.spot) && (!job.required_zone || *job.required_zone == shape.zone) &&
+                   (!job.allowed_types || std::find(job.allowed_types->begin(), job.allowed_types->end(),
+                                                    shape.type) != job.allowed_types->end());
         };
         const bool array = job.kind == JobKind::Array;
         int missing_tasks = array ? (job.tasks - job.done + 7) / 8 : job.tasks;
         if (job.request.cores > 0)
             missing_tasks = std::min<Milli>(missing_tasks, team->second->limit.cores / job.request.cores);
         for (const auto& [shape, count] : machine_counts)
-            if (const auto* type = cache_.types.find(shape.type); type && missing_tasks > 0 && may_use(shape))
+            if (const auto* type = cache_.machine_types.find(shape.type);
+                type && missing_tasks > 0 && may_use(shape))
                 missing_tasks -= count * tasks_per_machine(type->size, job.request);
         if (missing_tasks <= 0) continue;
         auto parsed = wire::parse_job(*spec).spec;
@@ -568,7 +571,7 @@
             spdlog::info("rented {} of {} {} in {}{}", machines->size(), answered.count, answered.type,
                          answered.zone, answered.spot ? ", spot" : "");
             for (const auto& machine : *machines)
-                if (!cache_.blocks.of(machine))
+                if (!cache_.blocks.find_by_machine(machine))
                     pending_instances_.emplace(machine, PendingInstance{answered.type, answered.zone,
                                                                         answered.spot, runtime_.now()});
             if (static_cast<int>(machines->size()) < answered.count)
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -76,7 +76,7 @@
         const peer::State* state = peers_.fresh_state(i);
         if (!state) continue;
         for (const auto& load : state->shards) {
-            const ShardRecord* record = cache_.membership.shard(load.shard);
+            const OwnershipRecord* record = cache_.membership.shard(load.shard);
             if (record && record->mod_revision == load.mod_revision &&
                 (!freest || free_cores(load) > free_cores(*freest)))
                 freest = &load;
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -100,7 +100,7 @@
                                          const CommitResult& result) mutable {
         if (result.status == CommitStatus::Ok) {
             edits_[id].in_flight = false;
-            cache_.take(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
+            cache_.apply(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
             return finish(std::move(committed), true);
         }
         const Micros delay = result.status == CommitStatus::Rejected ? kRefused : kRetryDelay;
@@ -117,7 +117,7 @@
 
 void MachineAllocator::edit_machine(const std::string& shard, const std::string& machine,
                                     ShardContext::MachineEdit edit, std::function<void(bool)> done) {
-    const Block* block = cache_.blocks.of(machine);
+    const Block* block = cache_.blocks.find_by_machine(machine);
     const ShardOwner* owner = assignment_.find(shard);
     if (!block || block->shard != shard || !owner) return runtime_.after(0, [done] { done(false); });
     if (edit == ShardContext::MachineEdit::RetireNow)
@@ -140,14 +140,14 @@
 }
 
 void MachineAllocator::retire(const std::string& machine) {
-    if (const Block* block = cache_.blocks.of(machine))
+    if (const Block* block = cache_.blocks.find_by_machine(machine))
         edit_block(block->id, {retire_in(machine), nullptr}, kRetireMaxDelay);
 }
 
 void MachineAllocator::remove_from_blocks(const std::vector<std::string>& machines) {
     std::map<std::string, std::vector<std::string>> by_block;
     for (const auto& name : machines)
-        if (const Block* block = cache_.blocks.of(name)) by_block[block->id].push_back(name);
+        if (const Block* block = cache_.blocks.find_by_machine(name)) by_block[block->id].push_back(name);
     for (auto& [id, names] : by_block)
         edit_block(id,
                    {[names](Block& record) {
@@ -194,23 +194,23 @@
     edits_[block.id].in_flight = true;  // keeps edits of the record waiting until the split is known
     spdlog::info("block {}: {} machines, split into {}", block.id, block.machines.size(), writes.size());
     for (const auto& part : parts)
-        for (const auto& entry : part.machines) cache_.blocks.split_begins(entry.name, part.id);
-    commit_until_known(runtime_, store_, feed_, std::move(change),
-                       [this, id = block.id, writes, parts](const CommitResult& result) {
-                           if (auto edits = edits_.find(id); edits != edits_.end())
-                               edits->second.in_flight = false;
-                           if (result.status == CommitStatus::Ok)
-                               for (const auto& [block_id, value] : writes)
-                                   cache_.take(keys::block + block_id, &value, result.revision);
-                           for (const auto& part : parts)
-                               for (const auto& entry : part.machines)
-                                   cache_.blocks.split_ends(entry.name, part.id);
-                       });
+        for (const auto& entry : part.machines) cache_.blocks.begin_split(entry.name, part.id);
+    commit_until_outcome_known(runtime_, store_, feed_, std::move(change),
+                               [this, id = block.id, writes, parts](const CommitResult& result) {
+                                   if (auto edits = edits_.find(id); edits != edits_.end())
+                                       edits->second.in_flight = false;
+                                   if (result.status == CommitStatus::Ok)
+                                       for (const auto& [block_id, value] : writes)
+                                           cache_.apply(keys::block + block_id, &value, result.revision);
+                                   for (const auto& part : parts)
+                                       for (const auto& entry : part.machines)
+                                           cache_.blocks.end_split(entry.name, part.id);
+                               });
 }
 
 void MachineAllocator::split_blocks() {
     const Micros now = runtime_.now();
-    if (!cache_.formats.common(format::kPipelines) || now - split_at_ < kSplitInterval ||
+    if (!cache_.formats.is_read_by_all(format::kChunksAndDependencies) || now - split_at_ < kSplitInterval ||
         !store_.room(Priority::Deferrable))
         return;
     split_at_ = now;
@@ -247,7 +247,7 @@
 
 bool MachineAllocator::spreads_machines() const {
     const std::size_t machines =
-        std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.listed_machine_count());
+        std::max(cache_.blocks.machine_count() + unallocated_.size(), autoscaler_.listed_machine_count());
     const double reports_per_second =
         static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
     return peers_.count() > 0 && reports_per_second > kMaxReportsPerCore * settings_.cpu_share;
@@ -258,7 +258,7 @@
     std::string largest, own;
     Milli largest_cores = 0;
     for (const auto& [name, record] : cache_.membership.shards()) {
-        if (!cache_.membership.alive(record.holder)) continue;
+        if (!cache_.membership.is_alive(record.holder)) continue;
         targets.push_back(name);
         if (record.holder == settings_.node && (own.empty() || name == settings_.node)) own = name;
         if (const Milli cores = cache_.capacity_of(name); cores > largest_cores) {
@@ -295,7 +295,7 @@
     std::map<std::tuple<std::string, std::string, bool>, Milli> shard_cores;
     std::map<std::pair<std::string, Shape>, std::size_t> shard_machines;
     auto cores_of_type = [&](const std::string& type) {
-        const MachineType* machine_type = cache_.types.find(type);
+        const MachineType* machine_type = cache_.machine_types.find(type);
         return machine_type ? machine_type->size.cores : Milli{1000};
     };
     for (const auto& [id, block] : cache_.blocks.all()) {
@@ -385,7 +385,7 @@
         if (result.status == CommitStatus::Ok) {
             spdlog::info("block {}: {} {} machines in {}{} leased to {}", block.id, machines.size(),
                          block.type, block.zone, block.spot ? ", spot," : "", block.shard);
-            return cache_.take(keys::block + block.id, &value, result.revision);
+            return cache_.apply(keys::block + block.id, &value, result.revision);
         }
         const bool not_executed = result.status == CommitStatus::Unavailable;
         if (!not_executed && result.status != CommitStatus::Unknown) {
@@ -412,7 +412,7 @@
 /// uncertain.
 void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
                                               std::function<void(peer::Grant)> done) {
-    const ShardRecord* receiver = cache_.membership.shard(want.shard);
+    const OwnershipRecord* receiver = cache_.membership.shard(want.shard);
     if (!from.active() || !receiver || receiver->mod_revision != want.mod_revision ||
         want.shard == from.shard() || !store_.room(Priority::Normal))
         return done({});
@@ -423,7 +423,7 @@
     std::map<std::string, Block> sources;
     std::vector<std::string> kept, transferred;
     for (const auto& name : offered) {
-        const Block* block = cache_.blocks.of(name);
+        const Block* block = cache_.blocks.find_by_machine(name);
         const bool first = next.type.empty();
         const bool fits =
             block && block->shard == from.shard() && !edits_.count(block->id) &&
@@ -464,7 +464,7 @@
     change.purpose = "move";
     spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, transferred.size(),
                  next.type, next.zone, from.shard(), want.shard);
-    commit_until_known(
+    commit_until_outcome_known(
         runtime_, store_, feed_, std::move(change),
         [this, shard = from.shard(), writes, transferred,
          done = std::move(done)](const CommitResult& result) {
@@ -472,7 +472,7 @@
                 if (auto edits = edits_.find(id); edits != edits_.end()) edits->second.in_flight = false;
             if (result.status == CommitStatus::Ok)
                 for (const auto& [id, value] : writes)
-                    cache_.take(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
+                    cache_.apply(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
             // Machines that were not transferred may be bound to again.
             if (ShardOwner* owner = assignment_.find(shard)) owner->withdraw_offer(transferred);
             done(
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -16,13 +16,13 @@
 
 void QuotaAllocator::allocate_initial_quota() {
     if (!election_.is_leader() || allocating_ || cache_.blocks.all().empty() ||
-        feed_.confirmed_ago() > kSecond)
+        feed_.confirmed_age() > kSecond)
         return;
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::leader, election_.term()});
     std::vector<std::pair<std::string, QuotaAllocation>> next;
-    const auto& stored = cache_.shares.all();
+    const auto& stored = cache_.quotas.all();
     if (stored.empty()) {
         auto targets = machine_allocator_.target_shards();
         if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
@@ -43,11 +43,11 @@
     } else {
         for (const auto& [shard, held] : stored) {
             const ShardOwner* owner = assignment_.find(shard);
-            if (!owner || cache_.shares.busy(shard)) continue;
-            QuotaAllocation shares = held.shares;
+            if (!owner || cache_.quotas.is_transferring(shard)) continue;
+            QuotaAllocation shares = held.allocation;
             bool raised = false;
             for (const auto& team : settings_.teams) {
-                const Resources sum = cache_.shares.shared_out(team.name);
+                const Resources sum = cache_.quotas.total_allocated(team.name);
                 const Milli cores = distributed_amount(team.limit.cores),
                             gpus = distributed_amount(team.limit.gpus);
                 if (cores <= sum.cores && gpus <= sum.gpus) continue;
@@ -72,14 +72,14 @@
         if (result.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
                 const Json value = shares_value(shares);
-                cache_.take(keys::share + shard, &value, result.revision);
+                cache_.apply(keys::share + shard, &value, result.revision);
             }
         // If this write were executed after first shares were created for other shards, the limits would be
         // allocated twice. A new term makes it fail.
         const bool unknown = result.status == CommitStatus::Unknown;
         feed_.after_next_refresh([this, term, unknown](bool) {
             allocating_ = false;
-            if (unknown && cache_.shares.all().empty()) election_.abandon_term(term);
+            if (unknown && cache_.quotas.all().empty()) election_.abandon_term(term);
         });
     });
 }
@@ -89,11 +89,11 @@
 void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
                                     std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
-    QuotaCache& shares = cache_.shares;
+    QuotaCache& shares = cache_.quotas;
     const auto* stored_from = shares.find(shard);
-    const ShardRecord* receiver = cache_.membership.shard(want.shard);
+    const OwnershipRecord* receiver = cache_.membership.shard(want.shard);
     if (!from.active() || !stored_from || !receiver || receiver->mod_revision != want.mod_revision ||
-        want.shard == shard || shares.busy(shard) || shares.busy(want.shard))
+        want.shard == shard || shares.is_transferring(shard) || shares.is_transferring(want.shard))
         return done({});
     auto granted = [](Milli available, Milli requested) {
         return std::min(available, std::max(requested, available / 2));
@@ -101,10 +101,10 @@
     const Resources grant{granted(spare.cores, std::max<Milli>(want.amount.cores, 0)),
                           granted(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
-    QuotaAllocation new_from = stored_from->shares, new_receiver;
+    QuotaAllocation new_from = stored_from->allocation, new_receiver;
     Revision receiver_revision = 0;
     if (const auto* stored_receiver = shares.find(want.shard)) {
-        new_receiver = stored_receiver->shares;
+        new_receiver = stored_receiver->allocation;
         receiver_revision = stored_receiver->mod_revision;
     }
     new_from[want.team] -= grant;
@@ -117,20 +117,20 @@
     change.then.push_back({keys::share + shard, shares_value(new_from)});
     change.then.push_back({keys::share + want.shard, shares_value(new_receiver)});
     change.purpose = "share";
-    shares.giving(shard, want.shard, want.team, grant);
+    shares.begin_transfer(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
     auto finish = [this, shard, want, grant, new_from, new_receiver,
                    done = std::move(done)](const CommitResult& result) {
         const bool ok = result.status == CommitStatus::Ok;
         if (ok) {
             const Json from_value = shares_value(new_from), receiver_value = shares_value(new_receiver);
-            cache_.take(keys::share + shard, &from_value, result.revision);
-            cache_.take(keys::share + want.shard, &receiver_value, result.revision);
+            cache_.apply(keys::share + shard, &from_value, result.revision);
+            cache_.apply(keys::share + want.shard, &receiver_value, result.revision);
         }
-        cache_.shares.given(shard, want.shard);
+        cache_.quotas.end_transfer(shard, want.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
     };
-    commit_until_known(runtime_, store_, feed_, std::move(change), std::move(finish));
+    commit_until_outcome_known(runtime_, store_, feed_, std::move(change), std::move(finish));
 }
 
 }  // namespace cottonway
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -34,7 +34,7 @@
                                            on_job_verified](const CommitResult& result) {
             if (result.status == CommitStatus::Conflict)
                 return read_final_record(ref, delete_stale, on_job_verified);
-            if (result.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
+            if (result.status == CommitStatus::Ok) cache_.jobs.mark_verified_unfinished(ref, legacy_revision);
             on_job_verified(result.status == CommitStatus::Ok);
         });
     }
@@ -46,12 +46,12 @@
         const LiveJob* job = cache_.jobs.find(ref);
         if (!result.ok || !job) return done(result.ok);
         if (result.found && !wire::find(result.value, "d")) {
-            if (delete_stale && job->place == RecordLocation::Active)
+            if (delete_stale && job->record_location == RecordLocation::Active)
                 stale_records_.push_back({keys::active + ref, job->mod_revision});
-            cache_.take(keys::job + ref, &result.value, result.mod_revision);
-        } else if (job->place == RecordLocation::Active) {
+            cache_.apply(keys::job + ref, &result.value, result.mod_revision);
+        } else if (job->record_location == RecordLocation::Active) {
             // A record of the old format that was written late does not count.
-            cache_.jobs.prove(ref, result.mod_revision);
+            cache_.jobs.mark_verified_unfinished(ref, result.mod_revision);
         }
         done(true);
     });
@@ -68,7 +68,7 @@
 /// Reads the outcome of jobs whose records under c/active/ are gone without the change feed having delivered
 /// their final records.
 void JobArchiver::read_lost_jobs() {
-    const std::set<std::string> lost = cache_.jobs.lost();
+    const std::set<std::string> lost = cache_.jobs.jobs_missing_record();
     for (const auto& ref : lost) read_outcome(ref, reading_lost_);
 }
 
@@ -85,14 +85,14 @@
     if (reading.size() >= kMaxOutcomeReads || !reading.insert(ref).second) return false;
     store_.read(keys::job + ref, [this, ref, &reading](const ReadResult& result) {
         const bool final = result.ok && result.found && !wire::find(result.value, "d");
-        if (final) cache_.take(keys::job + ref, &result.value, result.mod_revision);
+        if (final) cache_.apply(keys::job + ref, &result.value, result.mod_revision);
         // The change feed will deliver an unfinished job that is not known yet.
         if (final || !result.ok || !cache_.jobs.find(ref))
             return runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
         // The job may have been admitted while all records were being read.
         store_.read(keys::active + ref, [this, ref, &reading](const ReadResult& active) {
             if (active.ok && active.found)
-                cache_.take(keys::active + ref, &active.value, active.mod_revision);
+                cache_.apply(keys::active + ref, &active.value, active.mod_revision);
             runtime_.after(kSecond, [&reading, ref] { reading.erase(ref); });
         });
     });
@@ -102,7 +102,7 @@
 /// Verifies jobs that other jobs depend on: the gates of those jobs open or stay shut by their outcome.
 void JobArchiver::verify_needed_jobs() {
     if (verifying_) return;
-    const auto refs = cache_.jobs.needed_unproven();
+    const auto refs = cache_.jobs.unverified_dependencies();
     if (refs.empty()) return;
     verifying_ = true;
     verify_unfinished(refs, false, [this](bool) { verifying_ = false; });
@@ -112,7 +112,7 @@
     while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
         const Condition stale = stale_records_.back();
         stale_records_.pop_back();
-        store_.commit(JobCache::dropped(stale), [](const CommitResult&) {});
+        store_.commit(JobCache::deletion_change(stale), [](const CommitResult&) {});
     }
 }
 
@@ -120,13 +120,13 @@
 /// format: admitting one is conditional on the history record not existing, so none is admitted any more. If
 /// a refresh begun after that shows no such record, none can exist, and history is marked as apart for good.
 void JobArchiver::separate_history() {
-    if (writing_history_ || cache_.history_apart() || !election_.is_leader() ||
-        !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
+    if (writing_history_ || cache_.is_history_separated() || !election_.is_leader() ||
+        !cache_.formats.is_read_by_all(format::kSeparateActiveRecords) || !store_.room(Priority::Deferrable))
         return;
-    using State = StateCache::History;
-    const Revision mod_revision = cache_.history_mark();
-    State next = State::Closed;
-    if (cache_.history_closed()) {
+    using State = StateCache::HistorySeparation;
+    const Revision mod_revision = cache_.history_revision();
+    State next = State::LegacyWritesClosed;
+    if (cache_.legacy_writes_closed()) {
         if (refreshed_since_closing_ != mod_revision) {
             writing_history_ = true;
             return feed_.after_next_refresh([this, mod_revision](bool ok) {
@@ -134,8 +134,8 @@
                 if (ok) refreshed_since_closing_ = mod_revision;
             });
         }
-        if (cache_.jobs.in_old_form() > 0) return;
-        next = State::Apart;
+        if (cache_.jobs.legacy_record_count() > 0) return;
+        next = State::Complete;
     }
     writing_history_ = true;
     const Json value = StateCache::history_value(next);
@@ -145,8 +145,8 @@
     change.purpose = "history";
     store_.commit(std::move(change), [this, value, next](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
-            cache_.take(keys::history, &value, result.revision);
-            spdlog::info("history is {}", next == State::Apart
+            cache_.apply(keys::history, &value, result.revision);
+            spdlog::info("history is {}", next == State::Complete
                                               ? "apart: a starting controller reads unfinished jobs only"
                                               : "closed to records of the old format");
         }
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -11,14 +11,15 @@
 
 void LeaderElection::campaign() {
     const Micros now = runtime_.now();
-    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty() || claiming_) return;
-    if (feed_.confirmed_ago() > 2 * kSecond) return;
-    const ShardRecord& leader = cache_.membership.leader();
+    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.machine_types.empty() || claiming_)
+        return;
+    if (feed_.confirmed_age() > 2 * kSecond) return;
+    const OwnershipRecord& leader = cache_.membership.leader();
     if (leader.mod_revision != 0 && leader.holder == settings_.node) {
         if (claimed_term_ != leader.mod_revision) claim_leadership();
         return;
     }
-    if (leader.mod_revision != 0 && cache_.membership.alive(leader.holder)) {
+    if (leader.mod_revision != 0 && cache_.membership.is_alive(leader.holder)) {
         leaderless_since_ = 0;
         return;
     }
@@ -53,16 +54,16 @@
 }
 
 void LeaderElection::store_machine_types() {
-    const MachineTypeCatalog& types = cache_.types;
-    if (!is_leader() || storing_machine_types_ || types.answer().is_null() ||
+    const MachineTypeCatalog& types = cache_.machine_types;
+    if (!is_leader() || storing_machine_types_ || types.cloud_response().is_null() ||
         runtime_.now() - machine_types_stored_at_ < kStoreMachineTypesInterval)
         return;
     machine_types_stored_at_ = runtime_.now();
-    if (!types.outdated()) return;
+    if (!types.is_stored_outdated()) return;
     storing_machine_types_ = true;
     Change change;
-    change.when = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
-    change.then.push_back({keys::types, types.answer()});
+    change.when = {{keys::leader, term()}, {keys::types, types.stored_revision()}};
+    change.then.push_back({keys::types, types.cloud_response()});
     store_.commit(std::move(change), [this](const CommitResult& result) {
         // storing_machine_types_ stays set after a rejection, so a rejected write is not retried.
         if (result.status != CommitStatus::Rejected)
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -33,7 +33,7 @@
     store_.commit(std::move(change), [this](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
             registered_ = true;
-            cache_.membership.take_live(settings_.node, true, runtime_.now());
+            cache_.membership.apply_liveness(settings_.node, true, runtime_.now());
             return renew();
         }
         if (result.status == CommitStatus::Conflict) return read_and_put_key();
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -86,7 +86,7 @@
 peer::State PeerDirectory::own_state() const {
     peer::State state;
     state.node = settings_.node;
-    state.confirmed_age = feed_.confirmed_ago();
+    state.confirmed_age = feed_.confirmed_age();
     if (election_.is_leader()) state.balance = autoscaler_.fleet_balance();
     for (const auto& [name, owner] : assignment_.owners())
         if (owner && owner->active()) state.shards.push_back(owner->load());
@@ -99,7 +99,7 @@
     for (const auto& load : state.shards) cores_sent_.erase(load.shard);
     peers_[*peer].status = PeerStatus{state, runtime_.now()};
     peers_[*peer].last_heard = runtime_.listened();
-    cache_.membership.heard(state.node);
+    cache_.membership.mark_heard_from(state.node);
 }
 
 void PeerDirectory::gossip() {
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -23,7 +23,7 @@
     if (!file_) return FileStatus::None;
     if (file_->revision != stored.revision())
         return file_->revision > stored.revision() ? FileStatus::Newer : FileStatus::Older;
-    return !stored.damaged() && *file_ == stored.in_force() ? FileStatus::Stored : FileStatus::Differs;
+    return !stored.is_damaged() && *file_ == stored.in_force() ? FileStatus::Stored : FileStatus::Differs;
 }
 
 void PolicyPublisher::tick() {
@@ -51,7 +51,8 @@
     const Micros now = runtime_.now();
     if (now < retry_at_ || !store_.room(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
-    if (chunks::stored_size(value) > settings_.value_bytes && !cache_.formats.common(format::kPipelines)) {
+    if (chunks::stored_size(value) > settings_.value_bytes &&
+        !cache_.formats.is_read_by_all(format::kChunksAndDependencies)) {
         spdlog::info(
             "policy: too large for a single value, and not all controllers can read chunked values yet: "
             "publishing is postponed");
@@ -67,7 +68,7 @@
             backoff_ = 0;
             writing_ = false;
             spdlog::info("policy: revision {} of this node's file is stored", revision);
-            return cache_.take(keys::policy, &value, result.revision);
+            return cache_.apply(keys::policy, &value, result.revision);
         }
         // The next refresh shows the stored record, including an unanswered write of this node.
         schedule_retry();
@@ -94,7 +95,7 @@
     Json value{{"revision", stored.in_force().revision},
                {"value", policy::describe(stored.in_force())},
                {"stored", stored.revision()},
-               {"damaged", stored.damaged()}};
+               {"damaged", stored.is_damaged()}};
     if (file_) {
         const FileStatus status = file_status();
         value["file"] = {{"revision", file_->revision},
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -41,32 +41,35 @@
 void ShardAssignment::acquire_shards() {
     const Micros now = context_.runtime().now();
     const std::string& self = context_.settings().node;
-    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.types.empty()) return;
-    if (feed_.confirmed_ago() > 2 * kSecond) return;  // the cached state may be stale
+    if (!feed_.loaded() || !membership_lease_.is_registered() || cache_.machine_types.empty()) return;
+    if (feed_.confirmed_age() > 2 * kSecond) return;  // the cached state may be stale
     if (!cache_.membership.shard(self) && !acquiring_.count(self)) return acquire(self, true);
     recovery::FailoverState state;
     state.self = self;
     state.now = now;
     // A holder that may be restarting gets as long as it takes to notice that a node has failed.
     state.holder_grace = context_.settings().ops.live_ttl;
-    for (const auto& node : cache_.membership.alive()) state.alive[node] = cache_.machines_at(node);
+    for (const auto& node : cache_.membership.alive_nodes())
+        state.alive[node] = cache_.machine_count_of_node(node);
     state.alive.try_emplace(self, 0);
     std::vector<std::string> to_acquire;
     for (const auto& [name, record] : cache_.membership.shards()) {
         if (find(name)) continue;
         if (acquiring_.count(name)) {
-            state.alive[self] += cache_.machines_in(name);
+            state.alive[self] += cache_.machine_count_in_shard(name);
         } else if (record.holder == self) {
             // This node's former process is dead, so its shards are acquired at once.
             to_acquire.push_back(name);
-        } else if (cache_.membership.alive(record.holder)) {
+        } else if (cache_.membership.is_alive(record.holder)) {
             orphaned_shards_.erase(name);
         } else {
             const auto& orphan =
                 orphaned_shards_
-                    .try_emplace(name, OrphanState{now, !cache_.membership.ever_heard(record.holder)})
+                    .try_emplace(name,
+                                 OrphanState{now, !cache_.membership.has_been_heard_from(record.holder)})
                     .first->second;
-            state.orphans.push_back({name, cache_.machines_in(name), orphan.since, orphan.predates_process});
+            state.orphans.push_back(
+                {name, cache_.machine_count_in_shard(name), orphan.since, orphan.predates_process});
         }
     }
     for (const auto& name : recovery::shards_to_acquire(state)) {
@@ -79,7 +82,7 @@
 void ShardAssignment::acquire(const std::string& name, bool create) {
     acquiring_.insert(name);
     const std::string& self = context_.settings().node;
-    const ShardRecord before = create ? ShardRecord{} : cache_.membership.shards().at(name);
+    const OwnershipRecord before = create ? OwnershipRecord{} : cache_.membership.shards().at(name);
     Change change;
     change.priority = Priority::Urgent;
     change.when.push_back({keys::shard + name, before.mod_revision});
@@ -94,7 +97,7 @@
             acquiring_.erase(name);
             spdlog::info("domain {}: acquired from {}, token {}", name,
                          before.holder.empty() ? "nobody" : before.holder, result.revision);
-            if (const ShardRecord* record = cache_.membership.shard(name);
+            if (const OwnershipRecord* record = cache_.membership.shard(name);
                 record && record->mod_revision > result.revision)
                 return;  // lost again
             cache_.membership.set_shard(name, {self, result.revision});
@@ -129,8 +132,8 @@
 /// job, it would run again.
 void ShardAssignment::verify_jobs(const std::string& name, Revision mod_revision) {
     std::vector<std::string> refs;
-    for (const auto& [ref, job] : cache_.jobs.live())
-        if (job.shard == name && cache_.jobs.unproven(ref)) refs.push_back(ref);
+    for (const auto& [ref, job] : cache_.jobs.live_jobs())
+        if (job.shard == name && cache_.jobs.is_unverified(ref)) refs.push_back(ref);
     if (refs.empty()) return load_and_activate(name, mod_revision);
     job_archiver_.verify_unfinished(refs, true, [this, name, mod_revision](bool known) {
         const ShardOwner* owner = find(name);
@@ -144,9 +147,9 @@
 void ShardAssignment::load_and_activate(const std::string& name, Revision mod_revision) {
     ShardOwner* owner = find(name);
     if (!owner || owner->mod_revision() != mod_revision) return;
-    for (const auto& [ref, job] : cache_.jobs.live()) {
+    for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
         if (job.shard != name) continue;
-        owner->on_job(ref, job.place, job.record, job.mod_revision);
+        owner->on_job(ref, job.record_location, job.record, job.mod_revision);
         owner->on_legacy_revision(ref, job.legacy_revision);
         for (const auto& [part, value] : job.parts) owner->on_part(ref, part, value.first, value.second);
     }
@@ -157,7 +160,7 @@
 void ShardAssignment::on_shard_record(const std::string& name) {
     orphaned_shards_.erase(name);
     const ShardOwner* owner = find(name);
-    const ShardRecord& record = cache_.membership.shards().at(name);
+    const OwnershipRecord& record = cache_.membership.shards().at(name);
     if (!owner || record.mod_revision <= owner->mod_revision()) return;
     spdlog::info("domain {} is held by {} now", name, record.holder);
     release_shard(name);
@@ -170,14 +173,14 @@
     released_owners_.push_back(std::move(it->second));
     owners_.erase(it);
     context_.store().read(keys::shard + shard, [this, shard](const ReadResult& result) {
-        if (result.ok && result.found) cache_.take(keys::shard + shard, &result.value, result.mod_revision);
+        if (result.ok && result.found) cache_.apply(keys::shard + shard, &result.value, result.mod_revision);
     });
     context_.wake();
 }
 
 void ShardAssignment::transfer_shards() {
     const Micros now = context_.runtime().now();
-    if (now - transferred_at_ < kTransferInterval || feed_.confirmed_ago() > kSecond ||
+    if (now - transferred_at_ < kTransferInterval || feed_.confirmed_age() > kSecond ||
         !machine_allocator_.spreads_machines())
         return;
     const std::string& self = context_.settings().node;
@@ -189,8 +192,8 @@
     }
     if (held.size() < 2) return;
     std::vector<recovery::Receiver> receivers;
-    for (const auto& node : cache_.membership.alive())
-        if (node != self && cache_.machines_at(node) == 0)
+    for (const auto& node : cache_.membership.alive_nodes())
+        if (node != self && cache_.machine_count_of_node(node) == 0)
             receivers.push_back({node, now - cache_.membership.alive_since(node)});
     auto transfers = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
     if (transfers.empty()) return;
@@ -207,7 +210,7 @@
     }
     context_.store().commit(std::move(change), [this, writes](const CommitResult& result) {
         if (result.status != CommitStatus::Ok) return;
-        for (const auto& [key, record] : writes) cache_.take(key, &record, result.revision);
+        for (const auto& [key, record] : writes) cache_.apply(key, &record, result.revision);
     });
 }
 
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -42,8 +42,8 @@
 /// Returns the conditions that the job's record is unchanged since it was read or written here, and not
 /// final.
 std::vector<Condition> ShardOwner::record_conditions(const Job& job) const {
-    return JobCache::as_known(job.spec.ref, job.record_location, job.parts[0].mod_revision,
-                              job.legacy_revision);
+    return JobCache::unchanged_conditions(job.spec.ref, job.record_location, job.parts[0].mod_revision,
+                                          job.legacy_revision);
 }
 
 void ShardOwner::on_legacy_revision(const std::string& ref, Revision legacy_revision) {
@@ -140,7 +140,7 @@
     divide_into_parts(*job, compute_tasks_per_part(context_.settings().value_bytes,
                                                    chunks::stored_size(part_value(*job, 0, false))));
     job->spec.needs = std::move(needs);
-    if (context_.all_can_read(format::kHistory)) job->record_location = RecordLocation::Active;
+    if (context_.all_can_read(format::kSeparateActiveRecords)) job->record_location = RecordLocation::Active;
     job->on_admitted = std::move(done);
     mark_part_dirty(*job, 0);
     shard_state_.jobs.emplace(ref, std::move(job));
@@ -160,15 +160,16 @@
 }
 
 void ShardOwner::apply_dependency_status(Job& job, const DependencyStatus& dependency_status) {
-    job.has_dependents = dependency_status.needed;
+    job.has_dependents = dependency_status.has_dependents;
     job.cancelled_by_dependency = dependency_status.cancelled_by_dependency;
-    job.deadline_ms = dependency_status.due_ms;
+    job.deadline_ms = dependency_status.inherited_deadline_ms;
     if (job.spec.deadline)
         job.deadline_ms = std::min(job.deadline_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
-    set_rank(job, std::min(job.spec.rank, dependency_status.rank));
-    if (dependency_status.since_ms > 0)
-        job.eligible_since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
-    if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.dependencies_done)
+    set_rank(job, std::min(job.spec.rank, dependency_status.inherited_priority));
+    if (dependency_status.dependencies_met_ms > 0)
+        job.eligible_since_ms = std::max(job.submitted_ms, dependency_status.dependencies_met_ms);
+    if (dependency_status.dependencies_met && !dependency_status.cancelled_by_dependency &&
+        !job.dependencies_done)
         on_dependencies_done(job);
 }
 
@@ -212,7 +213,7 @@
 void ShardOwner::apply_cached_record(const std::string& ref) {
     const LiveJob* cached = context_.stored_job(ref);
     if (!cached || cached->shard != shard_) return;
-    on_job(ref, cached->place, cached->record, cached->mod_revision);
+    on_job(ref, cached->record_location, cached->record, cached->mod_revision);
     on_legacy_revision(ref, cached->legacy_revision);
     for (const auto& [part, value] : cached->parts) on_part(ref, part, value.first, value.second);
 }
@@ -311,7 +312,7 @@
         if (final_record) {
             record["fd"] = job.done_tasks;
             // Jobs that depend on this one are eligible from this time.
-            if (job.stage != Stage::Cancelled && context_.all_can_read(format::kPipelines))
+            if (job.stage != Stage::Cancelled && context_.all_can_read(format::kChunksAndDependencies))
                 record["end"] = context_.runtime().wall_ms();
             return record;
         }
@@ -488,7 +489,7 @@
     // A record of the old format moves to its new key while the store has spare write rate.
     const bool migrates = index == 0 && !final_record && !job.on_admitted &&
                           job.record_location == RecordLocation::Job &&
-                          context_.all_can_read(format::kHistory) && context_.store().quiet();
+                          context_.all_can_read(format::kSeparateActiveRecords) && context_.store().quiet();
     const RecordLocation location = migrates ? RecordLocation::Active : job.record_location;
     if (migrates) {
         change.when.push_back({keys::active + ref, 0});
@@ -623,7 +624,7 @@
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
             if (!*alive) return;
             const bool final = job.found && !wire::find(job.value, "d");
-            if (!job.ok || final || !context_.all_can_read(format::kHistory))
+            if (!job.ok || final || !context_.all_can_read(format::kSeparateActiveRecords))
                 return done(job, RecordLocation::Job, 0);
             context_.store().read(keys::active + ref, [job, done](const ReadResult& active) {
                 if (!active.ok || active.found) return done(active, RecordLocation::Active, job.mod_revision);
@@ -678,8 +679,8 @@
 /// has spare write rate.
 void ShardOwner::migrate_legacy_record() {
     const Micros now = context_.runtime().now();
-    if (!context_.all_can_read(format::kHistory) || now - last_record_migration_at_ < kMigrationInterval ||
-        !context_.store().quiet())
+    if (!context_.all_can_read(format::kSeparateActiveRecords) ||
+        now - last_record_migration_at_ < kMigrationInterval || !context_.store().quiet())
         return;
     last_record_migration_at_ = now;
     for (auto& [ref, job] : shard_state_.jobs) {
@@ -705,8 +706,8 @@
         last_record_drop_at_ = now;
         const Condition stale_record = stale_records_.back();
         stale_records_.pop_back();
-        context_.store().commit(JobCache::dropped(stale_record), [this, alive = alive_,
-                                                                  stale_record](const CommitResult& result) {
+        context_.store().commit(JobCache::deletion_change(stale_record), [this, alive = alive_, stale_record](
+                                                                             const CommitResult& result) {
             // Repeated if it was rejected or got no answer. It depends on the record's revision, so it is
             // executed at most once.
             if (*alive && result.status != CommitStatus::Ok && result.status != CommitStatus::Conflict)
--- a/tests/demand_test.cpp
+++ b/tests/demand_test.cpp
@@ -78,10 +78,10 @@
 TEST(Demand, IsZeroForBestEffortWorkOfATeamWithoutAGuarantee) {
     LiveJob job = live_job("guests", {4 * kCore, 0, 0}, 100, true);
     for (const PriorityClass rank : {PriorityClass::Production, PriorityClass::High, PriorityClass::Normal}) {
-        job.rank = rank;
+        job.priority = rank;
         EXPECT_GT(demand_of({team_without_limit("guests")}, {job}).spot_eligible, 0);
     }
-    job.rank = PriorityClass::Low;
+    job.priority = PriorityClass::Low;
     EXPECT_EQ(demand_of({team_without_limit("guests")}, {job}).spot_eligible, 0);
     EXPECT_EQ(demand_of({team_without_limit("guests")}, {job}).unlimited_spot_eligible, 0);
     const Team guaranteed{"guests", {4 * kCore, 0, 0}, {kNoLimit, kNoLimit, 0}};
@@ -103,9 +103,9 @@
     LiveJob cancelled = live_job("captions", {kCore, 0, 0}, 1), waiting = cancelled, too_large = cancelled,
             wrong_type = cancelled;
     cancelled.cancelled = true;
-    waiting.open = false;
+    waiting.dependencies_met = false;
     too_large.request.cores = 17 * kCore;
-    wrong_type.types = {"other"};
+    wrong_type.allowed_types = {"other"};
     EXPECT_EQ(
         demand_of({team_without_limit("captions")}, {cancelled, waiting, too_large, wrong_type}).ordinary, 0);
 }
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -56,7 +56,7 @@
 
 TEST(JobArchiver, SeparatesHistoryOnceAllControllersReadTheFormatAndNoOldRecordIsLeft) {
     auto simulator = settled_simulator();
-    EXPECT_TRUE(simulator->node(0)->cache().history_apart()) << simulator->story();
+    EXPECT_TRUE(simulator->node(0)->cache().is_history_separated()) << simulator->story();
     simulator->submit(simulator->job(1, JobKind::Array, 3), 2 * kSecond);
     simulator->run(kSecond);
     EXPECT_FALSE(stored_record(*simulator, "c/active/req-000001").is_null());
@@ -77,9 +77,9 @@
     for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
     simulator->run(6 * kSecond);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_LT(simulator->node(i)->cache().jobs.views(), 20u)
+        EXPECT_LT(simulator->node(i)->cache().jobs.view_count(), 20u)
             << "finished jobs must not be kept in memory";
-        EXPECT_EQ(simulator->node(i)->cache().jobs.live().size(), 1u);
+        EXPECT_EQ(simulator->node(i)->cache().jobs.live_jobs().size(), 1u);
     }
     // Every node still answers requests for finished jobs, and their state does not change.
     auto reply = simulator->ask(1, "GET", "/v1/jobs/req-504321", {});
@@ -96,7 +96,7 @@
     dependent.needs = {"req-502222"};
     EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", wire::job_value(dependent)).status, 201);
     simulator->run(2 * kSecond);
-    EXPECT_TRUE(simulator->node(2)->cache().jobs.live().at("req-000002").open)
+    EXPECT_TRUE(simulator->node(2)->cache().jobs.live_jobs().at("req-000002").dependencies_met)
         << "the job that it depends on was finished long ago";
     EXPECT_EQ(simulator->starts("req-000001"), 3);
     EXPECT_RULES(*simulator);
@@ -182,14 +182,14 @@
     EXPECT_EQ(count_keys(*simulator, "c/job/"), 5u);
     EXPECT_EQ(count_keys(*simulator, "c/active/"), 0u);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_FALSE(simulator->node(i)->cache().history_closed());
+        EXPECT_FALSE(simulator->node(i)->cache().legacy_writes_closed());
         simulator->upgrade(i, kSecond);
         simulator->run(5 * kSecond);
     }
     // All controllers crash while the records are being moved.
     for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
     simulator->run(15 * kSecond);
-    EXPECT_TRUE(simulator->node(0)->cache().history_apart()) << simulator->story();
+    EXPECT_TRUE(simulator->node(0)->cache().is_history_separated()) << simulator->story();
     EXPECT_EQ(count_keys(*simulator, "c/active/"), 5u);
     EXPECT_EQ(count_keys(*simulator, "c/job/"), 0u);
     for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
@@ -272,7 +272,7 @@
         late_commit(*simulator, Json::array(), Json::array({Json{{"write", "x/1"}, {"data", i}}}));
     simulator->heal_all();
     simulator->run(10 * kSecond);
-    EXPECT_EQ(simulator->node(node)->cache().jobs.live().size(), 0u) << simulator->story();
+    EXPECT_EQ(simulator->node(node)->cache().jobs.live_jobs().size(), 0u) << simulator->story();
     EXPECT_EQ(wire::text(simulator->ask(node, "GET", "/v1/jobs/req-000001", {}).body, "stage"), "done");
 }
 
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -23,18 +23,18 @@
 /// again and again.
 TEST(LeaderFailover, DeletedMachineIsNotLeasedByAnOldReportAfterARestart) {
     for (const double cpu_share : {1.0, 0.001}) {
-        auto simulator = settled_simulator(41, 6, patient(cpu_share));
+        auto simulator = settled_simulator(41, 6, settings_without_idle_return(cpu_share));
         const std::string machine = simulator->machine_names().back();
-        const Json old_report = on_its_way(*simulator, machine);
+        const Json old_report = current_report(*simulator, machine);
         for (int i = 0; i < 3; ++i)
             if (simulator->owner_at(i)) simulator->owner_at(i)->retire(machine, "retired by the test");
         simulator->run(6 * kSecond);
         ASSERT_EQ(simulator->worker(machine), nullptr) << simulator->story();
         crash_controllers(*simulator, true);
         for (int n = 0; n < 100; ++n) {
-            arrives_everywhere(*simulator, old_report);
+            deliver_report_to_all(*simulator, old_report);
             simulator->run(100 * kMillisecond);
-            ASSERT_FALSE(leased(*simulator, machine)) << simulator->story();
+            ASSERT_FALSE(is_leased(*simulator, machine)) << simulator->story();
         }
         ASSERT_GE(simulator->leader(), 0);
         EXPECT_RULES(*simulator);
@@ -45,17 +45,17 @@
 /// machine no longer reports, so when the task has to be restarted, the old report must not delay it for
 /// ever.
 TEST(LeaderFailover, OldReportDelaysARestartOfItsTaskByAtMostOneLease) {
-    auto simulator = settled_simulator(42, 3, patient());
-    const auto [machine, running] = supersede(*simulator);
+    auto simulator = settled_simulator(42, 3, settings_without_idle_return());
+    const auto [machine, running] = restart_elsewhere(*simulator);
     ASSERT_FALSE(testing::Test::HasFailure());
-    cut_from_all(*simulator, machine);
+    cut_from_all_nodes(*simulator, machine);
     crash_controllers(*simulator, false);
     // The leases that the former holder granted expire soon after this.
     simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings));
-    arrives_everywhere(*simulator, running);
+    deliver_report_to_all(*simulator, running);
     simulator->kill_machine(*simulator->machines_of("req-000001").begin());
     const Micros elapsed =
-        until(*simulator, 60 * kSecond, [&] { return simulator->running("req-000001") == 1; });
+        run_until(*simulator, 60 * kSecond, [&] { return simulator->running("req-000001") == 1; });
     EXPECT_LE(elapsed, with_drift(simulator->settings.lease) + 3 * kSecond) << simulator->story();
     EXPECT_RULES(*simulator);
 }
@@ -63,18 +63,18 @@
 /// A gang finishes while its machines are cut off, and no controller learns this before their leases expire:
 /// the gang waits to run again. The next holder then receives one of the old reports that show it finished.
 TEST(LeaderFailover, OneOldResultOfAGangCompletesTheGang) {
-    auto simulator = settled_simulator(43, 2, patient());
+    auto simulator = settled_simulator(43, 2, settings_without_idle_return());
     simulator->submit(simulator->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
     simulator->run(3 * kSecond);
     ASSERT_EQ(simulator->running("req-000001"), 2) << simulator->story();
     const auto machines = simulator->machine_names();
-    for (const auto& m : machines) cut_from_all(*simulator, m);
-    until(*simulator, 20 * kSecond, [&] { return simulator->completed_tasks("req-000001") == 2; });
-    const Json result_report = on_its_way(*simulator, machines[0]);
+    for (const auto& m : machines) cut_from_all_nodes(*simulator, m);
+    run_until(*simulator, 20 * kSecond, [&] { return simulator->completed_tasks("req-000001") == 2; });
+    const Json result_report = current_report(*simulator, machines[0]);
     simulator->run(30 * kSecond);
     crash_controllers(*simulator, false);
     simulator->run(simulator->settings.ops.live_ttl + 2 * kSecond);
-    arrives_everywhere(*simulator, result_report);
+    deliver_report_to_all(*simulator, result_report);
     for (const auto& m : machines) simulator->kill_machine(m);  // along with all other results of the gang
     for (int i = 0; i < 2; ++i) simulator->add_machine("small", "a");
     simulator->run(30 * kSecond);
@@ -90,8 +90,8 @@
     for (const bool all : {false, true})
         for (const double cpu_share : {1.0, 0.001})
             for (const Micros delay_s : {2, 13, 30}) {
-                auto simulator =
-                    settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6, patient(cpu_share));
+                auto simulator = settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6,
+                                                   settings_without_idle_return(cpu_share));
                 const auto story = [&] {
                     return fmt::format("all {} share {} delay_s {}\n", all, cpu_share, delay_s) +
                            simulator->story();
@@ -109,7 +109,7 @@
                 simulator->remember_running();
                 const auto delayed_reports = simulator->reports_kept();
                 crash_controllers(*simulator, all);
-                until(*simulator, 10 * kSecond, [&] { return simulator->reports_kept() == 0; });
+                run_until(*simulator, 10 * kSecond, [&] { return simulator->reports_kept() == 0; });
                 ASSERT_GT(delayed_reports, 0u);
                 simulator->submit(simulator->job(5, JobKind::Array, 4), 3 * kSecond);
                 simulator->run(8 * kSecond);
@@ -131,21 +131,21 @@
 /// the last of them.
 TEST(LeaderFailover, TaskRestartsOneLeaseAfterTheLastReportCopy) {
     for (const Micros last_copy_s : {2, 12, 24}) {
-        auto simulator = settled_simulator(45, 4, patient());
+        auto simulator = settled_simulator(45, 4, settings_without_idle_return());
         simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
         simulator->run(10 * kSecond);
         const std::string machine = *simulator->machines_of("req-000001").begin();
         std::vector<Json> copies;
-        for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*simulator, machine));
-        cut_from_all(*simulator, machine);
+        for (int i = 0; i < 6; ++i) copies.push_back(current_report(*simulator, machine));
+        cut_from_all_nodes(*simulator, machine);
         const Micros cut_at = simulator->now();
         crash_controllers(*simulator, false);
         for (std::size_t i = 0; i < copies.size(); ++i)
             simulator->at(cut_at + last_copy_s * kSecond * static_cast<Micros>(i + 1) / 6,
-                          [&simulator, report = copies[i]] { arrives_everywhere(*simulator, report); });
-        until(*simulator, 90 * kSecond,
-              [&] { return simulator->machines_of("req-000001").count(machine) == 0; });
-        const Micros elapsed = simulator->now() - cut_at + until(*simulator, 90 * kSecond, [&] {
+                          [&simulator, report = copies[i]] { deliver_report_to_all(*simulator, report); });
+        run_until(*simulator, 90 * kSecond,
+                  [&] { return simulator->machines_of("req-000001").count(machine) == 0; });
+        const Micros elapsed = simulator->now() - cut_at + run_until(*simulator, 90 * kSecond, [&] {
                                    return simulator->running("req-000001") == 1;
                                });
         const Micros former_holder_bound =
@@ -163,7 +163,7 @@
 TEST(LeaderFailover, TaskRestartsElsewhereOnlyIfItsMachineIsCutOffForLongerThanALease) {
     for (const bool one_way : {false, true})
         for (const Micros outage_s : {4, 50}) {
-            auto simulator = settled_simulator(47, 4, patient());
+            auto simulator = settled_simulator(47, 4, settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("one_way {} outage_s {}\n", one_way, outage_s) + simulator->story();
             };
@@ -174,7 +174,7 @@
             if (one_way)
                 simulator->deafen(machine, true);
             else
-                cut_from_all(*simulator, machine);
+                cut_from_all_nodes(*simulator, machine);
             simulator->run(kSecond);
             crash_controllers(*simulator, false);
             simulator->run(outage_s * kSecond);
@@ -198,11 +198,11 @@
 /// A holder proves by the passing of time that a task is gone, while there is no other machine to restart it
 /// on. Its successor need not wait for that proof again.
 TEST(LeaderFailover, TaskProvenGoneIsNotWaitedForAgain) {
-    auto simulator = settled_simulator(48, 1, patient());
+    auto simulator = settled_simulator(48, 1, settings_without_idle_return());
     const std::string machine = simulator->machine_names().front();
     simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
     simulator->run(3 * kSecond);
-    cut_from_all(*simulator, machine);
+    cut_from_all_nodes(*simulator, machine);
     simulator->run(40 * kSecond);
     EXPECT_EQ(simulator->running("req-000001"), 0);
     crash_controllers(*simulator, false);
@@ -218,7 +218,7 @@
     auto simulator = settled_simulator(45, 4);
     simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
     simulator->run(10 * kSecond);
-    cut_from_all(*simulator, *simulator->machines_of("req-000001").begin());
+    cut_from_all_nodes(*simulator, *simulator->machines_of("req-000001").begin());
     crash_controllers(*simulator, false);
     simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings) +
                    with_drift(simulator->settings.lease) + 5 * kSecond);
@@ -230,23 +230,23 @@
 /// worker has given up on renews the lease once, whatever copies of it follow.
 TEST(LeaderFailover, ReportCopiesAtOtherControllersRenewALeaseOnce) {
     for (const Micros last_copy_s : {6, 24}) {
-        auto simulator = settled_simulator(46, 4, patient());
+        auto simulator = settled_simulator(46, 4, settings_without_idle_return());
         simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
         simulator->run(30 * kSecond);
         const std::string machine = *simulator->machines_of("req-000001").begin();
         const int holder = simulator->holder();
-        const Json old_report = on_its_way(*simulator, machine);
-        cut_from_all(*simulator, machine);
+        const Json old_report = current_report(*simulator, machine);
+        cut_from_all_nodes(*simulator, machine);
         const Micros cut_at = simulator->now();
         for (int i = 0; i < 3; ++i)
             if (i != holder) simulator->cut(host(holder), host(i));
         for (Micros second = 0; second < last_copy_s; ++second) {
-            for (int i = 0; i < 3; ++i) arrives(*simulator, i, old_report);
+            for (int i = 0; i < 3; ++i) deliver_report(*simulator, i, old_report);
             simulator->run(kSecond);
         }
         for (int i = 0; i < 3; ++i)
             if (i != holder) simulator->heal(host(holder), host(i));
-        until(*simulator, 90 * kSecond, [&] {
+        run_until(*simulator, 90 * kSecond, [&] {
             return simulator->running("req-000001") == 1 &&
                    !simulator->machines_of("req-000001").count(machine);
         });
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -41,10 +41,10 @@
                                             (stage_number ? stage : "unknown") + " at " + host(node));
             reported_stage_ = std::max(reported_stage_, stage_number);
         };
-        simulator_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
+        simulator_.node(node)->handle_request({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
         if (reported_stage_ == 0) return;  // the simulator's user submits the job first
-        simulator_.node(node)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false},
-                                      check_answer);
+        simulator_.node(node)->handle_request(
+            {"POST", "/v1/jobs", wire::encode(wire::job_value(spec_)), false}, check_answer);
     }
     Simulator& simulator_;
     JobSpec spec_;
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 int starts_on(const Simulator& simulator, const std::string& machine) {
-    return told_times(simulator, " starts on " + machine);
+    return count_trace_lines(simulator, " starts on " + machine);
 }
 
 enum class Crash { None, Holder, All };
@@ -24,7 +24,8 @@
 TEST(OneWayPartition, TasksOfAMuteMachineRunOnOrMoveElsewhereSoon) {
     for (const Crash crash : {Crash::None, Crash::Holder, Crash::All})
         for (const Micros seconds_mute : {3, 45}) {
-            auto simulator = settled_simulator(51 + static_cast<std::uint64_t>(seconds_mute), 4, patient());
+            auto simulator = settled_simulator(51 + static_cast<std::uint64_t>(seconds_mute), 4,
+                                               settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("crash {} seconds mute {}\n", static_cast<int>(crash), seconds_mute) +
                        simulator->story(200);
@@ -68,7 +69,7 @@
 /// Guards against a holder that takes a mute machine for usable because it answers every call. Its lease
 /// expires all the same, so tasks bound to it would be lost again and again.
 TEST(OneWayPartition, AnswersToCallsDoNotMakeAMuteMachineUsable) {
-    auto simulator = settled_simulator(52, 3, patient());
+    auto simulator = settled_simulator(52, 3, settings_without_idle_return());
     const std::string machine = simulator->machine_names().front();
     simulator->mute(machine, true);
     simulator->run(7 * kSecond);
@@ -89,7 +90,7 @@
 
 /// The cloud lists a machine that answers calls but has never reported.
 TEST(OneWayPartition, NewMachineThatNeverReportsIsAvoidedAndReturned) {
-    auto simulator = settled_simulator(53, 2, patient());
+    auto simulator = settled_simulator(53, 2, settings_without_idle_return());
     const std::string machine = simulator->add_machine("small", "a");
     simulator->mute(machine, true);
     for (int i = 0; i < 30; ++i) {
@@ -111,7 +112,7 @@
 TEST(OneWayPartition, DeafOrMuteMachineIsReturnedOnceNoTaskCanRunThere) {
     for (const bool deaf : {false, true})
         for (const bool busy : {false, true}) {
-            auto simulator = settled_simulator(54, 3, patient());
+            auto simulator = settled_simulator(54, 3, settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->story();
             };
@@ -141,7 +142,7 @@
 /// A machine whose tasks can't be proven gone, because a controller that may renew its lease does not answer,
 /// is kept however long that takes: its deletion would end work that may run well.
 TEST(OneWayPartition, MachineIsKeptWhileItsTasksMayStillRun) {
-    auto simulator = settled_simulator(55, 2, patient());
+    auto simulator = settled_simulator(55, 2, settings_without_idle_return());
     simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
     simulator->run(30 * kSecond);
     const std::string machine = *simulator->machines_of("req-000001").begin();
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -266,14 +266,14 @@
         order.push_back(*rc::gen::inRange<std::size_t>(0, records.size()));
     for (std::size_t i = 0; i < records.size(); ++i) order.push_back(i);  // each record at least once
     for (const std::size_t i : order)
-        cache.take(spec.ref, records[i].place, records[i].value, records[i].mod_revision, kSecond);
-    const JobView* view = cache.known(spec.ref);
+        cache.apply(spec.ref, records[i].place, records[i].value, records[i].mod_revision, kSecond);
+    const JobView* view = cache.find_view(spec.ref);
     RC_ASSERT(view != nullptr);
     RC_ASSERT(view->mod_revision == mod_revision);
-    RC_ASSERT(view->final() == is_over);
+    RC_ASSERT(view->is_final() == is_over);
     RC_ASSERT((cache.find(spec.ref) == nullptr) == is_over);
     if (!is_over) {
-        RC_ASSERT(cache.find(spec.ref)->place == RecordLocation::Active);
+        RC_ASSERT(cache.find(spec.ref)->record_location == RecordLocation::Active);
         RC_ASSERT(cache.find(spec.ref)->running == changes);
     }
 }
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -42,7 +42,7 @@
 /// controller takes over.
 std::unique_ptr<Simulator> simulator_with_leader(const std::string& zone, bool is_leader_in_zone,
                                                  double cpu_share) {
-    auto simulator = settled_simulator(61, 6, patient(cpu_share));
+    auto simulator = settled_simulator(61, 6, settings_without_idle_return(cpu_share));
     auto leads_in_zone = [&] {
         return simulator->settings.zones[static_cast<std::size_t>(simulator->leader()) % 2] == zone;
     };
@@ -122,7 +122,7 @@
 TEST(ZoneLoss, JobsWithZoneConstraintsWaitOrMoveAndAllRun) {
     for (const ZoneLossCase& loss_case : kCases)
         for (const bool is_cut : {false, true}) {
-            auto simulator = settled_simulator(62, 4, patient());
+            auto simulator = settled_simulator(62, 4, settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("job kind {}, zone constraint {}, machines cut off: {}\n",
                                    static_cast<int>(loss_case.kind), static_cast<int>(loss_case.constraint),
@@ -146,7 +146,7 @@
             const auto lost_machines = machines_in(*simulator, "a");
             for (const auto& machine : lost_machines) {
                 if (is_cut)
-                    cut_from_all(*simulator, machine);
+                    cut_from_all_nodes(*simulator, machine);
                 else
                     simulator->kill_machine(machine);
             }
@@ -171,7 +171,7 @@
 /// is empty. Jobs that are bound to the zone wait for their turn, and all of them run.
 TEST(ZoneLoss, JobBoundToAFullZoneWaitsForItsTurn) {
     for (const JobKind kind : {JobKind::Array, JobKind::Gang}) {
-        auto simulator = settled_simulator(63, 4, patient());
+        auto simulator = settled_simulator(63, 4, settings_without_idle_return());
         for (int i = 0; i < 8; ++i) {
             JobSpec job = simulator->job(10 + i, JobKind::Array, 2, 2);
             job.zone = "a";
