--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -218,7 +218,7 @@
 }
 
 bool Autoscaler::late(const PendingInstance& b, const MachineType& type) const {
-    return runtime_.now() - b.since > kLateBoots * type.boot + settings_.list_lag;
+    return runtime_.now() - b.since > kLateBoots * type.boot + settings_.cloud_list_lag;
 }
 
 void Autoscaler::evaluate_demand() {
@@ -320,7 +320,7 @@
     std::stable_sort(busy.begin(), busy.end(), [](const Machine* a, const Machine* b) {
         return std::tuple(!a->draining, a->reserved.cores) < std::tuple(!b->draining, b->reserved.cores);
     });
-    const bool settled = runtime_.now() - holding_since_ > settings_.ops.idle_return;
+    const bool settled = runtime_.now() - holding_since_ > settings_.operators.idle_return_delay;
     for (const Machine* m : busy) {
         const bool on = settled && surplus >= m->type->size.cores;
         if (on) surplus -= m->type->size.cores;
@@ -335,16 +335,17 @@
     for (const auto& [name, m] : owner.machines()) {
         if (m->retired || m->retiring || m->leaving) continue;
         const Micros silent = owner.silent_for(*m);
-        if (m->tasks.empty() && now - holding_since_ > s.lease &&
-            owner.unreachable_for(*m) > s.lease + kSilent) {
+        if (m->tasks.empty() && now - holding_since_ > s.worker_lease &&
+            owner.unreachable_for(*m) > s.worker_lease + kSilent) {
             owner.retire(name, m->suspect ? "it does not hear us" : "it does not report");
         } else if (m->notice && now > m->notice_end + 2 * kSecond &&
-                   silent > s.report_every * 5 / 4 + kSecond) {
+                   silent > s.report_interval * 5 / 4 + kSecond) {
             owner.retire(name, "it was taken");
         } else if (m->error_jobs.size() >= 3 && m->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
-        } else if (idle_too && m->tasks.empty() && m->type && now - holding_since_ > s.ops.idle_return &&
-                   runtime_.listened() - m->idle_since > s.ops.idle_return) {
+        } else if (idle_too && m->tasks.empty() && m->type &&
+                   now - holding_since_ > s.operators.idle_return_delay &&
+                   runtime_.listened() - m->idle_since > s.operators.idle_return_delay) {
             const Milli cores = m->type->size.cores;
             Milli& left = m->spot ? surplus.total : surplus.ordinary;
             if (left < cores) continue;
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -61,7 +61,7 @@
 
     void evaluate_demand();
     /// How long it takes at most until the list tells of what has been rented.
-    Micros listed_by() const { return 3 * settings_.list_lag + 2 * kSecond; }
+    Micros listed_by() const { return 3 * settings_.cloud_list_lag + 2 * kSecond; }
     /// Whether it has taken so long that it may never come up: it is not counted as coming any more, so that
     /// work does not wait for it. Should it come, one too many is returned as usual.
     bool late(const PendingInstance& b, const MachineType& type) const;
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -155,7 +155,7 @@
 
 /// How many machines a record has room for.
 std::size_t MachineAllocator::block_size() const {
-    return std::max<std::size_t>(settings_.value_bytes * 17 / 20 / kMachineBytes, 1);
+    return std::max<std::size_t>(settings_.max_value_bytes * 17 / 20 / kMachineBytes, 1);
 }
 
 /// Into several records, in one change; each machine keeps its token, so nothing is disturbed. What does not
@@ -163,7 +163,7 @@
 void MachineAllocator::split(const Block& block, const ShardOwner& o) {
     Block rest = block;
     std::vector<Block> parts;
-    while (rest.machines.size() > block_size() && parts.size() + 1 < settings_.txn_ops) {
+    while (rest.machines.size() > block_size() && parts.size() + 1 < settings_.max_txn_ops) {
         Block part = block;
         part.id = next_id(o.mod_revision());
         const auto from = rest.machines.end() - static_cast<std::ptrdiff_t>(block_size());
@@ -238,8 +238,9 @@
 bool MachineAllocator::spread_out() const {
     const std::size_t machines =
         std::max(cache_.blocks.machines() + unallocated_.size(), autoscaler_.known());
-    const double reports = static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
-    return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_share;
+    const double reports =
+        static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_interval);
+    return peers_.count() > 0 && reports > kReportsPerCore * settings_.cpu_cores;
 }
 
 std::vector<std::string> MachineAllocator::targets() const {
@@ -404,7 +405,7 @@
         const bool first = next.type.empty();
         const bool fits = b && b->shard == from.shard() && !edits_.count(b->id) &&
                           (first || (b->type == next.type && b->zone == next.zone && b->spot == next.spot)) &&
-                          (sources.count(b->id) || sources.size() + 2 <= settings_.txn_ops) &&
+                          (sources.count(b->id) || sources.size() + 2 <= settings_.max_txn_ops) &&
                           moved.size() < block_size();
         if (!fits) {
             kept.push_back(name);
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -25,7 +25,7 @@
     const auto& stored = cache_.shares.all();
     if (stored.empty()) {
         auto targets = machine_allocator_.targets();
-        if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
+        if (targets.size() > settings_.max_txn_ops) targets.resize(settings_.max_txn_ops);
         if (targets.empty()) return;
         const auto n = static_cast<Milli>(targets.size());
         for (const auto& shard : targets) {
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -145,7 +145,8 @@
     // Where the lease leaves no time to find that out, the report is passed on first; the holder tells
     // whether it reaches the worker itself.
     const bool back = proxied.sent_on > 0 && now - proxied.sent_on < kBack;
-    const bool no_time = settings_.lease < settings_.report_every * 5 / 4 + 2 * kWorkerTry + kSecond;
+    const bool no_time =
+        settings_.worker_lease < settings_.report_interval * 5 / 4 + 2 * kWorkerTry + kSecond;
     if (!back && (!no_time || std::exchange(proxied.direct, false))) {
         proxied.sent_on = now;
         return respond({421, wire::redirect(d->holder)});
@@ -215,7 +216,7 @@
     evidence.store_read_valid = lease_is_valid();
     evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
     // Promises that a former process of this node made are forgotten, so a new one waits until they are over.
-    evidence.former_promises_over = now - started_ > kForgotten * with_drift(settings_.lease);
+    evidence.former_promises_over = now - started_ > kForgotten * with_drift(settings_.worker_lease);
     evidence.relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
     evidence.machine_listed = machine && !machine->retired;
     evidence.jobs_known = history_.knows_jobs_of(r);
@@ -229,7 +230,7 @@
     peer::Relinquished answer;
     for (const auto& name : ask.machines) {
         ProxiedWorker& proxied = proxied_workers_[name];
-        proxied.refused_until = now + 3 * with_drift(settings_.lease);
+        proxied.refused_until = now + 3 * with_drift(settings_.worker_lease);
         answer.ages.push_back(now - std::max(proxied.renewed, started_));
     }
     return answer;
@@ -273,7 +274,7 @@
                 return;
             // Given for longer, but a process that follows the giver's knows nothing of it, and
             // waits for this long.
-            const Micros promised = kForgotten * with_drift(settings_.lease);
+            const Micros promised = kForgotten * with_drift(settings_.worker_lease);
             for (std::size_t m = 0; m < machines.size(); ++m)
                 o->on_relinquished(peer, machines[m],
                                    {sent + promised - promised / 100,
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -44,7 +44,7 @@
 }
 
 JobService::ReconcileAction JobService::judge(const JobSpec& s) const {
-    if (stored_size(s) > settings_.value_bytes_now * 3 / 4) return ReconcileAction::TooLong;
+    if (stored_size(s) > settings_.current_max_value_bytes * 3 / 4) return ReconcileAction::TooLong;
     const Team* team = nullptr;
     for (const auto& t : settings_.teams)
         if (t.name == s.team) team = &t;
@@ -174,7 +174,7 @@
                 {"k", spec.tasks},
                 {"d", wire::job_value(spec)},
                 {"at", runtime_.wall_ms()},
-                {"ps", part_tasks_for(settings_.value_bytes, size + kRecordBytes)}};
+                {"ps", part_tasks_for(settings_.max_value_bytes, size + kRecordBytes)}};
     // Cancelled with one before it already: accepted, and over.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
@@ -277,7 +277,7 @@
 /// behind, or more at a time than a look at the store should have to answer, are told to come back, spread
 /// out.
 bool JobService::too_busy_for_polls(Micros late) {
-    const auto most = std::clamp<std::size_t>(static_cast<std::size_t>(kPollsPerCore * settings_.cpu_share),
+    const auto most = std::clamp<std::size_t>(static_cast<std::size_t>(kPollsPerCore * settings_.cpu_cores),
                                               kFewPolls, kManyPolls);
     if (late < kTooLate && feed_.waiting() < most) return false;
     ++polls_shed_;
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -4,7 +4,7 @@
 
 void MembershipLease::join() {
     announced_ = false;
-    store_.grant(settings_.ops.live_ttl, [this](std::uint64_t lease) {
+    store_.grant(settings_.operators.liveness_ttl, [this](std::uint64_t lease) {
         if (lease == 0) {
             runtime_.after(400 * kMillisecond, [this] { join(); });
             return;
@@ -40,7 +40,7 @@
 }
 
 void MembershipLease::renew() {
-    runtime_.after(settings_.ops.live_ttl / 3, [this] {
+    runtime_.after(settings_.operators.liveness_ttl / 3, [this] {
         store_.extend(lease_, [this](int status) {
             if (status == 404) return join();
             renew();
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -69,7 +69,7 @@
 
 void PeerDirectory::call(std::size_t peer, std::string bytes, Micros timeout,
                          std::function<void(const Reply&)> done) {
-    const Endpoint& at = settings_.peers[peer].addr;
+    const Endpoint& at = settings_.peers[peer].endpoint;
     Call call;
     call.target = Target::Peer;
     call.addr = at.host + ":" + std::to_string(at.port);
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -52,7 +52,8 @@
     const Micros now = runtime_.now();
     if (now < not_before_ || !store_.room(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
-    if (chunks::stored_size(value) > settings_.value_bytes && !cache_.formats.common(format::kPipelines)) {
+    if (chunks::stored_size(value) > settings_.max_value_bytes &&
+        !cache_.formats.common(format::kPipelines)) {
         spdlog::info("policy: larger than a value, which not all controllers read yet: it waits");
         return later();
     }
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -19,7 +19,7 @@
           settings_(settings),
           feed_(feed),
           cache_(cache),
-          file_(settings.ops.policy) {}
+          file_(settings.operators.policy) {}
 
     /// The file as it is now; settings give the one at the start.
     void set_file(policy::Policy file);
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -47,7 +47,7 @@
     s.self = self;
     s.now = now;
     // As long as any other end takes to be noticed.
-    s.come_back = context_.settings().ops.live_ttl;
+    s.come_back = context_.settings().operators.liveness_ttl;
     for (const auto& node : cache_.membership.alive()) s.alive[node] = cache_.machines_at(node);
     s.alive.try_emplace(self, 0);
     std::vector<std::string> ours;
@@ -188,7 +188,7 @@
             receivers.push_back({node, now - cache_.membership.alive_since(node)});
     auto moves = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
     if (moves.empty()) return;
-    if (moves.size() > context_.settings().txn_ops) moves.resize(context_.settings().txn_ops);
+    if (moves.size() > context_.settings().max_txn_ops) moves.resize(context_.settings().max_txn_ops);
     handed_over_at_ = now;
     Change change;
     change.priority = Priority::Urgent;
--- a/src/config/lease_validity.hpp
+++ b/src/config/lease_validity.hpp
@@ -17,7 +17,7 @@
 /// What is left of `cancel` beyond a lease by the worker's clock and the time that an answer takes to get
 /// there.
 inline Micros beyond_lease(const Settings& s) {
-    return s.cancel - s.lease - s.lease / 500 - 3 * kSecond;
+    return s.cancel_deadline - s.worker_lease - s.worker_lease / 500 - 3 * kSecond;
 }
 
 /// How long a holder may answer after its last confirmation without a cancellation being missed too long: a
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -66,7 +66,7 @@
 }
 
 void load_operators(const std::string& path, Settings& s) {
-    OperatorSettings& out = s.ops;
+    OperatorSettings& out = s.operators;
     const toml::table file = parse_file(path);
     Table t(file, "");
     out.log_level = t.text("log_level", "");
@@ -84,11 +84,12 @@
         p.ram_threshold = x.number("ram_threshold", p.ram_threshold, 0, 1);
     });
     auto seconds = [](Micros m) { return static_cast<double>(m) / 1e6; };
-    t.table("leadership",
-            [&](Table& x) { out.live_ttl = x.seconds("live_ttl_s", seconds(out.live_ttl), 0.5, 60); });
-    t.table("history", [&](Table& x) { out.history_apart = x.number("apart", 0, 0, 1) > 0; });
+    t.table("leadership", [&](Table& x) {
+        out.liveness_ttl = x.seconds("live_ttl_s", seconds(out.liveness_ttl), 0.5, 60);
+    });
+    t.table("history", [&](Table& x) { out.separate_history = x.number("apart", 0, 0, 1) > 0; });
     t.table("fleet", [&](Table& x) {
-        out.idle_return = x.seconds("idle_return_s", seconds(out.idle_return), 1, 86400);
+        out.idle_return_delay = x.seconds("idle_return_s", seconds(out.idle_return_delay), 1, 86400);
     });
     if (const std::string named = t.text("policy", ""); !named.empty()) {
         out.policy_file = (std::filesystem::path(path).parent_path() / named).string();
@@ -149,33 +150,33 @@
         o.within = static_cast<Micros>(row.at_path("within_s").value_or(0.0) * 1e6);
         s.objectives.push_back(o);
     });
-    s.report_every = duration(t, "deployment.workers.report_s");
-    s.lease = duration(t, "deployment.workers.lease_s");
-    s.gang_wait = duration(t, "deployment.workers.gang_wait_s");
-    s.gang_peer = duration(t, "deployment.workers.gang_peer_s");
-    s.cancel = duration(t, "deployment.workers.cancel_s");
+    s.report_interval = duration(t, "deployment.workers.report_s");
+    s.worker_lease = duration(t, "deployment.workers.lease_s");
+    s.gang_wait_timeout = duration(t, "deployment.workers.gang_wait_s");
+    s.gang_peer_timeout = duration(t, "deployment.workers.gang_peer_s");
+    s.cancel_deadline = duration(t, "deployment.workers.cancel_s");
     s.state_rps = number(t, "deployment.state.rps", 0.1, 1e6);
     s.state_write_rps = number(t, "deployment.state.write_rps", 0.1, 1e6);
     auto bytes = [&](const char* key) { return static_cast<std::size_t>(number(t, key, 1, 64) * 1024); };
     auto ops = [&](const char* key) { return static_cast<std::size_t>(number(t, key, 1, 1000)); };
-    s.value_bytes = s.value_bytes_now = bytes("deployment.state.value_kb");
-    s.txn_ops = ops("deployment.state.txn_ops");
+    s.max_value_bytes = s.current_max_value_bytes = bytes("deployment.state.value_kb");
+    s.max_txn_ops = ops("deployment.state.txn_ops");
     s.next_write_rps = s.state_write_rps;
     if (const auto next = t.at_path("deployment.state.next")) {
         if (!next.is_table()) fail("deployment.state.next", "must be a table");
         auto set = [&](const char* key) { return static_cast<bool>(t.at_path(key)); };
         if (set("deployment.state.next.value_kb"))
-            s.value_bytes = std::min(s.value_bytes, bytes("deployment.state.next.value_kb"));
+            s.max_value_bytes = std::min(s.max_value_bytes, bytes("deployment.state.next.value_kb"));
         if (set("deployment.state.next.txn_ops"))
-            s.txn_ops = std::min(s.txn_ops, ops("deployment.state.next.txn_ops"));
+            s.max_txn_ops = std::min(s.max_txn_ops, ops("deployment.state.next.txn_ops"));
         if (set("deployment.state.next.write_rps"))
             s.next_write_rps = number(t, "deployment.state.next.write_rps", 0.1, 1e6);
     }
     s.cloud_rps = number(t, "deployment.cloud.rps", 0.1, 1e6);
-    s.list_lag = duration(t, "deployment.cloud.list_lag_s");
+    s.cloud_list_lag = duration(t, "deployment.cloud.list_lag_s");
     s.sockets = static_cast<std::size_t>(number(t, "deployment.limits.sockets", 64, 1e6));
     if (t.at_path("deployment.limits.cpu_share"))
-        s.cpu_share = number(t, "deployment.limits.cpu_share", 0.001, 1024);
+        s.cpu_cores = number(t, "deployment.limits.cpu_share", 0.001, 1024);
     if (!operators_path.empty()) load_operators(operators_path, s);
     return s;
 }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -35,7 +35,7 @@
 struct Peer {
     std::string name;
     std::string zone;
-    Endpoint addr;
+    Endpoint endpoint;
 };
 
 /// Weights and thresholds of placement; the defaults are those of docs/design.md.
@@ -53,10 +53,10 @@
 
 struct OperatorSettings {
     PlacementSettings placement;
-    Micros live_ttl = 2'500 * kMillisecond;
-    Micros idle_return = 30 * kSecond;
+    Micros liveness_ttl = 2'500 * kMillisecond;
+    Micros idle_return_delay = 30 * kSecond;
     /// Whether this node announces format 3, after which live jobs move out of history (docs/history.md).
-    bool history_apart = false;
+    bool separate_history = false;
     std::string log_level;
     /// The file that `policy` names, and what it says; nothing if it names none.
     std::string policy_file;
@@ -74,23 +74,23 @@
     std::vector<std::string> zones;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
-    Micros report_every = 3 * kSecond;
-    Micros lease = 30 * kSecond;
-    Micros gang_wait = 60 * kSecond;
-    Micros gang_peer = 5 * kSecond;
-    Micros cancel = 60 * kSecond;
+    Micros report_interval = 3 * kSecond;
+    Micros worker_lease = 30 * kSecond;
+    Micros gang_wait_timeout = 60 * kSecond;
+    Micros gang_peer_timeout = 5 * kSecond;
+    Micros cancel_deadline = 60 * kSecond;
     double state_rps = 100;
     double state_write_rps = 20;
-    double next_write_rps = 20;      // that the service may change to, without notice
-    std::size_t value_bytes = 4096;  // the smaller of now and next, like `txn_ops`: kept from the start
-    std::size_t value_bytes_now = 4096;
-    std::size_t txn_ops = 8;
+    double next_write_rps = 20;          // that the service may change to, without notice
+    std::size_t max_value_bytes = 4096;  // the smaller of now and next, like `txn_ops`: kept from the start
+    std::size_t current_max_value_bytes = 4096;
+    std::size_t max_txn_ops = 8;
     double cloud_rps = 4;
-    Micros list_lag = 6 * kSecond;
+    Micros cloud_list_lag = 6 * kSecond;
     std::size_t sockets = 1000;
-    double cpu_share = 1;          // of a core
+    double cpu_cores = 1;          // of a core
     bool announces_format = true;  // false: like the version before (tests)
-    OperatorSettings ops;
+    OperatorSettings operators;
 
     /// The zone of a controller, "" if it is not known.
     std::string zone_of(const std::string& other) const {
@@ -100,7 +100,7 @@
         return "";
     }
     /// The times that the objectives of a kind set for a class, the shortest first.
-    std::vector<Micros> goals(const std::string& kind, const std::string& job_class) const {
+    std::vector<Micros> objective_times(const std::string& kind, const std::string& job_class) const {
         std::vector<Micros> times;
         for (const auto& o : objectives)
             if (o.kind == kind && o.job_class == job_class) times.push_back(o.within);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -58,7 +58,7 @@
         spdlog::error(
             "cancel_s leaves too little beyond lease_s: where a controller can't hear of a cancellation, "
             "tasks may run for up to {} s after it",
-            (settings_.cancel - beyond_lease(settings_) + kLeastAuthority) / kSecond);
+            (settings_.cancel_deadline - beyond_lease(settings_) + kLeastAuthority) / kSecond);
     fetch_types();
     feed_.start();
     membership_lease_.join();
@@ -203,7 +203,7 @@
 
 /// Once, for all processes of this node that are still to come.
 void Controller::announce_format() {
-    const std::uint64_t reads = settings_.ops.history_apart ? format::kHistory : format::kPipelines;
+    const std::uint64_t reads = settings_.operators.separate_history ? format::kHistory : format::kPipelines;
     if (!settings_.announces_format || !feed_.loaded() || announcing_ ||
         cache_.formats.read_by(settings_.node) >= reads)
         return;
@@ -231,7 +231,7 @@
     std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
     std::size_t n = 0;
     for (const auto& left : store_.chunk_store().left_over(now))
-        if (++n <= settings_.txn_ops) by_record[left.of].push_back(left);
+        if (++n <= settings_.max_txn_ops) by_record[left.of].push_back(left);
     for (const auto& [key, list] : by_record)
         store_.read(key, [this, list = list](const ReadResult& r) {
             if (!r.ok) return;
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -245,7 +245,7 @@
     bool too_large = false;
     for (auto& w : change.then) {
         w.bytes = w.value.is_null() ? 0 : chunks::stored_size(w.value);
-        too_large = too_large || (w.value.is_object() && w.bytes > settings_.value_bytes);
+        too_large = too_large || (w.value.is_object() && w.bytes > settings_.max_value_bytes);
     }
     if (too_large && in_pieces_) return commit_in_pieces(std::move(change), std::move(done));
     enqueue(std::move(change), std::move(done));
@@ -264,16 +264,16 @@
     auto pending = std::make_shared<Parts>();
     std::vector<Write> parts;
     for (auto& w : change.then) {
-        if (!w.value.is_object() || w.bytes <= settings_.value_bytes) continue;
+        if (!w.value.is_object() || w.bytes <= settings_.max_value_bytes) continue;
         char name[24];
         std::snprintf(name, sizeof name, "%016llx", static_cast<unsigned long long>(runtime_.random()()));
-        auto split = chunks::split(w.value, name, settings_.value_bytes);
+        auto split = chunks::split(w.value, name, settings_.max_value_bytes);
         for (std::size_t i = 0; i < split.texts.size(); ++i)
             parts.push_back({chunks::key(name, i), chunks::chunk(w.key, split.texts[i])});
         w.value = std::move(split.head);
         w.bytes = chunks::stored_size(w.value);
     }
-    if (change.when.size() + parts.size() > settings_.txn_ops * 4) {
+    if (change.when.size() + parts.size() > settings_.max_txn_ops * 4) {
         spdlog::error("{} is too large to be stored: {} pieces", change.then.front().key, parts.size());
         return runtime_.after(0, [done = std::move(done)] { done({CommitStatus::Rejected, 0, {}}); });
     }
@@ -360,10 +360,10 @@
                 clash = clash || keys.count(c.key) > 0 ||
                         (it != conditions.end() && it->second != c.mod_revision);
             }
-            if (!batch.empty() &&
-                (clash || p.alone || batch.back().alone || ops + p.change.then.size() > settings_.txn_ops ||
-                 conditions.size() + p.change.when.size() > settings_.txn_ops * 4 ||
-                 bytes + size > kMaxBatchBytes))
+            if (!batch.empty() && (clash || p.alone || batch.back().alone ||
+                                   ops + p.change.then.size() > settings_.max_txn_ops ||
+                                   conditions.size() + p.change.when.size() > settings_.max_txn_ops * 4 ||
+                                   bytes + size > kMaxBatchBytes))
                 break;
             // As many as the budget has room for; the rest when there is more.
             if (writes && !take_writes(now, p.change.then.size(), p.change.priority)) break;
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -23,13 +23,13 @@
   public:
     PolicyFile(AsioHost& host, Controller& controller, const Settings& settings)
         : runtime_(host), controller_(controller), settings_(settings), seen_(changed_at()) {
-        if (!settings.ops.policy_file.empty()) wait();
+        if (!settings.operators.policy_file.empty()) wait();
     }
 
   private:
     std::filesystem::file_time_type changed_at() const {
         std::error_code none;
-        return std::filesystem::last_write_time(settings_.ops.policy_file, none);
+        return std::filesystem::last_write_time(settings_.operators.policy_file, none);
     }
     void wait() {
         runtime_.after(kPolicyEvery, [this] {
@@ -40,9 +40,10 @@
     void look() {
         if (const auto at = changed_at(); at == std::exchange(seen_, at)) return;
         try {
-            controller_.set_policy_file(policy::load(settings_.ops.policy_file, &settings_));
+            controller_.set_policy_file(policy::load(settings_.operators.policy_file, &settings_));
         } catch (const std::exception& e) {
-            spdlog::error("policy: {}: {}; the one read before is kept", settings_.ops.policy_file, e.what());
+            spdlog::error("policy: {}: {}; the one read before is kept", settings_.operators.policy_file,
+                          e.what());
         }
     }
 
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -141,7 +141,7 @@
     const Micros now = context_.runtime().now();
     if (m.reported == 0 || r.session != m.session) return false;
     return now - m.reported < kWorkerPatience ||
-           now - m.session_since > with_drift(context_.settings().lease);
+           now - m.session_since > with_drift(context_.settings().worker_lease);
 }
 
 /// Applies a worker's message; `is_report` tells a report from the answer to a /do.
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -115,7 +115,7 @@
     evidence.may_run = slot.launch_sent || slot.seen;  // else given up in tick()
     evidence.saving_with_grace = slot.phase == Phase::Saving && slot.grace > 0;
     evidence.renews_lease = !direct;
-    evidence.sent_lately = slot.stop_sent != 0 && now - slot.stop_sent < context_.settings().report_every;
+    evidence.sent_lately = slot.stop_sent != 0 && now - slot.stop_sent < context_.settings().report_interval;
     if (!permission::stop_is_due(evidence)) return;
     startup_.ordered(OrderKind::Stop, slot.stop_sent != 0);
     slot.stop_sent = now;
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -130,8 +130,8 @@
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
     auto job = new_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
     auto needs = std::exchange(job->spec.needs, {});  // gone by the time when its parts fill
-    divide(*job,
-           part_tasks_for(context_.settings().value_bytes, chunks::stored_size(part_value(*job, 0, false))));
+    divide(*job, part_tasks_for(context_.settings().max_value_bytes,
+                                chunks::stored_size(part_value(*job, 0, false))));
     job->spec.needs = std::move(needs);
     if (context_.all_read(format::kHistory)) job->place = RecordLocation::Active;
     job->admitting = std::move(done);
@@ -434,7 +434,7 @@
     const double level = context_.store().level();
     if (!binds) return level < 0.5 ? 2 * kDefer : kDefer;
     if (job.rank == PriorityClass::Production ||
-        !context_.settings().goals("wait", job.spec.job_class).empty())
+        !context_.settings().objective_times("wait", job.spec.job_class).empty())
         return 0;
     return level < 0.3 ? kGatherLong : level < 0.6 ? kGatherShort : 0;
 }
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -101,7 +101,7 @@
 
 /// Whether the start is over: all machines that matter have been heard by this holder, or have had the time.
 bool Rebalancer::heard_all() const {
-    if (context_.runtime().now() - since_ > context_.settings().lease) return true;
+    if (context_.runtime().now() - since_ > context_.settings().worker_lease) return true;
     auto heard = [this](const Machine& m) { return m.seq > 0 && m.token_seen >= shard_revision_; };
     return std::all_of(shard_state_.machines.begin(), shard_state_.machines.end(), [&](const auto& entry) {
         const Machine& m = *entry.second;
@@ -132,7 +132,7 @@
 /// A zone stands while machines of it are heard, and none of them that has tasks is in doubt.
 void Rebalancer::look_at_zones() {
     const Micros now = context_.runtime().now();
-    const Micros silent = context_.settings().report_every * 5 / 2 + kSecond;
+    const Micros silent = context_.settings().report_interval * 5 / 2 + kSecond;
     std::map<std::string, std::pair<bool, bool>> zones;  // heard, in doubt
     for (const auto& [name, m] : shard_state_.machines) {
         auto& [heard, doubt] = zones[m->zone];
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -45,7 +45,7 @@
       shard_(std::move(shard)),
       shard_state_(shard_state),
       of_(of),
-      idle_starts_(kIdleStarts * context.settings().cpu_share, kIdleStarts * context.settings().cpu_share) {}
+      idle_starts_(kIdleStarts * context.settings().cpu_cores, kIdleStarts * context.settings().cpu_cores) {}
 
 void Scheduler::bind(Job& job, int task, Machine& m, std::int64_t attempt) {
     shard_state_.bind(job, task, m, attempt);
@@ -153,8 +153,8 @@
 const Scheduler::Goals& Scheduler::goals(const Job& job) const {
     auto [it, added] = goals_.try_emplace(job.spec.job_class);
     if (added)
-        it->second = {context_.settings().goals("wait", job.spec.job_class),
-                      context_.settings().goals("finished", job.spec.job_class)};
+        it->second = {context_.settings().objective_times("wait", job.spec.job_class),
+                      context_.settings().objective_times("finished", job.spec.job_class)};
     return it->second;
 }
 
@@ -317,7 +317,7 @@
 
 std::ptrdiff_t Scheduler::place_for(const Job& job, const std::vector<Part>& parts) {
     for (const auto& part : parts) {
-        const auto chosen = place(part.candidates, job.spec.request, context_.settings().ops.placement,
+        const auto chosen = place(part.candidates, job.spec.request, context_.settings().operators.placement,
                                   context_.runtime().random());
         if (chosen >= 0) return chosen;
     }
@@ -634,7 +634,7 @@
         }
         // In the first moments of a holder, what is moving waits until its destination has been heard.
         const Machine* better = of_.destination(job, static_cast<int>(i));
-        if (better && better->seq == 0 && now - better->known_since < 2 * context_.settings().report_every)
+        if (better && better->seq == 0 && now - better->known_since < 2 * context_.settings().report_interval)
             continue;
         // A part must not outgrow its value, unless that may be stored in pieces; the next ones have room.
         if (!pieces && job.part_of(static_cast<int>(i)).is_full(job.part_tasks)) {
@@ -741,8 +741,8 @@
                     leaves_reserve(job, at, per_zone[at]))
                     open.push_back(c);
             }
-            const auto pick =
-                place(open, job.spec.request, context_.settings().ops.placement, context_.runtime().random());
+            const auto pick = place(open, job.spec.request, context_.settings().operators.placement,
+                                    context_.runtime().random());
             if (pick < 0) break;
             auto& c = trial[static_cast<std::size_t>(pick)];
             book(c, job);
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -89,7 +89,7 @@
 }
 
 Micros ShardOwner::patience() const {
-    return context_.settings().report_every * 5 / 2 + kSecond;
+    return context_.settings().report_interval * 5 / 2 + kSecond;
 }
 
 void ShardOwner::drain(const std::string& machine, bool on) {
@@ -126,7 +126,7 @@
 /// The same, where the shard's holders can have granted none since `last`.
 bool ShardOwner::over_since(const Machine& m, Micros last) const {
     const Micros now = context_.runtime().now();
-    if (now <= last + with_drift(context_.settings().lease)) return false;
+    if (now <= last + with_drift(context_.settings().worker_lease)) return false;
     for (std::size_t peer = 0; peer < m.relinquishments.size(); ++peer) {
         if (m.relinquishments[peer].until > now)
             last = std::max(last, m.relinquishments[peer].renewed);
@@ -135,17 +135,18 @@
         else
             return false;
     }
-    return now > last + with_drift(context_.settings().lease);
+    return now > last + with_drift(context_.settings().worker_lease);
 }
 
 std::vector<std::string> ShardOwner::machines_to_relinquish(std::size_t peer) const {
     std::vector<std::string> names;
     const Micros now = context_.runtime().now();
-    const Micros half = context_.settings().lease / 2;
+    const Micros half = context_.settings().worker_lease / 2;
     for (const auto& [name, m] : shard_state_.machines) {
         const bool unheard =
             silent_for(*m) > half || (m->token_seen < mod_revision_ && now - taken_at_ > half);
-        if (unheard && !m->is_idle() && m->relinquishments[peer].until < now + context_.settings().lease)
+        if (unheard && !m->is_idle() &&
+            m->relinquishments[peer].until < now + context_.settings().worker_lease)
             names.push_back(name);
     }
     return names;
@@ -181,7 +182,7 @@
         if (!m.orphaned_tasks.empty()) request_dispatch(m);
         // Where the worker is not heard its session ends by itself, unless another controller keeps it alive
         // on our behalf: then a launch of a job that has been cancelled since could arrive at any time.
-        const bool heard = silent_for(m) < 2 * context_.settings().report_every;
+        const bool heard = silent_for(m) < 2 * context_.settings().report_interval;
         const bool raises = std::any_of(
             m.unacknowledged_launches.begin(), m.unacknowledged_launches.end(), [&](const auto& t) {
                 return now - t.second.since > kUnanswered && t.second.token >= token(m) &&
@@ -209,9 +210,9 @@
         if (m.notice && now <= m.notice_end) drain_noticed(m);
     }
     flush_due_ = true;
-    for (const auto& job : cancellations_.overdue(now, context_.settings().cancel / 2))
+    for (const auto& job : cancellations_.overdue(now, context_.settings().cancel_deadline / 2))
         spdlog::warn("event=cancellation_unfinished job={} domain={} token={} for_ms={}", job, shard_,
-                     mod_revision_, context_.settings().cancel / 2 / kMillisecond);
+                     mod_revision_, context_.settings().cancel_deadline / 2 / kMillisecond);
     if (const std::string line = startup_.line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -18,21 +18,22 @@
 void load_settings(Table& t, Scenario& e) {
     Settings& s = e.settings;
     s.zones = t.texts("zones", {"a", "b"});
-    s.cpu_share = t.number("cpu_share", 1, 0.001, 1000);
-    s.ops.history_apart = t.number("history_apart", 1, 0, 1) > 0;
+    s.cpu_cores = t.number("cpu_share", 1, 0.001, 1000);
+    s.operators.separate_history = t.number("history_apart", 1, 0, 1) > 0;
     t.table("state", [&](Table& x) {
         s.state_rps = x.number("rps", 500, 1, 1e6);
         s.state_write_rps = s.next_write_rps = x.number("write_rps", 200, 1, 1e6);
-        s.value_bytes = s.value_bytes_now = static_cast<std::size_t>(x.number("value_kb", 16, 1, 64) * 1024);
-        s.txn_ops = static_cast<std::size_t>(x.count("txn_ops", 16, 1000));
+        s.max_value_bytes = s.current_max_value_bytes =
+            static_cast<std::size_t>(x.number("value_kb", 16, 1, 64) * 1024);
+        s.max_txn_ops = static_cast<std::size_t>(x.count("txn_ops", 16, 1000));
         e.writes_bounded = x.flag("bounded");
     });
     t.table("workers", [&](Table& x) {
-        s.report_every = x.seconds("report_s", 5);
-        s.lease = x.seconds("lease_s", 26.5);
-        s.gang_wait = x.seconds("gang_wait_s", 45);
-        s.gang_peer = x.seconds("gang_peer_s", 6);
-        s.cancel = x.seconds("cancel_s", 56.5);
+        s.report_interval = x.seconds("report_s", 5);
+        s.worker_lease = x.seconds("lease_s", 26.5);
+        s.gang_wait_timeout = x.seconds("gang_wait_s", 45);
+        s.gang_peer_timeout = x.seconds("gang_peer_s", 6);
+        s.cancel_deadline = x.seconds("cancel_s", 56.5);
     });
     s.teams.clear();
     t.rows("team", [&](Table& x) {
@@ -128,7 +129,7 @@
         f.late = f.at_once ? 0 : Simulator::kLatestWrite;
     } else if (f.kind == "late_reports") {
         f.for_next = x.flag("for_next");
-        f.late = f.for_next ? 0 : Simulator::latest_report(e.settings.lease);
+        f.late = f.for_next ? 0 : Simulator::latest_report(e.settings.worker_lease);
     } else if (f.kind == "late_commands") {
         f.late = Simulator::kLatestCommand;
     } else if (f.kind == "slow_state") {
@@ -223,7 +224,7 @@
     if (e.acceptance && !e.faults.empty() && e.duration < e.faults_end() + kAnsweredWithin + 5 * kSecond)
         fail("duration_s", "must leave 80 s after the last fault, or set acceptance = false");
     if (!policy_file.empty())
-        e.settings.ops.policy =
+        e.settings.operators.policy =
             policy::load((std::filesystem::path(path).parent_path() / policy_file).string(), &e.settings);
     return e;
 }
@@ -628,7 +629,7 @@
         into.acceptance.add(judge(w.fates(), w.settings.teams, w.now()), fmt::format("seed {}: ", seed));
     for (const auto& [name, t] : w.waits()) {
         into.waits[name].add(t);
-        const auto goals = e.settings.goals("wait", name);
+        const auto goals = e.settings.objective_times("wait", name);
         if (goals.empty()) continue;
         ++into.in_aim[name].due;
         into.in_aim[name].served += t <= goals.front();
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -28,12 +28,12 @@
     s.teams = {{"red", {8'000, 0, 0}, {24'000, 0, 0}},
                {"blue", {8'000, 0, 0}, {16'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    s.ops.history_apart = true;
-    s.report_every = 2 * kSecond;
-    s.lease = 12 * kSecond;
-    s.gang_wait = 20 * kSecond;
-    s.gang_peer = 4 * kSecond;
-    s.cancel = 30 * kSecond;
+    s.operators.separate_history = true;
+    s.report_interval = 2 * kSecond;
+    s.worker_lease = 12 * kSecond;
+    s.gang_wait_timeout = 20 * kSecond;
+    s.gang_peer_timeout = 4 * kSecond;
+    s.cancel_deadline = 30 * kSecond;
     s.state_rps = 500;
     s.state_write_rps = 200;
     s.cloud_rps = 5;
@@ -445,7 +445,7 @@
 void Simulator::start_nodes(int count, std::set<int> old) {
     nodes_.resize(static_cast<std::size_t>(count));
     for (int i : old) nodes_[static_cast<std::size_t>(i)].old = true;
-    state_.limits = {settings.value_bytes_now, std::max<std::size_t>(settings.txn_ops, 8), 0};
+    state_.limits = {settings.current_max_value_bytes, std::max<std::size_t>(settings.max_txn_ops, 8), 0};
     for (int i = 0; i < count; ++i) start_node(i);
 }
 
@@ -544,8 +544,9 @@
         by_addr_[m.info.addr] = name;
         zone_of_[name] = m.info.zone;
         auto& r = workers_[name];
-        r.worker = std::make_unique<Worker>(name, m.info.addr, *cloud_.type(m.info.type), m.info.zone,
-                                            m.info.spot, settings.lease, settings.gang_wait, *this, now_);
+        r.worker =
+            std::make_unique<Worker>(name, m.info.addr, *cloud_.type(m.info.type), m.info.zone, m.info.spot,
+                                     settings.worker_lease, settings.gang_wait_timeout, *this, now_);
         r.node = static_cast<int>(random() % std::max<std::size_t>(nodes_.size(), 1));
         r.next = now_ + delay();
     }
@@ -612,7 +613,7 @@
         breach("invariant", "a lease was about to be renewed without a stop that was due");
     }
     for (auto& [ref, u] : users_) {
-        if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel) continue;
+        if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel_deadline) continue;
         if (running(ref) > 0) breach("ran_cancelled", ref + " is still on a machine");
     }
 }
@@ -625,8 +626,8 @@
     const auto generation = ++r.generation;
     r.in_flight = true;
     r.last = now_;
-    r.next = now_ + settings.report_every * 3 / 4 +
-             static_cast<Micros>(random() % 1000) * settings.report_every / 2000;
+    r.next = now_ + settings.report_interval * 3 / 4 +
+             static_cast<Micros>(random() % 1000) * settings.report_interval / 2000;
     const std::string body = wire::encode(w.report(now_));
     const int target = r.node;
     const std::string host = "loom-" + std::to_string(target);
@@ -650,7 +651,7 @@
         return;
     }
     repeat(again);
-    if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.lease)), again);
+    if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.worker_lease)), again);
     const int next = (target + 1) % node_count();
     at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
     if (!nodes_[static_cast<std::size_t>(target)].controller) {
@@ -921,7 +922,7 @@
     User& u = users_[ref];
     const std::string stage = wire::text(body, "stage").value_or("");
     if (const Micros told = cancel_told(ref);
-        stage != "cancelled" && stage != "done" && told > 0 && sent > told + settings.cancel)
+        stage != "cancelled" && stage != "done" && told > 0 && sent > told + settings.cancel_deadline)
         breach("orphaned", ref + " is still called " + stage);
     const std::string next = stage == "done" || stage == "cancelled" ? stage : "accepted";
     // An answer that was overtaken by a newer one tells nothing.
@@ -1111,7 +1112,7 @@
     if (u.begun < 0) u.begun = now_;
     if (u.all_begun < 0 && static_cast<int>(u.started.size()) == s.tasks) u.all_begun = now_;
     started_again_ += running_before_.count({ref, task});
-    if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel)
+    if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel_deadline)
         breach("ran_cancelled", ref + " starts on " + machine);
     const Resources used = used_[s.team] += s.request;
     auto& zones = u.zones;
--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -33,7 +33,7 @@
 
 void RuleChecker::tick() {
     for (auto& [ref, job] : jobs_) {
-        if (job.told != "cancelled" || job.reported || now_ <= job.cancelled_at + deployment_.cancel)
+        if (job.told != "cancelled" || job.reported || now_ <= job.cancelled_at + deployment_.cancel_deadline)
             continue;
         if (job.on_machines == 0) continue;
         job.reported = true;
@@ -103,7 +103,7 @@
     ++job.on_machines;
     ++job.starts;
     ++starts_;
-    if (job.told == "cancelled" && now_ > job.cancelled_at + deployment_.cancel)
+    if (job.told == "cancelled" && now_ > job.cancelled_at + deployment_.cancel_deadline)
         breach("ran_cancelled", ref + " starts on " + machine);
     const Resources used = used_[job.info.spec.team] += job.info.spec.request;
     for (const auto& team : deployment_.teams)
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -49,15 +49,15 @@
 Settings deployment_of(int workers) {
     Settings s;
     s.zones = {"a", "b"};
-    s.report_every = kSecond;
-    s.lease = 6 * kSecond;
-    s.gang_wait = 8 * kSecond;
-    s.gang_peer = 3 * kSecond;
-    s.cancel = 14 * kSecond;
+    s.report_interval = kSecond;
+    s.worker_lease = 6 * kSecond;
+    s.gang_wait_timeout = 8 * kSecond;
+    s.gang_peer_timeout = 3 * kSecond;
+    s.cancel_deadline = 14 * kSecond;
     s.state_rps = 400;
     s.state_write_rps = 150;
-    s.value_bytes = 4096;
-    s.txn_ops = 8;
+    s.max_value_bytes = 4096;
+    s.max_txn_ops = 8;
     const Milli cores = static_cast<Milli>(workers) * kMilliCoresPerMachine;
     s.teams = {{"red", {cores / 4, 0, 0}, {cores / 2, 0, 0}}, {"blue", {cores / 4, 0, 0}, {cores / 2, 0, 0}}};
     return s;
@@ -116,12 +116,12 @@
         "[deployment.workers]\nreport_s = {:.1f}\nlease_s = {:.1f}\ngang_wait_s = {:.1f}\ngang_peer_s = "
         "{:.1f}\n"
         "cancel_s = {:.1f}\n",
-        seconds(s.report_every), seconds(s.lease), seconds(s.gang_wait), seconds(s.gang_peer),
-        seconds(s.cancel));
+        seconds(s.report_interval), seconds(s.worker_lease), seconds(s.gang_wait_timeout),
+        seconds(s.gang_peer_timeout), seconds(s.cancel_deadline));
     text += fmt::format(
         "[deployment.state]\nrps = {:.1f}\nwrite_rps = {:.1f}\nvalue_kb = 4.0\ntxn_ops = {}\n"
         "[deployment.cloud]\nrps = 5.0\nlist_lag_s = 1.0\n[deployment.limits]\nsockets = 1000\n",
-        s.state_rps, s.state_write_rps, s.txn_ops);
+        s.state_rps, s.state_write_rps, s.max_txn_ops);
     return text;
 }
 
@@ -189,8 +189,8 @@
 
     void start_services() {
         state_.limits.write_rps = deployment_.state_write_rps;
-        state_.limits.value_bytes = deployment_.value_bytes;
-        state_.limits.txn_ops = deployment_.txn_ops;
+        state_.limits.value_bytes = deployment_.max_value_bytes;
+        state_.limits.txn_ops = deployment_.max_txn_ops;
         for (int i = 0; i < kControllers; ++i) {
             state_servers_.push_back(std::make_unique<net::HttpServer>(
                 io_, ports_.state(i), net::HttpServer::Limits{},
@@ -272,13 +272,14 @@
             cloud_.machines()[name].info.addr = address;
             cloud_.machines()[name].info.state = CloudState::Running;
             fakes::LiveWorker::Options worker;
-            worker.report_every = deployment_.report_every * (75 + below(51)) / 100;
+            worker.report_every = deployment_.report_interval * (75 + below(51)) / 100;
             worker.command = [this] { return command_delivery(); };
             worker.answer_lost = [this] { return active_.lose_answers > 0 && drawn(0.5); };
             workers_.push_back(std::make_unique<fakes::LiveWorker>(
                 io_,
-                std::make_unique<fakes::Worker>(name, address, machine_type(), zone, false, deployment_.lease,
-                                                deployment_.gang_wait, rules_, now),
+                std::make_unique<fakes::Worker>(name, address, machine_type(), zone, false,
+                                                deployment_.worker_lease, deployment_.gang_wait_timeout,
+                                                rules_, now),
                 controllers, worker));
         }
     }
@@ -413,7 +414,7 @@
             rules_.quiesce();
         }
         const Micros settling = elapsed() - settling_since_;
-        if (settling < deployment_.cancel + deployment_.lease) return false;
+        if (settling < deployment_.cancel_deadline + deployment_.worker_lease) return false;
         return rules_.settled() || settling > kSettleWithin;
     }
 
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -211,7 +211,7 @@
 /// needs them, by its spread, and gets room there by stopping batch.
 TEST(Acceptance, WhatFindsNoRoomElsewhereStartsOnMachinesThatAreBeingEmptied) {
     Settings s = small_site();
-    s.ops.idle_return = 12 * kSecond;
+    s.operators.idle_return_delay = 12 * kSecond;
     Simulator w(8, s);
     start(w);
     w.run(5 * kSecond);
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -15,7 +15,7 @@
 Settings gpu_site() {
     Settings s = small_site();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.005;  // several shards
+    s.cpu_cores = 0.005;  // several shards
     return s;
 }
 
@@ -100,7 +100,7 @@
 
 TEST(Autoscaling, ReturnsNoMachineWhileWaitingWorkFitsIt) {
     auto w = gpu_world(75, 0);
-    w->settings.ops.idle_return = 5 * kSecond;
+    w->settings.operators.idle_return_delay = 5 * kSecond;
     for (int i = 1; i <= 8; ++i)
         w->submit(gpu_job(*w, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
     w->run(60 * kSecond);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -29,15 +29,15 @@
     constexpr int kMachines = 16;
     constexpr int kReplicas = 4;
     Settings site = small_site();
-    site.report_every = GetParam().report_every;
-    site.lease = GetParam().lease;
-    site.cancel = GetParam().cancel;
+    site.report_interval = GetParam().report_every;
+    site.worker_lease = GetParam().lease;
+    site.cancel_deadline = GetParam().cancel;
     Simulator w(7, site);
     for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
-    w.run(2 * site.report_every + 6 * kSecond);
+    w.run(2 * site.report_interval + 6 * kSecond);
     for (int job = 1; job <= 3; ++job) w.submit(w.job(job, JobKind::Service, kReplicas, 2), 0);
-    w.run(2 * site.report_every);
+    w.run(2 * site.report_interval);
     ASSERT_EQ(w.running("req-000001") + w.running("req-000002") + w.running("req-000003"), 3 * kReplicas)
         << w.story();
     for (int node = 0; node < w.node_count(); ++node) w.exhaust_sockets(node, true);
@@ -45,10 +45,10 @@
     w.run(kSecond);
     ASSERT_EQ(w.told("req-000001"), "cancelled") << w.story();
     // An answer to each worker's next heartbeat is enough.
-    w.run(site.report_every * 5 / 4 + kSecond);
+    w.run(site.report_interval * 5 / 4 + kSecond);
     EXPECT_EQ(w.running("req-000001"), 0) << w.story();
     w.cancel("req-000002");
-    w.run(site.cancel + 5 * kSecond);
+    w.run(site.cancel_deadline + 5 * kSecond);
     EXPECT_EQ(w.running("req-000003"), kReplicas) << w.story();
     EXPECT_RULES(w);
 }
@@ -85,7 +85,7 @@
     w->at(w->now() + kSecond + GetParam().cancelled_after_end, [&w] { w->cancel("req-000001"); });
     w->run(10 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "cancelled") << w->story();
-    w->run(w->settings.cancel + 5 * kSecond);
+    w->run(w->settings.cancel_deadline + 5 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 0) << w->story();
     EXPECT_RULES(*w);
 }
@@ -178,7 +178,7 @@
             service.mute(true);  // not heard until the other jobs are
             service.cancel_before(other_jobs);
             service.mute(false);
-            w.run(w.settings.cancel);
+            w.run(w.settings.cancel_deadline);
             EXPECT_EQ(w.running("req-000001"), 0) << w.story();
             EXPECT_EQ(w.running("req-000002"), 2) << w.story();
             w.heal_all();
@@ -204,7 +204,7 @@
             ASSERT_EQ(w.state().handle("POST", "/commit", change, w.now()).status, 200);
             finish_other_jobs(w, other_jobs.as_news);
             service.mute(false);
-            w.run(w.settings.cancel);
+            w.run(w.settings.cancel_deadline);
             EXPECT_EQ(w.running("req-000001"), 0) << w.story();
             EXPECT_EQ(w.starts("req-000002"), 2) << "its tasks keep their leases\n" << w.story();
             w.heal_all();
--- a/tests/changing_hands_test.cpp
+++ b/tests/changing_hands_test.cpp
@@ -76,8 +76,8 @@
     for (const Beside& beside : kBeside) {
         if (turn++ % 3 > 0 && !std::getenv("WORLD_ALL")) continue;
         Settings site = small_site();
-        if (change.several) site.cpu_share = 0.001;
-        site.ops.idle_return = 600 * kSecond;
+        if (change.several) site.cpu_cores = 0.001;
+        site.operators.idle_return_delay = 600 * kSecond;
         auto w = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
         const std::string name = fmt::format("{}, {}", change.what, beside.what);
         const int holder = w->holder();
@@ -106,7 +106,7 @@
                     if (w->now() - t.first <= 3 * kStep) t.second = w->starts(ref);
                 }
         }
-        w->run(w->settings.cancel);
+        w->run(w->settings.cancel_deadline);
         const JobSpec all = w->job(900, JobKind::Array, 24);
         w->submit(all, 400 * kSecond);
         w->run(10 * kSecond);
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -14,7 +14,7 @@
 
 Settings site(bool apart, double write_rps = 200) {
     Settings s = small_site();
-    s.ops.history_apart = apart;
+    s.operators.separate_history = apart;
     s.state_write_rps = write_rps;  // few: what a job's record was outlasts its end
     return s;
 }
@@ -345,7 +345,7 @@
 TEST_P(LastTasks, AreCancelledInAnyOrder) {
     const auto [apart, scarce] = GetParam();
     Settings s = site(apart, scarce ? 40 : 200);
-    s.value_bytes = s.value_bytes_now = 1024;
+    s.max_value_bytes = s.current_max_value_bytes = 1024;
     s.teams = {{"red", {48'000, 0, 0}, {96'000, 0, 0}}};
     auto w = settled_simulator(5, 12, s);
     w->close_looks = true;
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -15,7 +15,7 @@
 /// Two shards that are used: the controllers may use too little processor time for one to hold all machines.
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, std::set<int> old = {}) {
     Settings site = small_site();
-    site.cpu_share = 0.001;
+    site.cpu_cores = 0.001;
     auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 8; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes(3, std::move(old));
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -182,11 +182,11 @@
 /// A site whose limits fall while it has records of every kind at their largest.
 Settings falling() {
     Settings s = small_site();
-    s.value_bytes_now = 4096;
-    s.value_bytes = 1024;
-    s.txn_ops = 4;
+    s.current_max_value_bytes = 4096;
+    s.max_value_bytes = 1024;
+    s.max_txn_ops = 4;
     s.next_write_rps = 60;
-    s.ops.idle_return = 600 * kSecond;
+    s.operators.idle_return_delay = 600 * kSecond;
     s.teams.push_back({std::string(48, 't'), {8'000, 0, 0}, {100'000, 0, 0}});
     return s;
 }
@@ -194,8 +194,8 @@
 TEST(Limits, MayFallWithBigRecordsOfEveryKind) {
     // What production left behind: 150 tasks in one part, blocks of dozens of machines, a long description.
     Settings before = falling();
-    before.value_bytes = 4096;
-    before.txn_ops = 8;
+    before.max_value_bytes = 4096;
+    before.max_txn_ops = 8;
     Simulator w(5, before);
     for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3, {0, 1, 2});
@@ -235,7 +235,7 @@
 TEST(Limits, ASplitBlockLosesNoTaskWhateverIsHeardOfItFirst) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Settings before = falling();
-        before.value_bytes = 4096;
+        before.max_value_bytes = 4096;
         Simulator w(seed, before);
         for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes(3, {0, 1, 2});
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -15,7 +15,7 @@
     // it was given by another, which does not know that yet and goes on answering.
     for (const bool ends : {false, true}) {
         Settings site = small_site();
-        site.ops.idle_return = 600 * kSecond;
+        site.operators.idle_return_delay = 600 * kSecond;
         auto w = settled_simulator(21, 2, site);
         const int giver = w->holder(), taker = (giver + 1) % 3;
         w->submit(w->job(1, JobKind::Service, 1), 0);
@@ -64,7 +64,7 @@
     w->deafen(machine, true);
     for (int i = 2; i <= 3; ++i) w->submit(w->job(i, JobKind::Array, 1, 5), 2 * kSecond);
     // Its lease, a vain report to each controller in turn, and what the tasks take.
-    w->run(w->settings.lease + 4 * 5 * kSecond + 5 * kSecond);
+    w->run(w->settings.worker_lease + 4 * 5 * kSecond + 5 * kSecond);
     EXPECT_EQ(w->told("req-000002"), "done") << w->story();
     EXPECT_EQ(w->told("req-000003"), "done") << w->story();
     EXPECT_EQ(w->running("req-000001"), 1) << w->story();
@@ -88,7 +88,8 @@
     ASSERT_EQ(w->starts("req-000001") + w->starts("req-000002"), 1) << "one is bound to the deaf machine";
     w->crash(former, 300 * kSecond);
     // Until the dead holder is noticed, its authority, a lease, a report.
-    w->run(3 * kSecond + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond + 5 * kSecond);
+    w->run(3 * kSecond + authority(w->settings) + with_drift(w->settings.worker_lease) + 5 * kSecond +
+           5 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "done") << w->story();
     EXPECT_EQ(w->told("req-000002"), "done") << w->story();
     EXPECT_RULES(*w);
@@ -97,7 +98,7 @@
 TEST(HandingOver, AllEndAndReturnWithinASecondTimeAndAgain) {
     for (std::uint64_t seed = 31; seed < 35; ++seed) {
         Settings site = small_site();
-        if (seed % 2) site.cpu_share = 0.001;  // several shards, so that some are handed back
+        if (seed % 2) site.cpu_cores = 0.001;  // several shards, so that some are handed back
         auto w = settled_simulator(seed, 8, site);
         w->submit(w->job(1, JobKind::Service, 3), 0);
         for (int i = 2; i <= 6; ++i) w->submit(w->job(i, JobKind::Array, 3), 15 * kSecond);
@@ -172,7 +173,7 @@
     for (const Micros away : {20 * kSecond, 60 * kSecond})
         for (const bool apart : {false, true}) {
             Settings site = small_site();
-            if (away > 30 * kSecond) site.cpu_share = 0.001;
+            if (away > 30 * kSecond) site.cpu_cores = 0.001;
             auto w = settled_simulator(43, 6, site);
             w->submit(w->job(1, JobKind::Service, 3), 0);
             w->submit(w->job(2, JobKind::Array, 30), 18 * kSecond);  // more than the limit has room for
@@ -202,7 +203,7 @@
     for (const bool same : {true, false})
         for (const bool outage : {false, true}) {
             Settings site = small_site();
-            site.cpu_share = 0.001;  // several shards
+            site.cpu_cores = 0.001;  // several shards
             auto w = settled_simulator(44, 9, site);
             w->submit(w->job(1, JobKind::Service, 3), 0);
             std::set<std::uint64_t> terms;
@@ -300,8 +301,8 @@
 
 Settings patient() {
     Settings site = small_site();
-    site.ops.idle_return = 600 * kSecond;
-    site.ops.live_ttl = 6 * kSecond;
+    site.operators.idle_return_delay = 600 * kSecond;
+    site.operators.liveness_ttl = 6 * kSecond;
     return site;
 }
 
--- a/tests/large/large_fleet_test.cpp
+++ b/tests/large/large_fleet_test.cpp
@@ -16,12 +16,12 @@
 
 Settings large_site() {
     Settings s = small_site();
-    s.report_every = 10 * kSecond;
-    s.lease = 40 * kSecond;
-    s.cancel = 90 * kSecond;
+    s.report_interval = 10 * kSecond;
+    s.worker_lease = 40 * kSecond;
+    s.cancel_deadline = 90 * kSecond;
     s.teams = {{"red", {kMachines * 8'000, 0, 0}, {kMachines * 8'000, 0, 0}}};
-    s.ops.idle_return = 3600 * kSecond;
-    s.cpu_share = 0.2;  // several shards
+    s.operators.idle_return_delay = 3600 * kSecond;
+    s.cpu_cores = 0.2;  // several shards
     return s;
 }
 
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -55,8 +55,8 @@
 /// Nothing is returned for being idle.
 inline Settings patient(double cpu_share = 1.0) {
     Settings site = simulation::small_site();
-    site.ops.idle_return = 600 * kSecond;
-    site.cpu_share = cpu_share;  // where there is little: several shards
+    site.operators.idle_return_delay = 600 * kSecond;
+    site.cpu_cores = cpu_share;  // where there is little: several shards
     return site;
 }
 
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -24,10 +24,10 @@
 /// a transaction, so that jobs have many parts and lie in pieces.
 Settings site(int seed) {
     Settings s = small_site();
-    s.cpu_share = 0.001;
+    s.cpu_cores = 0.001;
     if (seed % 3 == 0) {
-        s.value_bytes = 1024;
-        s.txn_ops = 4;
+        s.max_value_bytes = 1024;
+        s.max_txn_ops = 4;
     }
     return s;
 }
@@ -161,7 +161,7 @@
 /// with waiting tasks and the block is dropped: its first sending must not bring it back.
 TEST(LateWrite, ALeaseTakesNoMachineBackThatHasMovedOn) {
     Settings s = small_site();
-    s.cpu_share = 0.001;  // several shards
+    s.cpu_cores = 0.001;  // several shards
     Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
@@ -186,9 +186,9 @@
 /// whose mark the giving away rests on is written last: until that is done nothing of the job may run here.
 TEST(LateWrite, AJobIsNotGivenAwayOnceTasksOfItRun) {
     Settings s = small_site();
-    s.cpu_share = 0.001;
-    s.value_bytes = 1024;  // three parts
-    s.txn_ops = 2;         // which do not fit into one change
+    s.cpu_cores = 0.001;
+    s.max_value_bytes = 1024;  // three parts
+    s.max_txn_ops = 2;         // which do not fit into one change
     Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
@@ -223,7 +223,7 @@
 /// unnamed and their dropping: that must find that the record is another.
 TEST(LateWrite, NoPieceOfAHeadThatCameAtLastIsSwept) {
     Settings s = small_site();
-    s.value_bytes = 1024;
+    s.max_value_bytes = 1024;
     Simulator w(1, s);
     w.add_machine("small", "a");
     w.start_nodes();
--- a/tests/lease_validity_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -35,13 +35,14 @@
 TEST(Authority, EndsALeaseBeforeACancellationIsDue) {
     // For any times that an operator may set; where they leave no room, that is told.
     Settings s = small_site();
-    for (s.lease = 5 * kSecond; s.lease < 60 * kSecond; s.lease += 700 * kMillisecond)
-        for (s.cancel = s.lease; s.cancel < s.lease + 20 * kSecond; s.cancel += 300 * kMillisecond) {
-            const bool fits = authority(s) + with_drift(s.lease) <= s.cancel;
+    for (s.worker_lease = 5 * kSecond; s.worker_lease < 60 * kSecond; s.worker_lease += 700 * kMillisecond)
+        for (s.cancel_deadline = s.worker_lease; s.cancel_deadline < s.worker_lease + 20 * kSecond;
+             s.cancel_deadline += 300 * kMillisecond) {
+            const bool fits = authority(s) + with_drift(s.worker_lease) <= s.cancel_deadline;
             if (cancels_in_time(s))
-                EXPECT_TRUE(fits) << s.lease << " " << s.cancel;
+                EXPECT_TRUE(fits) << s.worker_lease << " " << s.cancel_deadline;
             else
-                EXPECT_LT(s.cancel, s.lease + s.lease / 500 + 5 * kSecond);
+                EXPECT_LT(s.cancel_deadline, s.worker_lease + s.worker_lease / 500 + 5 * kSecond);
             EXPECT_TRUE(has_valid_lease(authority(s) - 1, s));
             EXPECT_FALSE(has_valid_lease(authority(s), s));
         }
@@ -63,7 +64,7 @@
     for (int i = 0; i < 3; ++i)
         if (i != holder) w->cut(host(i), machine);
     cancel_beside(*w, holder, "req-000001");
-    w->run(w->settings.cancel + 2 * kSecond);
+    w->run(w->settings.cancel_deadline + 2 * kSecond);
     w->hang(machine, false);
     w->run(10 * kSecond);
     EXPECT_GT(w->worker(machine)->session(), 1U);
@@ -143,7 +144,7 @@
     for (int i = 0; i < 3; ++i)
         if (i != holder) w->cut(host(holder), host(i));
     cancel_beside(*w, holder, "req-000001");
-    w->run(w->settings.cancel + 2 * kSecond);
+    w->run(w->settings.cancel_deadline + 2 * kSecond);
     ASSERT_EQ(w->worker(machine)->session(), 1U) << "kept alive\n" << w->story();
     w->release();
     w->run(5 * kSecond);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -16,8 +16,8 @@
 
 Settings site(bool several) {
     Settings s = small_site();
-    if (several) s.cpu_share = 0.001;
-    s.ops.idle_return = 600 * kSecond;
+    if (several) s.cpu_cores = 0.001;
+    s.operators.idle_return_delay = 600 * kSecond;
     return s;
 }
 
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -34,13 +34,13 @@
         w.cut(host(holder), machine);
         for (int i = 0; i < w.node_count(); ++i)
             if (i != holder) w.cut(host(holder), host(i));
-        w.run(2 * w.settings.lease);
+        w.run(2 * w.settings.worker_lease);
         ASSERT_EQ(w.starts("req-000001"), 1) << w.story();
         // From now on the machine is not heard, and the holder can ask whether its lease was renewed.
         w.mute(machine, true);
         for (int i = 0; i < w.node_count(); ++i)
             if (i != holder) w.heal(host(holder), host(i));
-        w.run(2 * w.settings.lease);
+        w.run(2 * w.settings.worker_lease);
         EXPECT_RULES(w);
     }
 }
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -48,10 +48,10 @@
 
 Settings narrow() {
     Settings s = small_site();
-    s.cpu_share = 0.001;  // several shards
-    s.value_bytes = 1024;
-    s.txn_ops = 4;
-    s.ops.idle_return = 600 * kSecond;
+    s.cpu_cores = 0.001;  // several shards
+    s.max_value_bytes = 1024;
+    s.max_txn_ops = 4;
+    s.operators.idle_return_delay = 600 * kSecond;
     return s;
 }
 
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -46,7 +46,7 @@
     rule.most_share = 0.5;
     rule.rebalance = true;
     p.zones = {rule};
-    s.ops.policy = p;
+    s.operators.policy = p;
     return s;
 }
 
@@ -241,7 +241,7 @@
         policy::Policy p = asked();
         p.gpus.make_room = true;
         p.gpus.after = 2 * kSecond;
-        s.ops.policy = p;
+        s.operators.policy = p;
         return s;
     }
     static std::vector<MachineType> types() {
@@ -353,7 +353,7 @@
 TEST(MovesInTheWorld, WithoutAPolicyOrWithNothingToMoveNothingIsWritten) {
     for (const bool with : {true, false}) {
         Settings s = balanced_site();
-        if (!with) s.ops.policy.reset();
+        if (!with) s.operators.policy.reset();
         Simulator w(8, s);
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes();
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -118,7 +118,7 @@
             w->submit(w->job(2, JobKind::Array, 3, 5), 2 * kSecond);
             w->run(60 * kSecond);
             EXPECT_NE(w->worker(machine), nullptr) << "not for a spell\n" << story();
-            w->run(w->settings.lease + 60 * kSecond);
+            w->run(w->settings.worker_lease + 60 * kSecond);
             EXPECT_EQ(w->worker(machine), nullptr) << story();
             if (busy) {
                 EXPECT_EQ(w->running("req-000001"), 1) << story();
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -48,11 +48,12 @@
     ASSERT_FALSE(testing::Test::HasFailure());
     cut_from_all(*w, machine);
     end(*w, false);
-    w->run(w->settings.ops.live_ttl + authority(w->settings));  // what the former holder granted is over soon
+    w->run(w->settings.operators.liveness_ttl +
+           authority(w->settings));  // what the former holder granted is over soon
     arrives_everywhere(*w, running);
     w->kill_machine(*w->machines_of("req-000001").begin());
     const Micros took = until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
-    EXPECT_LE(took, with_drift(w->settings.lease) + 3 * kSecond) << w->story();
+    EXPECT_LE(took, with_drift(w->settings.worker_lease) + 3 * kSecond) << w->story();
     EXPECT_RULES(*w);
 }
 
@@ -69,7 +70,7 @@
     const Json result = on_its_way(*w, machines[0]);
     w->run(30 * kSecond);
     end(*w, false);
-    w->run(w->settings.ops.live_ttl + 2 * kSecond);
+    w->run(w->settings.operators.liveness_ttl + 2 * kSecond);
     arrives_everywhere(*w, result);
     for (const auto& m : machines) w->kill_machine(m);  // with all other results
     for (int i = 0; i < 2; ++i) w->add_machine("small", "a");
@@ -140,8 +141,8 @@
         until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
         const Micros took =
             w->now() - from + until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
-        const Micros former = w->settings.ops.live_ttl + kSecond + authority(w->settings);
-        EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.lease) + 2 * kSecond)
+        const Micros former = w->settings.operators.liveness_ttl + kSecond + authority(w->settings);
+        EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.worker_lease) + 2 * kSecond)
             << w->story();
         EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
         EXPECT_RULES(*w);
@@ -192,7 +193,7 @@
     w->run(40 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 0);
     end(*w, false);
-    w->run(w->settings.ops.live_ttl + kSecond);
+    w->run(w->settings.operators.liveness_ttl + kSecond);
     w->add_machine("small", "b");
     w->run(8 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 1) << w->story();
@@ -206,7 +207,8 @@
     w->run(10 * kSecond);
     cut_from_all(*w, *w->machines_of("req-000001").begin());
     end(*w, false);
-    w->run(w->settings.ops.live_ttl + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond);
+    w->run(w->settings.operators.liveness_ttl + authority(w->settings) +
+           with_drift(w->settings.worker_lease) + 5 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 1) << w->story();
     EXPECT_RULES(*w);
 }
@@ -233,7 +235,8 @@
             if (i != holder) w->heal(host(holder), host(i));
         until(*w, 90 * kSecond,
               [&] { return w->running("req-000001") == 1 && !w->machines_of("req-000001").count(machine); });
-        EXPECT_LE(w->now() - from, std::max(last * kSecond, with_drift(w->settings.lease)) + 4 * kSecond)
+        EXPECT_LE(w->now() - from,
+                  std::max(last * kSecond, with_drift(w->settings.worker_lease)) + 4 * kSecond)
             << w->story();
         EXPECT_RULES(*w);
     }
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -30,7 +30,7 @@
     const auto [rate, ends] = GetParam();
     Settings s = small_site();
     s.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.02;  // several shards
+    s.cpu_cores = 0.02;  // several shards
     s.state_write_rps = s.next_write_rps = kWriteRps;
     Simulator w(7, s, {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
     for (int i = 0; i < 72; ++i) w.add_machine("wren", i % 2 ? "a" : "b");
@@ -96,7 +96,7 @@
 TEST(MoreThanRoom, NobodyIsForgottenAndHalfOfEachIsServed) {
     Settings s = small_site();
     s.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}}, {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
-    s.cpu_share = 0.02;
+    s.cpu_cores = 0.02;
     s.state_write_rps = s.next_write_rps = kWriteRps;
     Simulator w(3, s);
     w.slow_links = 150 * kMillisecond;
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -202,7 +202,7 @@
     s.teams = {{"red", {24'000, 0, 0}, {96'000, 0, 0}},
                {"blue", {16'000, 0, 0}, {56'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    if (random() % 2) s.cpu_share = 0.001;  // several shards
+    if (random() % 2) s.cpu_cores = 0.001;  // several shards
     if (random() % 4 == 0) s.state_write_rps = 40;
     return s;
 }
@@ -297,7 +297,7 @@
     w.run(end);
     w.heal_all();
     // What still lasts is over by then: an end within a freeze, or copies and transactions that come late.
-    w.at(w.now() + Simulator::latest_report(w.settings.lease) + 2 * kSecond, [&w] { w.quiesce(); });
+    w.at(w.now() + Simulator::latest_report(w.settings.worker_lease) + 2 * kSecond, [&w] { w.quiesce(); });
     w.run(260 * kSecond);
     EXPECT_TRUE(w.broken.empty()) << "seed " << seed << ", " << one << " and " << other << ": "
                                   << w.broken.front() << "\n"
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -320,11 +320,11 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Site s(seed);
         // Each process of every node starts with the older file; the newer one comes while they run.
-        s.w.settings.ops.policy = revision(1);
+        s.w.settings.operators.policy = revision(1);
         s.w.start_nodes(5);
         s.w.run(static_cast<Micros>(s.w.random() % 4000) * kMillisecond);
         const int writer = static_cast<int>(s.w.random() % 5);
-        s.w.settings.ops.policy = revision(2, Tier::BestEffort);
+        s.w.settings.operators.policy = revision(2, Tier::BestEffort);
         s.w.node(writer)->set_policy_file(revision(2, Tier::BestEffort));
         s.w.run(static_cast<Micros>(s.w.random() % 60) * kMillisecond);
         if (seed % 2) {
@@ -385,7 +385,7 @@
     Policy large = revision(1);
     for (int i = 0; i < 400; ++i)
         large.tiers.push_back({{"red", "a-class-with-a-long-name-" + std::to_string(i)}, Tier::Batch});
-    s.w.settings.ops.policy = large;
+    s.w.settings.operators.policy = large;
     s.w.start_nodes(3, {2});
     s.w.run(12 * kSecond);
     EXPECT_TRUE(s.all_have(policy::default_policy(s.w.settings)));
@@ -393,7 +393,7 @@
     s.w.run(45 * kSecond);
     EXPECT_TRUE(s.all_have(large));
     for (int i = 0; i < 3; ++i) s.w.crash(i, kSecond);  // a start puts it together as well
-    s.w.settings.ops.policy.reset();
+    s.w.settings.operators.policy.reset();
     s.w.run(15 * kSecond);
     EXPECT_TRUE(s.all_have(large));
     EXPECT_RULES(s.w);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -66,7 +66,7 @@
 /// Nine machines over the shards of three controllers, settled.
 std::unique_ptr<Simulator> spread(std::uint64_t seed) {
     Settings site = small_site();
-    site.cpu_share = 0.001;
+    site.cpu_cores = 0.001;
     auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 9; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -51,7 +51,7 @@
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         Settings site = small_site();
-        if (seed == 2) site.cpu_share = 0.001;  // several shards
+        if (seed == 2) site.cpu_cores = 0.001;  // several shards
         auto w = settled_simulator(seed, 5, site);
         const int leader = w->leader();
         w->poll_rate = 4;
@@ -90,14 +90,14 @@
                 w->cancel(ref(job));
             }
         });
-        w->run(4 * kSecond + row.out + w->settings.cancel + 15 * kSecond);
+        w->run(4 * kSecond + row.out + w->settings.cancel_deadline + 15 * kSecond);
         w->state().set_down(false, w->now());
         w->refuse(leader, false);
         w->heal_all();
         w->slow_state = 0;
         w->run(5 * kSecond);
         w->submit(w->job(20, JobKind::Array, 8), 3 * kSecond);
-        w->run(w->settings.cancel + 40 * kSecond);
+        w->run(w->settings.cancel_deadline + 40 * kSecond);
         EXPECT_RULES(*w);
         for (const auto& job : w->refs()) {
             EXPECT_TRUE(w->told(job) == "done" || w->told(job) == "cancelled")
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -27,7 +27,7 @@
     constexpr Micros kLag = 5 * kSecond;
     for (const int newer : {kRemembered - 1, kRemembered, kRemembered + 1}) {
         Settings site = small_site();
-        site.list_lag = kLag;
+        site.cloud_list_lag = kLag;
         auto w = settled_simulator(5, 4, site);
         w->submit(w->job(1, JobKind::Service, 12, 2), 0);  // keeps them from being returned
         w->run(5 * kSecond);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -17,11 +17,11 @@
 Settings site(int seed) {
     Settings s = small_site();
     if (seed % 3 == 0) {
-        s.value_bytes = 1024;
-        s.txn_ops = 4;
+        s.max_value_bytes = 1024;
+        s.max_txn_ops = 4;
         s.next_write_rps = 150;
     }
-    if (seed % 2 == 0) s.cpu_share = 0.001;
+    if (seed % 2 == 0) s.cpu_cores = 0.001;
     if (seed % 4 == 0) s.state_write_rps = 25;
     return s;
 }
@@ -50,7 +50,8 @@
         for (int i = 0; i < 3; ++i) w.at((10 + 8 * i) * kSecond, [&w, i, back] { w.upgrade(i, back(3000)); });
         w.at(60 * kSecond, [&w] {
             w.note("the state service lowers its limits");
-            w.state().limits = {w.settings.value_bytes, w.settings.txn_ops, w.settings.next_write_rps};
+            w.state().limits = {w.settings.max_value_bytes, w.settings.max_txn_ops,
+                                w.settings.next_write_rps};
         });
     } else {
         w.start_nodes();
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -69,9 +69,9 @@
 
 TEST(SettingsFile, IsReadAndUnknownKeysOfThePlatformAreIgnored) {
     const Settings s = load_settings(write("platform.toml", kGood), "");
-    EXPECT_EQ(s.lease, 36 * kSecond);
+    EXPECT_EQ(s.worker_lease, 36 * kSecond);
     EXPECT_EQ(s.teams.at(0).limit.cores, 184'000);
-    EXPECT_EQ(s.value_bytes, 4096u);
+    EXPECT_EQ(s.max_value_bytes, 4096u);
 }
 
 TEST(SettingsFile, NoGuaranteeAndNoLimitAreBothValid) {
@@ -101,14 +101,14 @@
     };
     Settings s =
         load_settings(write("platform.toml", next("write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4")), "");
-    EXPECT_EQ(s.value_bytes, 2048u);
-    EXPECT_EQ(s.value_bytes_now, 4096u);
-    EXPECT_EQ(s.txn_ops, 4u);
+    EXPECT_EQ(s.max_value_bytes, 2048u);
+    EXPECT_EQ(s.current_max_value_bytes, 4096u);
+    EXPECT_EQ(s.max_txn_ops, 4u);
     EXPECT_EQ(s.next_write_rps, 18);
     EXPECT_EQ(s.state_write_rps, 25);
     s = load_settings(write("platform.toml", next("value_kb = 8.0\nof_next_year = 1")), "");
-    EXPECT_EQ(s.value_bytes, 4096u);
-    EXPECT_EQ(s.txn_ops, 8u);
+    EXPECT_EQ(s.max_value_bytes, 4096u);
+    EXPECT_EQ(s.max_txn_ops, 8u);
     EXPECT_EQ(s.next_write_rps, 25);
     EXPECT_EQ(error_of(next("value_kb = \"two\"")), "deployment.state.next.value_kb: a number is needed");
     EXPECT_NE(error_of(next("txn_ops = 0")).find("deployment.state.next.txn_ops: must lie between"),
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -49,7 +49,7 @@
 class RuleCheckerTest : public testing::Test {
   protected:
     RuleCheckerTest() {
-        deployment_.cancel = 10 * kSecond;
+        deployment_.cancel_deadline = 10 * kSecond;
         deployment_.teams = {{"red", {1'000, 0, 0}, {2'000, 0, 0}}};
     }
     void submit(const std::string& ref, JobKind kind = JobKind::Service, int tasks = 1) {
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -82,9 +82,9 @@
 TEST(Starvation, BatchLeavesHalfOfEachZoneToLiveWorkWhoeverHoldsTheDomain) {
     Settings s = small_site();
     s.teams.front().guarantee.cores = s.teams.front().limit.cores = 100'000;
-    s.ops.policy.emplace();
-    s.ops.policy->revision = 1;
-    s.ops.policy->priority.reserve = 0.5;
+    s.operators.policy.emplace();
+    s.operators.policy->revision = 1;
+    s.operators.policy->priority.reserve = 0.5;
     Simulator w(7, s);
     for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -43,13 +43,13 @@
     for (const auto& writes : kWrites) {
         // A result that waits for a holder outlasts a takeover whose answers are lost time and again.
         Settings site = small_site();
-        site.lease = 30 * kSecond;
-        site.cancel = 60 * kSecond;
+        site.worker_lease = 30 * kSecond;
+        site.cancel_deadline = 60 * kSecond;
         Simulator w(static_cast<std::uint64_t>(moment + 1), site);
         const std::string first = w.add_machine("small", "a");
         w.swift_boots = 1;
         w.cloud().capacity = 30;
-        w.cloud().list_lag = w.settings.list_lag;
+        w.cloud().list_lag = w.settings.cloud_list_lag;
         w.start_nodes();
         for (int i = 1; i <= 4; ++i) {
             JobSpec s = w.job(i, JobKind::Array, 10);
@@ -102,7 +102,7 @@
     Simulator w(13);
     w.add_machine("small", "a");
     w.cloud().capacity = 30;
-    w.cloud().list_lag = w.settings.list_lag;
+    w.cloud().list_lag = w.settings.cloud_list_lag;
     w.start_nodes();
     for (int i = 0; i < 400 && w.cloud().rentals().empty(); ++i) w.run(50 * kMillisecond);
     w.run(1500 * kMillisecond);  // so long at most until it has told the others
@@ -139,7 +139,7 @@
 /// A machine that comes up at last, just as a leader that is cut off counts it as one that never will.
 TEST(Leader, ThatIsCutOffDeletesNoMachineThatAnotherHasLeased) {
     auto w = settled_simulator(12, 1);
-    w->cloud().list_lag = w->settings.list_lag;
+    w->cloud().list_lag = w->settings.cloud_list_lag;
     const int old = w->leader();
     w->submit(w->job(1, JobKind::Service, 8), 0);  // all of the machine that is there
     w->run(2 * kSecond);
@@ -173,7 +173,7 @@
     }
     ASSERT_GT(stuck, 0u) << w->story();
     const Micros boot = small_types().front().boot;
-    w->run(2 * boot + w->settings.list_lag + boot + 8 * kSecond);
+    w->run(2 * boot + w->settings.cloud_list_lag + boot + 8 * kSecond);
     EXPECT_EQ(w->running(s.ref), s.tasks) << w->story();
     EXPECT_RULES(*w);
 }
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -30,10 +30,10 @@
     static Settings settings(const ZoneRule& rule) {
         Settings s = small_site();
         s.zones = {"a", "b", "c"};
-        s.ops.idle_return = 600 * kSecond;  // what stands empty stays
-        s.ops.policy.emplace();
-        s.ops.policy->revision = 1;
-        s.ops.policy->zones = {rule};
+        s.operators.idle_return_delay = 600 * kSecond;  // what stands empty stays
+        s.operators.policy.emplace();
+        s.operators.policy->revision = 1;
+        s.operators.policy->zones = {rule};
         return s;
     }
     static std::vector<MachineType> types() {
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -235,7 +235,7 @@
     w->run(2 * kSecond);
     auto r = w->ask(other_than(old), "POST", "/v1/jobs/req-000001/abort", Json::object());
     ASSERT_EQ(r.status, 200);
-    w->run(w->settings.cancel);
+    w->run(w->settings.cancel_deadline);
     EXPECT_EQ(w->running("req-000001"), 0) << "its authority time ended early enough\n" << w->story();
 }
 
@@ -404,8 +404,8 @@
 
 TEST(Workers, AreSentToTheHolderOfTheirBlock) {
     Settings site = small_site();
-    site.lease = 20 * kSecond;  // long enough to try the holder in vain and come back
-    site.cancel = 50 * kSecond;
+    site.worker_lease = 20 * kSecond;  // long enough to try the holder in vain and come back
+    site.cancel_deadline = 50 * kSecond;
     auto w = settled_simulator(1, 4, site);
     w->run(15 * kSecond);  // whoever a worker asked at first is forgotten
     const int holder = w->holder();
@@ -540,7 +540,7 @@
 
 TEST(BadNights, TheDeadDomainsShareIsUsedAgain) {
     Settings site = small_site();
-    site.cpu_share = 0.001;  // several shards
+    site.cpu_cores = 0.001;  // several shards
     auto w = settled_simulator(3, 9, site);
     w->run(4 * kSecond);
     w->crash(0, 120 * kSecond);
@@ -566,7 +566,7 @@
 
 TEST(BadNights, PollsAreTurnedAwayBeforeReports) {
     Settings site = small_site();
-    site.cpu_share = 0.02;
+    site.cpu_cores = 0.02;
     auto w = settled_simulator(1, 4, site);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -77,7 +77,7 @@
 TEST_P(Traffic, OfControllersIsAsPinned) {
     const auto [seed, expected] = GetParam();
     Settings site = small_site();
-    if (seed % 2 == 0) site.cpu_share = 0.001;  // several shards
+    if (seed % 2 == 0) site.cpu_cores = 0.001;  // several shards
     Simulator w(static_cast<std::uint64_t>(seed), site);
     TrafficDigest digest;
     w.on_traffic = [&digest](const std::string& who, const std::string& what, const std::string& body) {
--- a/tools/cottonway.cpp
+++ b/tools/cottonway.cpp
@@ -78,7 +78,7 @@
         }
         const Settings settings = load_settings(config, operators);
         const char* level = std::getenv("LOG_LEVEL");
-        std::string wanted = level ? level : settings.ops.log_level;
+        std::string wanted = level ? level : settings.operators.log_level;
         if (!start_logging(settings.node, wanted)) {
             std::cerr << "LOG_LEVEL: must be error, info or debug, not " << wanted << "\n";
             return 2;
