--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -97,7 +97,8 @@
         // Whoever held it before may still answer workers that we can't reach. That the record names this
         // node tells nothing: it may have been handed over by another, or been taken from another just now
         // by our own former process.
-        const Micros former_end = context_.runtime().now() + (create ? 0 : authority(context_.settings()));
+        const Micros former_end =
+            context_.runtime().now() + (create ? 0 : controller_lease_duration(context_.settings()));
         auto& held = owners_[name];
         if (held) retired_.push_back(std::move(held));
         held = std::make_unique<ShardOwner>(context_, name, r.revision, former_end);
--- a/src/config/lease_validity.hpp
+++ b/src/config/lease_validity.hpp
@@ -12,11 +12,11 @@
     return lease + lease / 1000 + kSecond;
 }
 
-constexpr Micros kLeastAuthority = 2 * kSecond;
+constexpr Micros kMinControllerLease = 2 * kSecond;
 
 /// What is left of `cancel` beyond a lease by the worker's clock and the time that an answer takes to get
 /// there.
-inline Micros beyond_lease(const Settings& s) {
+inline Micros cancel_margin_after_worker_lease(const Settings& s) {
     return s.cancel_deadline - s.worker_lease - s.worker_lease / 500 - 3 * kSecond;
 }
 
@@ -24,21 +24,21 @@
 /// cancellation that we have not heard of must still end every task in time, so the last answer, which renews
 /// a lease for at most `lease`, and the lease must both fit into `cancel`. With less than this nothing would
 /// ever be answered, since looks at the store take their time.
-inline Micros authority(const Settings& s) {
-    return std::max(beyond_lease(s), kLeastAuthority);
+inline Micros controller_lease_duration(const Settings& s) {
+    return std::max(cancel_margin_after_worker_lease(s), kMinControllerLease);
 }
 
 /// Whether that leaves no cancellation unheard for longer than `cancel`. Where it does not fit, tasks of jobs
 /// cancelled while their holder can't hear of it may go on for a lease and five seconds.
-inline bool cancels_in_time(const Settings& s) {
-    return beyond_lease(s) >= kLeastAuthority;
+inline bool can_cancel_in_time(const Settings& s) {
+    return cancel_margin_after_worker_lease(s) >= kMinControllerLease;
 }
 
 /// Whether one whose last look at the store was begun that long ago may still renew leases and start tasks.
 /// What it does within that time is over by itself in time, however long it then hears nothing: the sessions
 /// of workers that it may act on began by then or were renewed by then, and end a lease later.
 inline bool has_valid_lease(Micros confirmed_ago, const Settings& s) {
-    return confirmed_ago < authority(s);
+    return confirmed_ago < controller_lease_duration(s);
 }
 
 }  // namespace cottonway
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -54,11 +54,12 @@
         spdlog::info(
             "team {}: {} cores guaranteed, {}", t.name, t.guarantee.cores / 1000,
             t.limit.cores < kNoLimit ? std::to_string(t.limit.cores / 1000) + " at most" : "no limit");
-    if (!cancels_in_time(settings_))
+    if (!can_cancel_in_time(settings_))
         spdlog::error(
             "cancel_s leaves too little beyond lease_s: where a controller can't hear of a cancellation, "
             "tasks may run for up to {} s after it",
-            (settings_.cancel_deadline - beyond_lease(settings_) + kLeastAuthority) / kSecond);
+            (settings_.cancel_deadline - cancel_margin_after_worker_lease(settings_) + kMinControllerLease) /
+                kSecond);
     fetch_types();
     feed_.start();
     membership_lease_.join();
@@ -133,7 +134,8 @@
 std::optional<Micros> Controller::peer_ended(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
-    return *silent + authority(settings_) + authority(settings_) / 1000 + feed_.confirmed_ago();
+    return *silent + controller_lease_duration(settings_) + controller_lease_duration(settings_) / 1000 +
+           feed_.confirmed_ago();
 }
 
 bool Controller::has_valid_lease() const {
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -88,8 +88,8 @@
     ASSERT_EQ(w->starts("req-000001") + w->starts("req-000002"), 1) << "one is bound to the deaf machine";
     w->crash(former, 300 * kSecond);
     // Until the dead holder is noticed, its authority, a lease, a report.
-    w->run(3 * kSecond + authority(w->settings) + with_drift(w->settings.worker_lease) + 5 * kSecond +
-           5 * kSecond);
+    w->run(3 * kSecond + controller_lease_duration(w->settings) + with_drift(w->settings.worker_lease) +
+           5 * kSecond + 5 * kSecond);
     EXPECT_EQ(w->told("req-000001"), "done") << w->story();
     EXPECT_EQ(w->told("req-000002"), "done") << w->story();
     EXPECT_RULES(*w);
--- a/tests/lease_validity_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -38,13 +38,13 @@
     for (s.worker_lease = 5 * kSecond; s.worker_lease < 60 * kSecond; s.worker_lease += 700 * kMillisecond)
         for (s.cancel_deadline = s.worker_lease; s.cancel_deadline < s.worker_lease + 20 * kSecond;
              s.cancel_deadline += 300 * kMillisecond) {
-            const bool fits = authority(s) + with_drift(s.worker_lease) <= s.cancel_deadline;
-            if (cancels_in_time(s))
+            const bool fits = controller_lease_duration(s) + with_drift(s.worker_lease) <= s.cancel_deadline;
+            if (can_cancel_in_time(s))
                 EXPECT_TRUE(fits) << s.worker_lease << " " << s.cancel_deadline;
             else
                 EXPECT_LT(s.cancel_deadline, s.worker_lease + s.worker_lease / 500 + 5 * kSecond);
-            EXPECT_TRUE(has_valid_lease(authority(s) - 1, s));
-            EXPECT_FALSE(has_valid_lease(authority(s), s));
+            EXPECT_TRUE(has_valid_lease(controller_lease_duration(s) - 1, s));
+            EXPECT_FALSE(has_valid_lease(controller_lease_duration(s), s));
         }
 }
 
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -49,7 +49,7 @@
     cut_from_all(*w, machine);
     end(*w, false);
     w->run(w->settings.operators.liveness_ttl +
-           authority(w->settings));  // what the former holder granted is over soon
+           controller_lease_duration(w->settings));  // what the former holder granted is over soon
     arrives_everywhere(*w, running);
     w->kill_machine(*w->machines_of("req-000001").begin());
     const Micros took = until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
@@ -141,7 +141,8 @@
         until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
         const Micros took =
             w->now() - from + until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
-        const Micros former = w->settings.operators.liveness_ttl + kSecond + authority(w->settings);
+        const Micros former =
+            w->settings.operators.liveness_ttl + kSecond + controller_lease_duration(w->settings);
         EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.worker_lease) + 2 * kSecond)
             << w->story();
         EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
@@ -207,7 +208,7 @@
     w->run(10 * kSecond);
     cut_from_all(*w, *w->machines_of("req-000001").begin());
     end(*w, false);
-    w->run(w->settings.operators.liveness_ttl + authority(w->settings) +
+    w->run(w->settings.operators.liveness_ttl + controller_lease_duration(w->settings) +
            with_drift(w->settings.worker_lease) + 5 * kSecond);
     EXPECT_EQ(w->running("req-000001"), 1) << w->story();
     EXPECT_RULES(*w);
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -123,7 +123,7 @@
     const int old = w->leader();
     const Revision term = w->node(old)->cache().membership.leader().mod_revision;
     w->cut_off(old, true);
-    w->run(authority(w->settings) + 2 * kSecond);
+    w->run(controller_lease_duration(w->settings) + 2 * kSecond);
     ASSERT_NE(w->leader(), -1);
     const int before = rentals_of_term(*w, term);
     w->cloud().capacity = 20;
