--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -76,18 +76,18 @@
     Change change;
     const ShardOwner* o = assignment_.find(next.shard);
     if (o)
-        change.when.push_back({keys::shard + next.shard, o->mod_revision()});
+        change.conditions.push_back({keys::shard + next.shard, o->mod_revision()});
     else if (election_.leading())
-        change.when.push_back({keys::leader, election_.term()});
+        change.conditions.push_back({keys::leader, election_.term()});
     else
         return finish(std::exchange(edits.waiting, {}), false);
     // Returns can wait for quiet moments, though not for ever.
     const bool waits = !edits.urgent && runtime_.now() - edits.since < kReturnLatest;
     change.priority = waits ? Priority::Deferrable : Priority::Normal;
-    if (!store_.room(change.priority)) return;
-    change.when.push_back({keys::block + id, next.mod_revision});
+    if (!store_.has_write_budget(change.priority)) return;
+    change.conditions.push_back({keys::block + id, next.mod_revision});
     const Json value = next.machines.empty() ? Json() : next.value();
-    change.then.push_back({keys::block + id, value});
+    change.writes.push_back({keys::block + id, value});
     change.purpose = "block";
     edits.in_flight = true;
     store_.commit(std::move(change), [this, id, value, finish, list = std::exchange(edits.waiting, {})](
@@ -97,7 +97,7 @@
             cache_.take(keys::block + id, value.is_null() ? nullptr : &value, r.revision);
             return finish(std::move(list), true);
         }
-        const Micros pause = r.status == CommitStatus::Rejected ? kRefused : kRetry;
+        const Micros pause = r.status == CommitStatus::Rejected ? kRejectedRetryDelay : kRetry;
         auto again = [this, id, pause, list = std::move(list)](bool) mutable {
             Edits& e = edits_[id];
             e.in_flight = false;
@@ -173,16 +173,16 @@
     }
     Change change;
     change.priority = Priority::Deferrable;
-    change.when = {{keys::shard + block.shard, o.mod_revision()},
-                   {keys::block + block.id, block.mod_revision}};
+    change.conditions = {{keys::shard + block.shard, o.mod_revision()},
+                         {keys::block + block.id, block.mod_revision}};
     // The new ones first: a machine that is in another block already has not left when the old one loses it.
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
-        change.when.push_back({keys::block + part.id, 0});
+        change.conditions.push_back({keys::block + part.id, 0});
         writes.emplace_back(part.id, part.value());
     }
     writes.emplace_back(block.id, rest.value());
-    for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
+    for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "split";
     edits_[block.id].in_flight = true;  // nothing else rewrites it meanwhile
     spdlog::info("block {}: {} machines, split into {}", block.id, block.machines.size(), writes.size());
@@ -202,7 +202,7 @@
 void MachineAllocator::split_blocks() {
     const Micros now = runtime_.now();
     if (!cache_.formats.common(format::kPipelines) || now - split_at_ < kSplitEvery ||
-        !store_.room(Priority::Deferrable))
+        !store_.has_write_budget(Priority::Deferrable))
         return;
     split_at_ = now;
     for (const auto& [id, block] : cache_.blocks.all()) {
@@ -268,7 +268,7 @@
         return;
     }
     if (unallocated_.empty() || now - allocated_at_ < kLeaseEvery) return;
-    if (now - autoscaler_.leading_since() < kLeadPause || !store_.room(Priority::Normal)) return;
+    if (now - autoscaler_.leading_since() < kLeadPause || !store_.has_write_budget(Priority::Normal)) return;
     allocated_at_ = now;
     struct Shape {
         std::string type, zone;
@@ -358,10 +358,10 @@
 void MachineAllocator::lease_block(Block block, std::vector<std::string> machines) {
     const Revision term = election_.term();
     Change change;
-    change.when.push_back({keys::leader, term});
-    change.when.push_back({keys::block + block.id, 0});
+    change.conditions.push_back({keys::leader, term});
+    change.conditions.push_back({keys::block + block.id, 0});
     const Json value = block.value();
-    change.then.push_back({keys::block + block.id, value});
+    change.writes.push_back({keys::block + block.id, value});
     change.purpose = "lease";
     store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
@@ -393,7 +393,7 @@
                             std::function<void(peer::Grant)> done) {
     const ShardRecord* to = cache_.membership.shard(want.shard);
     if (!from.active() || !to || to->mod_revision != want.mod_revision || want.shard == from.shard() ||
-        !store_.room(Priority::Normal))
+        !store_.has_write_budget(Priority::Normal))
         return done({});
     std::vector<std::string> offered = from.offer_idle_machines(want);
     // One new record, so of one shape; and as many old ones as a transaction takes.
@@ -429,15 +429,15 @@
     next.id = next_id(from.mod_revision());
     next.shard = want.shard;
     Change change;
-    change.when.push_back({keys::shard + from.shard(), from.mod_revision()});
-    change.when.push_back({keys::block + next.id, 0});
+    change.conditions.push_back({keys::shard + from.shard(), from.mod_revision()});
+    change.conditions.push_back({keys::block + next.id, 0});
     std::vector<std::pair<std::string, Json>> writes{{next.id, next.value()}};
     for (auto& [id, source] : sources) {
-        change.when.push_back({keys::block + id, source.mod_revision});
+        change.conditions.push_back({keys::block + id, source.mod_revision});
         writes.emplace_back(id, source.machines.empty() ? Json() : source.value());
         edits_[id].in_flight = true;  // nothing else rewrites it meanwhile
     }
-    for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
+    for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "move";
     spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, moved.size(), next.type,
                  next.zone, from.shard(), want.shard);
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -20,7 +20,7 @@
         return;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::leader, election_.term()});
+    change.conditions.push_back({keys::leader, election_.term()});
     std::vector<std::pair<std::string, QuotaAllocation>> next;
     const auto& stored = cache_.shares.all();
     if (stored.empty()) {
@@ -33,7 +33,7 @@
             for (const auto& t : settings_.teams)
                 shares[t.name] = {to_share(t.limit.cores) / n, to_share(t.limit.gpus) / n, 0};
             next.emplace_back(shard, shares);
-            change.when.push_back({keys::share + shard, 0});
+            change.conditions.push_back({keys::share + shard, 0});
         }
         for (const auto& t : settings_.teams) {
             next.front().second[t.name].cores += to_share(t.limit.cores) % n;
@@ -55,14 +55,15 @@
             }
             if (!more) return;
             // Every other share must be as it was when the sum was taken.
-            for (const auto& [name, s] : stored) change.when.push_back({keys::share + name, s.mod_revision});
+            for (const auto& [name, s] : stored)
+                change.conditions.push_back({keys::share + name, s.mod_revision});
             next.emplace_back(shard, shares);
             break;
         }
         if (next.empty()) return;
     }
     for (const auto& [shard, shares] : next)
-        change.then.push_back({keys::share + shard, shares_value(shares)});
+        change.writes.push_back({keys::share + shard, shares_value(shares)});
     sharing_first_ = true;
     const Revision term = election_.term();
     store_.commit(std::move(change), [this, next, term](const CommitResult& r) {
@@ -105,11 +106,11 @@
     more[want.team] += grant;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::shard + shard, from.mod_revision()});
-    change.when.push_back({keys::share + shard, ours->mod_revision});
-    change.when.push_back({keys::share + want.shard, their_mark});
-    change.then.push_back({keys::share + shard, shares_value(less)});
-    change.then.push_back({keys::share + want.shard, shares_value(more)});
+    change.conditions.push_back({keys::shard + shard, from.mod_revision()});
+    change.conditions.push_back({keys::share + shard, ours->mod_revision});
+    change.conditions.push_back({keys::share + want.shard, their_mark});
+    change.writes.push_back({keys::share + shard, shares_value(less)});
+    change.writes.push_back({keys::share + want.shard, shares_value(more)});
     change.purpose = "share";
     book.giving(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -133,7 +133,7 @@
 }
 
 void JobService::create(JobSpec spec, ApiResponder respond) {
-    if (!store_.reachable()) return respond(unavailable());
+    if (!store_.is_reachable()) return respond(unavailable());
     const std::size_t size = stored_size(spec);
     const std::string ref = spec.ref;
     const std::string shard = shard_for(spec);
@@ -183,11 +183,11 @@
             ? RecordLocation::Active
             : RecordLocation::Job;
     Change change;
-    change.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
+    change.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     // Nothing of old form may be added once that is closed.
     if (place == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
-        change.when.push_back({keys::history, 0});
-    change.then.push_back({record_key(place, ref), record});
+        change.conditions.push_back({keys::history, 0});
+    change.writes.push_back({record_key(place, ref), record});
     change.priority = idle ? Priority::Normal : Priority::Urgent;
     change.purpose = "admit";
     store_.commit(std::move(change),
@@ -256,8 +256,8 @@
     job.record["s"] = "cancelled";
     const std::string key = record_key(job.place, ref);
     Change change;
-    change.when = JobCache::as_known(ref, job.place, job.mod_revision, job.legacy_revision);
-    change.then.push_back({key, job.record});
+    change.conditions = JobCache::as_known(ref, job.place, job.mod_revision, job.legacy_revision);
+    change.writes.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
     store_.commit(std::move(change), [this, ref, key, tries, record = std::move(job.record),
@@ -302,7 +302,7 @@
 
 /// Known to be out of reach: users are told at once.
 bool JobService::out_of_reach() const {
-    return !store_.reachable() && runtime_.now() - store_.last_contact() > kSecond;
+    return !store_.is_reachable() && runtime_.now() - store_.last_contact() > kSecond;
 }
 
 void JobService::check(const std::string& ref, Checked done) {
@@ -328,7 +328,7 @@
         return;
     }
     Change compare;
-    compare.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
+    compare.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     store_.commit(std::move(compare), [this, ref, done = std::move(done)](const CommitResult& r) mutable {
         if (r.status == CommitStatus::Ok) return done(true, std::nullopt);
         if (r.status == CommitStatus::Conflict) return recheck(ref, 0, std::move(done));
@@ -338,7 +338,7 @@
 
 void JobService::recheck(const std::string& ref, int tries, Checked done) {
     read_either(ref, [this, ref, tries, done = std::move(done)](bool ok, std::optional<Found> found) mutable {
-        if (!ok && tries < 1 && store_.reachable()) return recheck(ref, tries + 1, std::move(done));
+        if (!ok && tries < 1 && store_.is_reachable()) return recheck(ref, tries + 1, std::move(done));
         // None found: it is on its way from one key to the other.
         if (!ok || !found) return done(false, std::nullopt);
         const JobView view = JobView::of(found->record, found->mod_revision);
--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -27,7 +27,7 @@
 void ChangeFeed::tick() {
     const Micros now = runtime_.now();
     for (auto it = waiters_.begin(); it != waiters_.end();) {
-        if (now - it->since < kPatience && (store_.reachable() || now - it->since < kMaxLook)) {
+        if (now - it->since < kPatience && (store_.is_reachable() || now - it->since < kMaxLook)) {
             ++it;
             continue;
         }
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -24,8 +24,8 @@
 Change JobCache::dropped(const Condition& left) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back(left);
-    change.then.push_back({left.key, Json()});
+    change.conditions.push_back(left);
+    change.writes.push_back({left.key, Json()});
     change.purpose = "history";
     return change;
 }
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -28,7 +28,7 @@
         const Revision legacy_revision = job ? job->legacy_revision : 0;
         // Many of these make one request, and none is a change.
         Change compare;
-        compare.when.push_back({keys::job + ref, legacy_revision});
+        compare.conditions.push_back({keys::job + ref, legacy_revision});
         store_.commit(std::move(compare), [this, ref, legacy_revision, drop, one](const CommitResult& r) {
             if (r.status == CommitStatus::Conflict) return read_final(ref, drop, one);
             if (r.status == CommitStatus::Ok) cache_.jobs.prove(ref, legacy_revision);
@@ -102,7 +102,7 @@
 }
 
 void JobArchiver::drop_stale_records() {
-    while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
+    while (!stale_records_.empty() && store_.has_write_budget(Priority::Deferrable)) {
         const Condition left = stale_records_.back();
         stale_records_.pop_back();
         store_.commit(JobCache::dropped(left), [](const CommitResult&) {});
@@ -113,7 +113,7 @@
 /// this record not being there. A look after that which shows none left tells that there is none, for good.
 void JobArchiver::set_apart() {
     if (writing_ || cache_.history_apart() || !election_.leading() ||
-        !cache_.formats.common(format::kHistory) || !store_.room(Priority::Deferrable))
+        !cache_.formats.common(format::kHistory) || !store_.has_write_budget(Priority::Deferrable))
         return;
     using State = StateCache::History;
     const Revision mod_revision = cache_.history_mark();
@@ -132,8 +132,8 @@
     writing_ = true;
     const Json value = StateCache::history_value(next);
     Change change;
-    change.when = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
-    change.then.push_back({keys::history, value});
+    change.conditions = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
+    change.writes.push_back({keys::history, value});
     change.purpose = "history";
     store_.commit(std::move(change), [this, value, next](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -32,8 +32,8 @@
     ready_ = false;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::leader, term()});
-    change.then.push_back({keys::leader, Json{{"node", settings_.node}}});
+    change.conditions.push_back({keys::leader, term()});
+    change.writes.push_back({keys::leader, Json{{"node", settings_.node}}});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
         if (ok && r.revision > term()) cache_.membership.set_leader({settings_.node, r.revision});
@@ -60,8 +60,8 @@
     if (!types.outdated()) return;
     storing_types_ = true;
     Change change;
-    change.when = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
-    change.then.push_back({keys::types, types.answer()});
+    change.conditions = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
+    change.writes.push_back({keys::types, types.answer()});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         // One that the store does not take is not tried again.
         if (r.status != CommitStatus::Rejected)
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -4,7 +4,7 @@
 
 void MembershipLease::join() {
     announced_ = false;
-    store_.grant(settings_.operators.liveness_ttl, [this](std::uint64_t lease) {
+    store_.grant_lease(settings_.operators.liveness_ttl, [this](std::uint64_t lease) {
         if (lease == 0) {
             runtime_.after(400 * kMillisecond, [this] { join(); });
             return;
@@ -25,8 +25,8 @@
 
 void MembershipLease::put(Revision mod_revision) {
     Change change;
-    change.when.push_back({keys::live + settings_.node, mod_revision});
-    change.then.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_});
+    change.conditions.push_back({keys::live + settings_.node, mod_revision});
+    change.writes.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_});
     change.priority = Priority::Urgent;
     store_.commit(std::move(change), [this](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
@@ -41,7 +41,7 @@
 
 void MembershipLease::renew() {
     runtime_.after(settings_.operators.liveness_ttl / 3, [this] {
-        store_.extend(lease_, [this](int status) {
+        store_.renew_lease(lease_, [this](int status) {
             if (status == 404) return join();
             renew();
         });
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -50,7 +50,7 @@
 
 void PolicyPublisher::publish() {
     const Micros now = runtime_.now();
-    if (now < not_before_ || !store_.room(Priority::Normal)) return;
+    if (now < not_before_ || !store_.has_write_budget(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
     if (chunks::stored_size(value) > settings_.max_value_bytes &&
         !cache_.formats.common(format::kPipelines)) {
@@ -59,8 +59,8 @@
     }
     writing_ = true;
     Change change;
-    change.when.push_back({keys::policy, cache_.policies.mod_revision()});
-    change.then.push_back({keys::policy, value});
+    change.conditions.push_back({keys::policy, cache_.policies.mod_revision()});
+    change.writes.push_back({keys::policy, value});
     change.purpose = "policy";
     store_.commit(std::move(change), [this, value, revision = file_->revision](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -80,8 +80,8 @@
     const ShardRecord before = create ? ShardRecord{} : cache_.membership.shards().at(name);
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::shard + name, before.mod_revision});
-    change.then.push_back({keys::shard + name, Json{{"holder", self}}});
+    change.conditions.push_back({keys::shard + name, before.mod_revision});
+    change.writes.push_back({keys::shard + name, Json{{"holder", self}}});
     context_.store().commit(std::move(change), [this, name, before, self, create](const CommitResult& r) {
         if (r.status != CommitStatus::Ok) {
             // The news tells who holds it, and whether our change was carried out after all.
@@ -196,9 +196,9 @@
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& [name, node] : moves) {
         spdlog::info("domain {}: handed over to {}", name, node);
-        change.when.push_back({keys::shard + name, find(name)->mod_revision()});
+        change.conditions.push_back({keys::shard + name, find(name)->mod_revision()});
         writes.emplace_back(keys::shard + name, Json{{"holder", node}});
-        change.then.push_back({writes.back().first, writes.back().second});
+        change.writes.push_back({writes.back().first, writes.back().second});
     }
     context_.store().commit(std::move(change), [this, writes](const CommitResult& r) {
         if (r.status != CommitStatus::Ok) return;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -101,7 +101,7 @@
     summed_up_ = now;
     cache_.jobs.forget_images(now - 20 * kSumUp);
     std::string line;
-    for (const auto& [purpose, n] : store_.sent()) line += " " + purpose + " " + std::to_string(n);
+    for (const auto& [purpose, n] : store_.sent_writes()) line += " " + purpose + " " + std::to_string(n);
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
                  feed_.confirmed_ago() / kMillisecond, feed_.store_revision(), election_.leader(),
@@ -181,7 +181,7 @@
 void Controller::on_format() {
     spdlog::info("all {} controllers read format {}: it is written from now on", settings_.peers.size() + 1,
                  cache_.formats.common());
-    if (cache_.formats.common(format::kPipelines)) store_.use_pieces();
+    if (cache_.formats.common(format::kPipelines)) store_.enable_chunking();
 }
 
 void Controller::on_policy() {
@@ -213,7 +213,7 @@
     const std::string key = keys::format + settings_.node;
     const Json value{{"reads", reads}};
     Change change;
-    change.then.push_back({key, value});
+    change.writes.push_back({key, value});
     change.purpose = "format";
     store_.commit(std::move(change), [this, key, value](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) cache_.take(key, &value, r.revision);
@@ -228,7 +228,7 @@
 void Controller::sweep_pieces() {
     const Micros now = runtime_.now();
     if (!election_.leading() || store_.chunk_store().size() == 0 || now - swept_at_ < kSweepEvery) return;
-    if (!store_.room(Priority::Deferrable)) return;
+    if (!store_.has_write_budget(Priority::Deferrable)) return;
     swept_at_ = now;
     std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
     std::size_t n = 0;
@@ -248,8 +248,8 @@
 void Controller::drop_piece(const chunks::ChunkStore::LeftOver& left, Revision mod_revision) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back({left.of, mod_revision});
-    change.then.push_back({left.key, Json()});
+    change.conditions.push_back({left.of, mod_revision});
+    change.writes.push_back({left.key, Json()});
     change.purpose = "cleanup";
     store_.commit(std::move(change), [](const CommitResult&) {});
 }
@@ -401,7 +401,7 @@
     v["format"] = {{"all_new", cache_.formats.common(format::kPipelines)}, {"reads", cache_.formats.all()}};
     v["policy"] = policies_.status();
     v["fleet"] = autoscaler_.status();
-    v["changes_sent"] = store_.sent();
+    v["changes_sent"] = store_.sent_writes();
     v["decisions"] = decisions_.value();
     return v;
 }
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxOwn = 200;
 constexpr Micros kGather = 3 * kMillisecond;
 // Share of a second's changes that must be left over for changes of each priority.
-constexpr std::array<double, kPriorities> kReserve{0.0, 0.15, 0.5};
+constexpr std::array<double, kPriorityCount> kReserve{0.0, 0.15, 0.5};
 // The same for what can wait for as long as it takes.
 constexpr double kQuiet = 0.9;
 // Of the announced rate of changes: what is used, a burst of all controllers, and one of ours.
@@ -87,7 +87,7 @@
     if (own_.count(mod_revision) == 0) writes_.drain(runtime_.now(), 1);
 }
 
-bool StoreClient::room(Priority priority) {
+bool StoreClient::has_write_budget(Priority priority) {
     const Micros now = runtime_.now();
     // What is less urgent and waits for quiet moments keeps nobody waiting.
     std::size_t ahead = 0;
@@ -98,7 +98,7 @@
     return writes_.level(now) > kReserve[static_cast<std::size_t>(priority)];
 }
 
-bool StoreClient::quiet() {
+bool StoreClient::is_quiet() {
     const Micros now = runtime_.now();
     return write_queue_.size() == 0 && now >= write_queue_.pause_until && writes_.level(now) > kQuiet;
 }
@@ -176,41 +176,45 @@
     });
 }
 
-void StoreClient::list(const std::string& prefix, GoOn go_on, std::function<void(const Entry&)> each,
-                       std::function<void(ListResult)> done) {
-    list_page(prefix, "", std::move(go_on), std::move(each), std::make_shared<ListResult>(), std::move(done));
+void StoreClient::list(const std::string& prefix, NextPageKey next_page_key,
+                       std::function<void(const Entry&)> each, std::function<void(ListResult)> done) {
+    list_page(prefix, "", std::move(next_page_key), std::move(each), std::make_shared<ListResult>(),
+              std::move(done));
 }
 
-void StoreClient::list_page(const std::string& prefix, const std::string& since, GoOn go_on,
+void StoreClient::list_page(const std::string& prefix, const std::string& since, NextPageKey next_page_key,
                             std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
                             std::function<void(ListResult)> done) {
     Call call;
     call.method = "GET";
     call.path = "/store?starts=" + prefix + (since.empty() ? "" : "&since=" + since) + "&page=1000";
     call.timeout = 4 * kSecond;
-    request(std::move(call), [this, prefix, since, go_on = std::move(go_on), each = std::move(each), result,
-                              done = std::move(done)](const Reply& r) mutable {
-        const Json* pairs = wire::find(r.body, "pairs");
-        auto store_revision = wire::count(r.body, "ledger");
-        if (r.status != 200 || !pairs || !pairs->is_array() || !store_revision) return done(ListResult{});
-        if (since.empty()) result->store_revision = *store_revision;
-        ++result->requests;
-        std::string last;
-        for (const auto& p : *pairs) {
-            auto key = wire::text(p, "k");
-            auto mod_revision = wire::count(p, "mark");
-            if (!key || !mod_revision) return done(ListResult{});
-            last = *key;
-            const Json* data = wire::find(p, "data");
-            each(Entry{*key, data ? *data : Json(), *mod_revision, result->store_revision});
-        }
-        if (wire::flag(r.body, "has_next").value_or(false) && !last.empty()) {
-            const std::string next = go_on(last);
-            return list_page(prefix, next, std::move(go_on), std::move(each), result, std::move(done));
-        }
-        result->ok = true;
-        done(std::move(*result));
-    });
+    request(std::move(call),
+            [this, prefix, since, next_page_key = std::move(next_page_key), each = std::move(each), result,
+             done = std::move(done)](const Reply& r) mutable {
+                const Json* pairs = wire::find(r.body, "pairs");
+                auto store_revision = wire::count(r.body, "ledger");
+                if (r.status != 200 || !pairs || !pairs->is_array() || !store_revision)
+                    return done(ListResult{});
+                if (since.empty()) result->store_revision = *store_revision;
+                ++result->requests;
+                std::string last;
+                for (const auto& p : *pairs) {
+                    auto key = wire::text(p, "k");
+                    auto mod_revision = wire::count(p, "mark");
+                    if (!key || !mod_revision) return done(ListResult{});
+                    last = *key;
+                    const Json* data = wire::find(p, "data");
+                    each(Entry{*key, data ? *data : Json(), *mod_revision, result->store_revision});
+                }
+                if (wire::flag(r.body, "has_next").value_or(false) && !last.empty()) {
+                    const std::string next = next_page_key(last);
+                    return list_page(prefix, next, std::move(next_page_key), std::move(each), result,
+                                     std::move(done));
+                }
+                result->ok = true;
+                done(std::move(*result));
+            });
 }
 
 void StoreClient::watch(const std::string& prefix, Revision since, Micros block, ReplyHandler done) {
@@ -222,7 +226,7 @@
     request(std::move(call), std::move(done));
 }
 
-void StoreClient::grant(Micros ttl, std::function<void(std::uint64_t)> done) {
+void StoreClient::grant_lease(Micros ttl, std::function<void(std::uint64_t)> done) {
     Call call;
     call.method = "POST";
     call.path = "/grants";
@@ -232,7 +236,7 @@
     });
 }
 
-void StoreClient::extend(std::uint64_t lease, std::function<void(int)> done) {
+void StoreClient::renew_lease(std::uint64_t lease, std::function<void(int)> done) {
     Call call;
     call.method = "POST";
     call.path = "/grants/" + std::to_string(lease) + "/extend";
@@ -243,7 +247,7 @@
 
 void StoreClient::commit(Change change, std::function<void(const CommitResult&)> done) {
     bool too_large = false;
-    for (auto& w : change.then) {
+    for (auto& w : change.writes) {
         w.bytes = w.value.is_null() ? 0 : chunks::stored_size(w.value);
         too_large = too_large || (w.value.is_object() && w.bytes > settings_.max_value_bytes);
     }
@@ -263,7 +267,7 @@
     };
     auto pending = std::make_shared<Parts>();
     std::vector<Write> parts;
-    for (auto& w : change.then) {
+    for (auto& w : change.writes) {
         if (!w.value.is_object() || w.bytes <= settings_.max_value_bytes) continue;
         char name[24];
         std::snprintf(name, sizeof name, "%016llx", static_cast<unsigned long long>(runtime_.random()()));
@@ -273,8 +277,8 @@
         w.value = std::move(split.head);
         w.bytes = chunks::stored_size(w.value);
     }
-    if (change.when.size() + parts.size() > settings_.max_txn_ops * 4) {
-        spdlog::error("{} is too large to be stored: {} pieces", change.then.front().key, parts.size());
+    if (change.conditions.size() + parts.size() > settings_.max_txn_ops * 4) {
+        spdlog::error("{} is too large to be stored: {} pieces", change.writes.front().key, parts.size());
         return runtime_.after(0, [done = std::move(done)] { done({CommitStatus::Rejected, 0, {}}); });
     }
     pending->change = std::move(change);
@@ -286,10 +290,10 @@
         first.purpose = "piece";
         const std::string key = part.key;
         part.bytes = chunks::stored_size(part.value);
-        first.then.push_back(std::move(part));
+        first.writes.push_back(std::move(part));
         enqueue(std::move(first), [this, pending, key](const CommitResult& r) {
             pending->failed = pending->failed || r.status != CommitStatus::Ok;
-            pending->change.when.push_back({key, r.revision});
+            pending->change.conditions.push_back({key, r.revision});
             if (--pending->missing > 0) return;
             if (pending->failed) return pending->done({CommitStatus::Unavailable, 0, {}});
             enqueue(std::move(pending->change), std::move(pending->done));
@@ -310,7 +314,7 @@
 }
 
 void StoreClient::enqueue(Change change, std::function<void(const CommitResult&)> done) {
-    const bool writes = !change.then.empty();
+    const bool writes = !change.writes.empty();
     Queue& queue = writes ? write_queue_ : check_queue_;
     if (queue.size() >= kMaxQueue) {
         runtime_.after(0, [done = std::move(done)] { done({CommitStatus::Unavailable, 0, {}}); });
@@ -350,27 +354,28 @@
             // As if carried out one after the other: no change rests on what one before it writes. All
             // conditions are judged as of before the transaction, so two that undo each other's would both be
             // carried out.
-            for (const auto& w : p.change.then) {
+            for (const auto& w : p.change.writes) {
                 size += w.key.size() + 32 + w.bytes;
                 clash = clash || keys.count(w.key) > 0;
             }
-            for (const auto& c : p.change.when) {
+            for (const auto& c : p.change.conditions) {
                 size += c.key.size() + 32;
                 auto it = conditions.find(c.key);
                 clash = clash || keys.count(c.key) > 0 ||
                         (it != conditions.end() && it->second != c.mod_revision);
             }
-            if (!batch.empty() && (clash || p.alone || batch.back().alone ||
-                                   ops + p.change.then.size() > settings_.max_txn_ops ||
-                                   conditions.size() + p.change.when.size() > settings_.max_txn_ops * 4 ||
-                                   bytes + size > kMaxBatchBytes))
+            if (!batch.empty() &&
+                (clash || p.alone || batch.back().alone ||
+                 ops + p.change.writes.size() > settings_.max_txn_ops ||
+                 conditions.size() + p.change.conditions.size() > settings_.max_txn_ops * 4 ||
+                 bytes + size > kMaxBatchBytes))
                 break;
             // As many as the budget has room for; the rest when there is more.
-            if (writes && !take_writes(now, p.change.then.size(), p.change.priority)) break;
-            ops += p.change.then.size();
+            if (writes && !take_writes(now, p.change.writes.size(), p.change.priority)) break;
+            ops += p.change.writes.size();
             bytes += size;
-            for (const auto& w : p.change.then) keys.insert(w.key);
-            for (const auto& c : p.change.when) conditions[c.key] = c.mod_revision;
+            for (const auto& w : p.change.writes) keys.insert(w.key);
+            for (const auto& c : p.change.conditions) conditions[c.key] = c.mod_revision;
             batch.push_back(std::move(p));
             first->pop_front();
         }
@@ -385,10 +390,10 @@
     Json when = Json::array(), then = Json::array();
     std::set<std::string> seen;
     for (const auto& p : batch) {
-        for (const auto& c : p.change.when)
+        for (const auto& c : p.change.conditions)
             if (seen.insert(c.key).second) when.push_back(Json{{"k", c.key}, {"mark", c.mod_revision}});
-        if (!p.change.then.empty()) sent_[p.change.purpose] += p.change.then.size();
-        for (const auto& w : p.change.then) {
+        if (!p.change.writes.empty()) sent_[p.change.purpose] += p.change.writes.size();
+        for (const auto& w : p.change.writes) {
             if (w.value.is_null()) {
                 then.push_back(Json{{"drop", w.key}});
             } else {
@@ -436,7 +441,7 @@
                 if (k.is_string()) failed.insert(k.get<std::string>());
         std::vector<Pending> hit, rest;
         for (auto& p : batch) {
-            const bool touched = std::any_of(p.change.when.begin(), p.change.when.end(),
+            const bool touched = std::any_of(p.change.conditions.begin(), p.change.conditions.end(),
                                              [&](const Condition& c) { return failed.count(c.key) > 0; });
             (touched ? hit : rest).push_back(std::move(p));
         }
@@ -459,8 +464,9 @@
         return finish(batch, {CommitStatus::Unavailable, 0, {}});
     if (reply.status == 400) {
         if (batch.size() > 1) return requeue(std::move(batch), true);
-        spdlog::error("state service rejects a transaction on {}",
-                      batch.front().change.then.empty() ? "nothing" : batch.front().change.then.front().key);
+        spdlog::error(
+            "state service rejects a transaction on {}",
+            batch.front().change.writes.empty() ? "nothing" : batch.front().change.writes.front().key);
         return finish(batch, {CommitStatus::Rejected, 0, {}});
     }
     finish(batch, {CommitStatus::Unknown, 0, {}});
--- a/src/kvstore/store_client.hpp
+++ b/src/kvstore/store_client.hpp
@@ -33,15 +33,15 @@
 /// Changes a second are scarce and shared by all controllers: what users wait for goes first, what may wait
 /// takes only what is left over.
 enum class Priority { Urgent = 0, Normal = 1, Deferrable = 2 };
-constexpr std::size_t kPriorities = 3;
+constexpr std::size_t kPriorityCount = 3;
 
 /// What the service does not take (Rejected) is not sent again before that.
-constexpr Micros kRefused = 5 * kSecond;
+constexpr Micros kRejectedRetryDelay = 5 * kSecond;
 
 /// One caller's part of a transaction. Without writes it only compares.
 struct Change {
-    std::vector<Condition> when;
-    std::vector<Write> then;
+    std::vector<Condition> conditions;
+    std::vector<Write> writes;
     Priority priority = Priority::Normal;
     const char* purpose = "other";  // for the metrics
 };
@@ -106,36 +106,36 @@
 
     void read(const std::string& key, std::function<void(ReadResult)> done);
     /// Where to go on after the last key of a page: that key, or one beyond what is to be left out.
-    using GoOn = std::function<std::string(const std::string& key)>;
+    using NextPageKey = std::function<std::string(const std::string& key)>;
     /// All pages below a prefix; entries are handed over page by page to keep memory bounded.
-    void list(const std::string& prefix, GoOn go_on, std::function<void(const Entry&)> each,
+    void list(const std::string& prefix, NextPageKey next_page_key, std::function<void(const Entry&)> each,
               std::function<void(ListResult)> done);
     void commit(Change change, std::function<void(const CommitResult&)> done);
     void watch(const std::string& prefix, Revision since, Micros block, ReplyHandler done);
-    void grant(Micros ttl, std::function<void(std::uint64_t lease)> done);  // 0: none
-    void extend(std::uint64_t lease, std::function<void(int status)> done);
+    void grant_lease(Micros ttl, std::function<void(std::uint64_t lease)> done);  // 0: none
+    void renew_lease(std::uint64_t lease, std::function<void(int status)> done);
 
     /// From now on values that are too large are stored in pieces. Only once every controller reads them.
-    void use_pieces() { in_pieces_ = true; }
-    bool uses_pieces() const { return in_pieces_; }
+    void enable_chunking() { in_pieces_ = true; }
+    bool is_chunking_enabled() const { return in_pieces_; }
     chunks::ChunkStore& chunk_store() { return chunk_store_; }
 
     /// News of a change: those of others use up the same budget.
     void observe(Revision mod_revision);
     /// Whether a change of this priority would go out about now. Asked before a record is put together, so
     /// that what has to wait is written once, as it is then.
-    bool room(Priority priority);
+    bool has_write_budget(Priority priority);
     /// Whether next to nothing has been written lately, by anybody: for changes that can wait for hours.
     /// Those that take what a burst of submissions would need a moment later are not for free.
-    bool quiet();
+    bool is_quiet();
     /// What is left of a second's changes of all controllers, as far as we can tell, as a share.
-    double level() { return writes_.level(runtime_.now()); }
+    double write_budget_level() { return writes_.level(runtime_.now()); }
 
     /// When the service last answered a request with anything but 503 or 429.
     Micros last_contact() const { return last_contact_; }
-    bool reachable() const { return failures_ < 3; }
+    bool is_reachable() const { return failures_ < 3; }
     /// Puts and deletions sent so far, by what they are for.
-    const std::map<std::string, std::uint64_t>& sent() const { return sent_; }
+    const std::map<std::string, std::uint64_t>& sent_writes() const { return sent_; }
 
   private:
     struct Pending {
@@ -145,7 +145,7 @@
         bool alone = false;
     };
     struct Queue {
-        std::array<std::deque<Pending>, kPriorities> pending;
+        std::array<std::deque<Pending>, kPriorityCount> pending;
         std::size_t size() const;
         std::deque<Pending>* first();
         int in_flight = 0;
@@ -163,7 +163,7 @@
     void later(Queue& queue, bool writes, Micros delay);
     void send(Queue& queue, bool writes, std::vector<Pending> batch);
     void settle(Queue& queue, bool writes, std::vector<Pending> batch, const Reply& reply);
-    void list_page(const std::string& prefix, const std::string& since, GoOn go_on,
+    void list_page(const std::string& prefix, const std::string& since, NextPageKey next_page_key,
                    std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
                    std::function<void(ListResult)> done);
 
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -423,7 +423,7 @@
         return key(a) < key(b);
     });
     for (const auto& d : list) {
-        if (!context_.store().room(d.priority)) break;
+        if (!context_.store().has_write_budget(d.priority)) break;
         write_part(*d.job, d.part, d.priority);
     }
 }
@@ -431,7 +431,7 @@
 /// How long changes of a part are gathered before they are written as one: the scarcer changes are, the
 /// longer, but not what the operators want started soon.
 Micros ShardOwner::gathers(const Job& job, bool binds) const {
-    const double level = context_.store().level();
+    const double level = context_.store().write_budget_level();
     if (!binds) return level < 0.5 ? 2 * kDefer : kDefer;
     if (job.rank == PriorityClass::Production ||
         !context_.settings().objective_times("wait", job.spec.job_class).empty())
@@ -447,13 +447,13 @@
     change.priority = priority;
     // Write ahead: on the records as we know them, so that no ousted holder binds and no cancelled job is
     // bound.
-    change.when = as_known(job);
-    change.when.push_back({keys::shard + shard_, mod_revision_});
-    if (index > 0) change.when.push_back({key_of(job, index), part.mod_revision});
+    change.conditions = as_known(job);
+    change.conditions.push_back({keys::shard + shard_, mod_revision_});
+    if (index > 0) change.conditions.push_back({key_of(job, index), part.mod_revision});
     // Nothing of old form may be added once that is closed, nor beside a record of the new form.
     if (job.admitting && job.place == RecordLocation::Job) {
-        change.when.push_back({keys::active + ref, 0});
-        change.when.push_back({keys::history, 0});
+        change.conditions.push_back({keys::active + ref, 0});
+        change.conditions.push_back({keys::history, 0});
     }
     Json value = part_value(job, index, final_record);
     std::vector<AttemptKey> binding;
@@ -466,19 +466,19 @@
     }
     // What is of old form moves where history is out of the way, when changes are plenty.
     const bool moves = index == 0 && !final_record && !job.admitting && job.place == RecordLocation::Job &&
-                       context_.all_read(format::kHistory) && context_.store().quiet();
+                       context_.all_read(format::kHistory) && context_.store().is_quiet();
     const RecordLocation place = moves ? RecordLocation::Active : job.place;
     if (moves) {
-        change.when.push_back({keys::active + ref, 0});
-        change.then.push_back({keys::job + ref, Json()});
+        change.conditions.push_back({keys::active + ref, 0});
+        change.writes.push_back({keys::job + ref, Json()});
     }
-    change.then.push_back({final_record ? keys::job + ref
-                           : index == 0 ? record_key(place, ref)
-                                        : key_of(job, index),
-                           value});
+    change.writes.push_back({final_record ? keys::job + ref
+                             : index == 0 ? record_key(place, ref)
+                                          : key_of(job, index),
+                             value});
     // Where changes are plenty, what it was goes with it; else that waits for a quiet moment.
-    const bool drops = final_record && job.place == RecordLocation::Active && context_.store().quiet();
-    if (drops) change.then.push_back({keys::active + ref, Json()});
+    const bool drops = final_record && job.place == RecordLocation::Active && context_.store().is_quiet();
+    if (drops) change.writes.push_back({keys::active + ref, Json()});
     change.purpose = job.admitting ? "admit" : final_record ? "over" : binding.empty() ? "done" : "bind";
     part.dirty = false;
     part.in_flight = true;
@@ -541,7 +541,8 @@
         return touch(*job, index);
     }
     // What the service does not take is not sent again and again.
-    if (result.status == CommitStatus::Rejected) p.not_before = context_.runtime().now() + kRefused;
+    if (result.status == CommitStatus::Rejected)
+        p.not_before = context_.runtime().now() + kRejectedRetryDelay;
     // Executed or not: the record decides.
     reload(ref, index);
     if (index > 0) reload(ref, 0);
@@ -564,7 +565,7 @@
                     // numbers its attempts from the same record, and its binds must not be taken for those of
                     // ours that got no answer.
                     Change ours;
-                    ours.when.push_back({keys::shard + shard_, mod_revision_});
+                    ours.conditions.push_back({keys::shard + shard_, mod_revision_});
                     context_.store().commit(std::move(ours), [this, alive, ref, index, r, place,
                                                               legacy_revision](const CommitResult& c) {
                         if (!*alive) return;
@@ -639,7 +640,7 @@
 /// One after another, in quiet moments: each is written anew where it belongs now.
 void ShardOwner::move_out_of_history() {
     const Micros now = context_.runtime().now();
-    if (!context_.all_read(format::kHistory) || now - moved_at_ < kMoveEvery || !context_.store().quiet())
+    if (!context_.all_read(format::kHistory) || now - moved_at_ < kMoveEvery || !context_.store().is_quiet())
         return;
     moved_at_ = now;
     for (auto& [ref, job] : shard_state_.jobs) {
@@ -658,7 +659,7 @@
     const Micros now = context_.runtime().now();
     const bool many = stale_records_.size() > kManyLeftOver;
     if (!stale_records_.empty() && now - dropped_at_ >= (many ? kDropEvery / 4 : kDropEvery) &&
-        (many ? context_.store().room(Priority::Deferrable) : context_.store().quiet())) {
+        (many ? context_.store().has_write_budget(Priority::Deferrable) : context_.store().is_quiet())) {
         dropped_at_ = now;
         const Condition left = stale_records_.back();
         stale_records_.pop_back();
@@ -694,8 +695,8 @@
         if (job.parts[p].mod_revision == 0) continue;
         Change change;
         change.priority = Priority::Deferrable;
-        change.when.push_back({keys::shard + shard_, mod_revision_});
-        change.then.push_back({key_of(job, p), Json()});
+        change.conditions.push_back({keys::shard + shard_, mod_revision_});
+        change.writes.push_back({key_of(job, p), Json()});
         change.purpose = "cleanup";
         context_.store().commit(std::move(change), [](const CommitResult&) {});
     }
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -176,13 +176,13 @@
         room.ordinary -= need - from_spot;
         room.idle_spot -= from_spot;
         room.idle_ordinary -= need - from_spot;
-        if (!context_.store().room(Priority::Normal)) return;
+        if (!context_.store().has_write_budget(Priority::Normal)) return;
         Change change;
-        change.when = as_known(job);
-        change.when.push_back({keys::shard + shard_, mod_revision_});
+        change.conditions = as_known(job);
+        change.conditions.push_back({keys::shard + shard_, mod_revision_});
         Json value = part_value(job, 0, false);
         value["dom"] = to;
-        change.then.push_back({key_of(job, 0), value});
+        change.writes.push_back({key_of(job, 0), value});
         change.purpose = "rehome";
         part.in_flight = true;
         job.leaving = true;
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -253,7 +253,8 @@
     if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
     const bool left_over = plan_.empty() && record_ != 0;
     if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
-    if (context_.runtime().now() < not_before_ || !context_.store().room(Priority::Deferrable)) return;
+    if (context_.runtime().now() < not_before_ || !context_.store().has_write_budget(Priority::Deferrable))
+        return;
     if (plan_.empty() && record_ == 0) return;  // it was taken back before it was ever written
     write();
 }
@@ -347,8 +348,8 @@
     Change change;
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
-    change.when = {{keys::shard + shard_, shard_revision_}, {key, record_}};
-    change.then.push_back({key, drops ? Json() : plan_.value()});
+    change.conditions = {{keys::shard + shard_, shard_revision_}, {key, record_}};
+    change.writes.push_back({key, drops ? Json() : plan_.value()});
     in_flight_ = true;
     plan_.writing();
     context_.store().commit(std::move(change), [this, alive = alive_, drops](const CommitResult& r) {
@@ -368,7 +369,7 @@
             not_before_ = context_.runtime().now() + kSecond;
             return;
         case CommitStatus::Rejected:
-            not_before_ = context_.runtime().now() + kRefused;
+            not_before_ = context_.runtime().now() + kRejectedRetryDelay;
             return;
         case CommitStatus::Conflict:
             if (std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) !=
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -622,7 +622,7 @@
     bool tried_relayed = false, tried_surplus = !takes_surplus(job);
     const bool asks_surplus = !tried_surplus;
     const bool ready_only = job.holding_out = waits_for_image(job);
-    const bool pieces = context_.store().uses_pieces();
+    const bool pieces = context_.store().is_chunking_enabled();
     while (job.first_idle < job.slots.size() && job.slots[job.first_idle].state != SlotState::Idle)
         ++job.first_idle;
     for (std::size_t i = job.first_idle; i < job.slots.size(); ++i) {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -614,7 +614,7 @@
     w.run(e.duration);
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
-            for (const auto& [purpose, n] : w.node(i)->store().sent()) into.changes[purpose] += n;
+            for (const auto& [purpose, n] : w.node(i)->store().sent_writes()) into.changes[purpose] += n;
     ++into.runs;
     for (const auto& b : w.broken) into.broken.push_back(fmt::format("seed {}: {}", seed, b));
     for (const auto& ref : w.refs()) {
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -116,7 +116,7 @@
     w->run(40 * kSecond);
     int moves = 0;
     for (int i = 0; i < w->node_count(); ++i) {
-        const auto& sent = w->node(i)->store().sent();
+        const auto& sent = w->node(i)->store().sent_writes();
         if (auto it = sent.find("rehome"); it != sent.end()) moves += static_cast<int>(it->second);
     }
     EXPECT_LE(moves, 24) << w->story();
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -425,10 +425,10 @@
         ASSERT_TRUE(mod_revision);
         const std::vector<Condition> as_known{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
         std::vector<Change> changes(3);
-        changes[0].when = changes[1].when = as_known;
-        changes[swapped].then.push_back({"c/active/x", {{"s", "cancelled"}}});
-        changes[!swapped].then.push_back({"c/job/x", {{"s", "done"}}});
-        changes[2].then.push_back({"c/other", 1});
+        changes[0].conditions = changes[1].conditions = as_known;
+        changes[swapped].writes.push_back({"c/active/x", {{"s", "cancelled"}}});
+        changes[!swapped].writes.push_back({"c/job/x", {{"s", "done"}}});
+        changes[2].writes.push_back({"c/other", 1});
         std::vector<CommitStatus> status;
         for (auto& c : changes)
             store.commit(c, [&status](const CommitResult& r) { status.push_back(r.status); });
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -19,7 +19,7 @@
     std::uint64_t n = 0;
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
-            for (const auto& [purpose, sent] : w.node(i)->store().sent()) n += sent;
+            for (const auto& [purpose, sent] : w.node(i)->store().sent_writes()) n += sent;
     return n;
 }
 
@@ -85,7 +85,7 @@
         static_cast<double>(begin) / 1e6, backlog.c_str());
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i) && std::getenv("WORLD_CHANGES"))
-            for (const auto& [purpose, n] : w.node(i)->store().sent())
+            for (const auto& [purpose, n] : w.node(i)->store().sent_writes())
                 std::printf("  loom-%d %s %d\n", i, purpose.c_str(), static_cast<int>(n));
 }
 
