--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -86,7 +86,7 @@
     change.priority = waits ? Priority::Deferrable : Priority::Normal;
     if (!store_.has_write_budget(change.priority)) return;
     change.conditions.push_back({keys::block + id, next.mod_revision});
-    const Json value = next.machines.empty() ? Json() : next.value();
+    const Json value = next.machines.empty() ? Json() : next.to_json();
     change.writes.push_back({keys::block + id, value});
     change.purpose = "block";
     edits.in_flight = true;
@@ -126,7 +126,7 @@
                {[machine, above](Block& b) {
                     Block::Machine* m = b.find(machine);
                     if (!m || m->token > above) return false;
-                    m->raise = true;
+                    m->raise_token = true;
                     return true;
                 },
                 std::move(done)},
@@ -179,9 +179,9 @@
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
         change.conditions.push_back({keys::block + part.id, 0});
-        writes.emplace_back(part.id, part.value());
+        writes.emplace_back(part.id, part.to_json());
     }
-    writes.emplace_back(block.id, rest.value());
+    writes.emplace_back(block.id, rest.to_json());
     for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "split";
     edits_[block.id].in_flight = true;  // nothing else rewrites it meanwhile
@@ -360,7 +360,7 @@
     Change change;
     change.conditions.push_back({keys::leader, term});
     change.conditions.push_back({keys::block + block.id, 0});
-    const Json value = block.value();
+    const Json value = block.to_json();
     change.writes.push_back({keys::block + block.id, value});
     change.purpose = "lease";
     store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& r) {
@@ -431,10 +431,10 @@
     Change change;
     change.conditions.push_back({keys::shard + from.shard(), from.mod_revision()});
     change.conditions.push_back({keys::block + next.id, 0});
-    std::vector<std::pair<std::string, Json>> writes{{next.id, next.value()}};
+    std::vector<std::pair<std::string, Json>> writes{{next.id, next.to_json()}};
     for (auto& [id, source] : sources) {
         change.conditions.push_back({keys::block + id, source.mod_revision});
-        writes.emplace_back(id, source.machines.empty() ? Json() : source.value());
+        writes.emplace_back(id, source.machines.empty() ? Json() : source.to_json());
         edits_[id].in_flight = true;  // nothing else rewrites it meanwhile
     }
     for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -33,7 +33,7 @@
             for (const auto& t : settings_.teams)
                 shares[t.name] = {to_share(t.limit.cores) / n, to_share(t.limit.gpus) / n, 0};
             next.emplace_back(shard, shares);
-            change.conditions.push_back({keys::share + shard, 0});
+            change.conditions.push_back({keys::quota + shard, 0});
         }
         for (const auto& t : settings_.teams) {
             next.front().second[t.name].cores += to_share(t.limit.cores) % n;
@@ -56,21 +56,21 @@
             if (!more) return;
             // Every other share must be as it was when the sum was taken.
             for (const auto& [name, s] : stored)
-                change.conditions.push_back({keys::share + name, s.mod_revision});
+                change.conditions.push_back({keys::quota + name, s.mod_revision});
             next.emplace_back(shard, shares);
             break;
         }
         if (next.empty()) return;
     }
     for (const auto& [shard, shares] : next)
-        change.writes.push_back({keys::share + shard, shares_value(shares)});
+        change.writes.push_back({keys::quota + shard, quota_to_json(shares)});
     sharing_first_ = true;
     const Revision term = election_.term();
     store_.commit(std::move(change), [this, next, term](const CommitResult& r) {
         if (r.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
-                const Json v = shares_value(shares);
-                cache_.take(keys::share + shard, &v, r.revision);
+                const Json v = quota_to_json(shares);
+                cache_.take(keys::quota + shard, &v, r.revision);
             }
         // Carried out after others were made for other shards, the limits would be shared out twice.
         const bool unknown = r.status == CommitStatus::Unknown;
@@ -107,19 +107,19 @@
     Change change;
     change.priority = Priority::Urgent;
     change.conditions.push_back({keys::shard + shard, from.mod_revision()});
-    change.conditions.push_back({keys::share + shard, ours->mod_revision});
-    change.conditions.push_back({keys::share + want.shard, their_mark});
-    change.writes.push_back({keys::share + shard, shares_value(less)});
-    change.writes.push_back({keys::share + want.shard, shares_value(more)});
+    change.conditions.push_back({keys::quota + shard, ours->mod_revision});
+    change.conditions.push_back({keys::quota + want.shard, their_mark});
+    change.writes.push_back({keys::quota + shard, quota_to_json(less)});
+    change.writes.push_back({keys::quota + want.shard, quota_to_json(more)});
     change.purpose = "share";
     book.giving(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
     auto settle = [this, shard, want, grant, less, more, done = std::move(done)](const CommitResult& r) {
         const bool ok = r.status == CommitStatus::Ok;
         if (ok) {
-            const Json l = shares_value(less), m = shares_value(more);
-            cache_.take(keys::share + shard, &l, r.revision);
-            cache_.take(keys::share + want.shard, &m, r.revision);
+            const Json l = quota_to_json(less), m = quota_to_json(more);
+            cache_.take(keys::quota + shard, &l, r.revision);
+            cache_.take(keys::quota + want.shard, &m, r.revision);
         }
         cache_.shares.given(shard, want.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
--- a/src/cache/quota_cache.cpp
+++ b/src/cache/quota_cache.cpp
@@ -6,7 +6,7 @@
 
 void QuotaCache::take(const std::string& shard, const Json* value, Revision mod_revision) {
     Stored& s = stored_[shard];
-    if (value && mod_revision > s.mod_revision) s = {parse_shares(*value), mod_revision};
+    if (value && mod_revision > s.mod_revision) s = {parse_quota(*value), mod_revision};
 }
 
 const QuotaCache::Stored* QuotaCache::find(const std::string& shard) const {
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -28,11 +28,11 @@
 
 void StateCache::take(const std::string& key, const Json* value, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-    if (starts_with(key, keys::chunk)) return store_.chunk_store().take(key, value, runtime_.now());
+    if (starts_with(key, keys::chunk)) return store_.chunk_store().apply(key, value, runtime_.now());
     std::optional<Json> whole;
-    if (!value || !chunks::named_by(*value)) {
+    if (!value || !chunks::chunk_reference(*value)) {
         store_.chunk_store().on_record_removed(key);
-    } else if (whole = store_.chunk_store().whole(key, *value); whole) {
+    } else if (whole = store_.chunk_store().assemble(key, *value); whole) {
         value = &*whole;
     } else {
         // Replaced since, so that its pieces are gone: news of that follows.
@@ -46,8 +46,8 @@
         if (!value || !jobs.take(ref, place, *value, mod_revision, runtime_.now())) return;
         listener_.on_job(ref, place, *value, mod_revision);
         if (jobs.dependency_graph().changed()) settle();
-    } else if (starts_with(key, keys::part)) {
-        const std::string name = rest(keys::part);
+    } else if (starts_with(key, keys::job_part)) {
+        const std::string name = rest(keys::job_part);
         const auto slash = name.rfind('/');
         if (slash == std::string::npos) return;
         const std::string ref = name.substr(0, slash);
@@ -57,15 +57,15 @@
     } else if (starts_with(key, keys::block)) {
         blocks.take(rest(keys::block), value, mod_revision);
         listener_.on_news();
-    } else if (starts_with(key, keys::live)) {
-        const std::string node = rest(keys::live);
+    } else if (starts_with(key, keys::live_node)) {
+        const std::string node = rest(keys::live_node);
         membership.take_live(node, value != nullptr, runtime_.now());
         if (value && !reading_) membership.heard(node);
     } else if (starts_with(key, keys::shard)) {
         const std::string name = rest(keys::shard);
         if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
-    } else if (starts_with(key, keys::share)) {
-        shares.take(rest(keys::share), value, mod_revision);
+    } else if (starts_with(key, keys::quota)) {
+        shares.take(rest(keys::quota), value, mod_revision);
         listener_.on_news();
     } else if (starts_with(key, keys::plan)) {
         plans.take(rest(keys::plan), value, mod_revision);
@@ -75,7 +75,7 @@
         if (policies.take(value, mod_revision)) listener_.on_policy();
     } else if (key == keys::history) {
         if (value) take_history(*value, mod_revision);
-    } else if (key == keys::types) {
+    } else if (key == keys::machine_types) {
         if (!value || !types.take(*value, mod_revision)) return;
         jobs.weigh_again();
         listener_.on_news();
@@ -112,14 +112,15 @@
     reading_ = false;
     std::vector<std::string> missing;
     for (const auto& name : membership.alive())
-        if (!seen.count(keys::live + name) && name != settings_.node) missing.push_back(keys::live + name);
+        if (!seen.count(keys::live_node + name) && name != settings_.node)
+            missing.push_back(keys::live_node + name);
     for (const auto& [id, block] : blocks.all())
         if (!seen.count(keys::block + id)) missing.push_back(keys::block + id);
     for (const auto& [shard, stored] : plans.all())
         if (!seen.count(keys::plan + shard)) missing.push_back(keys::plan + shard);
     for (const auto& [ref, job] : jobs.live())
         for (const auto& [part, rest] : job.parts)
-            if (const auto key = keys::part + ref + "/" + std::to_string(part); !seen.count(key))
+            if (const auto key = keys::job_part + ref + "/" + std::to_string(part); !seen.count(key))
                 missing.push_back(key);
     if (policies.mod_revision() > 0 && !seen.count(keys::policy)) missing.push_back(keys::policy);
     for (const auto& key : missing) take(key, nullptr, store_revision);
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -60,8 +60,8 @@
     if (!types.outdated()) return;
     storing_types_ = true;
     Change change;
-    change.conditions = {{keys::leader, term()}, {keys::types, types.stored_mark()}};
-    change.writes.push_back({keys::types, types.answer()});
+    change.conditions = {{keys::leader, term()}, {keys::machine_types, types.stored_mark()}};
+    change.writes.push_back({keys::machine_types, types.answer()});
     store_.commit(std::move(change), [this](const CommitResult& r) {
         // One that the store does not take is not tried again.
         if (r.status != CommitStatus::Rejected)
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -17,7 +17,7 @@
 /// On the mark of what stands there: carried out late, a put of a former process, or an earlier one of ours,
 /// would attach the key to a lease that nobody renews, and take it along when that ends.
 void MembershipLease::announce() {
-    store_.read(keys::live + settings_.node, [this](const ReadResult& r) {
+    store_.read(keys::live_node + settings_.node, [this](const ReadResult& r) {
         if (r.ok) return put(r.found ? r.mod_revision : 0);
         runtime_.after(300 * kMillisecond, [this] { announce(); });
     });
@@ -25,8 +25,8 @@
 
 void MembershipLease::put(Revision mod_revision) {
     Change change;
-    change.conditions.push_back({keys::live + settings_.node, mod_revision});
-    change.writes.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_});
+    change.conditions.push_back({keys::live_node + settings_.node, mod_revision});
+    change.writes.push_back({keys::live_node + settings_.node, Json{{"node", settings_.node}}, lease_});
     change.priority = Priority::Urgent;
     store_.commit(std::move(change), [this](const CommitResult& r) {
         if (r.status == CommitStatus::Ok) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -230,25 +230,25 @@
     if (!election_.leading() || store_.chunk_store().size() == 0 || now - swept_at_ < kSweepEvery) return;
     if (!store_.has_write_budget(Priority::Deferrable)) return;
     swept_at_ = now;
-    std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
+    std::map<std::string, std::vector<chunks::ChunkStore::OrphanedChunk>> by_record;
     std::size_t n = 0;
-    for (const auto& left : store_.chunk_store().left_over(now))
-        if (++n <= settings_.max_txn_ops) by_record[left.of].push_back(left);
+    for (const auto& left : store_.chunk_store().orphaned_chunks(now))
+        if (++n <= settings_.max_txn_ops) by_record[left.record_key].push_back(left);
     for (const auto& [key, list] : by_record)
         store_.read(key, [this, list = list](const ReadResult& r) {
             if (!r.ok) return;
             feed_.after_next_refresh([this, list, mod_revision = r.mod_revision](bool looked) {
                 for (const auto& left : list)
-                    if (looked && !store_.chunk_store().named(left.name, left.of))
+                    if (looked && !store_.chunk_store().is_referenced(left.name, left.record_key))
                         drop_piece(left, mod_revision);
             });
         });
 }
 
-void Controller::drop_piece(const chunks::ChunkStore::LeftOver& left, Revision mod_revision) {
+void Controller::drop_piece(const chunks::ChunkStore::OrphanedChunk& left, Revision mod_revision) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.conditions.push_back({left.of, mod_revision});
+    change.conditions.push_back({left.record_key, mod_revision});
     change.writes.push_back({left.key, Json()});
     change.purpose = "cleanup";
     store_.commit(std::move(change), [](const CommitResult&) {});
@@ -390,7 +390,7 @@
                                 {"holder", d.holder},
                                 {"mark", d.mod_revision},
                                 {"cores", cache_.capacity_of(name) / 1000},
-                                {"share", stored ? shares_value(stored->shares) : Json::object()}});
+                                {"share", stored ? quota_to_json(stored->shares) : Json::object()}});
     }
     v["held"] = Json::array();
     for (const auto& [name, o] : assignment_.all())
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -95,7 +95,7 @@
     void fetch_types();
     void announce_format();
     void sweep_pieces();
-    void drop_piece(const chunks::ChunkStore::LeftOver& left, Revision mod_revision);
+    void drop_piece(const chunks::ChunkStore::OrphanedChunk& left, Revision mod_revision);
     void sum_up();
 
     Runtime& runtime_;
--- a/src/kvstore/chunks.cpp
+++ b/src/kvstore/chunks.cpp
@@ -51,7 +51,7 @@
     return out;
 }
 
-std::optional<std::pair<std::string, std::size_t>> named_by(const Json& value) {
+std::optional<std::pair<std::string, std::size_t>> chunk_reference(const Json& value) {
     const Json* x = wire::find(value, "x");
     if (!x || !x->is_array() || x->size() != 2 || !(*x)[0].is_string() || !(*x)[1].is_number_unsigned())
         return std::nullopt;
@@ -72,11 +72,11 @@
     return keys::chunk + name + "/" + std::to_string(index);
 }
 
-Json chunk(const std::string& of, const std::string& text) {
+Json chunk_record(const std::string& of, const std::string& text) {
     return {{"of", of}, {"t", text}};
 }
 
-void ChunkStore::take(const std::string& key, const Json* value, Micros now) {
+void ChunkStore::apply(const std::string& key, const Json* value, Micros now) {
     const auto slash = key.rfind('/');
     if (slash == std::string::npos || slash <= keys::chunk.size()) return;
     const std::string name = key.substr(keys::chunk.size(), slash - keys::chunk.size());
@@ -90,12 +90,12 @@
     }
     ShardRecord& held = held_[name];
     if (held.since == 0) held.since = now;
-    held.of = wire::text(*value, "of").value_or("");
+    held.record_key = wire::text(*value, "of").value_or("");
     held.texts[index] = wire::text(*value, "t").value_or("");
 }
 
-std::optional<Json> ChunkStore::whole(const std::string& key, const Json& stored) {
-    const auto named = named_by(stored);
+std::optional<Json> ChunkStore::assemble(const std::string& key, const Json& stored) {
+    const auto named = chunk_reference(stored);
     if (!named) {
         on_record_removed(key);
         return stored;
@@ -108,11 +108,12 @@
     return join(stored, texts);
 }
 
-std::vector<ChunkStore::LeftOver> ChunkStore::left_over(Micros now) const {
-    std::vector<LeftOver> list;
+std::vector<ChunkStore::OrphanedChunk> ChunkStore::orphaned_chunks(Micros now) const {
+    std::vector<OrphanedChunk> list;
     for (const auto& [name, held] : held_) {
-        if (now - held.since < kLeftOver || named(name, held.of)) continue;
-        for (const auto& [index, text] : held.texts) list.push_back({key(name, index), name, held.of});
+        if (now - held.since < kLeftOver || is_referenced(name, held.record_key)) continue;
+        for (const auto& [index, text] : held.texts)
+            list.push_back({key(name, index), name, held.record_key});
     }
     return list;
 }
--- a/src/kvstore/chunks.hpp
+++ b/src/kvstore/chunks.hpp
@@ -24,28 +24,28 @@
 /// after.
 Split split(const Json& value, const std::string& name, std::size_t limit);
 /// The name and the number of the pieces, if it is a head.
-std::optional<std::pair<std::string, std::size_t>> named_by(const Json& value);
+std::optional<std::pair<std::string, std::size_t>> chunk_reference(const Json& value);
 std::optional<Json> join(const Json& head, const std::vector<std::string>& texts);
 
 std::string key(const std::string& name, std::size_t index);
-Json chunk(const std::string& of, const std::string& text);
+Json chunk_record(const std::string& of, const std::string& text);
 
 /// The pieces that the news has told of.
 class ChunkStore {
   public:
-    void take(const std::string& key, const Json* value, Micros now);
+    void apply(const std::string& key, const Json* value, Micros now);
     /// The value that a key stands for; nothing while pieces of it are missing.
-    std::optional<Json> whole(const std::string& key, const Json& stored);
+    std::optional<Json> assemble(const std::string& key, const Json& stored);
     /// The key stands for nothing, or for a value that is not in pieces.
     void on_record_removed(const std::string& key) { heads_.erase(key); }
-    struct LeftOver {
+    struct OrphanedChunk {
         std::string key;
         std::string name;
-        std::string of;  // the key whose value it is a piece of
+        std::string record_key;  // the key whose value it is a piece of
     };
     /// Pieces that no head has named for long.
-    std::vector<LeftOver> left_over(Micros now) const;
-    bool named(const std::string& name, const std::string& of) const {
+    std::vector<OrphanedChunk> orphaned_chunks(Micros now) const;
+    bool is_referenced(const std::string& name, const std::string& of) const {
         auto head = heads_.find(of);
         return head != heads_.end() && head->second == name;
     }
@@ -53,7 +53,7 @@
 
   private:
     struct ShardRecord {
-        std::string of;
+        std::string record_key;
         std::map<std::size_t, std::string> texts;
         Micros since = 0;
     };
--- a/src/kvstore/records.cpp
+++ b/src/kvstore/records.cpp
@@ -14,14 +14,14 @@
     return const_cast<Block*>(this)->find(name);
 }
 
-Json Block::value() const {
+Json Block::to_json() const {
     Json list = Json::array();
     for (const auto& m : machines) {
         // The most common token is left out: that of the commit that created the record (`tok`).
         Json entry = Json::array({m.name, m.addr});
-        if (m.retired || m.raise || m.token != machines.front().token) {
+        if (m.retired || m.raise_token || m.token != machines.front().token) {
             entry.push_back(m.retired ? 1U : 0U);
-            entry.push_back(m.raise ? Revision{0} : m.token);
+            entry.push_back(m.raise_token ? Revision{0} : m.token);
         }
         list.push_back(std::move(entry));
     }
@@ -64,13 +64,13 @@
     return b;
 }
 
-Json shares_value(const QuotaAllocation& shares) {
+Json quota_to_json(const QuotaAllocation& shares) {
     Json v = Json::object();
     for (const auto& [team, r] : shares) v[team] = Json::array({r.cores, r.gpus});
     return v;
 }
 
-QuotaAllocation parse_shares(const Json& v) {
+QuotaAllocation parse_quota(const Json& v) {
     QuotaAllocation out;
     if (!v.is_object()) return out;
     for (const auto& [team, r] : v.items()) {
--- a/src/kvstore/records.hpp
+++ b/src/kvstore/records.hpp
@@ -15,17 +15,17 @@
 namespace keys {
 inline const std::string root = "c/";
 inline const std::string leader = "c/leader";
-inline const std::string types = "c/types";
-inline const std::string live = "c/live/";
+inline const std::string machine_types = "c/types";
+inline const std::string live_node = "c/live/";
 inline const std::string shard = "c/domain/";
-inline const std::string share = "c/share/";
+inline const std::string quota = "c/share/";
 inline const std::string block = "c/block/";
 inline const std::string job = "c/job/";
 // Jobs that are not over, once every controller reads format 3; those under c/job/ are over then, and nobody
 // has to read them. Before c/job/ in order, like the record that says so.
 inline const std::string active = "c/active/";
 inline const std::string history = "c/history";
-inline const std::string part = "c/part/";
+inline const std::string job_part = "c/part/";
 inline const std::string format = "c/format/";
 // Moves and gathered room of a shard. Only its holder reads it; the version before ignores it.
 inline const std::string plan = "c/plan/";
@@ -57,7 +57,7 @@
         Revision token = 0;
         bool retired = false;
         /// Raised by the next commit of this record.
-        bool raise = false;
+        bool raise_token = false;
     };
     std::string id;
     std::string shard;
@@ -69,14 +69,14 @@
 
     Machine* find(const std::string& name);
     const Machine* find(const std::string& name) const;
-    Json value() const;
+    Json to_json() const;
     /// Also reads the previous version's record of a single machine.
     static std::optional<Block> parse(const std::string& id, const Json& v, Revision mod_revision);
 };
 
 /// A shard's part of every team's limit.
 using QuotaAllocation = std::map<std::string, Resources>;
-Json shares_value(const QuotaAllocation& shares);
-QuotaAllocation parse_shares(const Json& v);
+Json quota_to_json(const QuotaAllocation& shares);
+QuotaAllocation parse_quota(const Json& v);
 
 }  // namespace cottonway
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -150,7 +150,7 @@
             auto mod_revision = wire::count(r.body, "mark");
             if (data && mod_revision) result = {true, true, *data, *mod_revision};
         }
-        if (result.found && chunks::named_by(result.value))
+        if (result.found && chunks::chunk_reference(result.value))
             return read_pieces(std::move(result), {}, std::move(done));
         done(std::move(result));
     });
@@ -159,7 +159,7 @@
 /// A piece that is missing means that the record has been replaced since: then nothing is known.
 void StoreClient::read_pieces(ReadResult head, std::vector<std::string> texts,
                               std::function<void(ReadResult)> done) {
-    const auto named = chunks::named_by(head.value);
+    const auto named = chunks::chunk_reference(head.value);
     if (texts.size() >= named->second) {
         auto whole = chunks::join(head.value, texts);
         if (!whole) return done({});
@@ -273,7 +273,7 @@
         std::snprintf(name, sizeof name, "%016llx", static_cast<unsigned long long>(runtime_.random()()));
         auto split = chunks::split(w.value, name, settings_.max_value_bytes);
         for (std::size_t i = 0; i < split.texts.size(); ++i)
-            parts.push_back({chunks::key(name, i), chunks::chunk(w.key, split.texts[i])});
+            parts.push_back({chunks::key(name, i), chunks::chunk_record(w.key, split.texts[i])});
         w.value = std::move(split.head);
         w.bytes = chunks::stored_size(w.value);
     }
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -33,7 +33,7 @@
 
 std::string ShardOwner::key_of(const Job& job, std::size_t part) const {
     const std::string& ref = job.spec.ref;
-    return part == 0 ? record_key(job.place, ref) : keys::part + ref + "/" + std::to_string(part);
+    return part == 0 ? record_key(job.place, ref) : keys::job_part + ref + "/" + std::to_string(part);
 }
 
 /// The job's record is as we know it, and it is not over.
@@ -582,7 +582,7 @@
                              std::function<void(const ReadResult&, RecordLocation, Revision)> done) {
     if (index > 0)
         return context_.store().read(
-            keys::part + ref + "/" + std::to_string(index),
+            keys::job_part + ref + "/" + std::to_string(index),
             [done = std::move(done)](const ReadResult& r) { done(r, RecordLocation::Job, 0); });
     context_.store().read(
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -49,7 +49,7 @@
         take_job(key, rest(keys::active), RecordLocation::Active, *value);
     } else if (starts_with(key, keys::job)) {
         take_job(key, rest(keys::job), RecordLocation::Job, *value);
-    } else if (starts_with(key, keys::part)) {
+    } else if (starts_with(key, keys::job_part)) {
         take_part(key, *value);
     } else if (starts_with(key, keys::block)) {
         take_block(key, *value, mod_revision);
@@ -58,14 +58,14 @@
         const auto holder = wire::text(*value, "holder");
         if (!holder || holder->empty()) damage(key, "names no holder");
         shards_[rest(keys::shard)] = holder.value_or("");
-    } else if (starts_with(key, keys::share)) {
+    } else if (starts_with(key, keys::quota)) {
         ++kinds_["shares"];
-        shared_.insert(rest(keys::share));
+        shared_.insert(rest(keys::quota));
         for (const auto& [team, r] : value->items())
             if (!r.is_array() || r.size() != 2 || !r[0].is_number_integer() || !r[1].is_number_integer() ||
                 r[0].get<Milli>() < 0 || r[1].get<Milli>() < 0)
                 damage(key, fmt::format("the share of team {} does not parse and grants nothing", team));
-        for (const auto& [team, r] : parse_shares(*value)) sums_[team] += r;
+        for (const auto& [team, r] : parse_quota(*value)) sums_[team] += r;
     } else if (starts_with(key, keys::plan)) {
         ++kinds_["plans"];
         if (!scheduling::Plan().take(*value)) damage(key, "does not parse: nothing of it is carried on");
@@ -75,13 +75,13 @@
         reads_[rest(keys::format)] = reads;
         if (reads > format::kNewest)
             notice(key, fmt::format("reads format {}, newer than this program's {}", reads, format::kNewest));
-    } else if (starts_with(key, keys::live)) {
+    } else if (starts_with(key, keys::live_node)) {
         ++kinds_["nodes alive"];
     } else if (key == keys::history) {
         apart_ = wire::flag(*value, "apart").value_or(false);
     } else if (key == keys::policy) {
         if (!policy::from_value(*value)) damage(key, "does not parse: the default policy is in force");
-    } else if (key == keys::types) {
+    } else if (key == keys::machine_types) {
         if (!wire::parse_types(*value)) damage(key, "does not parse: controllers wait for the cloud instead");
     } else if (key != keys::leader) {
         notice(key, "is of a kind that this program does not know");
@@ -90,7 +90,7 @@
 
 /// A value that is stored in pieces is put together; with some missing it counts for nothing.
 std::optional<Json> Verifier::whole(const std::string& key, const Json& value) {
-    const auto named = chunks::named_by(value);
+    const auto named = chunks::chunk_reference(value);
     if (!named) return value;
     named_pieces_.insert(named->first);
     auto it = chunks_.find(named->first);
@@ -162,8 +162,8 @@
     ++kinds_["parts"];
     const auto index = number_at_end(key);
     const auto slash = key.rfind('/');
-    if (!index || slash <= keys::part.size()) return damage(key, "is not named like a part");
-    const std::string ref = key.substr(keys::part.size(), slash - keys::part.size());
+    if (!index || slash <= keys::job_part.size()) return damage(key, "is not named like a part");
+    const std::string ref = key.substr(keys::job_part.size(), slash - keys::job_part.size());
     auto job = jobs_.find(ref);
     if (job == jobs_.end()) return notice(key, "is left of a job that is over, or was set aside");
     const std::size_t first = *index * job->second.part_tasks;
@@ -238,7 +238,7 @@
         }
     }
     for (const auto& shard : shared_)
-        if (!shards_.count(shard)) damage(keys::share + shard, "is the share of a domain that nobody holds");
+        if (!shards_.count(shard)) damage(keys::quota + shard, "is the share of a domain that nobody holds");
     for (const auto& t : settings_.teams) {
         auto compare = [&](Milli sum, Milli limit, const char* of) {
             if (limit == kNoLimit || shared_.empty() || sum == limit) return;
@@ -246,7 +246,7 @@
                 fmt::format("the shares of team {} add up to {} {}, its limit is {}", t.name,
                             static_cast<double>(sum) / 1000.0, of, static_cast<double>(limit) / 1000.0);
             // Every part shrinks in proportion, or the leader adds what is missing.
-            notice(keys::share + "...", what);
+            notice(keys::quota + "...", what);
         };
         const Resources sum = sums_.count(t.name) ? sums_.at(t.name) : Resources{};
         compare(sum.cores, t.limit.cores, "cores");
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -165,18 +165,18 @@
     EXPECT_GT(split.texts.size(), 5u);
     EXPECT_EQ(split.head["s"], "queued") << "polls need no more";
     for (const auto& t : split.texts)
-        EXPECT_LE(chunks::stored_size(chunks::chunk("c/job/req-000000000000000001", t)), 1024u);
+        EXPECT_LE(chunks::stored_size(chunks::chunk_record("c/job/req-000000000000000001", t)), 1024u);
     EXPECT_EQ(chunks::join(split.head, split.texts), v);
     chunks::ChunkStore chunk_store;
     for (std::size_t i = 0; i < split.texts.size(); ++i) {
-        EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some are missing";
-        const Json chunk = chunks::chunk("c/job/x", split.texts[i]);
-        chunk_store.take(chunks::key("feed", i), &chunk, kSecond);
+        EXPECT_FALSE(chunk_store.assemble("c/job/x", split.head)) << "some are missing";
+        const Json chunk = chunks::chunk_record("c/job/x", split.texts[i]);
+        chunk_store.apply(chunks::key("feed", i), &chunk, kSecond);
     }
-    EXPECT_EQ(chunk_store.whole("c/job/x", split.head), v);
-    EXPECT_TRUE(chunk_store.left_over(500 * kSecond).empty());
-    EXPECT_EQ(chunk_store.whole("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
-    EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no longer named";
+    EXPECT_EQ(chunk_store.assemble("c/job/x", split.head), v);
+    EXPECT_TRUE(chunk_store.orphaned_chunks(500 * kSecond).empty());
+    EXPECT_EQ(chunk_store.assemble("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
+    EXPECT_EQ(chunk_store.orphaned_chunks(500 * kSecond).size(), split.texts.size()) << "no longer named";
 }
 
 /// A site whose limits fall while it has records of every kind at their largest.
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -242,7 +242,7 @@
     for (int i = 0; i < 40; ++i) w.late_next("c/0/", 15 * kSecond);  // the dropping of each piece
     w.run(comes + 30 * kSecond - w.now());
     EXPECT_LT(w.late_to_come(), 40U) << "they were to be dropped";
-    const auto head = chunks::named_by(stored(w, "/store/c/policy")["data"]);
+    const auto head = chunks::chunk_reference(stored(w, "/store/c/policy")["data"]);
     ASSERT_TRUE(head) << "it came";
     for (std::size_t i = 0; i < head->second; ++i)
         EXPECT_TRUE(stored(w, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
@@ -266,7 +266,7 @@
     w.run(20 * kSecond);
     Milli red = 0;
     const Json shares = stored(w, "/store?starts=c/share/&page=10")["pairs"];
-    for (const auto& pair : shares) red += parse_shares(pair["data"])["red"].cores;
+    for (const auto& pair : shares) red += parse_quota(pair["data"])["red"].cores;
     EXPECT_EQ(red, 24'000) << shares << w.story();
 }
 
