--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -145,7 +145,7 @@
         auto page = r.status == 200 ? wire::parse_machines(r.body) : std::nullopt;
         if (!page || !election_.leading()) return;
         for (const auto& m : page->machines) on_listed(m);
-        if (page->more && !page->machines.empty()) return list(page->machines.back().name);
+        if (page->has_more && !page->machines.empty()) return list(page->machines.back().name);
         list_complete();
     });
     if (!sent)
@@ -175,10 +175,10 @@
         spdlog::debug("machine {}: in the cloud's list, not leased yet", m.name);
     }
     // Up and with an address: leased at once, so that its first report finds its holder.
-    if (m.state == CloudState::Running && !m.addr.empty() && !never_registered_.count(m.name))
-        machine_allocator_.allocate({m.name, m.addr, 0, false, false}, m.type, m.zone, m.spot, nullptr);
+    if (m.state == CloudState::Running && !m.address.empty() && !never_registered_.count(m.name))
+        machine_allocator_.allocate({m.name, m.address, 0, false, false}, m.type, m.zone, m.spot, nullptr);
     const MachineType* type = cache_.types.find(m.type);
-    const Micros boot = type ? type->boot : 60 * kSecond;
+    const Micros boot = type ? type->boot_duration : 60 * kSecond;
     // Far beyond its type's time: it will hardly come up, and it is charged all the while.
     if (m.state == CloudState::Starting && m.age > 3 * boot + 30 * kSecond &&
         now - leading_since_ > 20 * kSecond) {
@@ -218,7 +218,7 @@
 }
 
 bool Autoscaler::late(const PendingInstance& b, const MachineType& type) const {
-    return runtime_.now() - b.since > kLateBoots * type.boot + settings_.cloud_list_lag;
+    return runtime_.now() - b.since > kLateBoots * type.boot_duration + settings_.cloud_list_lag;
 }
 
 void Autoscaler::evaluate_demand() {
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -218,7 +218,7 @@
     auto [it, added] = unallocated_.try_emplace(machine.name);
     UnallocatedMachine& u = it->second;
     if (added) u = {machine, type, zone, spot, false, {}};
-    if (u.machine.addr.empty()) u.machine.addr = machine.addr;
+    if (u.machine.address.empty()) u.machine.address = machine.address;
     if (done) u.done.push_back(std::move(done));
 }
 
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -87,13 +87,13 @@
         return respond(unavailable());
     }
     const bool asks =
-        !machine_allocator_.is_allocating(r.machine) && !r.addr.empty() && probing_.size() < kMaxProbes;
+        !machine_allocator_.is_allocating(r.machine) && !r.address.empty() && probing_.size() < kMaxProbes;
     if (!lease_is_valid() || machine_allocator_.returned(r.machine) || !asks ||
         !probing_.insert(r.machine).second)
         return respond(unavailable());
     Call call;
     call.target = Target::Worker;
-    call.addr = r.addr;
+    call.address = r.address;
     call.timeout = kProbeTimeout;
     call.method = "GET";
     call.path = "/show";
@@ -110,7 +110,7 @@
 /// MachineAllocator a machine, answers its report if its block is ours, or sends it to the holder.
 void HeartbeatRouter::lease(const Report& r, const ApiResponder& respond) {
     if (machine_allocator_.is_allocating(r.machine)) return respond(unavailable());
-    machine_allocator_.allocate({r.machine, r.addr, 0, false, false}, r.type, r.zone, r.spot,
+    machine_allocator_.allocate({r.machine, r.address, 0, false, false}, r.type, r.zone, r.spot,
                                 [this, r, respond] {
                                     const Block* block = cache_.blocks.of(r.machine);
                                     if (!block) return respond(unavailable());
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -39,7 +39,7 @@
 /// is bound, and may be stored in pieces.
 std::size_t JobService::stored_size(const JobSpec& spec) {
     JobSpec alone = spec;
-    alone.needs.clear();
+    alone.dependencies.clear();
     return chunks::stored_size(wire::job_value(alone));
 }
 
@@ -67,9 +67,9 @@
     if (parsed.spec && parsed.spec->types && !cache_.types.empty())
         std::erase_if(*parsed.spec->types, [&](const std::string& t) { return !cache_.types.find(t); });
     const ReconcileAction verdict = parsed.spec ? judge(*parsed.spec) : ReconcileAction::Never;
-    if (verdict == ReconcileAction::Fits && !known(parsed.spec->ref) && parsed.spec->needs.empty())
+    if (verdict == ReconcileAction::Fits && !known(parsed.spec->ref) && parsed.spec->dependencies.empty())
         return create(std::move(*parsed.spec), std::move(respond));
-    const auto ref = wire::ref_of(body);
+    const auto ref = wire::parse_ref(body);
     if (!ref) return respond({400, Json{{"error", parsed.error}}});
     // Whatever the request looks like, a job that is known is answered with its state.
     check(*ref, [this, ref = *ref, parsed, verdict, respond = std::move(respond)](
@@ -80,7 +80,7 @@
         if (verdict == ReconcileAction::TooLong) return respond({400, Json{{"error", "too long"}}});
         if (verdict == ReconcileAction::Never) return respond({422, Json{{"error", "can never run"}}});
         if (verdict == ReconcileAction::NotYet) return respond(unavailable(2));
-        if (!parsed.spec->needs.empty()) return resolve(std::move(*parsed.spec), std::move(respond));
+        if (!parsed.spec->dependencies.empty()) return resolve(std::move(*parsed.spec), std::move(respond));
         create(std::move(*parsed.spec), std::move(respond));
     });
 }
@@ -93,10 +93,10 @@
     auto never = [](const std::string& ref) {
         return ApiResponse{422, Json{{"error", "was never accepted: " + ref}}};
     };
-    if (std::find(spec.needs.begin(), spec.needs.end(), spec.ref) != spec.needs.end())
+    if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.ref) != spec.dependencies.end())
         return respond(never(spec.ref));
     std::vector<std::string> unsure;
-    for (const auto& need : spec.needs)
+    for (const auto& need : spec.dependencies)
         if (!known(need) && !cache_.jobs.find(need)) unsure.push_back(need);
     if (unsure.empty()) return create(std::move(spec), std::move(respond));
     struct Asked {
@@ -141,8 +141,8 @@
     const DependencyStatus dependency_status =
         DependencyGraph::preview(spec, [this](const auto& need) { return cache_.jobs.fate(need); });
     const std::string what = spec.job_class + ", " + std::to_string(spec.tasks) + " tasks of about " +
-                             std::to_string(spec.estimate / kSecond) + " s for " + spec.team + ", in " +
-                             shard;
+                             std::to_string(spec.estimated_duration / kSecond) + " s for " + spec.team +
+                             ", in " + shard;
     auto answer = [this, ref, what, asked = runtime_.now(),
                    respond = std::move(respond)](const Admission& a) mutable {
         switch (a.status) {
@@ -367,7 +367,7 @@
 /// machines are known, any shard.
 std::string JobService::shard_for(const JobSpec& spec) {
     // With what it needs: there the change that ends that can begin this.
-    for (const auto& need : spec.needs) {
+    for (const auto& need : spec.dependencies) {
         const LiveJob* live = cache_.jobs.find(need);
         const ShardRecord* at = live ? cache_.membership.shard(live->shard) : nullptr;
         if (at && cache_.membership.alive(at->holder)) return live->shard;
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -26,7 +26,7 @@
 
 struct Call {
     Target target = Target::State;
-    std::string addr;  // workers and peers only
+    std::string address;  // workers and peers only
     std::string method;
     std::string path;
     Json body;          // null: none
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -17,7 +17,7 @@
 
 DependencyStatus DependencyGraph::preview(const JobSpec& spec, const Lookup& lookup) {
     DependencyStatus s;
-    for (const auto& need : spec.needs) {
+    for (const auto& need : spec.dependencies) {
         const Known known = lookup(need);
         if (known.fate == Fate::Cancelled) s.cancelled_by_dependency = true;
         if (known.fate != Fate::Done) s.open = false;
@@ -31,16 +31,16 @@
     const std::string& ref = spec.ref;
     unknown_.erase(ref);
     auto found = nodes_.find(ref);
-    if (spec.needs.empty() && found == nodes_.end()) return;
+    if (spec.dependencies.empty() && found == nodes_.end()) return;
     Node& node = nodes_[ref];
     if (std::exchange(node.live, true)) return;
     node.own_rank = spec.rank;
     node.own_due_ms = spec.deadline ? submitted_ms + *spec.deadline / kMillisecond : INT64_MAX;
-    node.estimate = spec.estimate;
+    node.estimate = spec.estimated_duration;
     weigh_due_ = true;
     changed_.insert(ref);
     std::string cancelled;
-    for (const auto& need : spec.needs) {
+    for (const auto& need : spec.dependencies) {
         const Known known = lookup(need);
         if (known.fate == Fate::Done) {
             node.since_ms = std::max(node.since_ms, known.ended_ms);
--- a/src/cache/machine_type_catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -7,7 +7,7 @@
 namespace cottonway {
 
 bool MachineTypeCatalog::merge(const Json& answer) {
-    auto types = wire::parse_types(answer);
+    auto types = wire::parse_machine_types(answer);
     if (!types || types->empty()) return false;
     for (const auto& t : *types) {
         auto known = std::find_if(types_.begin(), types_.end(),
@@ -41,7 +41,7 @@
 bool MachineTypeCatalog::outdated() const {
     auto fixed = [](const Json& answer) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
-        if (auto types = wire::parse_types(answer))
+        if (auto types = wire::parse_machine_types(answer))
             for (const auto& t : *types) out.emplace(t.name, t.size.cores, t.size.gpus, t.size.ram, t.zones);
         return out;
     };
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -52,7 +52,7 @@
     for (const auto& job : jobs) {
         const Answer a = ask(to, "POST", "/v1/jobs", job);
         if (a.status != 0) answers.push_back(a.body);
-        if (!complain(to, wire::ref_of(job).value_or("a job without an id"), a)) continue;
+        if (!complain(to, wire::parse_ref(job).value_or("a job without an id"), a)) continue;
         code = 1;
         break;
     }
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -72,7 +72,7 @@
     const Endpoint& at = settings_.peers[peer].endpoint;
     Call call;
     call.target = Target::Peer;
-    call.addr = at.host + ":" + std::to_string(at.port);
+    call.address = at.host + ":" + std::to_string(at.port);
     call.method = "POST";
     call.path = "/peer";
     call.bytes = std::move(bytes);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -290,7 +290,7 @@
         if (aborting) ref.resize(ref.size() - abort_end.size());
         if (ref.find('/') == std::string::npos) {
             if (aborting ? !post : !get) return wrong_method();
-            if (!wire::valid_ref(ref)) return respond({404, Json::object()});
+            if (!wire::is_valid_ref(ref)) return respond({404, Json::object()});
             return aborting ? job_service_.abort(ref, std::move(respond))
                             : job_service_.poll(ref, std::move(respond));
         }
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -275,10 +275,10 @@
             t.on = true;
             observer_.on_machine(name_, t.job, t.task, t.attempt);
             t.since = now;
-            t.phase = info->spec.kind == JobKind::Gang ? Phase::Waiting : Phase::Running;
+            t.phase = info->spec.kind == JobKind::Gang ? Phase::WaitingForGang : Phase::Running;
             if (results_.count(id)) exit(t, "done");
             changed = true;
-        } else if (t.phase == Phase::Waiting) {
+        } else if (t.phase == Phase::WaitingForGang) {
             if (observer_.gang_complete(t.job, t.attempt)) {
                 t.phase = Phase::Running;
                 t.since = now;
@@ -297,7 +297,7 @@
                 observer_.completed(t.job, t.task, t.attempt);
                 exit(t, "done");
             }
-        } else if (t.phase == Phase::Saving && now - t.since >= info->spec.save) {
+        } else if (t.phase == Phase::Saving && now - t.since >= info->spec.save_duration) {
             exit(t, "stopped");
         }
     }
@@ -335,8 +335,8 @@
         } else if (kind == "stop" && it != tasks_.end() && it->phase != Phase::Exited) {
             const JobInfo* info = observer_.job(job);
             const double grace = wire::number(o, "slack_s").value_or(0);
-            const bool can_save =
-                info->spec.checkpoint > 0 && grace * 1e6 >= static_cast<double>(info->spec.save);
+            const bool can_save = info->spec.checkpoint_interval > 0 &&
+                                  grace * 1e6 >= static_cast<double>(info->spec.save_duration);
             if (it->phase == Phase::Running && can_save) {
                 it->phase = Phase::Saving;
                 it->since = now;
@@ -430,7 +430,7 @@
     const bool then_up = m.up_at <= as_of || list_lag == 0;
     const CloudState state = then_up ? m.info.state : CloudState::Starting;
     to.push_back(Json{{"ref", name},
-                      {"addr", then_up ? m.info.addr : ""},
+                      {"addr", then_up ? m.info.address : ""},
                       {"loom_type", m.info.type},
                       {"mill", m.info.zone},
                       {"remnant", m.info.spot},
@@ -451,7 +451,7 @@
                                 {"fetch_gb_per_s", t.fetch_gb_per_s},
                                 {"price", t.price},
                                 {"spot_price", t.spot_price},
-                                {"ready_s", static_cast<double>(t.boot) / 1e6},
+                                {"ready_s", static_cast<double>(t.boot_duration) / 1e6},
                                 {"mills", t.zones}});
         return {200, Json{{"looms", list}}};
     }
@@ -466,7 +466,7 @@
         std::vector<std::string> names;
         for (int i = 0; i < count; ++i) {
             names.push_back(rent_one(t->name, wire::text(body, "mill").value_or(""),
-                                     wire::flag(body, "remnant").value_or(false), now, t->boot));
+                                     wire::flag(body, "remnant").value_or(false), now, t->boot_duration));
             --capacity;
         }
         requests_[name] = names;
--- a/src/kvstore/records.cpp
+++ b/src/kvstore/records.cpp
@@ -18,7 +18,7 @@
     Json list = Json::array();
     for (const auto& m : machines) {
         // The most common token is left out: that of the commit that created the record (`tok`).
-        Json entry = Json::array({m.name, m.addr});
+        Json entry = Json::array({m.name, m.address});
         if (m.retired || m.raise_token || m.token != machines.front().token) {
             entry.push_back(m.retired ? 1U : 0U);
             entry.push_back(m.raise_token ? Revision{0} : m.token);
--- a/src/kvstore/records.hpp
+++ b/src/kvstore/records.hpp
@@ -51,7 +51,7 @@
 struct Block {
     struct Machine {
         std::string name;
-        std::string addr;
+        std::string address;
         /// Token of this machine alone, 0: the record's own mark as soon as it is committed. Kept apart from
         /// the record's mark, so that rewriting the record does not disturb the machines it is not about.
         Revision token = 0;
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -123,7 +123,7 @@
         client = peer ? &peers_ : &workers_;
         name = peer ? "peer" : "worker";
         try {
-            to = parse_endpoint(call.addr);
+            to = parse_endpoint(call.address);
         } catch (const std::invalid_argument&) {
             return enqueue([done = std::move(done)] { done(Reply{kNotSent, {}}); });
         }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -240,7 +240,7 @@
 
 bool Policy::movable(const JobSpec& job) const {
     if (tier(job) == Tier::Live) return false;
-    if (job.kind != JobKind::Service && job.checkpoint > 0) return true;
+    if (job.kind != JobKind::Service && job.checkpoint_interval > 0) return true;
     const MoveRule* rule = rule_for(moves, job);
     return rule && rule->movable;
 }
--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -44,18 +44,18 @@
                                           {"normal", PriorityClass::Normal},
                                           {"idle", PriorityClass::Low}}};
 constexpr Words<Phase, 5> kPhases{{{"pulling", Phase::Fetching},
-                                   {"gathering", Phase::Waiting},
+                                   {"gathering", Phase::WaitingForGang},
                                    {"running", Phase::Running},
                                    {"saving", Phase::Saving},
                                    {"exited", Phase::Exited}}};
 constexpr Words<ExitCause, 8> kCauses{{{"done", ExitCause::Done},
                                        {"stopped", ExitCause::Stopped},
-                                       {"mates_gone", ExitCause::PeerDirectory},
-                                       {"incomplete", ExitCause::Alone},
+                                       {"mates_gone", ExitCause::GangPeersGone},
+                                       {"incomplete", ExitCause::GangIncomplete},
                                        {"error", ExitCause::Error},
-                                       {"full", ExitCause::NoRoom},
-                                       {"in_use", ExitCause::Busy},
-                                       {"no_such", ExitCause::Unknown}}};
+                                       {"full", ExitCause::NoCapacity},
+                                       {"in_use", ExitCause::AlreadyPresent},
+                                       {"no_such", ExitCause::UnknownJob}}};
 constexpr Words<CloudState, 3> kCloudStates{
     {{"starting", CloudState::Starting}, {"running", CloudState::Running}, {"failed", CloudState::Failed}}};
 
@@ -180,7 +180,7 @@
     return v->get<bool>();
 }
 
-bool valid_ref(std::string_view ref) {
+bool is_valid_ref(std::string_view ref) {
     constexpr std::string_view prefix = "req-";
     if (ref.substr(0, prefix.size()) != prefix) return false;
     auto digits = ref.substr(prefix.size());
@@ -188,9 +188,9 @@
            std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::optional<std::string> ref_of(const Json& body) {
+std::optional<std::string> parse_ref(const Json& body) {
     auto ref = text(body, "ref");
-    if (!ref || !valid_ref(*ref)) return std::nullopt;
+    if (!ref || !is_valid_ref(*ref)) return std::nullopt;
     return ref;
 }
 
@@ -198,7 +198,7 @@
     JobSpec s;
     auto bad = [](const char* field) { return JobResult{std::nullopt, field}; };
     if (!body.is_object()) return bad("not a map");
-    if (auto v = ref_of(body))
+    if (auto v = parse_ref(body))
         s.ref = *v;
     else
         return bad("ref");
@@ -232,9 +232,9 @@
     if (!take("cards", [&](double v) { s.request.gpus = milli_up(v); })) return bad("cards");
     if (!take("ram_gb", [&](double v) { s.request.ram = milli_up(v); })) return bad("ram_gb");
     if (!take("pull_gb", [&](double v) { s.image_gb = milli_up(v); })) return bad("pull_gb");
-    if (!take("reckon_s", [&](double v) { s.estimate = micros(v); })) return bad("reckon_s");
-    if (!take("knot_s", [&](double v) { s.checkpoint = micros(v); })) return bad("knot_s");
-    if (!take("bind_s", [&](double v) { s.save = micros(v); })) return bad("bind_s");
+    if (!take("reckon_s", [&](double v) { s.estimated_duration = micros(v); })) return bad("reckon_s");
+    if (!take("knot_s", [&](double v) { s.checkpoint_interval = micros(v); })) return bad("knot_s");
+    if (!take("bind_s", [&](double v) { s.save_duration = micros(v); })) return bad("bind_s");
     auto boolean = [&](const char* key, bool& out) {
         auto v = flag(body, key);
         if (v) out = *v;
@@ -264,9 +264,10 @@
     if (const Json* needs = find(body, "warp")) {
         if (!needs->is_array() || needs->size() > kMaxNeeds) return bad("warp");
         for (const auto& n : *needs) {
-            if (!n.is_string() || !valid_ref(n.get_ref<const std::string&>())) return bad("warp");
+            if (!n.is_string() || !is_valid_ref(n.get_ref<const std::string&>())) return bad("warp");
             const auto ref = n.get<std::string>();
-            if (std::find(s.needs.begin(), s.needs.end(), ref) == s.needs.end()) s.needs.push_back(ref);
+            if (std::find(s.dependencies.begin(), s.dependencies.end(), ref) == s.dependencies.end())
+                s.dependencies.push_back(ref);
         }
     }
     return {std::move(s), ""};
@@ -288,13 +289,13 @@
            {"one_zone", s.one_zone},
            {"spread", s.spread},
            {"remnant", s.spot},
-           {"reckon_s", seconds(s.estimate)},
-           {"knot_s", seconds(s.checkpoint)},
-           {"bind_s", seconds(s.save)}};
+           {"reckon_s", seconds(s.estimated_duration)},
+           {"knot_s", seconds(s.checkpoint_interval)},
+           {"bind_s", seconds(s.save_duration)}};
     if (s.types) v["looms"] = *s.types;
     if (s.zone) v["mill"] = *s.zone;
     if (s.deadline) v["due_s"] = seconds(*s.deadline);
-    if (!s.needs.empty()) v["warp"] = s.needs;
+    if (!s.dependencies.empty()) v["warp"] = s.dependencies;
     return v;
 }
 
@@ -306,14 +307,14 @@
     if (!machine || machine->empty() || machine->size() > 100 || !addr || !type || !zone || !session || !seq)
         return std::nullopt;
     r.machine = *machine;
-    r.addr = *addr;
+    r.address = *addr;
     r.type = *type;
     r.zone = *zone;
     r.spot = flag(body, "remnant").value_or(false);
     r.session = *session;
     r.seq = *seq;
     r.token = count(body, "shuttle").value_or(0);
-    if (auto n = amount(body, "warning_s")) r.notice = micros(*n);
+    if (auto n = amount(body, "warning_s")) r.termination_notice = micros(*n);
     const Json* tasks = find(body, "threads");
     if (tasks && !tasks->is_array()) return std::nullopt;
     if (!tasks) return r;
@@ -355,7 +356,7 @@
     return {{"ref", ref}, {"stage", stage}, {"done", done}, {"running", running}};
 }
 
-std::optional<std::vector<MachineType>> parse_types(const Json& body) {
+std::optional<std::vector<MachineType>> parse_machine_types(const Json& body) {
     const Json* list = find(body, "looms");
     if (!list || !list->is_array()) return std::nullopt;
     std::vector<MachineType> out;
@@ -371,7 +372,7 @@
         m.fetch_gb_per_s = amount(t, "fetch_gb_per_s").value_or(0);
         m.price = amount(t, "price").value_or(0);
         m.spot_price = amount(t, "spot_price").value_or(m.price);
-        m.boot = micros(amount(t, "ready_s").value_or(60));
+        m.boot_duration = micros(amount(t, "ready_s").value_or(60));
         for (const auto& z : *zones)
             if (z.is_string()) m.zones.push_back(z.get<std::string>());
         out.push_back(std::move(m));
@@ -383,14 +384,14 @@
     const Json* list = find(body, "frames");
     if (!list || !list->is_array()) return std::nullopt;
     MachinePage page;
-    page.more = flag(body, "has_next").value_or(false);
+    page.has_more = flag(body, "has_next").value_or(false);
     for (const auto& f : *list) {
         CloudMachine m;
         auto name = text(f, "ref"), type = text(f, "loom_type"), zone = text(f, "mill");
         auto state = word(kCloudStates, text(f, "stage"));
         if (!name || !type || !zone || !state) return std::nullopt;
         m.name = *name;
-        m.addr = text(f, "addr").value_or("");
+        m.address = text(f, "addr").value_or("");
         m.type = *type;
         m.zone = *zone;
         m.spot = flag(f, "remnant").value_or(false);
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -30,15 +30,24 @@
     bool spot = false;
     std::string image;
     Milli image_gb = 0;
-    Micros estimate = 0;
-    Micros checkpoint = 0;
-    Micros save = 0;
+    Micros estimated_duration = 0;
+    Micros checkpoint_interval = 0;
+    Micros save_duration = 0;
     std::optional<Micros> deadline;
-    std::vector<std::string> needs;  // jobs that have to be done before any task of this one starts
+    std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
 };
 
-enum class Phase { Fetching, Waiting, Running, Saving, Exited };
-enum class ExitCause { Done, Stopped, PeerDirectory, Alone, Error, NoRoom, Busy, Unknown };
+enum class Phase { Fetching, WaitingForGang, Running, Saving, Exited };
+enum class ExitCause {
+    Done,
+    Stopped,
+    GangPeersGone,
+    GangIncomplete,
+    Error,
+    NoCapacity,
+    AlreadyPresent,
+    UnknownJob
+};
 
 struct ReportedTask {
     std::string job;
@@ -51,14 +60,14 @@
 
 struct Report {
     std::string machine;
-    std::string addr;
+    std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
     std::uint64_t session = 0;
     std::uint64_t seq = 0;
     std::uint64_t token = 0;
-    std::optional<Micros> notice;
+    std::optional<Micros> termination_notice;
     std::vector<ReportedTask> tasks;
 };
 
@@ -79,7 +88,7 @@
     double fetch_gb_per_s = 0;
     double price = 0;
     double spot_price = 0;
-    Micros boot = 0;
+    Micros boot_duration = 0;
     std::vector<std::string> zones;
 };
 
@@ -87,7 +96,7 @@
 
 struct CloudMachine {
     std::string name;
-    std::string addr;
+    std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
@@ -101,7 +110,7 @@
 std::optional<Json> decode(std::string_view bytes);
 std::string encode(const Json& value);
 
-bool valid_ref(std::string_view ref);
+bool is_valid_ref(std::string_view ref);
 
 /// A job as submitted. The error names the field.
 struct JobResult {
@@ -111,7 +120,7 @@
 JobResult parse_job(const Json& body);
 Json job_value(const JobSpec& spec);
 /// "req-000412" of a body that need not be valid otherwise.
-std::optional<std::string> ref_of(const Json& body);
+std::optional<std::string> parse_ref(const Json& body);
 
 std::optional<Report> parse_report(const Json& body);
 Json report_answer(std::uint64_t token, const std::vector<Order>& orders);
@@ -120,10 +129,10 @@
 Json job_answer(const std::string& ref, std::string_view stage);
 Json job_state(const std::string& ref, std::string_view stage, int done, int running);
 
-std::optional<std::vector<MachineType>> parse_types(const Json& body);
+std::optional<std::vector<MachineType>> parse_machine_types(const Json& body);
 struct MachinePage {
     std::vector<CloudMachine> machines;
-    bool more = false;
+    bool has_more = false;
 };
 std::optional<MachinePage> parse_machines(const Json& body);
 Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -271,8 +271,8 @@
         const JobSpec& spec = view_.jobs[t.job].spec;
         if (spec.kind == JobKind::Service) return kServiceWeight * kMoveSeconds;
         if (!t.running) return kMoveSeconds;
-        const Micros lost = spec.checkpoint > 0 ? t.ran % spec.checkpoint : t.ran;
-        return kMoveSeconds + seconds(spec.save) + seconds(lost);
+        const Micros lost = spec.checkpoint_interval > 0 ? t.ran % spec.checkpoint_interval : t.ran;
+        return kMoveSeconds + seconds(spec.save_duration) + seconds(lost);
     }
 
     /// The best places for a job's tasks and what the fetch costs, by that and by what a start there takes
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -132,7 +132,8 @@
         const TaskView& t = view.tasks[i];
         const JobSpec& s = view.jobs[t.job].spec;
         if (s.kind == JobKind::Service && !t.stopping) continue;
-        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimate - t.ran, kSecond), s.request);
+        ends.emplace_back(t.stopping ? 0 : std::max<Micros>(s.estimated_duration - t.ran, kSecond),
+                          s.request);
     }
     std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
     for (const auto& [in, freed] : ends) {
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -112,9 +112,10 @@
     Micros retry = 0;
     if (cause == ExitCause::Error) {
         retry = failed(m, job, slot);
-    } else if (cause == ExitCause::NoRoom || cause == ExitCause::Busy || cause == ExitCause::Unknown) {
+    } else if (cause == ExitCause::NoCapacity || cause == ExitCause::AlreadyPresent ||
+               cause == ExitCause::UnknownJob) {
         retry = kSecond;
-        if (cause == ExitCause::NoRoom) m.avoid_until = now + 2 * kSecond;
+        if (cause == ExitCause::NoCapacity) m.avoid_until = now + 2 * kSecond;
         spdlog::info("task {}/{}: start refused on {}", job.spec.ref, task, m.name);
     }
     on_attempt_terminated(job, task, retry);
@@ -164,10 +165,10 @@
     m.last_heartbeat = now;
     m.last_heartbeat_listening = context_.runtime().listened();
     if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
-    if (r.notice && !m.notice) {
+    if (r.termination_notice && !m.notice) {
         m.notice = true;
-        m.notice_end = now + *r.notice;
-        spdlog::info("machine {}: will be taken in {} s", m.name, *r.notice / kSecond);
+        m.notice_end = now + *r.termination_notice;
+        spdlog::info("machine {}: will be taken in {} s", m.name, *r.termination_notice / kSecond);
         drain_noticed(m);
     }
     std::erase_if(m.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
@@ -251,7 +252,7 @@
     slot.launch_sent = true;
     if (slot.phase != Phase::Running && phase == Phase::Running) {
         // What an earlier holder has begun has run for some time, nobody knows for how long.
-        slot.run_since = slot.foreign ? now - job.spec.estimate / 2 : now;
+        slot.run_since = slot.foreign ? now - job.spec.estimated_duration / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), m.name);
         ShardState::remember_image(m, job, true);
     }
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -38,7 +38,7 @@
     }
     if (decision) return std::nullopt;
     const Micros now = context_.runtime().now();
-    if (m.addr.empty()) m.addr = report.addr;
+    if (m.addr.empty()) m.addr = report.address;
     // What is as old as another message, or older, tells nothing new, not even that the machine can be heard.
     // It gets the token and stops alone: its worker may still wait for it if only the answer to a /do has
     // overtaken it.
@@ -231,7 +231,7 @@
     ++direct_calls_;
     Call call;
     call.target = Target::Worker;
-    call.addr = m.addr;
+    call.address = m.addr;
     call.timeout = 2500 * kMillisecond;
     call.method = "POST";
     call.path = "/do";
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -111,9 +111,9 @@
     job->waiting_since = context_.runtime().now();
     job->idle = job->spec.tasks;
     job->since_ms = gate_ms.value_or(submitted_ms);
-    job->has_dependencies = gate_ms || !job->spec.needs.empty();
+    job->has_dependencies = gate_ms || !job->spec.dependencies.empty();
     job->rank = job->spec.rank;
-    job->open = job->spec.needs.empty();
+    job->open = job->spec.dependencies.empty();
     apply_dependency_status(*job, dependency_status);
     if (job->open) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
     return job;
@@ -129,10 +129,10 @@
     const std::string ref = spec.ref;
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
     auto job = new_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
-    auto needs = std::exchange(job->spec.needs, {});  // gone by the time when its parts fill
+    auto needs = std::exchange(job->spec.dependencies, {});  // gone by the time when its parts fill
     divide(*job, part_tasks_for(context_.settings().max_value_bytes,
                                 chunks::stored_size(part_value(*job, 0, false))));
-    job->spec.needs = std::move(needs);
+    job->spec.dependencies = std::move(needs);
     if (context_.all_read(format::kHistory)) job->place = RecordLocation::Active;
     job->admitting = std::move(done);
     touch(*job, 0);
@@ -167,7 +167,7 @@
 /// only since when.
 void ShardOwner::open_gate(Job& job) {
     job.open = true;
-    job.spec.needs.clear();
+    job.spec.dependencies.clear();
     job.slots.resize(static_cast<std::size_t>(job.spec.tasks));
     job.waiting_since = context_.runtime().now();
     plan_due_ = true;
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -303,7 +303,7 @@
             spdlog::info("task {}/{}: stopped on {} to move to {}{}", move->job, move->task, move->from,
                          move->to.empty() ? "where there is room" : move->to,
                          move->for_job.empty() ? "" : ", which makes room for " + move->for_job);
-            of_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save + kSecond);
+            of_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save_duration + kSecond);
             Moved& moved = moved_[move->job];
             moved.last = context_.runtime().now();
             if (move->reason == Reason::Balance) moved.mended.push_back(moved.last);
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -217,7 +217,8 @@
     const auto& aims = goals(job).finished;
     if (aims.empty()) return false;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
-    const Micros needs = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
+    const Micros needs =
+        job.spec.estimated_duration + job.spec.estimated_duration / 3;  // the slowest of several tasks
     if (age + needs <= aims.front()) return false;
     return aims.size() == 1 || age + needs < aims.back() * 3 / 4;
 }
@@ -352,7 +353,7 @@
     // up for size, so that none waits for ever.
     const auto left = static_cast<double>(job.idle + job.bound) *
                       static_cast<double>(std::max<Milli>(s.request.cores, 1)) *
-                      static_cast<double>(std::max<Micros>(s.estimate, kSecond)) / 1e6;
+                      static_cast<double>(std::max<Micros>(s.estimated_duration, kSecond)) / 1e6;
     q.weight = left / static_cast<double>(age_ms + 10'000);
     q.age = age_ms * kMillisecond;
     // Of work that takes what is left over one task at least runs, once it has waited for so long.
@@ -481,7 +482,7 @@
 bool Scheduler::wastes_work(const Job& job, Micros ran) const {
     const auto& aims = goals(job).finished;
     const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
-    const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
+    const Micros left = std::max<Micros>(job.spec.estimated_duration * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(aims.begin(), aims.end(),
                        [&](Micros goal) { return age + left <= goal && age + left + kSetBack > goal; });
 }
@@ -489,7 +490,7 @@
 /// Idle work of long tasks is bound the more seldom: each bind costs a change, and what was just stopped to
 /// make room is likely to be stopped again.
 Micros Scheduler::idle_pause(const Job& job) {
-    return std::clamp(job.spec.estimate / 20, kIdleEvery, kIdleLong);
+    return std::clamp(job.spec.estimated_duration / 20, kIdleEvery, kIdleLong);
 }
 
 Scheduler::Zoning Scheduler::zoning_of(const Job& job) const {
@@ -770,7 +771,8 @@
     // Stopping work that cannot save itself throws it away. Services may always do that; others only when
     // their deadline is near, or when a guarantee has been waited for.
     const std::int64_t now_ms = context_.runtime().wall_ms();
-    const bool late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
+    const bool late =
+        now_ms + (job.spec.estimated_duration * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
     const bool may_waste = job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && late);
     const bool reclaims = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
     // Work of normal rank makes room only where idle work is.
@@ -850,9 +852,9 @@
 Scheduler::Victim Scheduler::victim(Slot& slot, Job& job, bool hurries) const {
     const Micros now = context_.runtime().now();
     const Micros ran = slot.run_since ? now - slot.run_since : 0;
-    const Micros saving = job.spec.save + kSecond;
-    const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
-    const bool saves = job.spec.checkpoint > 0 && !hurries && unsaved > saving;
+    const Micros saving = job.spec.save_duration + kSecond;
+    const Micros unsaved = job.spec.checkpoint_interval > 0 ? ran % job.spec.checkpoint_interval : ran;
+    const bool saves = job.spec.checkpoint_interval > 0 && !hurries && unsaved > saving;
     // A start that does not last is none for its user.
     const double lost = static_cast<double>(saves ? saving : unsaved) / 1e6 + 1.0 +
                         (ran < kLasting ? kShortStart : 0.0) + (wastes_work(job, ran) ? kSpoilt : 0.0);
@@ -888,7 +890,7 @@
         const bool lower = other->rank == PriorityClass::Low
                                ? job.rank < PriorityClass::Low
                                : job.rank <= PriorityClass::High && other->rank > job.rank &&
-                                     (may_waste || other->spec.checkpoint > 0);
+                                     (may_waste || other->spec.checkpoint_interval > 0);
         // What ranks higher would only come back to the same room, and be stopped again; so would what is
         // within its own guarantee by now, whatever it was when it last waited.
         const bool reclaim = reclaims && other->rank >= job.rank && other->spec.team != job.spec.team &&
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -50,7 +50,7 @@
     m.type_name = block.type;
     m.zone = block.zone;
     m.spot = block.spot;
-    if (!entry.addr.empty()) m.addr = entry.addr;
+    if (!entry.address.empty()) m.addr = entry.address;
     m.retired = entry.retired;
     m.token = std::max<std::uint64_t>(m.token, entry.token);
     m.type = context_.machine_type(block.type);
@@ -271,10 +271,10 @@
         const Micros ran = slot.run_since > 0 ? now - slot.run_since : 0;
         if (job->spec.kind == JobKind::Gang) {
             for (auto& s : job->slots)
-                if (s.state == SlotState::Bound) stop(s, job->spec.save + kSecond);
-        } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint > 0) {
-            stop(slot, job->spec.save + kSecond);
-        } else if (job->spec.estimate * 4 / 5 - ran > left) {
+                if (s.state == SlotState::Bound) stop(s, job->spec.save_duration + kSecond);
+        } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint_interval > 0) {
+            stop(slot, job->spec.save_duration + kSecond);
+        } else if (job->spec.estimated_duration * 4 / 5 - ran > left) {
             stop(slot, 0);
         }
     }
--- a/src/simulation/acceptance_checker.cpp
+++ b/src/simulation/acceptance_checker.cpp
@@ -63,7 +63,7 @@
                                            f.left_waiting.machine));
         const bool large = f.size() >= kLargest * largest_size[name];
         // What waits for other jobs is due from when these are done, which is not known here.
-        if (!f.spec.needs.empty()) continue;
+        if (!f.spec.dependencies.empty()) continue;
         if (end - f.accepted >= f.bound(teams)) {
             auto count = [served = f.served(teams)](Share& s) { ++s.due, s.served += served; };
             count(a.classes[name]);
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -63,12 +63,12 @@
     j.one_zone = x.flag("one_zone");
     j.image_gb = x.milli("image_gb", 0.5);
     l.run = x.seconds("run_s", 20);
-    j.estimate = j.kind == JobKind::Service ? 0 : l.run;
+    j.estimated_duration = j.kind == JobKind::Service ? 0 : l.run;
     l.images = std::max(x.count("images", 5), 1);
     // Without a rate of fetching, an image takes the same time on each machine.
     l.fetch = x.flag("fetch_by_size") ? -1 : x.seconds("fetch_s", 0.5);
-    j.checkpoint = x.seconds("checkpoint_s", 0);
-    j.save = x.seconds("save_s", 0);
+    j.checkpoint_interval = x.seconds("checkpoint_s", 0);
+    j.save_duration = x.seconds("save_s", 0);
     if (const Micros due = x.seconds("deadline_s", 0); due > 0) j.deadline = due;
     l.lasts = x.seconds("lasts_s", 0);
     l.per_minute = x.number("per_minute", 0, 0, 1e6);
@@ -207,7 +207,7 @@
         m.fetch_gb_per_s = x.number("fetch_gb_per_s", 1, 0.001, 1000);
         m.price = x.number("price", 1, 0, 1e6);
         m.spot_price = m.price / 3;
-        m.boot = x.seconds("boot_s", 20);
+        m.boot_duration = x.seconds("boot_s", 20);
         m.zones = e.settings.zones;
         e.types.push_back(m);
     });
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -92,10 +92,10 @@
         release_shard(listened() + call.timeout, pending, finish);
         std::string to = call.target == Target::State ? "state" : call.target == Target::Cloud ? "cloud" : "";
         if (call.target == Target::Worker)
-            if (auto at = simulator_.by_addr_.find(call.addr);
+            if (auto at = simulator_.by_addr_.find(call.address);
                 at != simulator_.by_addr_.end() && simulator_.worker(at->second))
                 to = at->second;
-        if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.addr.substr(7)) - 1);
+        if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.address.substr(7)) - 1);
         auto back = [self = shared_from_this(), to, finish](Reply r) {
             self->simulator_.send(to, self->name_, [finish, r = std::move(r)] { finish(r); });
         };
@@ -539,14 +539,14 @@
         if (m.up_at > now_) continue;
         m.up = true;
         m.info.state = CloudState::Running;
-        m.info.addr = "10.1." + std::to_string(workers_.size() / 250) + "." +
-                      std::to_string(workers_.size() % 250 + 1) + ":9000";
-        by_addr_[m.info.addr] = name;
+        m.info.address = "10.1." + std::to_string(workers_.size() / 250) + "." +
+                         std::to_string(workers_.size() % 250 + 1) + ":9000";
+        by_addr_[m.info.address] = name;
         zone_of_[name] = m.info.zone;
         auto& r = workers_[name];
-        r.worker =
-            std::make_unique<Worker>(name, m.info.addr, *cloud_.type(m.info.type), m.info.zone, m.info.spot,
-                                     settings.worker_lease, settings.gang_wait_timeout, *this, now_);
+        r.worker = std::make_unique<Worker>(name, m.info.address, *cloud_.type(m.info.type), m.info.zone,
+                                            m.info.spot, settings.worker_lease, settings.gang_wait_timeout,
+                                            *this, now_);
         r.node = static_cast<int>(random() % std::max<std::size_t>(nodes_.size(), 1));
         r.next = now_ + delay();
     }
@@ -967,7 +967,7 @@
     for (const auto& [ref, u] : users_) {
         const JobSpec& spec = u.info.spec;
         if (u.told != "accepted" || u.finished >= 0 || u.info.broken || cancel_wanted(ref)) continue;
-        if (std::any_of(spec.needs.begin(), spec.needs.end(),
+        if (std::any_of(spec.dependencies.begin(), spec.dependencies.end(),
                         [this](const auto& need) { return users_.at(need).finished < 0; }))
             continue;
         WaitingJob job{spec, spec.tasks - static_cast<int>(u.done.size()), {}, u.starts};
@@ -1071,14 +1071,14 @@
 
 bool Simulator::cancel_wanted(const std::string& ref) const {
     const User& u = users_.at(ref);
-    return u.wants_cancel || std::any_of(u.info.spec.needs.begin(), u.info.spec.needs.end(),
+    return u.wants_cancel || std::any_of(u.info.spec.dependencies.begin(), u.info.spec.dependencies.end(),
                                          [this](const auto& need) { return cancel_wanted(need); });
 }
 
 Micros Simulator::cancel_told(const std::string& ref) const {
     const User& u = users_.at(ref);
     if (u.told == "cancelled") return u.cancelled_at;
-    for (const auto& need : u.info.spec.needs)
+    for (const auto& need : u.info.spec.dependencies)
         if (const Micros told = cancel_told(need)) return told;
     return 0;
 }
@@ -1099,7 +1099,7 @@
     const JobSpec& s = u.info.spec;
     ++u.starts;
     note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " + machine);
-    for (const auto& need : s.needs)
+    for (const auto& need : s.dependencies)
         if (static_cast<int>(users_.at(need).done.size()) < users_.at(need).info.spec.tasks)
             breach("too_early", ref + " starts before " + need + " is done");
     auto& where = on_[{ref, task}];
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -269,7 +269,7 @@
             const Micros now = net::steady_micros();
             const std::string name = cloud_.rent_one("small", zone, false, now, 0);
             const std::string address = text_of(ports_.worker(i));
-            cloud_.machines()[name].info.addr = address;
+            cloud_.machines()[name].info.address = address;
             cloud_.machines()[name].info.state = CloudState::Running;
             fakes::LiveWorker::Options worker;
             worker.report_every = deployment_.report_interval * (75 + below(51)) / 100;
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -82,7 +82,8 @@
     } else if (key == keys::policy) {
         if (!policy::from_value(*value)) damage(key, "does not parse: the default policy is in force");
     } else if (key == keys::machine_types) {
-        if (!wire::parse_types(*value)) damage(key, "does not parse: controllers wait for the cloud instead");
+        if (!wire::parse_machine_types(*value))
+            damage(key, "does not parse: controllers wait for the cloud instead");
     } else if (key != keys::leader) {
         notice(key, "is of a kind that this program does not know");
     }
@@ -120,7 +121,7 @@
 
 void Verifier::take_job(const std::string& key, const std::string& ref, RecordLocation place,
                         const Json& value) {
-    if (!wire::valid_ref(ref)) damage(key, "is not named like a job");
+    if (!wire::is_valid_ref(ref)) damage(key, "is not named like a job");
     const auto stage = wire::text(value, "s");
     const Json* spec = wire::find(value, "d");
     const bool final = (stage == "done" || stage == "cancelled") && !spec;
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -108,7 +108,8 @@
 
 /// Once what it needs is accepted.
 void submit_once_accepted(Simulator& w, const JobSpec& s) {
-    if (w.told(s.needs[0]).empty()) return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
+    if (w.told(s.dependencies[0]).empty())
+        return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
     w.submit(s, 300 * kMs, 100 * kMs);
 }
 
@@ -133,7 +134,7 @@
             trouble.begin(*w, asked);
             for (const int need : {first, first + 2}) {
                 JobSpec s = w->job(++number, JobKind::Array, 1);
-                s.needs = {w->job(need, JobKind::Array, 1).ref};
+                s.dependencies = {w->job(need, JobKind::Array, 1).ref};
                 submit_once_accepted(*w, s);
             }
             w->run(500 * kMs);
@@ -171,7 +172,7 @@
         w->run(300 * kMs);
         w->slow_state = 300 * kMs;
         JobSpec next = w->job(n + 1, JobKind::Array, 1);
-        next.needs = {first.ref};
+        next.dependencies = {first.ref};
         refs.push_back(next.ref);
         w->submit(next, kSecond);
         for (int ms = 0; ms < 500; ++ms) {
@@ -266,7 +267,7 @@
     w->users_at = holder;
     const JobSpec first = w->job(1, JobKind::Service, 1);
     JobSpec next = w->job(2, JobKind::Array, 1);
-    next.needs = {first.ref};
+    next.dependencies = {first.ref};
     w->submit(first, 0);
     w->run(2 * kSecond);
     w->submit(next, kSecond);
@@ -363,7 +364,7 @@
             refs[e].push_back(spec.ref);
             if (kEndings[e].needed) {
                 JobSpec next = w->job(++number, JobKind::Array, 1);
-                next.needs = {spec.ref};
+                next.dependencies = {spec.ref};
                 submit_once_accepted(*w, next);
                 needed.emplace_back(spec.ref, next.ref);
             }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -25,7 +25,7 @@
 
 JobSpec needing(Simulator& w, int number, std::vector<std::string> needs, int tasks = 2) {
     JobSpec s = w.job(number, JobKind::Array, tasks);
-    s.needs = std::move(needs);
+    s.dependencies = std::move(needs);
     return s;
 }
 
@@ -267,14 +267,14 @@
     JobSpec first = w.job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
             last = needing(w, 3, {"req-000002"});
     first.rank = second.rank = PriorityClass::Low;
-    second.estimate = 30 * kSecond;
+    second.estimated_duration = 30 * kSecond;
     p.put(first, 1000, open);
     p.put(second, 1000, open);
     p.weigh();
     EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
     last.rank = PriorityClass::High;
     last.deadline = 100 * kSecond;
-    last.estimate = 9 * kSecond;
+    last.estimated_duration = 9 * kSecond;
     p.put(last, 2000, open);
     p.weigh();
     EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::High);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -39,8 +39,8 @@
     w.submit(service, 0);
     JobSpec gang = w.job(2, JobKind::Gang, 2);
     gang.one_zone = true;
-    gang.checkpoint = 3 * kSecond;
-    gang.save = kSecond;
+    gang.checkpoint_interval = 3 * kSecond;
+    gang.save_duration = kSecond;
     w.submit(gang, 60 * kSecond);
     JobSpec array = w.job(3, JobKind::Array, 6, 2);
     array.deadline = 90 * kSecond;
@@ -120,7 +120,7 @@
     EXPECT_EQ(wide.bound, 10) << "in doubt until their machines are heard";
     EXPECT_EQ(wide.part_tasks, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
-    EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
+    EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint_interval, 3 * kSecond);
     EXPECT_EQ(w.node(0)->share("loom-1", "red").cores, 24'000);
     EXPECT_EQ(wire::text(w.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
     EXPECT_EQ(wire::text(w.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -103,8 +103,8 @@
                 const bool batch = uniform() < 0.5;
                 s.kind = batch ? JobKind::Array : JobKind::Service;
                 s.job_class = batch ? "train" : "model";
-                s.checkpoint = batch ? 60 * kSecond : 0;
-                s.save = batch ? 2 * kSecond : 0;
+                s.checkpoint_interval = batch ? 60 * kSecond : 0;
+                s.save_duration = batch ? 2 * kSecond : 0;
                 s.request = {gpus * (4'000 + static_cast<Milli>(uniform() * 8'000)), gpus * 1'000,
                              gpus * 64'000};
                 s.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -57,7 +57,7 @@
     std::size_t batch(int gpus, Micros ran, Micros checkpoint = 60 * kSecond) {
         const std::size_t j = job(gpus, "render");
         view.jobs[j].spec.kind = JobKind::Array;
-        view.jobs[j].spec.checkpoint = checkpoint;
+        view.jobs[j].spec.checkpoint_interval = checkpoint;
         ran_[j] = ran;
         return j;
     }
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(wire::text(r.body, "stage"), "done") << "a late retry of its submission";
     EXPECT_EQ(w->ask(0, "GET", "/v1/jobs/req-999999", {}).status, 404);
     JobSpec next = w->job(2, JobKind::Array, 1);
-    next.needs = {"req-502222"};
+    next.dependencies = {"req-502222"};
     EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(next)).status, 201);
     w->run(2 * kSecond);
     EXPECT_TRUE(w->node(2)->cache().jobs.live().at("req-000002").open) << "what it needs was done long ago";
@@ -152,7 +152,7 @@
     first.types = {"large"};
     w->submit(first, 2 * kSecond);
     JobSpec second = w->job(2, JobKind::Array, 1);
-    second.needs = {"req-000001"};
+    second.dependencies = {"req-000001"};
     w->run(kSecond);
     w->submit(second, kSecond);
     w->run(3 * kSecond);
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -43,7 +43,7 @@
     spec.tasks = 1;
     spec.request = {1'000, 0, 1'000};
     spec.image = "img-0";
-    spec.needs = std::move(needs);
+    spec.dependencies = std::move(needs);
     return spec;
 }
 
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -89,8 +89,8 @@
             s.team = pick(3) == 0 ? "blue" : "red";
             s.rank = static_cast<PriorityClass>(pick(4));
             s.spot = kind != JobKind::Service;
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
-            if (!before.empty() && !w.told(before).empty() && pick(4) == 0) s.needs.push_back(before);
+            if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
+            if (!before.empty() && !w.told(before).empty() && pick(4) == 0) s.dependencies.push_back(before);
             w.submit(s, static_cast<Micros>(1000 + pick(6000)) * kMillisecond, 200 * kMillisecond);
             if (pick(4) == 0 || kind == JobKind::Service)
                 w.at(w.now() + static_cast<Micros>(pick(20000)) * kMillisecond,
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -39,7 +39,7 @@
             const JobKind kind = i % 5 == 3 ? JobKind::Gang : i % 5 == 4 ? JobKind::Service : JobKind::Array;
             JobSpec s = w.job(number++, kind, kind != JobKind::Array ? 2 : red ? 7 : 4);
             s.team = team;
-            if (i % 2) s.checkpoint = 5 * kSecond, s.save = kSecond;
+            if (i % 2) s.checkpoint_interval = 5 * kSecond, s.save_duration = kSecond;
             w.submit(s, 400 * kSecond);
             jobs[s.ref] = s;
         }
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -250,9 +250,9 @@
     JobSpec with_gpus(int number, Milli gpus) {
         JobSpec s = w.job(number, JobKind::Array, 1);
         s.request = {gpus * 2, gpus, gpus * 8};
-        s.estimate = 300 * kSecond;
-        s.checkpoint = 10 * kSecond;
-        s.save = kSecond;
+        s.estimated_duration = 300 * kSecond;
+        s.checkpoint_interval = 10 * kSecond;
+        s.save_duration = kSecond;
         s.spot = false;  // what may use spot machines would be drained to return one
         return s;
     }
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -46,7 +46,7 @@
     for (int i = 0; i < jobs; ++i)
         w.at(start + static_cast<Micros>(i / rate * 1e6), [&, i] {
             JobSpec job = w.job(i + 1, JobKind::Array, 1, 4);
-            job.estimate = 8 * kSecond;
+            job.estimated_duration = 8 * kSecond;
             sent[job.ref] = w.now();
             w.submit(job, 8 * kSecond);
             if (i % 4 == 0)
@@ -123,7 +123,7 @@
                 job.job_class = k.name;
                 job.team = n % 2 ? "red" : "blue";
                 job.rank = k.rank;
-                job.estimate = k.run;
+                job.estimated_duration = k.run;
                 w.submit(job, k.run);
             });
     w.at(start + 100 * kSecond, [&w] { w.crash(w.leader(), 2 * kSecond); });
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -282,9 +282,9 @@
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
+            if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
             const Micros run = lasting ? ms(15'000, 60'000) : ms(2'000, 15'000);
-            s.estimate = kind == JobKind::Service ? 0 : run;
+            s.estimated_duration = kind == JobKind::Service ? 0 : run;
             const bool mistaken = pick(25) == 0;
             w.submit(s, run, ms(1, 1'500), mistaken);
             if (kind == JobKind::Service || mistaken || pick(6) == 0)
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -66,7 +66,7 @@
     EXPECT_TRUE(p.movable(job_of("red", "x", PriorityClass::Normal, JobKind::Service)));
     JobSpec batch = job_of("blue", "fixed", PriorityClass::Normal, JobKind::Array);
     EXPECT_FALSE(p.movable(batch));
-    batch.checkpoint = kSecond;
+    batch.checkpoint_interval = kSecond;
     EXPECT_TRUE(p.movable(batch));
 }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -39,11 +39,11 @@
     Json v = good_job();
     for (const Json& none : {Json(nullptr), Json::array()}) {
         v["warp"] = none;
-        EXPECT_TRUE(wire::parse_job(v).spec->needs.empty());
+        EXPECT_TRUE(wire::parse_job(v).spec->dependencies.empty());
     }
     v["warp"] = {"req-000398", "req-000405", "req-000398"};
-    EXPECT_EQ(wire::parse_job(v).spec->needs, (std::vector<std::string>{"req-000398", "req-000405"}));
-    EXPECT_EQ(wire::parse_job(wire::job_value(*wire::parse_job(v).spec)).spec->needs.size(), 2u);
+    EXPECT_EQ(wire::parse_job(v).spec->dependencies, (std::vector<std::string>{"req-000398", "req-000405"}));
+    EXPECT_EQ(wire::parse_job(wire::job_value(*wire::parse_job(v).spec)).spec->dependencies.size(), 2u);
     for (const Json& broken : {Json("req-000398"), Json({"job-1"}), Json({1}), Json({{"a", 1}}), Json(7),
                                Json(std::vector<std::string>(1001, "req-000398"))}) {
         v["warp"] = broken;
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -111,7 +111,7 @@
         j.spec.ref = "run-" + std::to_string(v.jobs.size());
         j.spec.kind = kind;
         j.spec.request = {4 * kCore, 0, 0};
-        j.spec.estimate = estimate;
+        j.spec.estimated_duration = estimate;
         j.bound = 1;
         TaskView t;
         t.job = v.jobs.size();
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -141,13 +141,13 @@
     w.submit(w.job(1, JobKind::Service, 4), 0);
     w.submit(w.job(2, JobKind::Array, 6), 12 * kSecond);
     JobSpec gang = w.job(3, JobKind::Gang, 3, 2);
-    gang.checkpoint = 3 * kSecond;
-    gang.save = kSecond;
+    gang.checkpoint_interval = 3 * kSecond;
+    gang.save_duration = kSecond;
     w.submit(gang, 20 * kSecond);
     w.submit(w.job(4, JobKind::Array, 2), 15 * kSecond);
     w.run(4 * kSecond);
     JobSpec second = w.job(5, JobKind::Array, 2);
-    second.needs = {"req-000004"};
+    second.dependencies = {"req-000004"};
     w.submit(second, 2 * kSecond);
     JobSpec mistaken = w.job(6, JobKind::Array, 8, 0.5);
     w.submit(mistaken, kSecond, 0, true);
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -60,7 +60,7 @@
         w->submit(w->job(kNeeded, JobKind::Array, 2), 60 * kSecond);
         w->run(kSecond);
         JobSpec waits = w->job(kWaits, JobKind::Array, 2);
-        waits.needs = {ref(kNeeded)};
+        waits.dependencies = {ref(kNeeded)};
         w->submit(waits, 2 * kSecond);
         w->run(2 * kSecond);
         const Micros moment = w->now() + 4 * kSecond;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -61,7 +61,7 @@
     // DependencyGraph: each job is submitted as soon as those that it needs are accepted.
     std::function<void(std::vector<JobSpec>)> submit_chain = [&](std::vector<JobSpec> chain) {
         if (chain.empty()) return;
-        const bool ready = std::all_of(chain.front().needs.begin(), chain.front().needs.end(),
+        const bool ready = std::all_of(chain.front().dependencies.begin(), chain.front().dependencies.end(),
                                        [&](const auto& need) { return !w.told(need).empty(); });
         if (ready) {
             w.submit(chain.front(), static_cast<Micros>(1000 + pick(4000)) * kMillisecond, 300 * kMillisecond,
@@ -83,7 +83,7 @@
                                          : PriorityClass::Normal;
                 if (i + 1 == stages) s.deadline = 40 * kSecond;
                 for (const auto& before : chain)
-                    if (&before == &chain.back() || pick(3) == 0) s.needs.push_back(before.ref);
+                    if (&before == &chain.back() || pick(3) == 0) s.dependencies.push_back(before.ref);
                 chain.push_back(s);
             }
             submit_chain(chain);
@@ -105,7 +105,7 @@
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
+            if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
             s.request.cores = std::min<Milli>(s.request.cores, 16'000 / s.tasks);
             const bool broken = pick(12) == 0;
             w.submit(s, static_cast<Micros>(2000 + pick(9000)) * kMillisecond,
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -15,7 +15,7 @@
     JobSpec s = w.job(number, kind, tasks, cores);
     s.rank = rank;
     s.job_class = s.ref;  // by which the world tells waits
-    s.estimate = 6 * kSecond;
+    s.estimated_duration = 6 * kSecond;
     return s;
 }
 
@@ -125,7 +125,7 @@
         later((40 + 6 * i) * kSecond, "blue", PriorityClass::Normal, JobKind::Array, 1, 4, 5 * kSecond);
     // What is overdue longest; by the work that is left it stands last until then.
     JobSpec large = ranked(*w, 1, PriorityClass::Normal, JobKind::Array, 1, 4);
-    large.estimate = 900 * kSecond;
+    large.estimated_duration = 900 * kSecond;
     w->at(w->now() + 20 * kSecond, [&] { w->submit(large, 40 * kSecond); });
     w->run(280 * kSecond);
     EXPECT_EQ(w->told(large.ref), "done") << w->story();
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -143,7 +143,7 @@
     const int old = w->leader();
     w->submit(w->job(1, JobKind::Service, 8), 0);  // all of the machine that is there
     w->run(2 * kSecond);
-    const Micros slow = 3 * w->cloud().types().front().boot + 30 * kSecond + 4 * kSecond;
+    const Micros slow = 3 * w->cloud().types().front().boot_duration + 30 * kSecond + 4 * kSecond;
     const std::string late = w->cloud().rent_one("small", "b", false, w->now(), slow);
     w->submit(w->job(2, JobKind::Array, 8), 20 * kSecond);
     w->run(15 * kSecond);
@@ -172,7 +172,7 @@
             if (!m.up) m.up_at = 3600 * kSecond, ++stuck;
     }
     ASSERT_GT(stuck, 0u) << w->story();
-    const Micros boot = small_types().front().boot;
+    const Micros boot = small_types().front().boot_duration;
     w->run(2 * boot + w->settings.cloud_list_lag + boot + 8 * kSecond);
     EXPECT_EQ(w->running(s.ref), s.tasks) << w->story();
     EXPECT_RULES(*w);
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -310,8 +310,8 @@
     auto w = settled_simulator(9, 1);
     JobSpec low = w->job(1, JobKind::Array, 1, 8);
     low.rank = PriorityClass::Low;
-    low.checkpoint = kSecond;
-    low.save = kSecond;
+    low.checkpoint_interval = kSecond;
+    low.save_duration = kSecond;
     w->submit(low, 20 * kSecond);
     w->run(4 * kSecond);
     JobSpec high = w->job(2, JobKind::Service, 1, 4);
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -51,8 +51,8 @@
             job.spot = kind != JobKind::Service;
             job.spread = kind == JobKind::Service;
             job.one_zone = kind == JobKind::Gang;
-            if (i % 7 == 0) job.checkpoint = 3 * kSecond, job.save = kSecond;
-            if (i % 9 == 0) job.needs.push_back(w.job(i - 1, JobKind::Array, 1).ref);
+            if (i % 7 == 0) job.checkpoint_interval = 3 * kSecond, job.save_duration = kSecond;
+            if (i % 9 == 0) job.dependencies.push_back(w.job(i - 1, JobKind::Array, 1).ref);
             w.submit(job, (3 + i % 9) * kSecond, 500 * kMillisecond, i % 11 == 0);
             if (i % 8 == 0) w.at(w.now() + 6 * kSecond, [&w, job] { w.cancel(job.ref); });
         });
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -101,7 +101,7 @@
         s.spot = true;
         s.image = fmt::format("push-{}", i % 5);
         s.image_gb = 500;
-        s.estimate = 30 * kSecond;
+        s.estimated_duration = 30 * kSecond;
         const Json record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
                           {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
         owner.on_job(s.ref, RecordLocation::Active, record, 1);
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -96,7 +96,7 @@
         const std::string zone = i % 2 ? "b" : "a";
         const std::string name = cloud.rent_one("small", zone, false, now(), 0);
         const std::string addr = "127.0.0.1:" + std::to_string(worker_port + i);
-        cloud.machines()[name].info.addr = addr;
+        cloud.machines()[name].info.address = addr;
         cloud.machines()[name].info.state = CloudState::Running;
         live.push_back(std::make_unique<fakes::LiveWorker>(
             io,
