--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -13,7 +13,7 @@
     auto left = [](Milli share, Milli used) {
         return share == kNoLimit ? 0 : std::max<Milli>(share - used, 0);
     };
-    return {left(t.share.cores, t.used.cores), left(t.share.gpus, t.used.gpus), 0};
+    return {left(t.quota.cores, t.used.cores), left(t.quota.gpus, t.used.gpus), 0};
 }
 
 Resources spare(const peer::TeamLoad& t) {
@@ -64,7 +64,7 @@
 void CapacityBroker::request_machines(ShardOwner& o, const peer::CapacityRequest& want) {
     const peer::ShardLoad* roomy = nullptr;
     auto room = [&](const peer::ShardLoad& d) {
-        return d.free_ordinary + (want.spot ? d.free_spot : 0) - d.waiting;
+        return d.free_ordinary + (want.allows_spot ? d.free_spot : 0) - d.waiting;
     };
     std::optional<std::size_t> best;
     Milli most = 0;
@@ -75,7 +75,7 @@
             const ShardRecord* held = cache_.membership.shard(d.shard);
             if (held && held->mod_revision == d.mod_revision && (!roomy || room(d) > room(*roomy)))
                 roomy = &d;
-            const Milli idle = d.idle_ordinary + (want.spot ? d.idle_spot : 0);
+            const Milli idle = d.idle_ordinary + (want.allows_spot ? d.idle_spot : 0);
             if (d.waiting == 0 && idle > most && !wanting_[i]) {
                 most = idle;
                 best = i;
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -165,7 +165,7 @@
                         if (!block || assignment_.find(block->shard)) return respond(unavailable());
                         return renew_on_behalf(r, *block, respond);
                     }
-                    if (relayed->direct) {  // sent there next time
+                    if (relayed->worker_reachable) {  // sent there next time
                         proxied_workers_[r.machine].sent_on = 0;
                         proxied_workers_[r.machine].direct = true;
                     }
@@ -231,7 +231,7 @@
     for (const auto& name : ask.machines) {
         ProxiedWorker& proxied = proxied_workers_[name];
         proxied.refused_until = now + 3 * with_drift(settings_.worker_lease);
-        answer.ages.push_back(now - std::max(proxied.renewed, started_));
+        answer.renewal_ages.push_back(now - std::max(proxied.renewed, started_));
     }
     return answer;
 }
@@ -263,23 +263,23 @@
                                              std::vector<std::string> machines) {
     const peer::Relinquish message{settings_.node, owner.shard(), owner.mod_revision(), machines};
     ++in_flight_[peer];
-    peers_.call(
-        peer, peer::pack(message), kPeerTimeout,
-        [this, peer, shard = owner.shard(), mod_revision = owner.mod_revision(),
-         machines = std::move(machines), sent = runtime_.now()](const Reply& r) {
-            --in_flight_[peer];
-            const auto answer = peer::unpack<peer::Relinquished>(r.bytes);
-            ShardOwner* o = assignment_.find(shard);
-            if (!answer || answer->ages.size() != machines.size() || !o || o->mod_revision() != mod_revision)
-                return;
-            // Given for longer, but a process that follows the giver's knows nothing of it, and
-            // waits for this long.
-            const Micros promised = kForgotten * with_drift(settings_.worker_lease);
-            for (std::size_t m = 0; m < machines.size(); ++m)
-                o->on_relinquished(peer, machines[m],
-                                   {sent + promised - promised / 100,
-                                    runtime_.now() - std::max<Micros>(answer->ages[m], 0)});
-        });
+    peers_.call(peer, peer::pack(message), kPeerTimeout,
+                [this, peer, shard = owner.shard(), mod_revision = owner.mod_revision(),
+                 machines = std::move(machines), sent = runtime_.now()](const Reply& r) {
+                    --in_flight_[peer];
+                    const auto answer = peer::unpack<peer::Relinquished>(r.bytes);
+                    ShardOwner* o = assignment_.find(shard);
+                    if (!answer || answer->renewal_ages.size() != machines.size() || !o ||
+                        o->mod_revision() != mod_revision)
+                        return;
+                    // Given for longer, but a process that follows the giver's knows nothing of it, and
+                    // waits for this long.
+                    const Micros promised = kForgotten * with_drift(settings_.worker_lease);
+                    for (std::size_t m = 0; m < machines.size(); ++m)
+                        o->on_relinquished(peer, machines[m],
+                                           {sent + promised - promised / 100,
+                                            runtime_.now() - std::max<Micros>(answer->renewal_ages[m], 0)});
+                });
 }
 
 }  // namespace cottonway
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -323,7 +323,7 @@
             if (!m) return nothing();
             return capacity_broker_.grant_machines(*m, granted);
         }
-        case peer::Kind::Share: {
+        case peer::Kind::QuotaRequest: {
             auto m = peer::unpack<peer::QuotaRequest>(bytes);
             if (!m) return nothing();
             return capacity_broker_.grant_quota(*m, granted);
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -149,7 +149,7 @@
         p.u32(static_cast<std::uint32_t>(teams));
         for (std::size_t t = 0; t < teams; ++t) {
             p.name(d.teams[t].team);
-            p.resources(d.teams[t].share);
+            p.resources(d.teams[t].quota);
             p.resources(d.teams[t].used);
             p.resources(d.teams[t].waiting);
         }
@@ -179,7 +179,7 @@
         d.teams.resize(in.count(kMaxTeams));
         for (auto& t : d.teams) {
             t.team = in.name();
-            t.share = in.resources();
+            t.quota = in.resources();
             t.used = in.resources();
             t.waiting = in.resources();
         }
@@ -212,9 +212,9 @@
 
 std::string pack(const Relinquished& m) {
     Packer p(Kind::Relinquished);
-    const std::size_t n = std::min(m.ages.size(), kMaxMachines);
+    const std::size_t n = std::min(m.renewal_ages.size(), kMaxMachines);
     p.u32(static_cast<std::uint32_t>(n));
-    for (std::size_t i = 0; i < n; ++i) p.i64(m.ages[i]);
+    for (std::size_t i = 0; i < n; ++i) p.i64(m.renewal_ages[i]);
     return p.done();
 }
 
@@ -222,8 +222,8 @@
 std::optional<Relinquished> unpack(std::string_view bytes) {
     Unpacker in(bytes, Kind::Relinquished);
     Relinquished m;
-    m.ages.resize(in.count(kMaxMachines));
-    for (auto& age : m.ages) age = in.i64();
+    m.renewal_ages.resize(in.count(kMaxMachines));
+    for (auto& age : m.renewal_ages) age = in.i64();
     return whole(in, std::move(m));
 }
 
@@ -231,9 +231,9 @@
     Packer p(Kind::CapacityRequest);
     p.name(m.shard);
     p.u64(m.mod_revision);
-    p.resources(m.task);
+    p.resources(m.largest_task);
     p.i64(m.cores);
-    p.u8(m.spot ? 1 : 0);
+    p.u8(m.allows_spot ? 1 : 0);
     p.name(m.type);
     p.name(m.zone);
     return p.done();
@@ -245,16 +245,16 @@
     CapacityRequest m;
     m.shard = in.name();
     m.mod_revision = in.u64();
-    m.task = in.resources();
+    m.largest_task = in.resources();
     m.cores = in.i64();
-    m.spot = in.u8() != 0;
+    m.allows_spot = in.u8() != 0;
     m.type = in.name();
     m.zone = in.name();
     return whole(in, std::move(m));
 }
 
 std::string pack(const QuotaRequest& m) {
-    Packer p(Kind::Share);
+    Packer p(Kind::QuotaRequest);
     p.name(m.shard);
     p.u64(m.mod_revision);
     p.name(m.team);
@@ -264,7 +264,7 @@
 
 template <>
 std::optional<QuotaRequest> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Share);
+    Unpacker in(bytes, Kind::QuotaRequest);
     QuotaRequest m;
     m.shard = in.name();
     m.mod_revision = in.u64();
@@ -299,14 +299,14 @@
 std::optional<Relay> unpack(std::string_view bytes) {
     Unpacker in(bytes, Kind::Relay);
     Relay m;
-    m.report = in.bytes(kMaxReport);
+    m.report = in.bytes(kMaxReportBytes);
     return whole(in, std::move(m));
 }
 
 std::string pack(const Relayed& m) {
     Packer p(Kind::Relayed);
     p.u16(m.status);
-    p.u8(m.direct ? 1 : 0);
+    p.u8(m.worker_reachable ? 1 : 0);
     p.bytes(m.body);
     return p.done();
 }
@@ -316,8 +316,8 @@
     Unpacker in(bytes, Kind::Relayed);
     Relayed m;
     m.status = in.u16();
-    m.direct = in.u8() != 0;
-    m.body = in.bytes(kMaxReport);
+    m.worker_reachable = in.u8() != 0;
+    m.body = in.bytes(kMaxReportBytes);
     return whole(in, std::move(m));
 }
 
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -25,14 +25,14 @@
 /// Machines in one message, so that it fits into a request's 64 KiB. What is about more takes several
 /// messages.
 constexpr std::size_t kMaxMachines = 1000;
-constexpr std::size_t kMaxReport = 64 * 1024;
+constexpr std::size_t kMaxReportBytes = 64 * 1024;
 
 enum class Kind : std::uint16_t {
     State = 1,            // how things are here; answered with a State
     Relinquish = 2,       // promise not to renew the leases of these machines; answered with Relinquished
     Relinquished = 3,     // for each machine, how long ago its lease was renewed from here at the latest
     CapacityRequest = 4,  // machines for waiting tasks; answered with Grant
-    Share = 5,            // part of a team's limit; answered with Grant
+    QuotaRequest = 5,     // part of a team's limit; answered with Grant
     Grant = 6,
     Relay = 7,    // a worker's report, passed on; answered with Relayed
     Relayed = 8,  // the answer to pass back
@@ -41,7 +41,7 @@
 /// A team within a shard.
 struct TeamLoad {
     std::string team;
-    Resources share;
+    Resources quota;
     Resources used;
     Resources waiting;
 };
@@ -86,17 +86,17 @@
 };
 
 struct Relinquished {
-    std::vector<Micros> ages;
+    std::vector<Micros> renewal_ages;
 };
 
 /// What waits, so that idle machines can be found for it.
 struct CapacityRequest {
     std::string shard;
     std::uint64_t mod_revision = 0;
-    Resources task;  // the largest waiting task
+    Resources largest_task;  // the largest waiting task
     Milli cores = 0;
-    bool spot = false;  // may be spot machines
-    std::string type;   // "": any
+    bool allows_spot = false;  // may be spot machines
+    std::string type;          // "": any
     std::string zone;
 };
 
@@ -118,7 +118,7 @@
 
 struct Relayed {
     std::uint16_t status = 0;
-    bool direct = false;  // the holder reaches the worker itself
+    bool worker_reachable = false;  // the holder reaches the worker itself
     std::string body;
 };
 
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -100,8 +100,8 @@
     peer::CapacityRequest w;
     w.shard = shard_;
     w.mod_revision = mod_revision_;
-    w.task = first->spec.request;
-    w.spot = first->spec.spot;
+    w.largest_task = first->spec.request;
+    w.allows_spot = first->spec.spot;
     if (first->spec.zone) w.zone = *first->spec.zone;
     // Where the zones that it is in take no more, machines in another are what it needs.
     if (first->spec.spread && w.zone.empty()) {
@@ -131,7 +131,7 @@
             continue;
         if (!m->launches_in_responses.empty() || m->direct_in_flight || m->raising) continue;
         if (now - m->idle_since < kIdleOffer) continue;
-        if ((m->spot && !want.spot) || !want.task.fits(m->type->size)) continue;
+        if ((m->spot && !want.allows_spot) || !want.largest_task.fits(m->type->size)) continue;
         if (!want.type.empty() && want.type != m->type_name) continue;
         if (!want.zone.empty() && want.zone != m->zone) continue;
         idle.push_back(m.get());
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -31,19 +31,19 @@
         peer::Relinquish ask;
         ask.machines.assign(machines, "n-000001");
         peer::Relinquished answer;
-        answer.ages.assign(machines, 5);
+        answer.renewal_ages.assign(machines, 5);
         const auto asked = peer::unpack<peer::Relinquish>(peer::pack(ask));
         const auto answered = peer::unpack<peer::Relinquished>(peer::pack(answer));
         ASSERT_TRUE(asked && answered) << machines;
         EXPECT_EQ(asked->machines.size(), std::min(machines, peer::kMaxMachines));
-        EXPECT_EQ(answered->ages.size(), std::min(machines, peer::kMaxMachines));
+        EXPECT_EQ(answered->renewal_ages.size(), std::min(machines, peer::kMaxMachines));
     }
 }
 
 TEST(PeerMessages, PassOnReportsAsLongAsAWorkerMaySend) {
-    for (const std::size_t bytes : around(peer::kMaxReport)) {
+    for (const std::size_t bytes : around(peer::kMaxReportBytes)) {
         const auto passed = peer::unpack<peer::Relay>(peer::pack(peer::Relay{std::string(bytes, 'r')}));
-        EXPECT_EQ(passed.has_value(), bytes <= peer::kMaxReport) << bytes;
+        EXPECT_EQ(passed.has_value(), bytes <= peer::kMaxReportBytes) << bytes;
     }
 }
 
