--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -345,7 +345,7 @@
             owner.retire(name, "tasks of several jobs fail on it");
         } else if (idle_too && m->tasks.empty() && m->type &&
                    now - holding_since_ > s.operators.idle_return_delay &&
-                   runtime_.listened() - m->idle_since > s.operators.idle_return_delay) {
+                   runtime_.listening_time() - m->idle_since > s.operators.idle_return_delay) {
             const Milli cores = m->type->size.cores;
             Milli& left = m->spot ? surplus.total : surplus.ordinary;
             if (left < cores) continue;
@@ -427,7 +427,7 @@
     for (const auto& [name, r] : rentals_) there[{r.type, r.zone, r.spot}] += r.count;
     std::map<std::string, const Team*> teams;
     for (const auto& t : settings_.teams) teams[t.name] = &t;
-    const std::int64_t by = runtime_.wall_ms() - kLeftOutAfter / kMillisecond;
+    const std::int64_t by = runtime_.wall_clock_ms() - kLeftOutAfter / kMillisecond;
     const LiveJob* first = nullptr;
     UnschedulableJob out;
     for (const auto& [ref, job] : cache_.jobs.live()) {
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -168,12 +168,12 @@
     // In a shard of ours the change that admits the job binds its tasks as well.
     if (ShardOwner* o = assignment_.find(shard);
         o && o->active() && !dependency_status.cancelled_by_dependency)
-        return o->admit(std::move(spec), runtime_.wall_ms(), dependency_status, answer);
+        return o->admit(std::move(spec), runtime_.wall_clock_ms(), dependency_status, answer);
     Json record{{"s", "queued"},
                 {"dom", shard},
                 {"k", spec.tasks},
                 {"d", wire::job_value(spec)},
-                {"at", runtime_.wall_ms()},
+                {"at", runtime_.wall_clock_ms()},
                 {"ps", part_tasks_for(settings_.max_value_bytes, size + kRecordBytes)}};
     // Cancelled with one before it already: accepted, and over.
     if (dependency_status.cancelled_by_dependency)
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -43,7 +43,7 @@
 class ListeningClock {
   public:
     /// Called at every turn; returns for how long the process stood still before it, 0 if it did not.
-    Micros turn(Micros steady) {
+    Micros advance(Micros steady) {
         const Micros passed = last_ == 0 ? 0 : steady - last_;
         last_ = steady;
         now_ += std::min(passed, kLongestTurn);
@@ -64,9 +64,9 @@
     virtual Micros now() = 0;
     /// What is merely unheard is judged by this one (see ListeningClock). Time-outs of calls go by it as
     /// well.
-    virtual Micros listened() = 0;
+    virtual Micros listening_time() = 0;
     /// Milliseconds of the time of day.
-    virtual std::int64_t wall_ms() = 0;
+    virtual std::int64_t wall_clock_ms() = 0;
     virtual void call(Call call, ReplyHandler done) = 0;
     virtual void after(Micros delay, std::function<void()> run) = 0;
     virtual std::mt19937_64& random() = 0;
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -31,7 +31,7 @@
 
 bool PeerDirectory::reachable(std::size_t peer) const {
     const auto& p = peers_[peer];
-    return p.heard > 0 && runtime_.listened() - p.heard < kReachable;
+    return p.heard > 0 && runtime_.listening_time() - p.heard < kReachable;
 }
 
 const PeerDirectory::PeerStatus* PeerDirectory::told(std::size_t peer, Micros within) const {
@@ -78,7 +78,7 @@
     call.bytes = std::move(bytes);
     call.timeout = timeout;
     runtime_.call(std::move(call), [this, peer, done = std::move(done)](const Reply& r) {
-        if (r.status == 200) peers_[peer].heard = runtime_.listened();
+        if (r.status == 200) peers_[peer].heard = runtime_.listening_time();
         done(r);
     });
 }
@@ -98,7 +98,7 @@
     if (!peer) return;
     for (const auto& d : state.shards) sent_to_.erase(d.shard);
     peers_[*peer].told = PeerStatus{state, runtime_.now()};
-    peers_[*peer].heard = runtime_.listened();
+    peers_[*peer].heard = runtime_.listening_time();
     cache_.membership.heard(state.node);
 }
 
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -69,14 +69,14 @@
 
 void AsioHost::turn() {
     const Micros steady = now();
-    const Micros stood_still = clock_.turn(steady);
+    const Micros stood_still = clock_.advance(steady);
     if (stood_still == 0) return;
     stood_still_ = stood_still;
     woke_at_ = steady;
     spdlog::info("this process stood still for {} ms", stood_still / kMillisecond);
 }
 
-Micros AsioHost::listened() {
+Micros AsioHost::listening_time() {
     turn();
     return clock_.now();
 }
@@ -86,7 +86,7 @@
     return woke_at_ > 0 && now() - woke_at_ < kCatchUp ? stood_still_ : 0;
 }
 
-std::int64_t AsioHost::wall_ms() {
+std::int64_t AsioHost::wall_clock_ms() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
--- a/src/net/service.hpp
+++ b/src/net/service.hpp
@@ -18,10 +18,10 @@
   public:
     AsioHost(asio::io_context& io, const Settings& settings);
     Micros now() override;
-    Micros listened() override;
+    Micros listening_time() override;
     /// How long a request that is read now may have waited, since the process stood still before.
     Micros waited();
-    std::int64_t wall_ms() override;
+    std::int64_t wall_clock_ms() override;
     void call(Call call, ReplyHandler done) override;
     void after(Micros delay, std::function<void()> run) override;
     std::mt19937_64& random() override { return random_; }
@@ -33,7 +33,7 @@
   private:
     asio::io_context& io_;
     const Settings& settings_;
-    std::function<Micros()> listening_ = [this] { return listened(); };
+    std::function<Micros()> listening_ = [this] { return listening_time(); };
     HttpClient state_;
     HttpClient cloud_;
     HttpClient workers_;
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void ShardOwner::set_idle(Job& job, Slot& slot) {
-    shard_state_.release(job, slot, context_.runtime().listened());
+    shard_state_.release(job, slot, context_.runtime().listening_time());
     plan_due_ = true;
 }
 
@@ -132,7 +132,7 @@
     m.session = r.session;
     m.token_seen = std::max(m.token_seen, r.token);
     m.last_heartbeat = m.heartbeat_before_load = context_.runtime().now();
-    m.last_heartbeat_listening = context_.runtime().listened();
+    m.last_heartbeat_listening = context_.runtime().listening_time();
     if (is_report) m.report_listened = m.last_heartbeat_listening;
 }
 
@@ -163,7 +163,7 @@
     m.seq = r.seq;
     m.token_seen = std::max(m.token_seen, r.token);
     m.last_heartbeat = now;
-    m.last_heartbeat_listening = context_.runtime().listened();
+    m.last_heartbeat_listening = context_.runtime().listening_time();
     if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
     if (r.termination_notice && !m.notice) {
         m.notice = true;
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -278,7 +278,7 @@
 
 /// It left a call unanswered.
 void ShardOwner::suspect(Machine& m) {
-    if (!std::exchange(m.suspect, true)) m.suspect_since = context_.runtime().listened();
+    if (!std::exchange(m.suspect, true)) m.suspect_since = context_.runtime().listening_time();
 }
 
 /// No connection came about, so nothing was or will be executed: what was to be launched can run elsewhere,
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -132,7 +132,8 @@
            {"within_guarantee", job.within_guarantee},
            {"tasks", {{"waiting", job.idle}, {"bound", job.bound}, {"done", job.done}}},
            {"a_task_needs", resources_value(job.spec.request)},
-           {"counts_since_ms_ago", std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0)}};
+           {"counts_since_ms_ago",
+            std::max<std::int64_t>(context_.runtime().wall_clock_ms() - job.since_ms, 0)}};
     if (job.idle > 0 && job.waiting_since > 0)
         v["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
     v["queue"] = place_in_queue(job);
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -298,7 +298,7 @@
             v["fd"] = job.done;
             // Jobs that need it count from then.
             if (job.stage != Stage::Cancelled && context_.all_read(format::kPipelines))
-                v["end"] = context_.runtime().wall_ms();
+                v["end"] = context_.runtime().wall_clock_ms();
             return v;
         }
         v["d"] = wire::job_value(job.spec);
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -124,7 +124,7 @@
 std::vector<std::string> ShardOwner::offer_idle_machines(const peer::CapacityRequest& want) {
     std::vector<std::string> names;
     if (!active_) return names;
-    const Micros now = context_.runtime().listened();
+    const Micros now = context_.runtime().listening_time();
     std::vector<Machine*> idle;
     for (auto& [name, m] : shard_state_.machines) {
         if (!usable(*m) || !m->tasks.empty() || !m->exited.empty() || !m->unacknowledged_launches.empty())
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -136,7 +136,7 @@
     std::map<std::string, std::pair<bool, bool>> zones;  // heard, in doubt
     for (const auto& [name, m] : shard_state_.machines) {
         auto& [heard, doubt] = zones[m->zone];
-        const bool lately = m->seq > 0 && context_.runtime().listened() - m->report_listened < silent;
+        const bool lately = m->seq > 0 && context_.runtime().listening_time() - m->report_listened < silent;
         heard = heard || lately;
         doubt = doubt || (!lately && !m->tasks.empty());
     }
@@ -180,7 +180,7 @@
         j.idle = waits(*job) ? job->idle : 0;
         j.bound = job->bound;
         j.waiting = j.idle > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
-        j.age = (context_.runtime().wall_ms() - job->since_ms) * kMillisecond;
+        j.age = (context_.runtime().wall_clock_ms() - job->since_ms) * kMillisecond;
         j.zones = job->zones();
         auto moved = moved_.find(job->spec.ref);
         // A predecessor may have moved it until we came.
@@ -242,14 +242,15 @@
     for (auto& room : scheduling::gather(now, policy)) gathers.push_back(std::move(room));
     if (moves.empty() && gathers.empty()) return;
     const std::size_t added =
-        plan_.add(moves, gathers, context_.runtime().wall_ms(), policy.budgets, Books(*this));
+        plan_.add(moves, gathers, context_.runtime().wall_clock_ms(), policy.budgets, Books(*this));
     if (added > 0)
         spdlog::info("domain {}: {} moves and gatherings planned, {} in all", shard_, added,
                      plan_.moves().size() + plan_.gathers().size());
 }
 
 void Rebalancer::carry_on() {
-    const scheduling::Plan::Doing doing = plan_.step(Books(*this), context_.runtime().wall_ms(), kGiveUpMs);
+    const scheduling::Plan::Doing doing =
+        plan_.step(Books(*this), context_.runtime().wall_clock_ms(), kGiveUpMs);
     if (!unsure_ && context_.steady_for() > 0) stop(doing.stop);
     const bool left_over = plan_.empty() && record_ != 0;
     if ((!doing.store && !left_over) || in_flight_ || unsure_) return;
@@ -284,7 +285,7 @@
 }
 
 void Rebalancer::stop(const std::vector<Move>& moves) {
-    const std::int64_t now_ms = context_.runtime().wall_ms();
+    const std::int64_t now_ms = context_.runtime().wall_clock_ms();
     std::map<Job*, std::vector<const Move*>> by_job;  // a gang stops whole or not at all
     for (const Move& move : moves) {
         Job* job = shard_state_.job(move.job);
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -216,7 +216,7 @@
 bool Scheduler::can_wait(const Job& job) const {
     const auto& aims = goals(job).finished;
     if (aims.empty()) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_clock_ms() - job.since_ms) * kMillisecond;
     const Micros needs =
         job.spec.estimated_duration + job.spec.estimated_duration / 3;  // the slowest of several tasks
     if (age + needs <= aims.front()) return false;
@@ -339,7 +339,7 @@
 
 scheduling::Queued Scheduler::queued(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
-    const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_ms() - job.since_ms, 0);
+    const std::int64_t age_ms = std::max<std::int64_t>(context_.runtime().wall_clock_ms() - job.since_ms, 0);
     const JobSpec& s = job.spec;
     scheduling::Queued q;
     q.index = index;
@@ -481,7 +481,7 @@
 /// Whether stopping a task would make its job miss an aim that it can still make.
 bool Scheduler::wastes_work(const Job& job, Micros ran) const {
     const auto& aims = goals(job).finished;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_clock_ms() - job.since_ms) * kMillisecond;
     const Micros left = std::max<Micros>(job.spec.estimated_duration * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(aims.begin(), aims.end(),
                        [&](Micros goal) { return age + left <= goal && age + left + kSetBack > goal; });
@@ -770,7 +770,7 @@
     const Micros now = context_.runtime().now();
     // Stopping work that cannot save itself throws it away. Services may always do that; others only when
     // their deadline is near, or when a guarantee has been waited for.
-    const std::int64_t now_ms = context_.runtime().wall_ms();
+    const std::int64_t now_ms = context_.runtime().wall_clock_ms();
     const bool late =
         now_ms + (job.spec.estimated_duration * 5 / 4 + 3 * kSecond) / kMillisecond > job.due_ms;
     const bool may_waste = job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && late);
@@ -866,7 +866,7 @@
 /// comes back to the same room first, and neither runs.
 bool Scheduler::comes_back_first(const Job& job) const {
     if (job.bound > 1 || job.done > 0 || job.backing_off) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_clock_ms() - job.since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.begin_within;
 }
 
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -42,7 +42,7 @@
         owned->name = entry.name;
         owned->known_since = context_.runtime().now();
         owned->last_heartbeat_listening = owned->report_listened = owned->idle_since =
-            context_.runtime().listened();
+            context_.runtime().listening_time();
         owned->relinquishments.resize(context_.settings().peers.size());
     }
     Machine& m = *owned;
@@ -78,13 +78,13 @@
 }
 
 Micros ShardOwner::silent_for(const Machine& m) const {
-    return context_.runtime().listened() - m.last_heartbeat_listening;
+    return context_.runtime().listening_time() - m.last_heartbeat_listening;
 }
 
 /// A worker is of use while it reports, which renews its lease, and hears what it is told. What it answers to
 /// calls shows only the latter.
 Micros ShardOwner::unreachable_for(const Machine& m) const {
-    const Micros listened = context_.runtime().listened();
+    const Micros listened = context_.runtime().listening_time();
     return std::max(listened - m.report_listened, m.suspect ? listened - m.suspect_since : 0);
 }
 
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -55,11 +55,11 @@
         offset_ = static_cast<Micros>(random_() % 1'000'000'000) + kSecond;
     }
     Micros now() override { return offset_ + simulator_.now_ + simulator_.now_ / 1'000'000 * drift_ppm_; }
-    Micros listened() override {
-        clock_.turn(now());
+    Micros listening_time() override {
+        clock_.advance(now());
         return clock_.now();
     }
-    std::int64_t wall_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
+    std::int64_t wall_clock_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
         simulator_.at(simulator_.now_ + std::max<Micros>(delay, 0),
@@ -72,7 +72,7 @@
             index_,
             [self = shared_from_this(), what = std::move(what)] {
                 if (!self->alive) return;
-                self->clock_.turn(self->now());
+                self->clock_.advance(self->now());
                 what();
             },
             timer);
@@ -89,7 +89,7 @@
                 },
                 false);
         };
-        release_shard(listened() + call.timeout, pending, finish);
+        release_shard(listening_time() + call.timeout, pending, finish);
         std::string to = call.target == Target::State ? "state" : call.target == Target::Cloud ? "cloud" : "";
         if (call.target == Target::Worker)
             if (auto at = simulator_.by_addr_.find(call.address);
@@ -124,10 +124,11 @@
     /// Time-outs go by the time spent listening.
     void release_shard(Micros deadline, const std::shared_ptr<Pending>& pending,
                        const std::function<void(const Reply&)>& finish) {
-        after(std::max<Micros>(deadline - listened(), kMillisecond),
+        after(std::max<Micros>(deadline - listening_time(), kMillisecond),
               [self = shared_from_this(), deadline, pending, finish] {
                   if (pending->over) return;
-                  if (self->listened() < deadline) return self->release_shard(deadline, pending, finish);
+                  if (self->listening_time() < deadline)
+                      return self->release_shard(deadline, pending, finish);
                   finish(Reply{});
               });
     }
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -388,8 +388,8 @@
 class AtOnce : public Runtime {
   public:
     Micros now() override { return now_; }
-    Micros listened() override { return now_; }
-    std::int64_t wall_ms() override { return now_ / kMs; }
+    Micros listening_time() override { return now_; }
+    std::int64_t wall_clock_ms() override { return now_ / kMs; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
         timers_.emplace(now_ + std::max<Micros>(delay, 1), std::move(run));
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -17,8 +17,8 @@
 class StillRuntime : public Runtime {
   public:
     Micros now() override { return now_; }
-    Micros listened() override { return now_; }
-    std::int64_t wall_ms() override { return 1'790'000'000'000 + now_ / kMillisecond; }
+    Micros listening_time() override { return now_; }
+    std::int64_t wall_clock_ms() override { return 1'790'000'000'000 + now_ / kMillisecond; }
     void call(Call, ReplyHandler) override {}
     void after(Micros, std::function<void()>) override {}
     std::mt19937_64& random() override { return random_; }
