--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -31,7 +31,7 @@
     if (starts_with(key, keys::chunk)) return store_.chunk_store().apply(key, value, runtime_.now());
     std::optional<Json> whole;
     if (!value || !chunks::chunk_reference(*value)) {
-        store_.chunk_store().on_record_removed(key);
+        store_.chunk_store().clear_reference(key);
     } else if (whole = store_.chunk_store().assemble(key, *value); whole) {
         value = &*whole;
     } else {
--- a/src/kvstore/chunks.hpp
+++ b/src/kvstore/chunks.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Values that are larger than the state service takes are stored in pieces: texts under keys of their own,
-// and a head under the value's key that names them. Only what a head names counts, and a head is committed on
-// the marks of its pieces, so it never names one that is not there. What no head names is dropped after a
-// while.
+// Values that exceed the state service's size limit are stored in chunks: texts under keys of their own, and
+// a head under the value's key that references them by name. A chunk is valid only while a head references
+// it. A head is committed on condition that its chunks still have the revisions at which they were written,
+// so it never references a missing chunk. Chunks that no head references are deleted after a while.
 
 #include <map>
 #include <optional>
@@ -13,52 +13,56 @@
 
 namespace cottonway::chunks {
 
-/// The size of a value as the service may count it: in JSON, with a blank after every comma and colon.
+/// Returns an upper bound of the size that the service counts for a value: the size of its JSON text with a
+/// space after every comma and colon.
 std::size_t stored_size(const Json& value);
 
 struct Split {
     Json head;
     std::vector<std::string> texts;
 };
-/// The head keeps what is small, so that a look at it tells as much as one needs of a job that is only asked
-/// after.
+/// Splits a value into a head and chunks of at most `limit` bytes. Small fields stay in the head, so that a
+/// poll for a job's state is answered without reading the chunks.
 Split split(const Json& value, const std::string& name, std::size_t limit);
-/// The name and the number of the pieces, if it is a head.
+/// Returns the common name and the number of the chunks that the value references, if it is a head.
 std::optional<std::pair<std::string, std::size_t>> chunk_reference(const Json& value);
+/// Restores the value from its head and its chunks; returns nothing if the texts do not form a JSON object.
 std::optional<Json> join(const Json& head, const std::vector<std::string>& texts);
 
 std::string key(const std::string& name, std::size_t index);
-Json chunk_record(const std::string& of, const std::string& text);
+/// Returns the value that is stored under a chunk's key; `record_key` is the key of the head.
+Json chunk_record(const std::string& record_key, const std::string& text);
 
-/// The pieces that the news has told of.
+/// The chunks and the references to them that the change feed has delivered.
 class ChunkStore {
   public:
+    /// Applies a change of a chunk's key; null: the key was deleted.
     void apply(const std::string& key, const Json* value, Micros now);
-    /// The value that a key stands for; nothing while pieces of it are missing.
+    /// Returns the whole value of a record, or nothing while chunks of it are missing.
     std::optional<Json> assemble(const std::string& key, const Json& stored);
-    /// The key stands for nothing, or for a value that is not in pieces.
-    void on_record_removed(const std::string& key) { heads_.erase(key); }
+    /// Drops the record's reference: the record was deleted, or its value is not stored in chunks any more.
+    void clear_reference(const std::string& key) { referenced_names_.erase(key); }
     struct OrphanedChunk {
         std::string key;
         std::string name;
-        std::string record_key;  // the key whose value it is a piece of
+        std::string record_key;  // of the record whose value the chunk belongs to
     };
-    /// Pieces that no head has named for long.
+    /// Returns the chunks that have existed for a minute and that no head references.
     std::vector<OrphanedChunk> orphaned_chunks(Micros now) const;
-    bool is_referenced(const std::string& name, const std::string& of) const {
-        auto head = heads_.find(of);
-        return head != heads_.end() && head->second == name;
+    bool is_referenced(const std::string& name, const std::string& record_key) const {
+        auto head = referenced_names_.find(record_key);
+        return head != referenced_names_.end() && head->second == name;
     }
-    std::size_t size() const { return held_.size(); }
+    std::size_t size() const { return chunk_sets_.size(); }
 
   private:
-    struct ShardRecord {
+    struct ChunkSet {
         std::string record_key;
         std::map<std::size_t, std::string> texts;
-        Micros since = 0;
+        Micros first_seen = 0;
     };
-    std::map<std::string, ShardRecord> held_;   // by name
-    std::map<std::string, std::string> heads_;  // key -> name of the pieces that it is stored in
+    std::map<std::string, ChunkSet> chunk_sets_;           // by name
+    std::map<std::string, std::string> referenced_names_;  // record's key -> name of its chunks
 };
 
 }  // namespace cottonway::chunks
--- a/src/kvstore/records.cpp
+++ b/src/kvstore/records.cpp
@@ -17,69 +17,75 @@
 Json Block::to_json() const {
     Json list = Json::array();
     for (const auto& m : machines) {
-        // The most common token is left out: that of the commit that created the record (`tok`).
-        Json entry = Json::array({m.name, m.address});
+        // The first machine's token is stored once, as `tok`: most machines have the token of the commit that
+        // created the record.
+        Json machine = Json::array({m.name, m.address});
         if (m.retired || m.raise_token || m.token != machines.front().token) {
-            entry.push_back(m.retired ? 1U : 0U);
-            entry.push_back(m.raise_token ? Revision{0} : m.token);
+            machine.push_back(m.retired ? 1U : 0U);
+            machine.push_back(m.raise_token ? Revision{0} : m.token);
         }
-        list.push_back(std::move(entry));
+        list.push_back(std::move(machine));
     }
-    Json v{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
-    if (spot) v["spot"] = true;
-    v["tok"] = machines.empty() ? 0 : machines.front().token;
-    return v;
+    Json json{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
+    if (spot) json["spot"] = true;
+    json["tok"] = machines.empty() ? 0 : machines.front().token;
+    return json;
 }
 
-std::optional<Block> Block::parse(const std::string& id, const Json& v, Revision mod_revision) {
-    Block b;
-    auto dom = wire::text(v, "dom"), type = wire::text(v, "type"), zone = wire::text(v, "zone");
-    if (!dom || !type || !zone) return std::nullopt;
-    b.id = id;
-    b.shard = *dom;
-    b.type = *type;
-    b.zone = *zone;
-    b.spot = wire::flag(v, "spot").value_or(false);
-    b.mod_revision = mod_revision;
-    auto token_of = [mod_revision](Revision stored) { return stored == 0 ? mod_revision : stored; };
-    const Json* list = wire::find(v, "m");
+std::optional<Block> Block::parse(const std::string& id, const Json& json, Revision mod_revision) {
+    Block block;
+    auto shard_name = wire::text(json, "dom"), type = wire::text(json, "type"),
+         zone = wire::text(json, "zone");
+    if (!shard_name || !type || !zone) return std::nullopt;
+    block.id = id;
+    block.shard = *shard_name;
+    block.type = *type;
+    block.zone = *zone;
+    block.spot = wire::flag(json, "spot").value_or(false);
+    block.mod_revision = mod_revision;
+    auto token_or_revision = [mod_revision](Revision stored) { return stored == 0 ? mod_revision : stored; };
+    const Json* list = wire::find(json, "m");
     if (!list) {
-        auto addr = wire::text(v, "addr");
+        auto addr = wire::text(json, "addr");
         if (!addr) return std::nullopt;
-        b.machines.push_back({id, *addr, mod_revision, wire::flag(v, "retired").value_or(false), false});
-        return b;
+        block.machines.push_back(
+            {id, *addr, mod_revision, wire::flag(json, "retired").value_or(false), false});
+        return block;
     }
     if (!list->is_array()) return std::nullopt;
-    const Revision common = token_of(wire::count(v, "tok").value_or(0));
-    for (const auto& e : *list) {
-        if (!e.is_array() || e.size() < 2 || !e[0].is_string() || !e[1].is_string()) return std::nullopt;
-        Machine m{e[0].get<std::string>(), e[1].get<std::string>(), common, false, false};
-        if (e.size() >= 4) {
-            if (!e[2].is_number_unsigned() || !e[3].is_number_unsigned()) return std::nullopt;
-            m.retired = e[2].get<unsigned>() != 0;
-            m.token = token_of(e[3].get<Revision>());
+    const Revision common_token = token_or_revision(wire::count(json, "tok").value_or(0));
+    for (const auto& entry : *list) {
+        if (!entry.is_array() || entry.size() < 2 || !entry[0].is_string() || !entry[1].is_string())
+            return std::nullopt;
+        Machine m{entry[0].get<std::string>(), entry[1].get<std::string>(), common_token, false, false};
+        if (entry.size() >= 4) {
+            if (!entry[2].is_number_unsigned() || !entry[3].is_number_unsigned()) return std::nullopt;
+            m.retired = entry[2].get<unsigned>() != 0;
+            m.token = token_or_revision(entry[3].get<Revision>());
         }
-        b.machines.push_back(std::move(m));
+        block.machines.push_back(std::move(m));
     }
-    return b;
+    return block;
 }
 
-Json quota_to_json(const QuotaAllocation& shares) {
-    Json v = Json::object();
-    for (const auto& [team, r] : shares) v[team] = Json::array({r.cores, r.gpus});
-    return v;
+Json quota_to_json(const QuotaAllocation& quota) {
+    Json json = Json::object();
+    for (const auto& [team, resources] : quota) json[team] = Json::array({resources.cores, resources.gpus});
+    return json;
 }
 
-QuotaAllocation parse_quota(const Json& v) {
-    QuotaAllocation out;
-    if (!v.is_object()) return out;
-    for (const auto& [team, r] : v.items()) {
-        // What does not parse grants nothing.
-        if (!r.is_array() || r.size() != 2 || !r[0].is_number_integer() || !r[1].is_number_integer())
+QuotaAllocation parse_quota(const Json& json) {
+    QuotaAllocation quota;
+    if (!json.is_object()) return quota;
+    for (const auto& [team, resources] : json.items()) {
+        // An entry that does not parse grants no quota.
+        if (!resources.is_array() || resources.size() != 2 || !resources[0].is_number_integer() ||
+            !resources[1].is_number_integer())
             continue;
-        out[team] = {std::max<Milli>(r[0].get<Milli>(), 0), std::max<Milli>(r[1].get<Milli>(), 0), 0};
+        quota[team] = {std::max<Milli>(resources[0].get<Milli>(), 0),
+                       std::max<Milli>(resources[1].get<Milli>(), 0), 0};
     }
-    return out;
+    return quota;
 }
 
 }  // namespace cottonway
--- a/src/kvstore/records.hpp
+++ b/src/kvstore/records.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What stands in the state service: keys, and the records of blocks and shares.
+// The keys under which controllers store state in the state service, and the records of blocks and quotas.
 
 #include <cstdint>
 #include <map>
@@ -21,42 +21,45 @@
 inline const std::string quota = "c/share/";
 inline const std::string block = "c/block/";
 inline const std::string job = "c/job/";
-// Jobs that are not over, once every controller reads format 3; those under c/job/ are over then, and nobody
-// has to read them. Before c/job/ in order, like the record that says so.
+// Unfinished jobs, once every controller reads format 3. The jobs under c/job/ are finished then, and no
+// controller has to read them. This prefix sorts before c/job/, as does the key of the record that announces
+// the separation (`history`).
 inline const std::string active = "c/active/";
 inline const std::string history = "c/history";
 inline const std::string job_part = "c/part/";
 inline const std::string format = "c/format/";
-// Moves and gathered room of a shard. Only its holder reads it; the version before ignores it.
+// Planned moves and reservations of a shard. Only the shard's holder reads it; the previous version ignores
+// it.
 inline const std::string plan = "c/plan/";
-// The operators' policy (policy/policy.hpp); the version before ignores it.
+// The operators' policy (policy/policy.hpp); the previous version ignores it.
 inline const std::string policy = "c/policy";
-// Before everything else in order, so that a list tells of the pieces before the records that name them.
+// Sorts before all other keys, so that a list returns the chunks before the records that reference them.
 inline const std::string chunk = "c/0/";
 }  // namespace keys
 
-/// What a job's record says of it. Done and cancelled are final.
+/// The state of a job in its record. Done and Cancelled are final.
 enum class Stage : std::uint8_t { Queued, Done, Cancelled };
 
-/// Under which of its two keys a job's record stands. A job has one record at a time that is not over.
+/// The prefix under which a job's record is stored. A job has at most one unfinished record at a time.
 enum class RecordLocation : std::uint8_t {
-    Job,     // c/job/REF: every record up to format 2, and final ones for ever
+    Job,     // c/job/REF: all records up to format 2; final records in every format
     Active,  // c/active/REF
 };
-inline std::string record_key(RecordLocation place, const std::string& ref) {
-    return (place == RecordLocation::Active ? keys::active : keys::job) + ref;
+inline std::string record_key(RecordLocation location, const std::string& ref) {
+    return (location == RecordLocation::Active ? keys::active : keys::job) + ref;
 }
 
-/// Machines of one type, zone and kind that are leased together: one record, one change for all of them.
+/// Machines of one type and zone, all spot or all on-demand, that are leased together: they share one record,
+/// so that one write changes all of them.
 struct Block {
     struct Machine {
         std::string name;
         std::string address;
-        /// Token of this machine alone, 0: the record's own mark as soon as it is committed. Kept apart from
-        /// the record's mark, so that rewriting the record does not disturb the machines it is not about.
+        /// Fencing token of this machine; 0: the record's revision once it is committed. It is stored apart
+        /// from the record's revision, so that rewriting the record does not affect its other machines.
         Revision token = 0;
         bool retired = false;
-        /// Raised by the next commit of this record.
+        /// The next commit of this record assigns a higher token to this machine.
         bool raise_token = false;
     };
     std::string id;
@@ -70,13 +73,13 @@
     Machine* find(const std::string& name);
     const Machine* find(const std::string& name) const;
     Json to_json() const;
-    /// Also reads the previous version's record of a single machine.
-    static std::optional<Block> parse(const std::string& id, const Json& v, Revision mod_revision);
+    /// Also reads a record of a single machine, the format of the previous version.
+    static std::optional<Block> parse(const std::string& id, const Json& json, Revision mod_revision);
 };
 
-/// A shard's part of every team's limit.
+/// The part of each team's limit that a shard may use.
 using QuotaAllocation = std::map<std::string, Resources>;
-Json quota_to_json(const QuotaAllocation& shares);
-QuotaAllocation parse_quota(const Json& v);
+Json quota_to_json(const QuotaAllocation& quota);
+QuotaAllocation parse_quota(const Json& json);
 
 }  // namespace cottonway
