--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -97,9 +97,8 @@
     const Micros now = runtime_.now();
     // Queued changes of lower priority do not delay this one.
     std::size_t ahead = 0;
-    for (std::size_t available_fraction = 0; available_fraction <= static_cast<std::size_t>(priority);
-         ++available_fraction)
-        ahead += write_queue_.pending[available_fraction].size();
+    for (std::size_t level = 0; level <= static_cast<std::size_t>(priority); ++level)
+        ahead += write_queue_.pending[level].size();
     if (ahead >= kMaxQueuedBefore || now < write_queue_.pause_until) return false;
     if (priority != Priority::Deferrable && own_share_.available(now) >= 1) return true;
     return write_budget_.available_fraction(now) > kWriteReserve[static_cast<std::size_t>(priority)];
@@ -168,14 +167,14 @@
 /// If a chunk is missing, the record has been replaced since its head was read, and the read fails.
 void StoreClient::read_chunks(ReadResult head, std::vector<std::string> texts,
                               std::function<void(ReadResult)> on_done) {
-    const auto named = chunks::chunk_reference(head.value);
-    if (texts.size() >= named->second) {
+    const auto reference = chunks::chunk_reference(head.value);
+    if (texts.size() >= reference->second) {
         auto whole = chunks::join(head.value, texts);
         if (!whole) return on_done({});
         head.value = std::move(*whole);
         return on_done(std::move(head));
     }
-    const std::string key = chunks::key(named->first, texts.size());
+    const std::string key = chunks::key(reference->first, texts.size());
     read(key, [this, head = std::move(head), texts = std::move(texts),
                on_done = std::move(on_done)](const ReadResult& r) mutable {
         auto text = r.found ? wire::text(r.value, "t") : std::nullopt;
@@ -271,7 +270,7 @@
     struct ChunkedCommit {
         Change change;
         std::function<void(const CommitResult&)> on_done;
-        std::size_t missing_chunks = 0;
+        std::size_t unwritten_chunks = 0;
         bool failed = false;
     };
     auto chunked_commit = std::make_shared<ChunkedCommit>();
@@ -296,7 +295,7 @@
     }
     chunked_commit->change = std::move(change);
     chunked_commit->on_done = std::move(on_done);
-    chunked_commit->missing_chunks = chunk_writes.size();
+    chunked_commit->unwritten_chunks = chunk_writes.size();
     for (auto& chunk_write : chunk_writes) {
         Change chunk_change;
         chunk_change.priority = chunked_commit->change.priority;
@@ -307,7 +306,7 @@
         enqueue(std::move(chunk_change), [this, chunked_commit, key](const CommitResult& result) {
             chunked_commit->failed = chunked_commit->failed || result.status != CommitStatus::Ok;
             chunked_commit->change.conditions.push_back({key, result.revision});
-            if (--chunked_commit->missing_chunks > 0) return;
+            if (--chunked_commit->unwritten_chunks > 0) return;
             if (chunked_commit->failed) return chunked_commit->on_done({CommitStatus::Unavailable, 0, {}});
             enqueue(std::move(chunked_commit->change), std::move(chunked_commit->on_done));
         });
@@ -317,14 +316,14 @@
 /// Called when the service refuses a write for its rate. Two refusals within two seconds mean that the
 /// service accepts fewer writes than before; from then on the configured next rate applies.
 void StoreClient::reduce_write_rate(Micros now) {
-    const bool again = now - std::exchange(last_refusal_, now) < 2 * kSecond;
-    if (!again || write_rps_ <= settings_.next_write_rps) return;
+    const bool refused_lately = now - std::exchange(last_refusal_, now) < 2 * kSecond;
+    if (!refused_lately || write_rps_ <= settings_.next_write_rps) return;
     write_rps_ = settings_.next_write_rps;
     spdlog::info("the state service accepts fewer writes; limiting to {} writes per second from now on",
                  write_rps_);
     write_budget_.set_rate(write_rps_ * kUsedWriteFraction, write_rps_ * kWriteBurstFraction);
-    const double part = controller_write_burst(write_rps_, settings_);
-    own_share_.set_rate(part, part);
+    const double burst = controller_write_burst(write_rps_, settings_);
+    own_share_.set_rate(burst, burst);
 }
 
 void StoreClient::enqueue(Change change, std::function<void(const CommitResult&)> on_done) {
@@ -360,7 +359,7 @@
         std::vector<Pending> batch;
         std::set<std::string> written_keys;
         std::map<std::string, Revision> conditions;
-        std::size_t ops = 0, batch_bytes = 0;
+        std::size_t write_count = 0, batch_bytes = 0;
         while (!changes->empty()) {
             Pending& next = changes->front();
             std::size_t change_bytes = 64;
@@ -381,13 +380,13 @@
             }
             if (!batch.empty() &&
                 (conflicts || next.send_alone || batch.back().send_alone ||
-                 ops + next.change.writes.size() > settings_.max_txn_ops ||
+                 write_count + next.change.writes.size() > settings_.max_txn_ops ||
                  conditions.size() + next.change.conditions.size() > settings_.max_txn_ops * 4 ||
                  batch_bytes + change_bytes > kMaxBatchBytes))
                 break;
             // Takes as many changes as the write budget allows; the rest waits for it to refill.
             if (writes && !take_writes(now, next.change.writes.size(), next.change.priority)) break;
-            ops += next.change.writes.size();
+            write_count += next.change.writes.size();
             batch_bytes += change_bytes;
             for (const auto& write : next.change.writes) written_keys.insert(write.key);
             for (const auto& condition : next.change.conditions)
