--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr std::uint32_t kMagic = 0x43575031;  // "CWP1"
-constexpr std::size_t kHeader = 12;
+constexpr std::size_t kHeaderBytes = 12;
 
-/// Appends fields of fixed size. The header is magic (4), version (2), kind (2) and the body's length (4).
-class Packer {
+/// Serializes a message. The header is magic (4 bytes), version (2), kind (2) and the body's length (4).
+class MessageWriter {
   public:
-    explicit Packer(Kind kind) {
+    explicit MessageWriter(Kind kind) {
         u32(kMagic);
         u16(kVersion);
         u16(static_cast<std::uint16_t>(kind));
         u32(0);
     }
-    void u8(std::uint8_t v) { out_.push_back(static_cast<char>(v)); }
-    void u16(std::uint16_t v) { put(v, 2); }
-    void u32(std::uint32_t v) { put(v, 4); }
-    void u64(std::uint64_t v) { put(v, 8); }
-    void i64(std::int64_t v) { put(static_cast<std::uint64_t>(v), 8); }
+    void u8(std::uint8_t v) { bytes_.push_back(static_cast<char>(v)); }
+    void u16(std::uint16_t v) { append_integer(v, 2); }
+    void u32(std::uint32_t v) { append_integer(v, 4); }
+    void u64(std::uint64_t v) { append_integer(v, 8); }
+    void i64(std::int64_t v) { append_integer(static_cast<std::uint64_t>(v), 8); }
     void name(const std::string& s) {
-        // A name that does not fit arrives as one that nobody knows.
+        // A name that does not fit is truncated, so that it matches no name that the receiver knows.
         std::array<char, kNameSize> field{};
         std::memcpy(field.data(), s.data(), std::min(s.size(), kNameSize - 1));
-        out_.append(field.data(), kNameSize);
+        bytes_.append(field.data(), kNameSize);
     }
     void resources(const Resources& r) {
         i64(r.cores);
@@ -37,38 +37,38 @@
     }
     void bytes(const std::string& s) {
         u32(static_cast<std::uint32_t>(s.size()));
-        out_ += s;
+        bytes_ += s;
     }
-    std::string done() {
-        auto length = static_cast<std::uint32_t>(out_.size() - kHeader);
+    std::string finish() {
+        auto length = static_cast<std::uint32_t>(bytes_.size() - kHeaderBytes);
         for (int i = 0; i < 4; ++i)
-            out_[8 + static_cast<std::size_t>(i)] = static_cast<char>(length >> (8 * i));
-        return std::move(out_);
+            bytes_[8 + static_cast<std::size_t>(i)] = static_cast<char>(length >> (8 * i));
+        return std::move(bytes_);
     }
 
   private:
-    void put(std::uint64_t v, int size) {
-        for (int i = 0; i < size; ++i) out_.push_back(static_cast<char>(v >> (8 * i)));
+    void append_integer(std::uint64_t v, int size) {
+        for (int i = 0; i < size; ++i) bytes_.push_back(static_cast<char>(v >> (8 * i)));
     }
-    std::string out_;
+    std::string bytes_;
 };
 
-/// Reads fields of fixed size; once one is missing, everything else is too.
-class Unpacker {
+/// Parses a message. After the first read beyond its end all further reads fail.
+class MessageReader {
   public:
-    Unpacker(std::string_view bytes, Kind kind) : in_(bytes) {
-        ok_ = in_.size() >= kHeader;
-        ok_ = ok_ && u32() == kMagic && u16() == kVersion && u16() == static_cast<std::uint16_t>(kind) &&
-              u32() == in_.size() - kHeader;
+    MessageReader(std::string_view bytes, Kind kind) : bytes_(bytes) {
+        is_valid_ = bytes_.size() >= kHeaderBytes;
+        is_valid_ = is_valid_ && u32() == kMagic && u16() == kVersion &&
+                    u16() == static_cast<std::uint16_t>(kind) && u32() == bytes_.size() - kHeaderBytes;
     }
-    std::uint8_t u8() { return static_cast<std::uint8_t>(get(1)); }
-    std::uint16_t u16() { return static_cast<std::uint16_t>(get(2)); }
-    std::uint32_t u32() { return static_cast<std::uint32_t>(get(4)); }
-    std::uint64_t u64() { return get(8); }
-    std::int64_t i64() { return static_cast<std::int64_t>(get(8)); }
+    std::uint8_t u8() { return static_cast<std::uint8_t>(read_integer(1)); }
+    std::uint16_t u16() { return static_cast<std::uint16_t>(read_integer(2)); }
+    std::uint32_t u32() { return static_cast<std::uint32_t>(read_integer(4)); }
+    std::uint64_t u64() { return read_integer(8); }
+    std::int64_t i64() { return static_cast<std::int64_t>(read_integer(8)); }
     std::string name() {
-        if (!take(kNameSize)) return "";
-        const auto field = in_.substr(at_ - kNameSize, kNameSize);
+        if (!skip(kNameSize)) return "";
+        const auto field = bytes_.substr(position_ - kNameSize, kNameSize);
         return std::string(field.substr(0, std::min(field.find('\0'), kNameSize)));
     }
     Resources resources() {
@@ -78,247 +78,248 @@
         r.ram = i64();
         return r;
     }
-    std::string bytes(std::size_t most) {
+    std::string bytes(std::size_t max_size) {
         const std::size_t n = u32();
-        if (n > most || !take(n)) {
-            ok_ = false;
+        if (n > max_size || !skip(n)) {
+            is_valid_ = false;
             return "";
         }
-        return std::string(in_.substr(at_ - n, n));
+        return std::string(bytes_.substr(position_ - n, n));
     }
-    /// A count of what follows.
-    std::size_t count(std::size_t most) {
+    /// Reads the number of elements that follow.
+    std::size_t count(std::size_t max_size) {
         const std::size_t n = u32();
-        if (n > most) ok_ = false;
-        return ok_ ? n : 0;
+        if (n > max_size) is_valid_ = false;
+        return is_valid_ ? n : 0;
     }
-    bool finished() const { return ok_ && at_ == in_.size(); }
+    bool is_complete() const { return is_valid_ && position_ == bytes_.size(); }
 
   private:
-    bool take(std::size_t n) {
-        ok_ = ok_ && in_.size() - at_ >= n;
-        if (ok_) at_ += n;
-        return ok_;
+    bool skip(std::size_t n) {
+        is_valid_ = is_valid_ && bytes_.size() - position_ >= n;
+        if (is_valid_) position_ += n;
+        return is_valid_;
     }
-    std::uint64_t get(std::size_t n) {
-        if (!take(n)) return 0;
+    std::uint64_t read_integer(std::size_t n) {
+        if (!skip(n)) return 0;
         std::uint64_t v = 0;
         for (std::size_t i = 0; i < n; ++i)
-            v |= static_cast<std::uint64_t>(static_cast<unsigned char>(in_[at_ - n + i])) << (8 * i);
+            v |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes_[position_ - n + i])) << (8 * i);
         return v;
     }
-    std::string_view in_;
-    std::size_t at_ = 0;
-    bool ok_ = true;
+    std::string_view bytes_;
+    std::size_t position_ = 0;
+    bool is_valid_ = true;
 };
 
 template <class M>
-std::optional<M> whole(const Unpacker& in, M&& m) {
-    if (!in.finished()) return std::nullopt;
-    return std::forward<M>(m);
+std::optional<M> if_complete(const MessageReader& reader, M&& message) {
+    if (!reader.is_complete()) return std::nullopt;
+    return std::forward<M>(message);
 }
 
 }  // namespace
 
 std::optional<Kind> kind_of(std::string_view bytes) {
-    if (bytes.size() < kHeader) return std::nullopt;
+    if (bytes.size() < kHeaderBytes) return std::nullopt;
     const auto kind = static_cast<unsigned char>(bytes[6]) | static_cast<unsigned char>(bytes[7]) << 8;
     if (kind < static_cast<int>(Kind::State) || kind > static_cast<int>(Kind::Relayed)) return std::nullopt;
     return static_cast<Kind>(kind);
 }
 
-std::string pack(const State& m) {
-    Packer p(Kind::State);
-    p.name(m.node);
-    p.i64(m.confirmed_age);
-    p.u64(m.balance.term);
-    for (Milli v : {m.balance.ordinary, m.balance.total, m.balance.wanted_ordinary, m.balance.wanted_total})
-        p.i64(v);
-    const std::size_t shards = std::min(m.shards.size(), kMaxShards);
-    p.u32(static_cast<std::uint32_t>(shards));
+std::string pack(const State& message) {
+    MessageWriter writer(Kind::State);
+    writer.name(message.node);
+    writer.i64(message.confirmed_age);
+    writer.u64(message.balance.term);
+    for (Milli v : {message.balance.ordinary, message.balance.total, message.balance.wanted_ordinary,
+                    message.balance.wanted_total})
+        writer.i64(v);
+    const std::size_t shards = std::min(message.shards.size(), kMaxShards);
+    writer.u32(static_cast<std::uint32_t>(shards));
     for (std::size_t i = 0; i < shards; ++i) {
-        const ShardLoad& d = m.shards[i];
-        p.name(d.shard);
-        p.u64(d.mod_revision);
-        p.u32(d.machines);
-        p.u32(d.jobs);
-        for (Milli v : {d.capacity, d.ordinary, d.production, d.free_ordinary, d.free_spot, d.idle_ordinary,
-                        d.idle_spot, d.waiting})
-            p.i64(v);
-        const std::size_t teams = std::min(d.teams.size(), kMaxTeams);
-        p.u32(static_cast<std::uint32_t>(teams));
+        const ShardLoad& shard = message.shards[i];
+        writer.name(shard.shard);
+        writer.u64(shard.mod_revision);
+        writer.u32(shard.machines);
+        writer.u32(shard.jobs);
+        for (Milli v : {shard.capacity, shard.ordinary, shard.production, shard.free_ordinary,
+                        shard.free_spot, shard.idle_ordinary, shard.idle_spot, shard.waiting})
+            writer.i64(v);
+        const std::size_t teams = std::min(shard.teams.size(), kMaxTeams);
+        writer.u32(static_cast<std::uint32_t>(teams));
         for (std::size_t t = 0; t < teams; ++t) {
-            p.name(d.teams[t].team);
-            p.resources(d.teams[t].quota);
-            p.resources(d.teams[t].used);
-            p.resources(d.teams[t].waiting);
+            writer.name(shard.teams[t].team);
+            writer.resources(shard.teams[t].quota);
+            writer.resources(shard.teams[t].used);
+            writer.resources(shard.teams[t].waiting);
         }
     }
-    return p.done();
+    return writer.finish();
 }
 
 template <>
 std::optional<State> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::State);
-    State m;
-    m.node = in.name();
-    m.confirmed_age = in.i64();
-    m.balance.term = in.u64();
-    for (Milli* v :
-         {&m.balance.ordinary, &m.balance.total, &m.balance.wanted_ordinary, &m.balance.wanted_total})
-        *v = in.i64();
-    m.shards.resize(in.count(kMaxShards));
-    for (auto& d : m.shards) {
-        d.shard = in.name();
-        d.mod_revision = in.u64();
-        d.machines = in.u32();
-        d.jobs = in.u32();
-        for (Milli* v : {&d.capacity, &d.ordinary, &d.production, &d.free_ordinary, &d.free_spot,
-                         &d.idle_ordinary, &d.idle_spot, &d.waiting})
-            *v = in.i64();
-        d.teams.resize(in.count(kMaxTeams));
-        for (auto& t : d.teams) {
-            t.team = in.name();
-            t.quota = in.resources();
-            t.used = in.resources();
-            t.waiting = in.resources();
+    MessageReader reader(bytes, Kind::State);
+    State message;
+    message.node = reader.name();
+    message.confirmed_age = reader.i64();
+    message.balance.term = reader.u64();
+    for (Milli* v : {&message.balance.ordinary, &message.balance.total, &message.balance.wanted_ordinary,
+                     &message.balance.wanted_total})
+        *v = reader.i64();
+    message.shards.resize(reader.count(kMaxShards));
+    for (auto& shard : message.shards) {
+        shard.shard = reader.name();
+        shard.mod_revision = reader.u64();
+        shard.machines = reader.u32();
+        shard.jobs = reader.u32();
+        for (Milli* v : {&shard.capacity, &shard.ordinary, &shard.production, &shard.free_ordinary,
+                         &shard.free_spot, &shard.idle_ordinary, &shard.idle_spot, &shard.waiting})
+            *v = reader.i64();
+        shard.teams.resize(reader.count(kMaxTeams));
+        for (auto& t : shard.teams) {
+            t.team = reader.name();
+            t.quota = reader.resources();
+            t.used = reader.resources();
+            t.waiting = reader.resources();
         }
     }
-    return whole(in, std::move(m));
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const Relinquish& m) {
-    Packer p(Kind::Relinquish);
-    p.name(m.node);
-    p.name(m.shard);
-    p.u64(m.mod_revision);
-    const std::size_t n = std::min(m.machines.size(), kMaxMachines);
-    p.u32(static_cast<std::uint32_t>(n));
-    for (std::size_t i = 0; i < n; ++i) p.name(m.machines[i]);
-    return p.done();
+std::string pack(const Relinquish& message) {
+    MessageWriter writer(Kind::Relinquish);
+    writer.name(message.node);
+    writer.name(message.shard);
+    writer.u64(message.mod_revision);
+    const std::size_t count = std::min(message.machines.size(), kMaxMachines);
+    writer.u32(static_cast<std::uint32_t>(count));
+    for (std::size_t i = 0; i < count; ++i) writer.name(message.machines[i]);
+    return writer.finish();
 }
 
 template <>
 std::optional<Relinquish> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Relinquish);
-    Relinquish m;
-    m.node = in.name();
-    m.shard = in.name();
-    m.mod_revision = in.u64();
-    m.machines.resize(in.count(kMaxMachines));
-    for (auto& name : m.machines) name = in.name();
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::Relinquish);
+    Relinquish message;
+    message.node = reader.name();
+    message.shard = reader.name();
+    message.mod_revision = reader.u64();
+    message.machines.resize(reader.count(kMaxMachines));
+    for (auto& name : message.machines) name = reader.name();
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const Relinquished& m) {
-    Packer p(Kind::Relinquished);
-    const std::size_t n = std::min(m.renewal_ages.size(), kMaxMachines);
-    p.u32(static_cast<std::uint32_t>(n));
-    for (std::size_t i = 0; i < n; ++i) p.i64(m.renewal_ages[i]);
-    return p.done();
+std::string pack(const Relinquished& message) {
+    MessageWriter writer(Kind::Relinquished);
+    const std::size_t count = std::min(message.renewal_ages.size(), kMaxMachines);
+    writer.u32(static_cast<std::uint32_t>(count));
+    for (std::size_t i = 0; i < count; ++i) writer.i64(message.renewal_ages[i]);
+    return writer.finish();
 }
 
 template <>
 std::optional<Relinquished> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Relinquished);
-    Relinquished m;
-    m.renewal_ages.resize(in.count(kMaxMachines));
-    for (auto& age : m.renewal_ages) age = in.i64();
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::Relinquished);
+    Relinquished message;
+    message.renewal_ages.resize(reader.count(kMaxMachines));
+    for (auto& age : message.renewal_ages) age = reader.i64();
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const CapacityRequest& m) {
-    Packer p(Kind::CapacityRequest);
-    p.name(m.shard);
-    p.u64(m.mod_revision);
-    p.resources(m.largest_task);
-    p.i64(m.cores);
-    p.u8(m.allows_spot ? 1 : 0);
-    p.name(m.type);
-    p.name(m.zone);
-    return p.done();
+std::string pack(const CapacityRequest& message) {
+    MessageWriter writer(Kind::CapacityRequest);
+    writer.name(message.shard);
+    writer.u64(message.mod_revision);
+    writer.resources(message.largest_task);
+    writer.i64(message.cores);
+    writer.u8(message.allows_spot ? 1 : 0);
+    writer.name(message.type);
+    writer.name(message.zone);
+    return writer.finish();
 }
 
 template <>
 std::optional<CapacityRequest> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::CapacityRequest);
-    CapacityRequest m;
-    m.shard = in.name();
-    m.mod_revision = in.u64();
-    m.largest_task = in.resources();
-    m.cores = in.i64();
-    m.allows_spot = in.u8() != 0;
-    m.type = in.name();
-    m.zone = in.name();
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::CapacityRequest);
+    CapacityRequest message;
+    message.shard = reader.name();
+    message.mod_revision = reader.u64();
+    message.largest_task = reader.resources();
+    message.cores = reader.i64();
+    message.allows_spot = reader.u8() != 0;
+    message.type = reader.name();
+    message.zone = reader.name();
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const QuotaRequest& m) {
-    Packer p(Kind::QuotaRequest);
-    p.name(m.shard);
-    p.u64(m.mod_revision);
-    p.name(m.team);
-    p.resources(m.amount);
-    return p.done();
+std::string pack(const QuotaRequest& message) {
+    MessageWriter writer(Kind::QuotaRequest);
+    writer.name(message.shard);
+    writer.u64(message.mod_revision);
+    writer.name(message.team);
+    writer.resources(message.amount);
+    return writer.finish();
 }
 
 template <>
 std::optional<QuotaRequest> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::QuotaRequest);
-    QuotaRequest m;
-    m.shard = in.name();
-    m.mod_revision = in.u64();
-    m.team = in.name();
-    m.amount = in.resources();
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::QuotaRequest);
+    QuotaRequest message;
+    message.shard = reader.name();
+    message.mod_revision = reader.u64();
+    message.team = reader.name();
+    message.amount = reader.resources();
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const Grant& m) {
-    Packer p(Kind::Grant);
-    p.resources(m.amount);
-    p.u32(m.machines);
-    return p.done();
+std::string pack(const Grant& message) {
+    MessageWriter writer(Kind::Grant);
+    writer.resources(message.amount);
+    writer.u32(message.machines);
+    return writer.finish();
 }
 
 template <>
 std::optional<Grant> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Grant);
-    Grant m;
-    m.amount = in.resources();
-    m.machines = in.u32();
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::Grant);
+    Grant message;
+    message.amount = reader.resources();
+    message.machines = reader.u32();
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const Relay& m) {
-    Packer p(Kind::Relay);
-    p.bytes(m.report);
-    return p.done();
+std::string pack(const Relay& message) {
+    MessageWriter writer(Kind::Relay);
+    writer.bytes(message.report);
+    return writer.finish();
 }
 
 template <>
 std::optional<Relay> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Relay);
-    Relay m;
-    m.report = in.bytes(kMaxReportBytes);
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::Relay);
+    Relay message;
+    message.report = reader.bytes(kMaxReportBytes);
+    return if_complete(reader, std::move(message));
 }
 
-std::string pack(const Relayed& m) {
-    Packer p(Kind::Relayed);
-    p.u16(m.status);
-    p.u8(m.worker_reachable ? 1 : 0);
-    p.bytes(m.body);
-    return p.done();
+std::string pack(const Relayed& message) {
+    MessageWriter writer(Kind::Relayed);
+    writer.u16(message.status);
+    writer.u8(message.worker_reachable ? 1 : 0);
+    writer.bytes(message.body);
+    return writer.finish();
 }
 
 template <>
 std::optional<Relayed> unpack(std::string_view bytes) {
-    Unpacker in(bytes, Kind::Relayed);
-    Relayed m;
-    m.status = in.u16();
-    m.worker_reachable = in.u8() != 0;
-    m.body = in.bytes(kMaxReportBytes);
-    return whole(in, std::move(m));
+    MessageReader reader(bytes, Kind::Relayed);
+    Relayed message;
+    message.status = reader.u16();
+    message.worker_reachable = reader.u8() != 0;
+    message.body = reader.bytes(kMaxReportBytes);
+    return if_complete(reader, std::move(message));
 }
 
 }  // namespace cottonway::peer
