--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr int kMaxDepth = 24;
-constexpr std::size_t kMaxText = 256;
-constexpr std::size_t kMaxTypes = 64;
-constexpr std::size_t kMaxNeeds = 1000;
+constexpr std::size_t kMaxTextBytes = 256;
+constexpr std::size_t kMaxMachineTypes = 64;
+constexpr std::size_t kMaxDependencies = 1000;
 constexpr double kMaxAmount = 1e9;
 
-/// Builds the value, but gives up on nesting that would exhaust the stack.
+/// Builds the value, and fails on nesting so deep that it would exhaust the stack.
 class BoundedSax : public nlohmann::detail::json_sax_dom_parser<Json> {
     using Base = nlohmann::detail::json_sax_dom_parser<Json>;
 
@@ -35,56 +35,57 @@
 };
 
 template <class E, std::size_t N>
-using Words = std::array<std::pair<const char*, E>, N>;
+using NameTable = std::array<std::pair<const char*, E>, N>;
 
-constexpr Words<JobKind, 3> kKinds{
+constexpr NameTable<JobKind, 3> kJobKinds{
     {{"array", JobKind::Array}, {"group", JobKind::Gang}, {"service", JobKind::Service}}};
-constexpr Words<PriorityClass, 4> kRanks{{{"critical", PriorityClass::Production},
-                                          {"high", PriorityClass::High},
-                                          {"normal", PriorityClass::Normal},
-                                          {"idle", PriorityClass::Low}}};
-constexpr Words<Phase, 5> kPhases{{{"pulling", Phase::Fetching},
-                                   {"gathering", Phase::WaitingForGang},
-                                   {"running", Phase::Running},
-                                   {"saving", Phase::Saving},
-                                   {"exited", Phase::Exited}}};
-constexpr Words<ExitCause, 8> kCauses{{{"done", ExitCause::Done},
-                                       {"stopped", ExitCause::Stopped},
-                                       {"mates_gone", ExitCause::GangPeersGone},
-                                       {"incomplete", ExitCause::GangIncomplete},
-                                       {"error", ExitCause::Error},
-                                       {"full", ExitCause::NoCapacity},
-                                       {"in_use", ExitCause::AlreadyPresent},
-                                       {"no_such", ExitCause::UnknownJob}}};
-constexpr Words<CloudState, 3> kCloudStates{
+constexpr NameTable<PriorityClass, 4> kPriorityClasses{{{"critical", PriorityClass::Production},
+                                                        {"high", PriorityClass::High},
+                                                        {"normal", PriorityClass::Normal},
+                                                        {"idle", PriorityClass::Low}}};
+constexpr NameTable<Phase, 5> kPhases{{{"pulling", Phase::Fetching},
+                                       {"gathering", Phase::WaitingForGang},
+                                       {"running", Phase::Running},
+                                       {"saving", Phase::Saving},
+                                       {"exited", Phase::Exited}}};
+constexpr NameTable<ExitCause, 8> kExitCauses{{{"done", ExitCause::Done},
+                                               {"stopped", ExitCause::Stopped},
+                                               {"mates_gone", ExitCause::GangPeersGone},
+                                               {"incomplete", ExitCause::GangIncomplete},
+                                               {"error", ExitCause::Error},
+                                               {"full", ExitCause::NoCapacity},
+                                               {"in_use", ExitCause::AlreadyPresent},
+                                               {"no_such", ExitCause::UnknownJob}}};
+constexpr NameTable<CloudState, 3> kCloudStates{
     {{"starting", CloudState::Starting}, {"running", CloudState::Running}, {"failed", CloudState::Failed}}};
 
 template <class E, std::size_t N>
-std::optional<E> word(const Words<E, N>& words, const std::optional<std::string>& name) {
+std::optional<E> parse_name(const NameTable<E, N>& table, const std::optional<std::string>& name) {
     if (!name) return std::nullopt;
-    for (const auto& [text, value] : words)
+    for (const auto& [text, value] : table)
         if (*name == text) return value;
     return std::nullopt;
 }
 
 template <class E, std::size_t N>
-const char* name_of(const Words<E, N>& words, E value) {
-    for (const auto& [text, v] : words)
+const char* name_of(const NameTable<E, N>& table, E value) {
+    for (const auto& [text, v] : table)
         if (v == value) return text;
     return "";
 }
 
-std::optional<double> amount(const Json& map, const char* key) {
+std::optional<double> read_amount(const Json& map, const char* key) {
     auto n = number(map, key);
     if (!n || !std::isfinite(*n) || *n < 0 || *n > kMaxAmount) return std::nullopt;
     return n;
 }
 
-/// Needs are rounded up, so that whole thousandths never promise more room than there is.
-Milli milli_up(double v) {
+/// Requests are rounded up and capacities down, so that the rounding never allows a machine to be
+/// overcommitted.
+Milli round_up_to_milli(double v) {
     return static_cast<Milli>(std::ceil(v * 1000.0 - 1e-6));
 }
-Milli milli_down(double v) {
+Milli round_down_to_milli(double v) {
     return static_cast<Milli>(std::floor(v * 1000.0 + 1e-6));
 }
 Micros micros(double seconds) {
@@ -106,26 +107,26 @@
     return std::pair{name.substr(0, slash), task};
 }
 
-Json order_value(const Order& o) {
-    Json v{{"thread", o.job + "/" + std::to_string(o.task)}, {"try", o.attempt}};
-    switch (o.kind) {
+Json order_value(const Order& order) {
+    Json json{{"thread", order.job + "/" + std::to_string(order.task)}, {"try", order.attempt}};
+    switch (order.kind) {
         case OrderKind::Launch:
-            v["order"] = "launch";
+            json["order"] = "launch";
             break;
         case OrderKind::Stop:
-            v["order"] = "stop";
-            v["slack_s"] = seconds(o.grace);
+            json["order"] = "stop";
+            json["slack_s"] = seconds(order.grace);
             break;
         case OrderKind::Clear:
-            v["order"] = "clear";
+            json["order"] = "clear";
             break;
     }
-    return v;
+    return json;
 }
 
 Json orders_value(const std::vector<Order>& orders) {
     Json list = Json::array();
-    for (const auto& o : orders) list.push_back(order_value(o));
+    for (const auto& order : orders) list.push_back(order_value(order));
     return list;
 }
 
@@ -195,145 +196,155 @@
 }
 
 JobResult parse_job(const Json& body) {
-    JobSpec s;
-    auto bad = [](const char* field) { return JobResult{std::nullopt, field}; };
-    if (!body.is_object()) return bad("not a map");
-    if (auto v = parse_ref(body))
-        s.ref = *v;
+    JobSpec spec;
+    auto error = [](const char* field) { return JobResult{std::nullopt, field}; };
+    if (!body.is_object()) return error("not a map");
+    if (auto value = parse_ref(body))
+        spec.ref = *value;
     else
-        return bad("ref");
-    auto name = [&](const char* key, std::string& out) {
-        auto v = text(body, key);
-        if (!v || v->empty() || v->size() > kMaxText) return false;
-        out = *v;
+        return error("ref");
+    auto parse_text = [&](const char* key, std::string& out) {
+        auto value = text(body, key);
+        if (!value || value->empty() || value->size() > kMaxTextBytes) return false;
+        out = *value;
         return true;
     };
-    if (!name("pattern", s.job_class)) return bad("pattern");
-    if (!name("crew", s.team)) return bad("crew");
-    if (!name("bolt", s.image)) return bad("bolt");
-    if (auto v = word(kKinds, text(body, "weave")))
-        s.kind = *v;
+    if (!parse_text("pattern", spec.job_class)) return error("pattern");
+    if (!parse_text("crew", spec.team)) return error("crew");
+    if (!parse_text("bolt", spec.image)) return error("bolt");
+    if (auto value = parse_name(kJobKinds, text(body, "weave")))
+        spec.kind = *value;
     else
-        return bad("weave");
-    if (auto v = word(kRanks, text(body, "rank")))
-        s.rank = *v;
+        return error("weave");
+    if (auto value = parse_name(kPriorityClasses, text(body, "rank")))
+        spec.rank = *value;
     else
-        return bad("rank");
-    if (auto v = count(body, "threads"); v && *v >= 1 && *v <= 100'000)
-        s.tasks = static_cast<int>(*v);
+        return error("rank");
+    if (auto value = count(body, "threads"); value && *value >= 1 && *value <= 100'000)
+        spec.tasks = static_cast<int>(*value);
     else
-        return bad("threads");
-    auto take = [&](const char* key, auto&& use) {
-        auto v = amount(body, key);
-        if (v) use(*v);
-        return v.has_value();
+        return error("threads");
+    auto parse_amount = [&](const char* key, auto&& store) {
+        auto value = read_amount(body, key);
+        if (value) store(*value);
+        return value.has_value();
     };
-    if (!take("cores", [&](double v) { s.request.cores = milli_up(v); })) return bad("cores");
-    if (!take("cards", [&](double v) { s.request.gpus = milli_up(v); })) return bad("cards");
-    if (!take("ram_gb", [&](double v) { s.request.ram = milli_up(v); })) return bad("ram_gb");
-    if (!take("pull_gb", [&](double v) { s.image_gb = milli_up(v); })) return bad("pull_gb");
-    if (!take("reckon_s", [&](double v) { s.estimated_duration = micros(v); })) return bad("reckon_s");
-    if (!take("knot_s", [&](double v) { s.checkpoint_interval = micros(v); })) return bad("knot_s");
-    if (!take("bind_s", [&](double v) { s.save_duration = micros(v); })) return bad("bind_s");
-    auto boolean = [&](const char* key, bool& out) {
-        auto v = flag(body, key);
-        if (v) out = *v;
-        return v.has_value();
+    if (!parse_amount("cores", [&](double value) { spec.request.cores = round_up_to_milli(value); }))
+        return error("cores");
+    if (!parse_amount("cards", [&](double value) { spec.request.gpus = round_up_to_milli(value); }))
+        return error("cards");
+    if (!parse_amount("ram_gb", [&](double value) { spec.request.ram = round_up_to_milli(value); }))
+        return error("ram_gb");
+    if (!parse_amount("pull_gb", [&](double value) { spec.image_gb = round_up_to_milli(value); }))
+        return error("pull_gb");
+    if (!parse_amount("reckon_s", [&](double value) { spec.estimated_duration = micros(value); }))
+        return error("reckon_s");
+    if (!parse_amount("knot_s", [&](double value) { spec.checkpoint_interval = micros(value); }))
+        return error("knot_s");
+    if (!parse_amount("bind_s", [&](double value) { spec.save_duration = micros(value); }))
+        return error("bind_s");
+    auto parse_flag = [&](const char* key, bool& out) {
+        auto value = flag(body, key);
+        if (value) out = *value;
+        return value.has_value();
     };
-    if (!boolean("one_zone", s.one_zone)) return bad("one_zone");
-    if (!boolean("spread", s.spread)) return bad("spread");
-    if (!boolean("remnant", s.spot)) return bad("remnant");
+    if (!parse_flag("one_zone", spec.one_zone)) return error("one_zone");
+    if (!parse_flag("spread", spec.spread)) return error("spread");
+    if (!parse_flag("remnant", spec.spot)) return error("remnant");
     if (const Json* types = find(body, "looms")) {
-        if (!types->is_array() || types->size() > kMaxTypes) return bad("looms");
-        s.types.emplace();
-        for (const auto& t : *types) {
-            if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxText) return bad("looms");
-            s.types->push_back(t.get<std::string>());
+        if (!types->is_array() || types->size() > kMaxMachineTypes) return error("looms");
+        spec.types.emplace();
+        for (const auto& type : *types) {
+            if (!type.is_string() || type.get_ref<const std::string&>().size() > kMaxTextBytes)
+                return error("looms");
+            spec.types->push_back(type.get<std::string>());
         }
     }
     if (find(body, "mill")) {
         std::string zone;
-        if (!name("mill", zone)) return bad("mill");
-        s.zone = zone;
+        if (!parse_text("mill", zone)) return error("mill");
+        spec.zone = zone;
     }
     if (find(body, "due_s")) {
-        auto v = amount(body, "due_s");
-        if (!v) return bad("due_s");
-        s.deadline = micros(*v);
+        auto value = read_amount(body, "due_s");
+        if (!value) return error("due_s");
+        spec.deadline = micros(*value);
     }
-    if (const Json* needs = find(body, "warp")) {
-        if (!needs->is_array() || needs->size() > kMaxNeeds) return bad("warp");
-        for (const auto& n : *needs) {
-            if (!n.is_string() || !is_valid_ref(n.get_ref<const std::string&>())) return bad("warp");
-            const auto ref = n.get<std::string>();
-            if (std::find(s.dependencies.begin(), s.dependencies.end(), ref) == s.dependencies.end())
-                s.dependencies.push_back(ref);
+    if (const Json* dependencies = find(body, "warp")) {
+        if (!dependencies->is_array() || dependencies->size() > kMaxDependencies) return error("warp");
+        for (const auto& dependency : *dependencies) {
+            if (!dependency.is_string() || !is_valid_ref(dependency.get_ref<const std::string&>()))
+                return error("warp");
+            const auto ref = dependency.get<std::string>();
+            if (std::find(spec.dependencies.begin(), spec.dependencies.end(), ref) == spec.dependencies.end())
+                spec.dependencies.push_back(ref);
         }
     }
-    return {std::move(s), ""};
+    return {std::move(spec), ""};
 }
 
-Json job_value(const JobSpec& s) {
+Json job_value(const JobSpec& spec) {
     auto amount_of = [](Milli m) { return static_cast<double>(m) / 1000.0; };
-    Json v{{"ref", s.ref},
-           {"pattern", s.job_class},
-           {"crew", s.team},
-           {"weave", name_of(kKinds, s.kind)},
-           {"rank", name_of(kRanks, s.rank)},
-           {"threads", s.tasks},
-           {"cores", amount_of(s.request.cores)},
-           {"cards", amount_of(s.request.gpus)},
-           {"ram_gb", amount_of(s.request.ram)},
-           {"bolt", s.image},
-           {"pull_gb", amount_of(s.image_gb)},
-           {"one_zone", s.one_zone},
-           {"spread", s.spread},
-           {"remnant", s.spot},
-           {"reckon_s", seconds(s.estimated_duration)},
-           {"knot_s", seconds(s.checkpoint_interval)},
-           {"bind_s", seconds(s.save_duration)}};
-    if (s.types) v["looms"] = *s.types;
-    if (s.zone) v["mill"] = *s.zone;
-    if (s.deadline) v["due_s"] = seconds(*s.deadline);
-    if (!s.dependencies.empty()) v["warp"] = s.dependencies;
-    return v;
+    Json json{{"ref", spec.ref},
+              {"pattern", spec.job_class},
+              {"crew", spec.team},
+              {"weave", name_of(kJobKinds, spec.kind)},
+              {"rank", name_of(kPriorityClasses, spec.rank)},
+              {"threads", spec.tasks},
+              {"cores", amount_of(spec.request.cores)},
+              {"cards", amount_of(spec.request.gpus)},
+              {"ram_gb", amount_of(spec.request.ram)},
+              {"bolt", spec.image},
+              {"pull_gb", amount_of(spec.image_gb)},
+              {"one_zone", spec.one_zone},
+              {"spread", spec.spread},
+              {"remnant", spec.spot},
+              {"reckon_s", seconds(spec.estimated_duration)},
+              {"knot_s", seconds(spec.checkpoint_interval)},
+              {"bind_s", seconds(spec.save_duration)}};
+    if (spec.types) json["looms"] = *spec.types;
+    if (spec.zone) json["mill"] = *spec.zone;
+    if (spec.deadline) json["due_s"] = seconds(*spec.deadline);
+    if (!spec.dependencies.empty()) json["warp"] = spec.dependencies;
+    return json;
 }
 
 std::optional<Report> parse_report(const Json& body) {
-    Report r;
-    auto machine = text(body, "frame"), addr = text(body, "addr"), type = text(body, "loom_type"),
+    Report report;
+    auto machine = text(body, "frame"), address = text(body, "addr"), type = text(body, "loom_type"),
          zone = text(body, "mill");
     auto session = count(body, "shift"), seq = count(body, "tally");
-    if (!machine || machine->empty() || machine->size() > 100 || !addr || !type || !zone || !session || !seq)
+    if (!machine || machine->empty() || machine->size() > 100 || !address || !type || !zone || !session ||
+        !seq)
         return std::nullopt;
-    r.machine = *machine;
-    r.address = *addr;
-    r.type = *type;
-    r.zone = *zone;
-    r.spot = flag(body, "remnant").value_or(false);
-    r.session = *session;
-    r.seq = *seq;
-    r.token = count(body, "shuttle").value_or(0);
-    if (auto n = amount(body, "warning_s")) r.termination_notice = micros(*n);
+    report.machine = *machine;
+    report.address = *address;
+    report.type = *type;
+    report.zone = *zone;
+    report.spot = flag(body, "remnant").value_or(false);
+    report.session = *session;
+    report.seq = *seq;
+    report.token = count(body, "shuttle").value_or(0);
+    if (auto notice = read_amount(body, "warning_s")) report.termination_notice = micros(*notice);
     const Json* tasks = find(body, "threads");
     if (tasks && !tasks->is_array()) return std::nullopt;
-    if (!tasks) return r;
-    for (const auto& t : *tasks) {
-        auto name = text(t, "thread");
-        auto parsed = name ? parse_task_name(*name) : std::nullopt;
-        auto attempt = count(t, "try");
-        auto phase = word(kPhases, text(t, "stage"));
-        if (!parsed || !attempt || !phase) return std::nullopt;
+    if (!tasks) return report;
+    for (const auto& entry : *tasks) {
+        auto name = text(entry, "thread");
+        auto task_name = name ? parse_task_name(*name) : std::nullopt;
+        auto attempt = count(entry, "try");
+        auto phase = parse_name(kPhases, text(entry, "stage"));
+        if (!task_name || !attempt || !phase) return std::nullopt;
         ReportedTask task;
-        task.job = parsed->first;
-        task.task = parsed->second;
+        task.job = task_name->first;
+        task.task = task_name->second;
         task.attempt = static_cast<std::int64_t>(*attempt);
         task.phase = *phase;
-        task.cause = word(kCauses, text(t, "cause")).value_or(ExitCause::Stopped);
-        task.saved = flag(t, "stored").value_or(false);
-        r.tasks.push_back(std::move(task));
+        task.cause = parse_name(kExitCauses, text(entry, "cause")).value_or(ExitCause::Stopped);
+        task.saved = flag(entry, "stored").value_or(false);
+        report.tasks.push_back(std::move(task));
     }
-    return r;
+    return report;
 }
 
 Json report_answer(std::uint64_t token, const std::vector<Order>& orders) {
@@ -359,25 +370,26 @@
 std::optional<std::vector<MachineType>> parse_machine_types(const Json& body) {
     const Json* list = find(body, "looms");
     if (!list || !list->is_array()) return std::nullopt;
-    std::vector<MachineType> out;
-    for (const auto& t : *list) {
-        MachineType m;
-        auto name = text(t, "name");
-        auto cores = amount(t, "cores"), ram = amount(t, "ram_gb");
-        const Json* zones = find(t, "mills");
+    std::vector<MachineType> types;
+    for (const auto& entry : *list) {
+        MachineType type;
+        auto name = text(entry, "name");
+        auto cores = read_amount(entry, "cores"), ram = read_amount(entry, "ram_gb");
+        const Json* zones = find(entry, "mills");
         if (!name || !cores || !ram || !zones || !zones->is_array()) return std::nullopt;
-        m.name = *name;
-        m.size = {milli_down(*cores), milli_down(amount(t, "cards").value_or(0)), milli_down(*ram)};
-        m.cache_gb = milli_down(amount(t, "cache_gb").value_or(0));
-        m.fetch_gb_per_s = amount(t, "fetch_gb_per_s").value_or(0);
-        m.price = amount(t, "price").value_or(0);
-        m.spot_price = amount(t, "spot_price").value_or(m.price);
-        m.boot_duration = micros(amount(t, "ready_s").value_or(60));
-        for (const auto& z : *zones)
-            if (z.is_string()) m.zones.push_back(z.get<std::string>());
-        out.push_back(std::move(m));
+        type.name = *name;
+        type.size = {round_down_to_milli(*cores),
+                     round_down_to_milli(read_amount(entry, "cards").value_or(0)), round_down_to_milli(*ram)};
+        type.cache_gb = round_down_to_milli(read_amount(entry, "cache_gb").value_or(0));
+        type.fetch_gb_per_s = read_amount(entry, "fetch_gb_per_s").value_or(0);
+        type.price = read_amount(entry, "price").value_or(0);
+        type.spot_price = read_amount(entry, "spot_price").value_or(type.price);
+        type.boot_duration = micros(read_amount(entry, "ready_s").value_or(60));
+        for (const auto& zone : *zones)
+            if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
+        types.push_back(std::move(type));
     }
-    return out;
+    return types;
 }
 
 std::optional<MachinePage> parse_machines(const Json& body) {
@@ -385,19 +397,19 @@
     if (!list || !list->is_array()) return std::nullopt;
     MachinePage page;
     page.has_more = flag(body, "has_next").value_or(false);
-    for (const auto& f : *list) {
-        CloudMachine m;
-        auto name = text(f, "ref"), type = text(f, "loom_type"), zone = text(f, "mill");
-        auto state = word(kCloudStates, text(f, "stage"));
+    for (const auto& entry : *list) {
+        CloudMachine machine;
+        auto name = text(entry, "ref"), type = text(entry, "loom_type"), zone = text(entry, "mill");
+        auto state = parse_name(kCloudStates, text(entry, "stage"));
         if (!name || !type || !zone || !state) return std::nullopt;
-        m.name = *name;
-        m.address = text(f, "addr").value_or("");
-        m.type = *type;
-        m.zone = *zone;
-        m.spot = flag(f, "remnant").value_or(false);
-        m.state = *state;
-        m.age = micros(amount(f, "held_s").value_or(0));
-        page.machines.push_back(std::move(m));
+        machine.name = *name;
+        machine.address = text(entry, "addr").value_or("");
+        machine.type = *type;
+        machine.zone = *zone;
+        machine.spot = flag(entry, "remnant").value_or(false);
+        machine.state = *state;
+        machine.age = micros(read_amount(entry, "held_s").value_or(0));
+        page.machines.push_back(std::move(machine));
     }
     return page;
 }
@@ -410,12 +422,12 @@
 std::optional<std::vector<std::string>> parse_rented(const Json& body) {
     const Json* list = find(body, "frames");
     if (!list || !list->is_array()) return std::nullopt;
-    std::vector<std::string> out;
-    for (const auto& f : *list) {
-        if (!f.is_string()) return std::nullopt;
-        out.push_back(f.get<std::string>());
+    std::vector<std::string> names;
+    for (const auto& entry : *list) {
+        if (!entry.is_string()) return std::nullopt;
+        names.push_back(entry.get<std::string>());
     }
-    return out;
+    return names;
 }
 
 Json delete_request(const std::vector<std::string>& machines) {
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The words of the wire. Everything that the protocol names in its own way (looms, threads, shuttles) is
-// turned into the field's terms here, and nowhere else.
+// Parsing and building of the messages exchanged with users, workers and the cloud. The protocol has its own
+// vocabulary (looms, threads, shuttles); only this file translates it to the terms used in the code.
 
 #include <optional>
 #include <string>
@@ -31,10 +31,10 @@
     std::string image;
     Milli image_gb = 0;
     Micros estimated_duration = 0;
-    Micros checkpoint_interval = 0;
-    Micros save_duration = 0;
+    Micros checkpoint_interval = 0;  // 0: the job has no checkpoints
+    Micros save_duration = 0;        // time that a task needs to save a checkpoint when it is stopped
     std::optional<Micros> deadline;
-    std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
+    std::vector<std::string> dependencies;  // refs of jobs that must be done before this one starts
 };
 
 enum class Phase { Fetching, WaitingForGang, Running, Saving, Exited };
@@ -55,7 +55,7 @@
     std::int64_t attempt = 0;
     Phase phase = Phase::Running;
     ExitCause cause = ExitCause::Stopped;
-    bool saved = false;
+    bool saved = false;  // a checkpoint was saved on exit
 };
 
 struct Report {
@@ -65,9 +65,9 @@
     std::string zone;
     bool spot = false;
     std::uint64_t session = 0;
-    std::uint64_t seq = 0;
+    std::uint64_t seq = 0;  // sequence number of the report
     std::uint64_t token = 0;
-    std::optional<Micros> termination_notice;
+    std::optional<Micros> termination_notice;  // time until the cloud takes the machine
     std::vector<ReportedTask> tasks;
 };
 
@@ -78,7 +78,7 @@
     std::string job;
     int task = 0;
     std::int64_t attempt = 0;
-    Micros grace = 0;
+    Micros grace = 0;  // time that a stopped task has for saving a checkpoint
 };
 
 struct MachineType {
@@ -101,25 +101,27 @@
     std::string zone;
     bool spot = false;
     CloudState state = CloudState::Starting;
-    Micros age = 0;
+    Micros age = 0;  // time since the machine was rented
 };
 
 namespace wire {
 
-/// Decodes MessagePack; nothing for what is malformed, too deep or followed by further bytes.
+/// Decodes MessagePack. Returns nothing if the bytes are malformed, nested too deeply or followed by further
+/// bytes.
 std::optional<Json> decode(std::string_view bytes);
 std::string encode(const Json& value);
 
+/// Returns true for "req-" followed by 6 to 18 digits.
 bool is_valid_ref(std::string_view ref);
 
-/// A job as submitted. The error names the field.
+/// The result of parsing a submitted job: the job, or the name of the invalid field in `error`.
 struct JobResult {
     std::optional<JobSpec> spec;
     std::string error;
 };
 JobResult parse_job(const Json& body);
 Json job_value(const JobSpec& spec);
-/// "req-000412" of a body that need not be valid otherwise.
+/// Returns the job's ref (such as "req-000412"), even if the rest of the body is invalid.
 std::optional<std::string> parse_ref(const Json& body);
 
 std::optional<Report> parse_report(const Json& body);
@@ -140,7 +142,8 @@
 std::optional<std::vector<std::string>> parse_rented(const Json& body);
 Json delete_request(const std::vector<std::string>& machines);
 
-// Reads of a map that never throw.
+// Accessors for a map that never throw. They return nothing if the key is missing or its value is null or of
+// another type.
 const Json* find(const Json& map, const char* key);
 std::optional<std::string> text(const Json& map, const char* key);
 std::optional<std::uint64_t> count(const Json& map, const char* key);
