--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The value that bodies of requests and stored records are decoded to.
+// The type of decoded request bodies and stored records.
 
 #include <nlohmann/json.hpp>
 
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What the core needs of the world: a clock, timers, and calls that are answered some time or never. The
-// program implements it with Asio, the tests with a simulated world, so that the core itself does no I/O.
+// The interface between the core and its environment: clocks, timers, and calls that may never be answered.
+// The program implements it with Asio, the tests with a simulator, so that the core itself does no I/O.
 
 #include <algorithm>
 #include <functional>
@@ -12,9 +12,9 @@
 
 namespace cottonway {
 
-/// Statuses besides those of HTTP.
-constexpr int kNoAnswer = 0;  // the request may have been executed, or may still be
-constexpr int kNotSent = -1;  // no connection came about: the request was not and will not be executed
+/// Statuses of a Reply besides those of HTTP.
+constexpr int kNoAnswer = 0;  // the request may have been executed, or may still be executed
+constexpr int kNotSent = -1;  // no connection was established: the request was not and will not be executed
 
 struct Reply {
     int status = kNoAnswer;
@@ -36,39 +36,41 @@
 
 using ReplyHandler = std::function<void(const Reply&)>;
 
-/// A clock of the time spent listening. A process that stood still, or got no processor time, has not
-/// listened meanwhile: that nothing was heard then tells nothing, since what was sent to it still waits to be
-/// read. So this clock advances by a bounded amount each turn of the loop. What is promised or proven by time
-/// passing goes by the steady clock instead.
+/// A clock of the time in which the process was able to receive messages. While a process is suspended or
+/// gets no CPU time, messages to it wait unread, so that silence in that time does not mean that a peer
+/// failed. This clock therefore advances by a bounded amount in each iteration of the event loop. Use it to
+/// detect silent peers; leases and other promises that end at a time use the steady clock instead.
 class ListeningClock {
   public:
-    /// Called at every turn; returns for how long the process stood still before it, 0 if it did not.
+    /// Called in each iteration of the event loop. Returns for how long the process was stalled before it, or
+    /// 0.
     Micros advance(Micros steady) {
-        const Micros passed = last_ == 0 ? 0 : steady - last_;
-        last_ = steady;
-        now_ += std::min(passed, kLongestTurn);
-        return passed >= kStoodStill ? passed : 0;
+        const Micros elapsed = last_steady_ == 0 ? 0 : steady - last_steady_;
+        last_steady_ = steady;
+        now_ += std::min(elapsed, kMaxAdvance);
+        return elapsed >= kMinReportedStall ? elapsed : 0;
     }
     Micros now() const { return now_; }
 
   private:
-    static constexpr Micros kLongestTurn = 300 * kMillisecond;
-    static constexpr Micros kStoodStill = kSecond;
-    Micros last_ = 0;
+    static constexpr Micros kMaxAdvance = 300 * kMillisecond;
+    static constexpr Micros kMinReportedStall = kSecond;
+    Micros last_steady_ = 0;
     Micros now_ = kSecond;
 };
 
 class Runtime {
   public:
     virtual ~Runtime() = default;
+    /// Returns the time of the steady clock.
     virtual Micros now() = 0;
-    /// What is merely unheard is judged by this one (see ListeningClock). Time-outs of calls go by it as
-    /// well.
+    /// Returns the time of the ListeningClock, by which silent peers are detected. Timeouts of calls use it
+    /// as well.
     virtual Micros listening_time() = 0;
-    /// Milliseconds of the time of day.
+    /// Returns the wall-clock time in milliseconds since the epoch.
     virtual std::int64_t wall_clock_ms() = 0;
     virtual void call(Call call, ReplyHandler done) = 0;
-    virtual void after(Micros delay, std::function<void()> run) = 0;
+    virtual void after(Micros delay, std::function<void()> callback) = 0;
     virtual std::mt19937_64& random() = 0;
 };
 
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Units used all over the project: whole microseconds and whole thousandths of an amount.
+// The units of time and of resources: whole microseconds and whole thousandths of an amount.
 
 #include <cstdint>
 
@@ -9,7 +9,8 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-/// Thousandths of a core, a GPU or a gigabyte. Sums stay exact, which a limit check relies on.
+/// Thousandths of a core, a GPU or a gigabyte. Sums of integers are exact, which the checks of limits rely
+/// on.
 using Milli = std::int64_t;
 
 struct Resources {
@@ -17,19 +18,19 @@
     Milli gpus = 0;
     Milli ram = 0;
 
-    bool fits(const Resources& room) const {
-        return cores <= room.cores && gpus <= room.gpus && ram <= room.ram;
+    bool fits(const Resources& available) const {
+        return cores <= available.cores && gpus <= available.gpus && ram <= available.ram;
     }
-    Resources& operator+=(const Resources& o) {
-        cores += o.cores;
-        gpus += o.gpus;
-        ram += o.ram;
+    Resources& operator+=(const Resources& other) {
+        cores += other.cores;
+        gpus += other.gpus;
+        ram += other.ram;
         return *this;
     }
-    Resources& operator-=(const Resources& o) {
-        cores -= o.cores;
-        gpus -= o.gpus;
-        ram -= o.ram;
+    Resources& operator-=(const Resources& other) {
+        cores -= other.cores;
+        gpus -= other.gpus;
+        ram -= other.ram;
         return *this;
     }
     friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
--- a/src/config/lease_validity.hpp
+++ b/src/config/lease_validity.hpp
@@ -1,5 +1,8 @@
 #pragma once
-// How long a controller is entitled to what, by its own steady clock. Pure functions of the settings.
+// Durations of leases by a controller's own steady clock, as pure functions of the settings. There are two
+// kinds: a worker's lease, renewed by the answers to its reports, and a controller's lease, renewed by each
+// confirmed read of the state service. Without a valid lease a controller must
+// not renew worker leases or start tasks.
 
 #include <algorithm>
 
@@ -7,38 +10,42 @@
 
 namespace cottonway {
 
-/// A lease measured by another clock may run this much longer by ours.
+/// Returns the longest time by this process's clock that a lease measured by another clock may last.
 inline Micros with_drift(Micros lease) {
     return lease + lease / 1000 + kSecond;
 }
 
+/// Shortest controller lease; see controller_lease_duration.
 constexpr Micros kMinControllerLease = 2 * kSecond;
 
-/// What is left of `cancel` beyond a lease by the worker's clock and the time that an answer takes to get
-/// there.
-inline Micros cancel_margin_after_worker_lease(const Settings& s) {
-    return s.cancel_deadline - s.worker_lease - s.worker_lease / 500 - 3 * kSecond;
+/// Returns what is left of the cancel deadline after a worker's lease, with the drift of the worker's clock
+/// (0.2 %) and 3 s for the delivery of the answer that renews the lease.
+inline Micros cancel_margin_after_worker_lease(const Settings& settings) {
+    return settings.cancel_deadline - settings.worker_lease - settings.worker_lease / 500 - 3 * kSecond;
 }
 
-/// How long a holder may answer after its last confirmation without a cancellation being missed too long: a
-/// cancellation that we have not heard of must still end every task in time, so the last answer, which renews
-/// a lease for at most `lease`, and the lease must both fit into `cancel`. With less than this nothing would
-/// ever be answered, since looks at the store take their time.
-inline Micros controller_lease_duration(const Settings& s) {
-    return std::max(cancel_margin_after_worker_lease(s), kMinControllerLease);
+/// Returns how long a controller may act after its last confirmed read of the state service. A cancellation
+/// that the controller has not read must still end every task before the cancel deadline, so the time until
+/// its last answer to a worker plus the worker lease which that answer renews must fit into
+/// `cancel_deadline`. The result is at least kMinControllerLease: reads of the state service take time, and
+/// with a shorter lease no report would ever be answered.
+inline Micros controller_lease_duration(const Settings& settings) {
+    return std::max(cancel_margin_after_worker_lease(settings), kMinControllerLease);
 }
 
-/// Whether that leaves no cancellation unheard for longer than `cancel`. Where it does not fit, tasks of jobs
-/// cancelled while their holder can't hear of it may go on for a lease and five seconds.
-inline bool can_cancel_in_time(const Settings& s) {
-    return cancel_margin_after_worker_lease(s) >= kMinControllerLease;
+/// Returns true if the settings allow every cancellation to take effect before the cancel deadline. If they
+/// do not, tasks of a job that is cancelled while its shard's holder cannot reach the state service may run
+/// for a worker lease and five seconds more.
+inline bool can_cancel_in_time(const Settings& settings) {
+    return cancel_margin_after_worker_lease(settings) >= kMinControllerLease;
 }
 
-/// Whether one whose last look at the store was begun that long ago may still renew leases and start tasks.
-/// What it does within that time is over by itself in time, however long it then hears nothing: the sessions
-/// of workers that it may act on began by then or were renewed by then, and end a lease later.
-inline bool has_valid_lease(Micros confirmed_ago, const Settings& s) {
-    return confirmed_ago < controller_lease_duration(s);
+/// Returns true if a controller whose last confirmed read of the state service began that long ago may still
+/// renew worker leases and start tasks. Whatever it does within that time ends in time even if the controller
+/// stays cut off afterwards: the worker sessions that it may act on began or were renewed within that time,
+/// and they end one worker lease later.
+inline bool has_valid_lease(Micros time_since_confirmation, const Settings& settings) {
+    return time_since_confirmation < controller_lease_duration(settings);
 }
 
 }  // namespace cottonway
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the platform hands over (one TOML file) and what operators may set themselves (a second one).
+// The settings: those that the platform provides (one TOML file) and those of the operators (a second one).
 
 #include <algorithm>
 #include <cstdint>
@@ -17,7 +17,7 @@
     std::uint16_t port = 0;
 };
 
-/// The limit of a team that has none. Far above all that there is, and far from overflowing in sums.
+/// The limit of a team without one: larger than any cluster, and small enough that sums do not overflow.
 constexpr Milli kNoLimit = 1'000'000'000'000;
 
 struct Team {
@@ -26,10 +26,11 @@
     Resources limit;
 };
 
+/// A service level objective of the platform: a time limit for the jobs of a class.
 struct Objective {
     std::string kind;
     std::string job_class;
-    Micros within = 0;
+    Micros time_limit = 0;
 };
 
 struct Peer {
@@ -55,10 +56,11 @@
     PlacementSettings placement;
     Micros liveness_ttl = 2'500 * kMillisecond;
     Micros idle_return_delay = 30 * kSecond;
-    /// Whether this node announces format 3, after which live jobs move out of history (docs/history.md).
+    /// This node announces format 3. Once all nodes do, unfinished jobs are stored apart from finished ones
+    /// (docs/history.md).
     bool separate_history = false;
     std::string log_level;
-    /// The file that `policy` names, and what it says; nothing if it names none.
+    /// The policy file that the key `policy` names, and its content; empty if there is none.
     std::string policy_file;
     std::optional<policy::Policy> policy;
 };
@@ -75,42 +77,43 @@
     std::vector<Team> teams;
     std::vector<Objective> objectives;
     Micros report_interval = 3 * kSecond;
-    Micros worker_lease = 30 * kSecond;
+    Micros worker_lease = 30 * kSecond;  // a worker's session ends if its lease is not renewed for this long
     Micros gang_wait_timeout = 60 * kSecond;
     Micros gang_peer_timeout = 5 * kSecond;
-    Micros cancel_deadline = 60 * kSecond;
+    Micros cancel_deadline = 60 * kSecond;  // a cancelled job's tasks must have ended by then
     double state_rps = 100;
     double state_write_rps = 20;
-    double next_write_rps = 20;          // that the service may change to, without notice
-    std::size_t max_value_bytes = 4096;  // the smaller of now and next, like `txn_ops`: kept from the start
+    double next_write_rps = 20;          // rate that the service may switch to without notice
+    std::size_t max_value_bytes = 4096;  // the smaller of the current and the next limit, used from the start
     std::size_t current_max_value_bytes = 4096;
-    std::size_t max_txn_ops = 8;
+    std::size_t max_txn_ops = 8;  // likewise
     double cloud_rps = 4;
-    Micros cloud_list_lag = 6 * kSecond;
+    Micros cloud_list_lag = 6 * kSecond;  // the cloud's list of machines may be outdated by this much
     std::size_t sockets = 1000;
-    double cpu_cores = 1;          // of a core
-    bool announces_format = true;  // false: like the version before (tests)
+    double cpu_cores = 1;          // cores that a controller may use
+    bool announces_format = true;  // false: behaves like the previous version (tests)
     OperatorSettings operators;
 
-    /// The zone of a controller, "" if it is not known.
-    std::string zone_of(const std::string& other) const {
-        if (other == node) return zone;
+    /// Returns the zone of a controller, or "" if the controller is unknown.
+    std::string zone_of(const std::string& controller) const {
+        if (controller == node) return zone;
         for (const auto& p : peers)
-            if (p.name == other) return p.zone;
+            if (p.name == controller) return p.zone;
         return "";
     }
-    /// The times that the objectives of a kind set for a class, the shortest first.
+    /// Returns the time limits of the objectives of a kind for a job class, shortest first.
     std::vector<Micros> objective_times(const std::string& kind, const std::string& job_class) const {
         std::vector<Micros> times;
         for (const auto& o : objectives)
-            if (o.kind == kind && o.job_class == job_class) times.push_back(o.within);
+            if (o.kind == kind && o.job_class == job_class) times.push_back(o.time_limit);
         std::sort(times.begin(), times.end());
         return times;
     }
 };
 
-/// Throws std::runtime_error with one line that names the key and the reason.
+/// Reads both files. Throws std::runtime_error with one line that names the key and the reason.
 Settings load_settings(const std::string& path, const std::string& operators_path);
+/// Parses an IPv4 address with a port, such as 10.0.0.1:8080. Throws std::invalid_argument.
 Endpoint parse_endpoint(const std::string& text);
 
 }  // namespace cottonway
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -87,7 +87,7 @@
               "client_listen: not an IPv4 address: localhost");
     EXPECT_EQ(error_of(with("127.0.0.1:2379", "127.0.0.1:99999")), "services.state: not a port: 99999");
     EXPECT_EQ(error_of(with("lease_s = 36.0", "lease_s = \"long\"")),
-              "deployment.workers.lease_s: a number is needed");
+              "deployment.workers.lease_s: must be a number");
     EXPECT_NE(error_of(with("rps = 120.0", "rps = -1.0")).find("deployment.state.rps: must lie between"),
               std::string::npos);
     EXPECT_NE(error_of(with("cpus = 64.0", "cpus = -1.0")).find("deployment.teams[0].cpus: must lie between"),
@@ -110,7 +110,7 @@
     EXPECT_EQ(s.max_value_bytes, 4096u);
     EXPECT_EQ(s.max_txn_ops, 8u);
     EXPECT_EQ(s.next_write_rps, 25);
-    EXPECT_EQ(error_of(next("value_kb = \"two\"")), "deployment.state.next.value_kb: a number is needed");
+    EXPECT_EQ(error_of(next("value_kb = \"two\"")), "deployment.state.next.value_kb: must be a number");
     EXPECT_NE(error_of(next("txn_ops = 0")).find("deployment.state.next.txn_ops: must lie between"),
               std::string::npos);
     EXPECT_EQ(error_of(with("txn_ops = 8", "txn_ops = 8\nnext = 7")),
