--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Logging to standard error. LOG_LEVEL (error, info, debug) says how much.
+// Logging to standard error. LOG_LEVEL (error, info or debug) sets the level.
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 
 namespace cottonway {
 
-/// False if the level is not one of error, info, debug.
+/// Sets up the default logger. Returns false if the level is not error, info, debug or empty (info).
 bool start_logging(const std::string& node, const std::string& level);
 
 }  // namespace cottonway
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -10,8 +10,8 @@
 using asio::ip::tcp;
 
 namespace {
-constexpr std::size_t kMaxBody = 8 * 1024 * 1024;
-constexpr Micros kConnectTime = kSecond;
+constexpr std::size_t kMaxBodyBytes = 8 * 1024 * 1024;
+constexpr Micros kConnectTimeout = kSecond;
 }  // namespace
 
 Micros steady_micros() {
@@ -20,7 +20,7 @@
         .count();
 }
 
-/// One connection and at most one call on it. A call that is not answered in time closes it.
+/// A connection with at most one call at a time. A call that times out closes it.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
     ClientConnection(HttpClient& client, std::string key)
@@ -31,20 +31,19 @@
           connect_timer_(client.io_) {}
 
     void start(const Endpoint& to, std::string request, Micros timeout, HttpClient::Done done) {
-        out_ = std::move(request);
+        request_ = std::move(request);
         done_ = std::move(done);
         reply_ = ClientReply{};
         complete_ = false;
         ++generation_;
         http_parser_init(&parser_, HTTP_RESPONSE);
         parser_.data = this;
-        wait(timer_, client_.clock_() + timeout, [](ClientConnection&) { return true; });
+        start_timer(timer_, client_.clock_() + timeout, [](ClientConnection&) { return true; });
         if (socket_.is_open()) return write();
         connected_ = false;
-        // A connection that does not come about in time is given up early: what has not been sent can be sent
-        // elsewhere.
-        wait(connect_timer_, client_.clock_() + std::min(timeout, kConnectTime),
-             [](ClientConnection& c) { return !c.connected_; });
+        // Connecting has a shorter timeout than the call: a request that was not sent can be sent elsewhere.
+        start_timer(connect_timer_, client_.clock_() + std::min(timeout, kConnectTimeout),
+                    [](ClientConnection& c) { return !c.connected_; });
         socket_.async_connect(tcp::endpoint(asio::ip::make_address_v4(to.host), to.port),
                               [self = shared_from_this()](asio::error_code ec) {
                                   if (!self->done_) return;
@@ -62,8 +61,8 @@
         socket_.close(ignored);
     }
 
-    /// A kept connection that the other side has closed meanwhile shows it by being readable.
-    bool still_open() {
+    /// Returns false if the server has closed the idle connection: it is readable then.
+    bool is_still_open() {
         if (!socket_.is_open()) return false;
         asio::error_code ec;
         socket_.non_blocking(true, ec);
@@ -75,20 +74,21 @@
   private:
     using Condition = bool (*)(ClientConnection&);
 
-    /// Gives the call up at `deadline` if the condition holds then. A process that stood still reads what
-    /// arrived meanwhile first.
-    void wait(asio::steady_timer& timer, Micros deadline, Condition gives_up) {
+    /// Fails the call at `deadline` if the condition holds then. The deadline is checked against the client's
+    /// clock, which pauses while the process is stalled, so that answers that arrived in that time are read
+    /// first.
+    void start_timer(asio::steady_timer& timer, Micros deadline, Condition should_fail) {
         timer.expires_after(std::chrono::microseconds(std::max<Micros>(deadline - client_.clock_(), 0)));
-        timer.async_wait(
-            [self = shared_from_this(), &timer, deadline, gives_up, g = generation_](asio::error_code ec) {
-                if (ec || g != self->generation_ || !self->done_) return;
-                if (self->client_.clock_() < deadline) return self->wait(timer, deadline, gives_up);
-                if (gives_up(*self)) self->finish(false);
-            });
+        timer.async_wait([self = shared_from_this(), &timer, deadline, should_fail,
+                          generation = generation_](asio::error_code ec) {
+            if (ec || generation != self->generation_ || !self->done_) return;
+            if (self->client_.clock_() < deadline) return self->start_timer(timer, deadline, should_fail);
+            if (should_fail(*self)) self->finish(false);
+        });
     }
 
     void write() {
-        asio::async_write(socket_, asio::buffer(out_),
+        asio::async_write(socket_, asio::buffer(request_),
                           [self = shared_from_this()](asio::error_code ec, std::size_t) {
                               if (!self->done_) return;
                               if (ec) return self->finish(false);
@@ -114,7 +114,7 @@
             http_parser_settings_init(&s);
             s.on_body = [](http_parser* p, const char* at, std::size_t n) {
                 auto& c = *static_cast<ClientConnection*>(p->data);
-                if (c.reply_.body.size() + n > kMaxBody) return 1;
+                if (c.reply_.body.size() + n > kMaxBodyBytes) return 1;
                 c.reply_.body.append(at, n);
                 return 0;
             };
@@ -136,13 +136,13 @@
         bool reusable = false;
         if (answered) {
             reply_.status = static_cast<int>(parser_.status_code);
-            reusable = client_.keep_ && http_should_keep_alive(&parser_) != 0;
+            reusable = client_.keep_alive_ && http_should_keep_alive(&parser_) != 0;
         } else {
             reply_ = ClientReply{};
             reply_.status = connected_ ? kNoAnswer : kNotSent;
         }
         if (!reusable) close();
-        client_.release(key_, shared_from_this(), reusable);
+        client_.release_connection(key_, shared_from_this(), reusable);
         done(std::move(reply_));
     }
 
@@ -153,7 +153,7 @@
     asio::steady_timer connect_timer_;
     http_parser parser_{};
     std::array<char, 8192> buffer_{};
-    std::string out_;
+    std::string request_;
     ClientReply reply_;
     HttpClient::Done done_;
     bool complete_ = false;
@@ -167,47 +167,48 @@
     std::string request =
         method + " " + path + " HTTP/1.1\r\nHost: " + key +
         "\r\nContent-Type: application/msgpack\r\nContent-Length: " + std::to_string(body.size()) +
-        (keep_ ? "" : "\r\nConnection: close") + "\r\n\r\n" + body;
+        (keep_alive_ ? "" : "\r\nConnection: close") + "\r\n\r\n" + body;
     auto& pool = pools_[key];
     std::shared_ptr<ClientConnection> connection;
     while (!pool.idle.empty() && !connection) {
         connection = std::move(pool.idle.back());
         pool.idle.pop_back();
-        if (!connection->still_open()) {
+        if (!connection->is_still_open()) {
             connection->close();
             connection.reset();
-            --open_;
+            --open_connections_;
         }
     }
-    if (!connection && open_ >= total_) {
-        // Connections kept for addresses that are not called any more must not use up the sockets.
-        for (auto it = pools_.begin(); it != pools_.end() && open_ >= total_; ++it) {
+    if (!connection && open_connections_ >= max_total_) {
+        // Closes idle connections to other addresses, so that addresses which are not called any more do not
+        // use up the sockets.
+        for (auto it = pools_.begin(); it != pools_.end() && open_connections_ >= max_total_; ++it) {
             if (it->second.idle.empty()) continue;
             it->second.idle.back()->close();
             it->second.idle.pop_back();
-            --open_;
+            --open_connections_;
         }
     }
     if (!connection) {
-        if (pool.busy >= per_address_ || open_ >= total_) {
+        if (pool.busy >= max_per_address_ || open_connections_ >= max_total_) {
             asio::post(io_, [done = std::move(done)] { done(ClientReply{kNotSent, {}}); });
             return;
         }
         connection = std::make_shared<ClientConnection>(*this, key);
-        ++open_;
+        ++open_connections_;
     }
     ++pool.busy;
     connection->start(to, std::move(request), timeout, std::move(done));
 }
 
-void HttpClient::release(const std::string& key, std::shared_ptr<ClientConnection> connection,
-                         bool reusable) {
+void HttpClient::release_connection(const std::string& key, std::shared_ptr<ClientConnection> connection,
+                                    bool reusable) {
     auto& pool = pools_[key];
     --pool.busy;
     if (reusable) {
         pool.idle.push_back(std::move(connection));
     } else {
-        --open_;
+        --open_connections_;
         if (pool.busy == 0 && pool.idle.empty()) pools_.erase(key);
     }
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -12,7 +12,7 @@
 using asio::ip::tcp;
 
 namespace {
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
 #define COTTONWAY_REASON(num, name, string) \
     case num:                               \
@@ -30,7 +30,7 @@
     Connection(tcp::socket socket, HttpServer& server) : socket_(std::move(socket)), server_(server) {
         http_parser_init(&parser_, HTTP_REQUEST);
         parser_.data = this;
-        touched_ = std::chrono::steady_clock::now();
+        last_activity_ = std::chrono::steady_clock::now();
     }
 
     void read() {
@@ -47,58 +47,60 @@
         server_.connections_.erase(shared_from_this());
     }
 
-    /// True once the connection has outstayed its time.
-    bool expired(std::chrono::steady_clock::time_point now) const {
-        const auto age = std::chrono::duration_cast<std::chrono::microseconds>(now - touched_).count();
-        return age > (in_request_ ? server_.limits_.request : server_.limits_.idle);
+    /// Returns true if the connection has been idle, or its request unanswered, for longer than allowed.
+    bool is_expired(std::chrono::steady_clock::time_point now) const {
+        const auto age = std::chrono::duration_cast<std::chrono::microseconds>(now - last_activity_).count();
+        return age > (request_in_progress_ ? server_.limits_.request_timeout : server_.limits_.idle_timeout);
     }
-    bool idle_for(std::chrono::steady_clock::time_point now, Micros t) const {
-        return !in_request_ &&
-               std::chrono::duration_cast<std::chrono::microseconds>(now - touched_).count() > t;
+    bool is_idle_longer_than(std::chrono::steady_clock::time_point now, Micros t) const {
+        return !request_in_progress_ &&
+               std::chrono::duration_cast<std::chrono::microseconds>(now - last_activity_).count() > t;
     }
 
   private:
-    static Connection& of(http_parser* p) { return *static_cast<Connection*>(p->data); }
+    static Connection& connection_of(http_parser* p) { return *static_cast<Connection*>(p->data); }
 
     static const http_parser_settings& callbacks() {
         static const http_parser_settings settings = [] {
             http_parser_settings s;
             http_parser_settings_init(&s);
             s.on_message_begin = [](http_parser* p) {
-                auto& c = of(p);
-                c.request_ = Request{};
-                c.head_ = 0;
-                c.in_request_ = true;
-                c.touched_ = std::chrono::steady_clock::now();
+                auto& connection = connection_of(p);
+                connection.request_ = Request{};
+                connection.head_bytes_ = 0;
+                connection.request_in_progress_ = true;
+                connection.last_activity_ = std::chrono::steady_clock::now();
                 return 0;
             };
             s.on_url = [](http_parser* p, const char* at, std::size_t n) {
-                auto& c = of(p);
-                c.request_.path.append(at, n);
-                return c.count_head(n);
+                auto& connection = connection_of(p);
+                connection.request_.path.append(at, n);
+                return connection.add_head_bytes(n);
             };
             s.on_header_field = [](http_parser* p, const char*, std::size_t n) {
-                return of(p).count_head(n);
+                return connection_of(p).add_head_bytes(n);
             };
             s.on_header_value = [](http_parser* p, const char*, std::size_t n) {
-                return of(p).count_head(n);
+                return connection_of(p).add_head_bytes(n);
             };
             s.on_headers_complete = [](http_parser* p) {
-                auto& c = of(p);
-                c.request_.method = http_method_str(static_cast<http_method>(p->method));
-                // A body that is announced too large is refused without reading it.
-                if (p->content_length != ULLONG_MAX && p->content_length > c.server_.limits_.body)
-                    return c.refuse_body();
+                auto& connection = connection_of(p);
+                connection.request_.method = http_method_str(static_cast<http_method>(p->method));
+                // A body whose announced length is too large is refused without being read.
+                if (p->content_length != ULLONG_MAX &&
+                    p->content_length > connection.server_.limits_.max_body_bytes)
+                    return connection.refuse_body();
                 return 0;
             };
             s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-                auto& c = of(p);
-                if (c.request_.body.size() + n > c.server_.limits_.body) return c.refuse_body();
-                c.request_.body.append(at, n);
+                auto& connection = connection_of(p);
+                if (connection.request_.body.size() + n > connection.server_.limits_.max_body_bytes)
+                    return connection.refuse_body();
+                connection.request_.body.append(at, n);
                 return 0;
             };
             s.on_message_complete = [](http_parser* p) {
-                of(p).complete_ = true;
+                connection_of(p).complete_ = true;
                 http_parser_pause(p, 1);
                 return 0;
             };
@@ -107,7 +109,7 @@
         return settings;
     }
 
-    int count_head(std::size_t n) { return (head_ += n) > server_.limits_.head ? 1 : 0; }
+    int add_head_bytes(std::size_t n) { return (head_bytes_ += n) > server_.limits_.max_head_bytes ? 1 : 0; }
     int refuse_body() {
         request_.too_large = true;
         return 1;
@@ -116,16 +118,16 @@
     void parse(std::size_t n) {
         http_parser_execute(&parser_, &callbacks(), buffer_.data(), n);
         if (request_.too_large) {
-            closing_ = true;
+            close_after_response_ = true;
             return dispatch();
         }
         if (complete_) {
             complete_ = false;
-            closing_ = http_should_keep_alive(&parser_) == 0;
+            close_after_response_ = http_should_keep_alive(&parser_) == 0;
             return dispatch();
         }
         if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade) {
-            closing_ = true;
+            close_after_response_ = true;
             return send(Response{400, "", "text/plain", 0});
         }
         read();
@@ -141,18 +143,18 @@
 
     void send(Response r) {
         if (!socket_.is_open()) return;
-        out_ = "HTTP/1.1 " + std::to_string(r.status) + " " + reason(r.status) +
-               "\r\nContent-Type: " + r.content_type +
-               "\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
-        if (r.retry_after > 0) out_ += "Retry-After: " + std::to_string(r.retry_after) + "\r\n";
-        if (closing_) out_ += "Connection: close\r\n";
-        out_ += "\r\n";
-        out_ += r.body;
-        asio::async_write(socket_, asio::buffer(out_),
+        response_ = "HTTP/1.1 " + std::to_string(r.status) + " " + reason_phrase(r.status) +
+                    "\r\nContent-Type: " + r.content_type +
+                    "\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
+        if (r.retry_after > 0) response_ += "Retry-After: " + std::to_string(r.retry_after) + "\r\n";
+        if (close_after_response_) response_ += "Connection: close\r\n";
+        response_ += "\r\n";
+        response_ += r.body;
+        asio::async_write(socket_, asio::buffer(response_),
                           [self = shared_from_this()](asio::error_code ec, std::size_t) {
-                              if (ec || self->closing_) return self->close();
-                              self->in_request_ = false;
-                              self->touched_ = std::chrono::steady_clock::now();
+                              if (ec || self->close_after_response_) return self->close();
+                              self->request_in_progress_ = false;
+                              self->last_activity_ = std::chrono::steady_clock::now();
                               http_parser_init(&self->parser_, HTTP_REQUEST);
                               self->read();
                           });
@@ -163,12 +165,12 @@
     http_parser parser_{};
     std::array<char, 4096> buffer_{};
     Request request_;
-    std::string out_;
-    std::size_t head_ = 0;
+    std::string response_;
+    std::size_t head_bytes_ = 0;
     bool complete_ = false;
-    bool closing_ = false;
-    bool in_request_ = false;
-    std::chrono::steady_clock::time_point touched_;
+    bool close_after_response_ = false;
+    bool request_in_progress_ = false;
+    std::chrono::steady_clock::time_point last_activity_;
 };
 
 HttpServer::HttpServer(asio::io_context& io, const Endpoint& listen, Limits limits, Handler handler)
@@ -180,31 +182,32 @@
 
 void HttpServer::start() {
     accept();
-    sweep();
+    close_expired();
 }
 
 void HttpServer::accept() {
     acceptor_.async_accept([this](asio::error_code ec, tcp::socket socket) {
         if (!ec) {
-            if (connections_.size() >= limits_.connections) {
-                // The room is made by whoever has been idle longest; failing that, the newcomer goes.
+            if (connections_.size() >= limits_.max_connections) {
+                // At the limit, a connection that has been idle for 5 s is closed; if there is none, the new
+                // connection is.
                 const auto now = std::chrono::steady_clock::now();
-                for (const auto& c : connections_)
-                    if (c->idle_for(now, 5 * kSecond)) {
-                        auto victim = c;
-                        victim->close();
+                for (const auto& connection : connections_)
+                    if (connection->is_idle_longer_than(now, 5 * kSecond)) {
+                        auto idle_connection = connection;
+                        idle_connection->close();
                         break;
                     }
             }
-            if (connections_.size() < limits_.connections) {
+            if (connections_.size() < limits_.max_connections) {
                 asio::error_code ignored;
                 socket.set_option(tcp::no_delay(true), ignored);
-                auto c = std::make_shared<Connection>(std::move(socket), *this);
-                connections_.insert(c);
-                c->read();
+                auto connection = std::make_shared<Connection>(std::move(socket), *this);
+                connections_.insert(connection);
+                connection->read();
             }
         } else if (ec != asio::error::connection_aborted) {
-            // Out of sockets: try again shortly instead of spinning.
+            // Out of sockets: retries after a pause, to avoid a busy loop.
             auto pause = std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds(100));
             pause->async_wait([this, pause](asio::error_code) { accept(); });
             return;
@@ -213,16 +216,16 @@
     });
 }
 
-void HttpServer::sweep() {
+void HttpServer::close_expired() {
     timer_.expires_after(std::chrono::seconds(1));
     timer_.async_wait([this](asio::error_code ec) {
         if (ec) return;
         const auto now = std::chrono::steady_clock::now();
-        std::vector<std::shared_ptr<Connection>> old;
-        for (const auto& c : connections_)
-            if (c->expired(now)) old.push_back(c);
-        for (const auto& c : old) c->close();
-        sweep();
+        std::vector<std::shared_ptr<Connection>> expired_connections;
+        for (const auto& connection : connections_)
+            if (connection->is_expired(now)) expired_connections.push_back(connection);
+        for (const auto& connection : expired_connections) connection->close();
+        close_expired();
     });
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// An HTTP/1.1 server on Asio. Requests are handed to one handler; everything about a connection is bounded.
+// An HTTP/1.1 server on Asio that passes all requests to one handler. Connections, sizes and times are
+// bounded.
 
 #include <asio.hpp>
 #include <functional>
@@ -23,7 +24,7 @@
     int status = 200;
     std::string body;
     std::string content_type = "application/msgpack";
-    int retry_after = 0;  // seconds, 0: none
+    int retry_after = 0;  // value of the Retry-After header in seconds; 0: no header
 };
 
 using Responder = std::function<void(Response)>;
@@ -34,21 +35,21 @@
 class HttpServer {
   public:
     struct Limits {
-        std::size_t connections = 500;
-        std::size_t body = 64 * 1024;
-        std::size_t head = 16 * 1024;
-        Micros idle = 60 * kSecond;
-        Micros request = 10 * kSecond;
+        std::size_t max_connections = 500;
+        std::size_t max_body_bytes = 64 * 1024;
+        std::size_t max_head_bytes = 16 * 1024;
+        Micros idle_timeout = 60 * kSecond;
+        Micros request_timeout = 10 * kSecond;  // time from a request's first byte to its response
     };
 
     HttpServer(asio::io_context& io, const Endpoint& listen, Limits limits, Handler handler);
     void start();
-    std::size_t open() const { return connections_.size(); }
+    std::size_t open_connections() const { return connections_.size(); }
 
   private:
     friend class Connection;
     void accept();
-    void sweep();
+    void close_expired();
 
     asio::io_context& io_;
     asio::ip::tcp::acceptor acceptor_;
--- a/src/net/metrics.hpp
+++ b/src/net/metrics.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// How long things take, as histograms (Boost.Histogram: Debian has no HDR histogram for C++).
+// Histograms of the durations of calls and requests (with Boost.Histogram: Debian has no HDR histogram for
+// C++).
 
 #include <boost/histogram.hpp>
 #include <map>
@@ -12,8 +13,10 @@
 
 class Metrics {
   public:
-    void add(const std::string& name, Micros took, int status);
-    Json value() const;
+    /// Records a call or request with its duration and status.
+    void record(const std::string& name, Micros duration, int status);
+    /// Returns counts, counts by status and percentiles of each series.
+    Json to_json() const;
 
   private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -15,34 +15,34 @@
 constexpr std::size_t kCloudConnections = 6;
 constexpr std::size_t kWorkerConnections = 2;
 constexpr std::size_t kPeerConnections = 12;
-constexpr Micros kCatchUp = 300 * kMillisecond;  // to read what waited while the process stood still
-constexpr Micros kPolicyEvery = 5 * kSecond;     // looks at the policy's file
+constexpr Micros kStallRecovery = 300 * kMillisecond;  // to read the requests that arrived during a stall
+constexpr Micros kPolicyCheckInterval = 5 * kSecond;
 
-/// Passes the operators' policy on to the controller whenever its file has changed.
-class PolicyFile {
+/// Reloads the operators' policy when its file has changed, and passes it to the controller.
+class PolicyFileWatcher {
   public:
-    PolicyFile(AsioHost& host, Controller& controller, const Settings& settings)
-        : runtime_(host), controller_(controller), settings_(settings), seen_(changed_at()) {
-        if (!settings.operators.policy_file.empty()) wait();
+    PolicyFileWatcher(AsioHost& host, Controller& controller, const Settings& settings)
+        : runtime_(host), controller_(controller), settings_(settings), last_modified_(modification_time()) {
+        if (!settings.operators.policy_file.empty()) schedule_check();
     }
 
   private:
-    std::filesystem::file_time_type changed_at() const {
-        std::error_code none;
-        return std::filesystem::last_write_time(settings_.operators.policy_file, none);
+    std::filesystem::file_time_type modification_time() const {
+        std::error_code ignored;
+        return std::filesystem::last_write_time(settings_.operators.policy_file, ignored);
     }
-    void wait() {
-        runtime_.after(kPolicyEvery, [this] {
-            look();
-            wait();
+    void schedule_check() {
+        runtime_.after(kPolicyCheckInterval, [this] {
+            reload_if_changed();
+            schedule_check();
         });
     }
-    void look() {
-        if (const auto at = changed_at(); at == std::exchange(seen_, at)) return;
+    void reload_if_changed() {
+        if (const auto at = modification_time(); at == std::exchange(last_modified_, at)) return;
         try {
             controller_.set_policy_file(policy::load(settings_.operators.policy_file, &settings_));
         } catch (const std::exception& e) {
-            spdlog::error("policy: {}: {}; the one read before is kept", settings_.operators.policy_file,
+            spdlog::error("policy: {}: {}; keeping the policy read before", settings_.operators.policy_file,
                           e.what());
         }
     }
@@ -50,40 +50,40 @@
     AsioHost& runtime_;
     Controller& controller_;
     const Settings& settings_;
-    std::filesystem::file_time_type seen_;
+    std::filesystem::file_time_type last_modified_;
 };
 }  // namespace
 
 AsioHost::AsioHost(asio::io_context& io, const Settings& settings)
     : io_(io),
       settings_(settings),
-      state_(io, kStateConnections, kStateConnections, true, listening_),
-      cloud_(io, kCloudConnections, kCloudConnections, true, listening_),
-      workers_(io, kWorkerConnections, settings.sockets / 8, false, listening_),
-      peers_(io, kPeerConnections, settings.sockets / 16, true, listening_),
+      state_client_(io, kStateConnections, kStateConnections, true, read_listening_clock_),
+      cloud_client_(io, kCloudConnections, kCloudConnections, true, read_listening_clock_),
+      worker_client_(io, kWorkerConnections, settings.sockets / 8, false, read_listening_clock_),
+      peer_client_(io, kPeerConnections, settings.sockets / 16, true, read_listening_clock_),
       random_(std::random_device{}()) {}
 
 Micros AsioHost::now() {
     return steady_micros();
 }
 
-void AsioHost::turn() {
+void AsioHost::advance_listening_clock() {
     const Micros steady = now();
-    const Micros stood_still = clock_.advance(steady);
-    if (stood_still == 0) return;
-    stood_still_ = stood_still;
-    woke_at_ = steady;
-    spdlog::info("this process stood still for {} ms", stood_still / kMillisecond);
+    const Micros stall = listening_clock_.advance(steady);
+    if (stall == 0) return;
+    last_stall_ = stall;
+    last_stall_ended_ = steady;
+    spdlog::info("this process was stalled for {} ms", stall / kMillisecond);
 }
 
 Micros AsioHost::listening_time() {
-    turn();
-    return clock_.now();
+    advance_listening_clock();
+    return listening_clock_.now();
 }
 
-Micros AsioHost::waited() {
-    turn();
-    return woke_at_ > 0 && now() - woke_at_ < kCatchUp ? stood_still_ : 0;
+Micros AsioHost::possible_request_delay() {
+    advance_listening_clock();
+    return last_stall_ended_ > 0 && now() - last_stall_ended_ < kStallRecovery ? last_stall_ : 0;
 }
 
 std::int64_t AsioHost::wall_clock_ms() {
@@ -94,60 +94,62 @@
 
 void AsioHost::enqueue(std::function<void()> command) {
     commands_.push_back(std::move(command));
-    if (std::exchange(draining_, true)) return;
+    if (std::exchange(drain_posted_, true)) return;
     asio::post(io_, [this] {
-        draining_ = false;
-        turn();
-        for (auto batch = std::exchange(commands_, {}); auto& c : batch) c();
+        drain_posted_ = false;
+        advance_listening_clock();
+        for (auto batch = std::exchange(commands_, {}); auto& next : batch) next();
     });
 }
 
-void AsioHost::after(Micros delay, std::function<void()> run) {
-    if (delay <= 0) return enqueue(std::move(run));
+void AsioHost::after(Micros delay, std::function<void()> callback) {
+    if (delay <= 0) return enqueue(std::move(callback));
     auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(delay));
-    timer->async_wait([this, timer, run = std::move(run)](asio::error_code ec) mutable {
-        if (!ec) enqueue(std::move(run));
+    timer->async_wait([this, timer, callback = std::move(callback)](asio::error_code ec) mutable {
+        if (!ec) enqueue(std::move(callback));
     });
 }
 
-void AsioHost::call(Call call, ReplyHandler done) {
-    HttpClient* client = &state_;
+void AsioHost::call(Call call, ReplyHandler on_done) {
+    HttpClient* client = &state_client_;
     Endpoint to = settings_.state;
-    const char* name = "state";
-    const bool peer = call.target == Target::Peer;
+    const char* series = "state";
+    const bool is_peer = call.target == Target::Peer;
     if (call.target == Target::Cloud) {
-        client = &cloud_;
+        client = &cloud_client_;
         to = settings_.cloud;
-        name = "cloud";
-    } else if (call.target == Target::Worker || peer) {
-        client = peer ? &peers_ : &workers_;
-        name = peer ? "peer" : "worker";
+        series = "cloud";
+    } else if (call.target == Target::Worker || is_peer) {
+        client = is_peer ? &peer_client_ : &worker_client_;
+        series = is_peer ? "peer" : "worker";
         try {
             to = parse_endpoint(call.address);
         } catch (const std::invalid_argument&) {
-            return enqueue([done = std::move(done)] { done(Reply{kNotSent, {}}); });
+            return enqueue([on_done = std::move(on_done)] { on_done(Reply{kNotSent, {}}); });
         }
     }
-    const std::string body = peer                  ? std::move(call.bytes)
+    const std::string body = is_peer               ? std::move(call.bytes)
                              : call.body.is_null() ? std::string()
                                                    : wire::encode(call.body);
-    const Micros sent = now();
+    const Micros sent_at = now();
     client->call(to, call.method, call.path, body, call.timeout,
-                 [this, name, sent, peer, path = call.path, done = std::move(done)](ClientReply r) {
-                     Reply reply{r.status, {}};
-                     if (peer) {
-                         reply.bytes = std::move(r.body);
-                     } else if (!r.body.empty()) {
-                         auto value = wire::decode(r.body);
+                 [this, series, sent_at, is_peer, path = call.path,
+                  on_done = std::move(on_done)](ClientReply client_reply) {
+                     Reply reply{client_reply.status, {}};
+                     if (is_peer) {
+                         reply.bytes = std::move(client_reply.body);
+                     } else if (!client_reply.body.empty()) {
+                         auto value = wire::decode(client_reply.body);
                          if (value) {
                              reply.body = std::move(*value);
                          } else {
-                             spdlog::error("{}: an answer to {} is not in the protocol", name, path);
+                             spdlog::error("{}: the answer to {} is not valid MessagePack", series, path);
                              reply.status = 0;
                          }
                      }
-                     if (path.rfind("/changes", 0) != 0) metrics_.add(name, now() - sent, reply.status);
-                     enqueue([done, reply = std::move(reply)] { done(reply); });
+                     if (path.rfind("/changes", 0) != 0)
+                         metrics_.record(series, now() - sent_at, reply.status);
+                     enqueue([on_done, reply = std::move(reply)] { on_done(reply); });
                  });
 }
 
@@ -157,25 +159,28 @@
     Controller controller(host, settings);
 
     HttpServer::Limits limits;
-    // One controller may have to carry all workers and users after the others have ended.
-    limits.connections = settings.sockets * 3 / 4;
+    // A single controller may have to serve all workers and users after the others have failed.
+    limits.max_connections = settings.sockets * 3 / 4;
     HttpServer clients(io, settings.client_listen, limits, [&](Request request, Responder respond) {
-        const Micros start = host.now();
-        std::string name = request.path == "/v1/report" ? "report"
-                           : request.path == "/healthz" ? "health"
-                                                        : "user";
-        ApiRequest api{std::move(request.method), std::move(request.path), std::move(request.body),
-                       request.too_large, host.waited()};
-        host.enqueue([&, start, name, api = std::move(api), respond = std::move(respond)]() mutable {
-            controller.handle(std::move(api), [&host, start, name, respond](ApiResponse r) {
-                host.metrics().add(name, host.now() - start, r.status);
-                respond({r.status, wire::encode(r.body), "application/msgpack", r.retry_after});
-            });
+        const Micros started_at = host.now();
+        std::string series = request.path == "/v1/report" ? "report"
+                             : request.path == "/healthz" ? "health"
+                                                          : "user";
+        ApiRequest api_request{std::move(request.method), std::move(request.path), std::move(request.body),
+                               request.too_large, host.possible_request_delay()};
+        host.enqueue([&, started_at, series, api_request = std::move(api_request),
+                      respond = std::move(respond)]() mutable {
+            controller.handle(std::move(api_request),
+                              [&host, started_at, series, respond](ApiResponse result) {
+                                  host.metrics().record(series, host.now() - started_at, result.status);
+                                  respond({result.status, wire::encode(result.body), "application/msgpack",
+                                           result.retry_after});
+                              });
         });
     });
     HttpServer::Limits cluster_limits;
-    cluster_limits.connections = settings.sockets / 16;
-    cluster_limits.body = 128 * 1024;
+    cluster_limits.max_connections = settings.sockets / 16;
+    cluster_limits.max_body_bytes = 128 * 1024;
     HttpServer cluster(io, settings.cluster_listen, cluster_limits, [&](Request request, Responder respond) {
         if (request.path == "/peer") {
             if (request.method != "POST") return respond({405, "", "text/plain", 0});
@@ -187,19 +192,20 @@
                 });
             });
         }
-        static const std::string explain = "/explain/";
-        if (request.path.compare(0, explain.size(), explain) == 0) {
+        static const std::string explain_prefix = "/explain/";
+        if (request.path.compare(0, explain_prefix.size(), explain_prefix) == 0) {
             if (request.method != "GET") return respond({405, "", "text/plain", 0});
-            const Json told = controller.explain(request.path.substr(explain.size()));
-            return respond({told.is_null() ? 404 : 200, wire::encode(told), "application/msgpack", 0});
+            const Json explanation = controller.explain(request.path.substr(explain_prefix.size()));
+            return respond(
+                {explanation.is_null() ? 404 : 200, wire::encode(explanation), "application/msgpack", 0});
         }
         if (request.path != "/status") return respond({404, "", "text/plain", 0});
         if (request.method != "GET") return respond({405, "", "text/plain", 0});
-        Json v = controller.status();
-        v["metrics"] = host.metrics().value();
-        respond({200, wire::encode(v), "application/msgpack", 0});
+        Json status = controller.status();
+        status["metrics"] = host.metrics().to_json();
+        respond({200, wire::encode(status), "application/msgpack", 0});
     });
-    PolicyFile policy_file(host, controller, settings);
+    PolicyFileWatcher policy_file(host, controller, settings);
     clients.start();
     cluster.start();
     controller.start();
--- a/src/net/service.hpp
+++ b/src/net/service.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The program's world: the core's host on Asio, and the servers in front of it.
+// The service process: the Runtime of the core on Asio, and the HTTP servers for clients, workers and peers.
 
 #include <asio.hpp>
 #include <deque>
@@ -19,37 +19,38 @@
     AsioHost(asio::io_context& io, const Settings& settings);
     Micros now() override;
     Micros listening_time() override;
-    /// How long a request that is read now may have waited, since the process stood still before.
-    Micros waited();
+    /// Returns how long a request that is read now may have waited because the process was stalled; 0 if it
+    /// was not.
+    Micros possible_request_delay();
     std::int64_t wall_clock_ms() override;
-    void call(Call call, ReplyHandler done) override;
-    void after(Micros delay, std::function<void()> run) override;
+    void call(Call call, ReplyHandler on_done) override;
+    void after(Micros delay, std::function<void()> callback) override;
     std::mt19937_64& random() override { return random_; }
 
-    /// Commands for the one owner of all state; they are worked through in batches.
+    /// Queues a command for the event loop's thread, which owns all state and runs commands in batches.
     void enqueue(std::function<void()> command);
     Metrics& metrics() { return metrics_; }
 
   private:
     asio::io_context& io_;
     const Settings& settings_;
-    std::function<Micros()> listening_ = [this] { return listening_time(); };
-    HttpClient state_;
-    HttpClient cloud_;
-    HttpClient workers_;
-    HttpClient peers_;
+    std::function<Micros()> read_listening_clock_ = [this] { return listening_time(); };
+    HttpClient state_client_;
+    HttpClient cloud_client_;
+    HttpClient worker_client_;
+    HttpClient peer_client_;
     std::mt19937_64 random_;
-    void turn();
+    void advance_listening_clock();
 
-    ListeningClock clock_;
-    Micros stood_still_ = 0;
-    Micros woke_at_ = 0;
+    ListeningClock listening_clock_;
+    Micros last_stall_ = 0;
+    Micros last_stall_ended_ = 0;
     std::deque<std::function<void()>> commands_;
-    bool draining_ = false;
+    bool drain_posted_ = false;
     Metrics metrics_;
 };
 
-/// Runs until killed.
+/// Runs the service until the process is killed.
 void run_service(const Settings& settings);
 
 }  // namespace cottonway::net
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -65,7 +65,7 @@
         s.io.run_for(std::chrono::milliseconds(100));
     }
     EXPECT_EQ(answered, 3);
-    EXPECT_EQ(s.server->open(), 1u);
+    EXPECT_EQ(s.server->open_connections(), 1u);
 }
 
 TEST(Http, RefusesALargeBodyWithoutReadingIt) {
@@ -80,15 +80,15 @@
     EXPECT_EQ(s.exchange("nonsense\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
     EXPECT_EQ(s.exchange("GET / HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n").substr(0, 12),
               "HTTP/1.1 400");
-    EXPECT_EQ(s.server->open(), 0u);
+    EXPECT_EQ(s.server->open_connections(), 0u);
 }
 
 TEST(Http, ClosesSlowConnections) {
     net::HttpServer::Limits limits;
-    limits.request = 500 * kMillisecond;
+    limits.request_timeout = 500 * kMillisecond;
     Server s(limits);
     EXPECT_EQ(s.exchange("POST /x HTTP/1.1\r\nContent-Le", std::chrono::milliseconds(2500)), "");
-    EXPECT_EQ(s.server->open(), 0u);
+    EXPECT_EQ(s.server->open_connections(), 0u);
 }
 
 TEST(Http, KeptConnectionsGiveWayToNewAddresses) {
