--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -325,7 +325,7 @@
     report.session = *session;
     report.seq = *seq;
     report.token = count(body, "shuttle").value_or(0);
-    if (auto notice = read_amount(body, "warning_s")) report.termination_notice = micros(*notice);
+    if (auto notice = read_amount(body, "warning_s")) report.interruption_notice = micros(*notice);
     const Json* tasks = find(body, "threads");
     if (tasks && !tasks->is_array()) return std::nullopt;
     if (!tasks) return report;
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -67,7 +67,7 @@
     std::uint64_t session = 0;
     std::uint64_t seq = 0;  // sequence number of the report
     std::uint64_t token = 0;
-    std::optional<Micros> termination_notice;  // time until the cloud takes the machine
+    std::optional<Micros> interruption_notice;  // time until the cloud takes the machine
     std::vector<ReportedTask> tasks;
 };
 
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -165,10 +165,10 @@
     m.last_heartbeat = now;
     m.last_heartbeat_listening = context_.runtime().listening_time();
     if (is_report) m.reported = now, m.report_listened = m.last_heartbeat_listening;
-    if (r.termination_notice && !m.notice) {
+    if (r.interruption_notice && !m.notice) {
         m.notice = true;
-        m.notice_end = now + *r.termination_notice;
-        spdlog::info("machine {}: will be taken in {} s", m.name, *r.termination_notice / kSecond);
+        m.notice_end = now + *r.interruption_notice;
+        spdlog::info("machine {}: will be taken in {} s", m.name, *r.interruption_notice / kSecond);
         drain_noticed(m);
     }
     std::erase_if(m.unacknowledged_launches, [&](const auto& t) { return r.token > t.second.token; });
