--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -164,7 +164,7 @@
                 return respond(unavailable());
         }
     };
-    const bool idle = spec.rank == PriorityClass::Low;
+    const bool idle = spec.priority_class == PriorityClass::Low;
     // In a shard of ours the change that admits the job binds its tasks as well.
     if (ShardOwner* o = assignment_.find(shard);
         o && o->active() && !dependency_status.cancelled_by_dependency)
@@ -388,7 +388,7 @@
             load = *told;
         }
         Milli room = 0, of = capacity;
-        if (load && spec.rank == PriorityClass::Production) {
+        if (load && spec.priority_class == PriorityClass::Production) {
             room = (spec.spot ? load->capacity : load->ordinary) - load->production;
             of = std::max<Milli>(spec.spot ? load->capacity : load->ordinary, 1);
         } else if (load) {
@@ -398,7 +398,7 @@
         double share = static_cast<double>(room) / static_cast<double>(of) +
                        (d.holder == settings_.node ? kOursFirst : 0.0);
         // Urgent work goes where its image has been lately, if there is room for all of it.
-        if (spec.rank <= PriorityClass::High && room >= need)
+        if (spec.priority_class <= PriorityClass::High && room >= need)
             if (const Micros seen = cache_.jobs.image_seen(spec.image, name);
                 seen > 0 && runtime_.now() - seen < kImageLasts)
                 share += 1.0;
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -34,7 +34,7 @@
     if (spec.dependencies.empty() && found == nodes_.end()) return;
     Node& node = nodes_[ref];
     if (std::exchange(node.live, true)) return;
-    node.own_rank = spec.rank;
+    node.own_rank = spec.priority_class;
     node.own_due_ms = spec.deadline ? submitted_ms + *spec.deadline / kMillisecond : INT64_MAX;
     node.estimate = spec.estimated_duration;
     weigh_due_ = true;
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -76,7 +76,7 @@
     job.request = parsed->request;
     job.image = parsed->image;
     job.spot = parsed->spot;
-    job.rank = parsed->rank;
+    job.rank = parsed->priority_class;
     job.types = parsed->types;
     job.zone = parsed->zone;
     job.kind = parsed->kind;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -231,7 +231,7 @@
     const TierRule* rule = rule_for(tiers, job);
     const Tier ranked = by_rank(job.kind, rank);
     if (!rule) return ranked;
-    return rank < job.rank ? std::min(rule->tier, ranked) : rule->tier;
+    return rank < job.priority_class ? std::min(rule->tier, ranked) : rule->tier;
 }
 
 const ZoneRule* Policy::zone_rule(const JobSpec& job) const {
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -111,7 +111,7 @@
     bool operator==(const Policy&) const = default;
 
     /// By its rules; without one, production services are live, high rank is urgent, low rank left over.
-    Tier tier(const JobSpec& job) const { return tier(job, job.rank); }
+    Tier tier(const JobSpec& job) const { return tier(job, job.priority_class); }
     /// `rank`: its own, or the higher one of a job that needs it, whose tier it has then if that is higher.
     Tier tier(const JobSpec& job, PriorityClass rank) const;
     /// The rule for a job's zones, nullptr: none but its own.
--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -217,7 +217,7 @@
     else
         return error("weave");
     if (auto value = parse_name(kPriorityClasses, text(body, "rank")))
-        spec.rank = *value;
+        spec.priority_class = *value;
     else
         return error("rank");
     if (auto value = count(body, "threads"); value && *value >= 1 && *value <= 100'000)
@@ -289,7 +289,7 @@
               {"pattern", spec.job_class},
               {"crew", spec.team},
               {"weave", name_of(kJobKinds, spec.kind)},
-              {"rank", name_of(kPriorityClasses, spec.rank)},
+              {"rank", name_of(kPriorityClasses, spec.priority_class)},
               {"threads", spec.tasks},
               {"cores", amount_of(spec.request.cores)},
               {"cards", amount_of(spec.request.gpus)},
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -20,7 +20,7 @@
     std::string job_class;
     std::string team;
     JobKind kind = JobKind::Array;
-    PriorityClass rank = PriorityClass::Normal;
+    PriorityClass priority_class = PriorityClass::Normal;
     int tasks = 0;
     Resources request;
     std::optional<std::vector<std::string>> types;
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -112,7 +112,7 @@
     job->idle = job->spec.tasks;
     job->since_ms = gate_ms.value_or(submitted_ms);
     job->has_dependencies = gate_ms || !job->spec.dependencies.empty();
-    job->rank = job->spec.rank;
+    job->rank = job->spec.priority_class;
     job->open = job->spec.dependencies.empty();
     apply_dependency_status(*job, dependency_status);
     if (job->open) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
@@ -158,7 +158,7 @@
     job.due_ms = dependency_status.due_ms;
     if (job.spec.deadline)
         job.due_ms = std::min(job.due_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
-    set_rank(job, std::min(job.spec.rank, dependency_status.rank));
+    set_rank(job, std::min(job.spec.priority_class, dependency_status.rank));
     if (dependency_status.since_ms > 0) job.since_ms = std::max(job.submitted_ms, dependency_status.since_ms);
     if (dependency_status.open && !dependency_status.cancelled_by_dependency && !job.open) open_gate(job);
 }
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -52,11 +52,11 @@
     j.kind =
         one_of<JobKind>("load.kind", x.text("kind", "array"),
                         {{"array", JobKind::Array}, {"gang", JobKind::Gang}, {"service", JobKind::Service}});
-    j.rank = one_of<PriorityClass>("load.rank", x.text("rank", "normal"),
-                                   {{"production", PriorityClass::Production},
-                                    {"high", PriorityClass::High},
-                                    {"normal", PriorityClass::Normal},
-                                    {"low", PriorityClass::Low}});
+    j.priority_class = one_of<PriorityClass>("load.rank", x.text("rank", "normal"),
+                                             {{"production", PriorityClass::Production},
+                                              {"high", PriorityClass::High},
+                                              {"normal", PriorityClass::Normal},
+                                              {"low", PriorityClass::Low}});
     j.request = {x.milli("cores", 1), x.milli("cards", 0), x.milli("ram_gb", 2)};
     j.spot = x.flag("spot");
     j.spread = x.flag("spread");
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -694,7 +694,7 @@
     s.job_class = "class";
     s.team = "red";
     s.kind = kind;
-    s.rank = PriorityClass::Normal;
+    s.priority_class = PriorityClass::Normal;
     s.tasks = tasks;
     s.request = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
     s.image = "img-" + std::to_string(number % 3);
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -439,7 +439,7 @@
         s.team = drawn(0.5) ? "red" : "blue";
         s.kind = std::array{JobKind::Array, JobKind::Array, JobKind::Gang,
                             JobKind::Service}[static_cast<std::size_t>(below(4))];
-        s.rank = drawn(0.3) ? PriorityClass::High : PriorityClass::Normal;
+        s.priority_class = drawn(0.3) ? PriorityClass::High : PriorityClass::Normal;
         s.tasks = 1 + below(5);
         s.request = {1000, 0, 1000};
         s.image = "img-" + std::to_string(below(3));
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -200,7 +200,7 @@
     w.run(10 * kSecond);
     JobSpec guests = w.job(2, JobKind::Array, 4);
     guests.team = "guests";
-    guests.rank = PriorityClass::Low;
+    guests.priority_class = PriorityClass::Low;
     w.submit(guests, 3 * kSecond);
     w.run(40 * kSecond);
     EXPECT_EQ(w.told(guests.ref), "done") << w.story();
@@ -221,7 +221,7 @@
     for (const auto& [name, m] : w.owner_at(0)->machines()) emptied += m->draining;
     ASSERT_EQ(emptied, 2) << w.story();
     JobSpec service = w.job(2, JobKind::Service, 4, 2);
-    service.rank = PriorityClass::Production;
+    service.priority_class = PriorityClass::Production;
     service.spread = true;
     service.team = "blue";
     w.submit(service, 0);
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -37,7 +37,7 @@
     JobSpec job = w.job(number, kind, tasks, 5);
     job.team = "captions";
     job.request = {5'000, 1'000, 38'000};
-    job.rank = rank;
+    job.priority_class = rank;
     job.spot = kind == JobKind::Array;
     return job;
 }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -266,13 +266,13 @@
     Simulator w(1);
     JobSpec first = w.job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
             last = needing(w, 3, {"req-000002"});
-    first.rank = second.rank = PriorityClass::Low;
+    first.priority_class = second.priority_class = PriorityClass::Low;
     second.estimated_duration = 30 * kSecond;
     p.put(first, 1000, open);
     p.put(second, 1000, open);
     p.weigh();
     EXPECT_EQ(p.dependency_status("req-000001").rank, PriorityClass::Low);
-    last.rank = PriorityClass::High;
+    last.priority_class = PriorityClass::High;
     last.deadline = 100 * kSecond;
     last.estimated_duration = 9 * kSecond;
     p.put(last, 2000, open);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -53,7 +53,7 @@
     w.submit(broken, 0, 100 * kMillisecond, true);
     JobSpec wide = w.job(6, JobKind::Array, 250);
     wide.team = "guests";
-    wide.rank = PriorityClass::Low;
+    wide.priority_class = PriorityClass::Low;
     w.submit(wide, 4 * kSecond);
     w.submit(w.job(7, JobKind::Service, 2), 0);
     w.run(8 * kSecond);
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -242,8 +242,8 @@
     auto w = settled_simulator(47, 1);
     const std::string machine = w->machine_names().front();
     JobSpec low = w->job(1, JobKind::Array, 1, 8), high = w->job(2, JobKind::Service, 1, 4);
-    low.rank = PriorityClass::Low;
-    high.rank = PriorityClass::Production;
+    low.priority_class = PriorityClass::Low;
+    high.priority_class = PriorityClass::Production;
     w->submit(low, 60 * kSecond);
     w->run(4 * kSecond);
     w->hold_next(host(w->holder()), machine);  // the /do with the stop
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -87,7 +87,7 @@
                                                 : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 24 : 4));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
+            s.priority_class = static_cast<PriorityClass>(pick(4));
             s.spot = kind != JobKind::Service;
             if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
             if (!before.empty() && !w.told(before).empty() && pick(4) == 0) s.dependencies.push_back(before);
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -60,7 +60,7 @@
         w.start_nodes();
         w.run(6 * kSecond);
         JobSpec web = w.job(1, JobKind::Service, 4);
-        web.rank = PriorityClass::Production;
+        web.priority_class = PriorityClass::Production;
         w.submit(web, 0);
         w.run(4 * kSecond);
         for (int i = 0; i < 2; ++i) w.add_machine("small", "b");
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -122,7 +122,7 @@
                 JobSpec job = w.job(n, JobKind::Array, k.tasks, k.cores);
                 job.job_class = k.name;
                 job.team = n % 2 ? "red" : "blue";
-                job.rank = k.rank;
+                job.priority_class = k.rank;
                 job.estimated_duration = k.run;
                 w.submit(job, k.run);
             });
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -270,7 +270,7 @@
             const JobKind kind = draw == 0 ? JobKind::Service : draw < 3 ? JobKind::Gang : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 6 : 3), 1 + pick(2));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
+            s.priority_class = static_cast<PriorityClass>(pick(4));
             // Some run across a trouble, whatever its length.
             const bool lasting = kind != JobKind::Service && pick(3) == 0;
             s.job_class = kind == JobKind::Service ? "service"
@@ -278,7 +278,7 @@
                           : kind == JobKind::Gang  ? "gang"
                                                    : "short";
             if (kind == JobKind::Array && !lasting && pick(6) == 0)
-                s.team = "guests", s.rank = PriorityClass::Low;
+                s.team = "guests", s.priority_class = PriorityClass::Low;
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -24,7 +24,7 @@
     JobSpec j;
     j.team = team;
     j.job_class = job_class;
-    j.rank = rank;
+    j.priority_class = rank;
     j.kind = kind;
     return j;
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -21,7 +21,7 @@
     auto r = wire::parse_job(good_job());
     ASSERT_TRUE(r.spec) << r.error;
     EXPECT_EQ(r.spec->kind, JobKind::Gang);
-    EXPECT_EQ(r.spec->rank, PriorityClass::High);
+    EXPECT_EQ(r.spec->priority_class, PriorityClass::High);
     EXPECT_EQ(r.spec->request.ram, 64'000);
     EXPECT_EQ(r.spec->deadline, 900 * kSecond);
     EXPECT_FALSE(r.spec->zone);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -78,9 +78,9 @@
             std::vector<JobSpec> chain;
             for (int i = 0, stages = 2 + pick(4); i < stages; ++i) {
                 JobSpec s = w.job(number++, pick(4) == 0 ? JobKind::Gang : JobKind::Array, 1 + pick(3));
-                s.rank = i + 1 == stages ? PriorityClass::High
-                         : pick(2)       ? PriorityClass::Low
-                                         : PriorityClass::Normal;
+                s.priority_class = i + 1 == stages ? PriorityClass::High
+                                   : pick(2)       ? PriorityClass::Low
+                                                   : PriorityClass::Normal;
                 if (i + 1 == stages) s.deadline = 40 * kSecond;
                 for (const auto& before : chain)
                     if (&before == &chain.back() || pick(3) == 0) s.dependencies.push_back(before.ref);
@@ -96,10 +96,10 @@
                                                 : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Service ? 3 : 6), 1 + pick(3));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
+            s.priority_class = static_cast<PriorityClass>(pick(4));
             if (pick(6) == 0 && kind != JobKind::Service) {  // a guest's, now and then one of many tasks
                 s.team = "guests";
-                s.rank = PriorityClass::Low;
+                s.priority_class = PriorityClass::Low;
                 if (kind == JobKind::Array && pick(3) == 0) s.tasks = 60;
             }
             s.spot = kind != JobKind::Service;
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -13,7 +13,7 @@
 
 JobSpec ranked(Simulator& w, int number, PriorityClass rank, JobKind kind, int tasks, double cores) {
     JobSpec s = w.job(number, kind, tasks, cores);
-    s.rank = rank;
+    s.priority_class = rank;
     s.job_class = s.ref;  // by which the world tells waits
     s.estimated_duration = 6 * kSecond;
     return s;
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -162,7 +162,7 @@
     w->cloud().capacity = 30;
     const auto before = w->machine_names();
     JobSpec s = w->job(1, JobKind::Service, 20);
-    s.rank = PriorityClass::Production;
+    s.priority_class = PriorityClass::Production;
     s.spot = false;
     w->submit(s, 0);
     std::size_t stuck = 0;
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -43,7 +43,7 @@
     }
     JobSpec service(int replicas) {
         JobSpec s = w.job(1, JobKind::Service, replicas);
-        s.rank = PriorityClass::Production;
+        s.priority_class = PriorityClass::Production;
         return s;
     }
     /// Its replicas by zone, as the holder counts them.
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -309,13 +309,13 @@
 TEST(Traces, HigherRankMakesRoomAndSavedWorkIsNotLost) {
     auto w = settled_simulator(9, 1);
     JobSpec low = w->job(1, JobKind::Array, 1, 8);
-    low.rank = PriorityClass::Low;
+    low.priority_class = PriorityClass::Low;
     low.checkpoint_interval = kSecond;
     low.save_duration = kSecond;
     w->submit(low, 20 * kSecond);
     w->run(4 * kSecond);
     JobSpec high = w->job(2, JobKind::Service, 1, 4);
-    high.rank = PriorityClass::Production;
+    high.priority_class = PriorityClass::Production;
     w->submit(high, 0);
     w->run(6 * kSecond);
     EXPECT_EQ(w->running("req-000002"), 1) << w->story();
@@ -521,12 +521,12 @@
     auto w = settled_simulator(1, 2);
     JobSpec wide = w->job(1, JobKind::Array, 400, 0.25);
     wide.team = "guests";
-    wide.rank = PriorityClass::Low;
+    wide.priority_class = PriorityClass::Low;
     w->submit(wide, 4 * kSecond);
     w->run(8 * kSecond);
     EXPECT_GT(w->running("req-000001"), 30) << "it has all of both machines";
     JobSpec service = w->job(2, JobKind::Service, 2, 6);
-    service.rank = PriorityClass::Production;
+    service.priority_class = PriorityClass::Production;
     service.spot = false;
     w->submit(service, 0);
     JobSpec usual = w->job(3, JobKind::Array, 1, 2);
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -47,7 +47,7 @@
             const JobKind kind = i % 5 == 0 ? JobKind::Service : i % 4 == 0 ? JobKind::Gang : JobKind::Array;
             JobSpec job = w.job(i, kind, 1 + i % 4, 1 + i % 3);
             job.team = i % 6 == 0 ? "guests" : i % 3 == 0 ? "blue" : "red";
-            job.rank = static_cast<PriorityClass>(i % 4);
+            job.priority_class = static_cast<PriorityClass>(i % 4);
             job.spot = kind != JobKind::Service;
             job.spread = kind == JobKind::Service;
             job.one_zone = kind == JobKind::Gang;
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -95,7 +95,7 @@
         s.ref = fmt::format("req-{}", first + i);
         s.job_class = "push";
         s.team = "red";
-        s.rank = PriorityClass::High;
+        s.priority_class = PriorityClass::High;
         s.tasks = 50;
         s.request = {cores * 1000, 0, cores * 3000};
         s.spot = true;
