--- a/tests/lease_validity_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -1,6 +1,7 @@
-// What a controller that hears nothing of the store may still do, and until when: every task of a cancelled
-// job is gone `cancel` after the answer that confirmed it, whoever is refused, cut off or down meanwhile. The
-// argument, step by step, is in docs/design.md, "Gone in time".
+// The controller lease: what a controller that cannot read the state service may still do, and for how long.
+// Every task of a cancelled job must have ended by `cancel_deadline` after the cancellation was confirmed to
+// the user, whichever controllers are refused, cut off or down meanwhile. docs/design.md, "Gone in time", has
+// the proof.
 
 #include "config/lease_validity.hpp"
 
@@ -13,173 +14,190 @@
 using namespace simulation;
 namespace {
 
-/// Three controllers and some machines of zone a, settled.
-std::unique_ptr<Simulator> one_zone(std::uint64_t seed, int machines) {
-    auto w = std::make_unique<Simulator>(seed);
-    for (int i = 0; i < machines; ++i) w->add_machine("small", "a");
-    w->start_nodes();
-    w->run(6 * kSecond);
-    EXPECT_GE(w->holder(), 0);
-    return w;
+/// Returns a settled simulator with three controllers and machines of zone a only.
+std::unique_ptr<Simulator> settled_single_zone_simulator(std::uint64_t seed, int machine_count) {
+    auto simulator = std::make_unique<Simulator>(seed);
+    for (int i = 0; i < machine_count; ++i) simulator->add_machine("small", "a");
+    simulator->start_nodes();
+    simulator->run(6 * kSecond);
+    EXPECT_GE(simulator->holder(), 0);
+    return simulator;
 }
 
-/// Its user cancels the job and is told so by a controller other than this one.
-void cancel_beside(Simulator& w, int node, const std::string& ref) {
-    w.cut("users", host(node));
-    w.cancel(ref);
-    w.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Json::object());
-    for (int i = 0; i < 600 && w.told(ref) != "cancelled"; ++i) w.run(10 * kMillisecond);
-    ASSERT_EQ(w.told(ref), "cancelled") << w.story();
+/// Cancels the job through a controller other than `node`, and waits for the confirmation.
+void cancel_at_other_controller(Simulator& simulator, int node, const std::string& ref) {
+    simulator.cut("users", host(node));
+    simulator.cancel(ref);
+    simulator.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Json::object());
+    for (int i = 0; i < 600 && simulator.told(ref) != "cancelled"; ++i) simulator.run(10 * kMillisecond);
+    ASSERT_EQ(simulator.told(ref), "cancelled") << simulator.story();
 }
 
-TEST(Authority, EndsALeaseBeforeACancellationIsDue) {
-    // For any times that an operator may set; where they leave no room, that is told.
-    Settings s = small_site();
-    for (s.worker_lease = 5 * kSecond; s.worker_lease < 60 * kSecond; s.worker_lease += 700 * kMillisecond)
-        for (s.cancel_deadline = s.worker_lease; s.cancel_deadline < s.worker_lease + 20 * kSecond;
-             s.cancel_deadline += 300 * kMillisecond) {
-            const bool fits = controller_lease_duration(s) + with_drift(s.worker_lease) <= s.cancel_deadline;
-            if (can_cancel_in_time(s))
-                EXPECT_TRUE(fits) << s.worker_lease << " " << s.cancel_deadline;
+TEST(ControllerLease, WorkerLeaseEndsBeforeTheCancelDeadline) {
+    // For all durations that may be configured. If they do not fit, can_cancel_in_time reports it.
+    Settings settings = small_site();
+    for (settings.worker_lease = 5 * kSecond; settings.worker_lease < 60 * kSecond;
+         settings.worker_lease += 700 * kMillisecond)
+        for (settings.cancel_deadline = settings.worker_lease;
+             settings.cancel_deadline < settings.worker_lease + 20 * kSecond;
+             settings.cancel_deadline += 300 * kMillisecond) {
+            const bool fits = controller_lease_duration(settings) + with_drift(settings.worker_lease) <=
+                              settings.cancel_deadline;
+            if (can_cancel_in_time(settings))
+                EXPECT_TRUE(fits) << settings.worker_lease << " " << settings.cancel_deadline;
             else
-                EXPECT_LT(s.cancel_deadline, s.worker_lease + s.worker_lease / 500 + 5 * kSecond);
-            EXPECT_TRUE(has_valid_lease(controller_lease_duration(s) - 1, s));
-            EXPECT_FALSE(has_valid_lease(controller_lease_duration(s), s));
+                EXPECT_LT(settings.cancel_deadline,
+                          settings.worker_lease + settings.worker_lease / 500 + 5 * kSecond);
+            EXPECT_TRUE(has_valid_lease(controller_lease_duration(settings) - 1, settings));
+            EXPECT_FALSE(has_valid_lease(controller_lease_duration(settings), settings));
         }
 }
 
-TEST(Authority, NothingIsLaunchedIntoASessionThatBeganAfterIt) {
-    // A holder cut from the store and the other controllers can't learn whether the lease of a machine that
-    // hangs is over, so it keeps the task that it bound there. When the machine goes on, the answer to a call
-    // tells of a new session, and the launch, which was not executed, would be sent again: long after the job
-    // was cancelled.
-    auto w = one_zone(1, 1);
-    const int holder = w->holder();
-    const std::string machine = w->machine_names().front();
-    w->hang(machine, true);
-    w->submit(w->job(1, JobKind::Array, 1), 100 * kSecond, 0);
-    w->run(kSecond);
-    ASSERT_EQ(w->told("req-000001"), "accepted") << w->story();
-    w->cut_off(holder, true);
+TEST(ControllerLease, NoLaunchIntoASessionThatBeganAfterItExpired) {
+    // A holder that is cut off from the state service and the other controllers cannot learn whether the
+    // lease of a hung machine has expired, so it keeps the task that it bound there. When the machine
+    // resumes, its answer to a call reports a new session. The launch, which was not executed, would then be
+    // sent again, long after the job was cancelled.
+    auto simulator = settled_single_zone_simulator(1, 1);
+    const int holder = simulator->holder();
+    const std::string machine = simulator->machine_names().front();
+    simulator->hang(machine, true);
+    simulator->submit(simulator->job(1, JobKind::Array, 1), 100 * kSecond, 0);
+    simulator->run(kSecond);
+    ASSERT_EQ(simulator->told("req-000001"), "accepted") << simulator->story();
+    simulator->cut_off(holder, true);
     for (int i = 0; i < 3; ++i)
-        if (i != holder) w->cut(host(i), machine);
-    cancel_beside(*w, holder, "req-000001");
-    w->run(w->settings.cancel_deadline + 2 * kSecond);
-    w->hang(machine, false);
-    w->run(10 * kSecond);
-    EXPECT_GT(w->worker(machine)->session(), 1U);
-    EXPECT_EQ(w->starts("req-000001"), 0) << w->story();
-    w->heal_all();
-    w->run(20 * kSecond);
-    EXPECT_RULES(*w);
+        if (i != holder) simulator->cut(host(i), machine);
+    cancel_at_other_controller(*simulator, holder, "req-000001");
+    simulator->run(simulator->settings.cancel_deadline + 2 * kSecond);
+    simulator->hang(machine, false);
+    simulator->run(10 * kSecond);
+    EXPECT_GT(simulator->worker(machine)->session(), 1U);
+    EXPECT_EQ(simulator->starts("req-000001"), 0) << simulator->story();
+    simulator->heal_all();
+    simulator->run(20 * kSecond);
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Authority, ACancellationHoldsWhateverOfTheRecordIsBeingWritten) {
-    // The look that tells of it renews the authority. Kept for when the write under way is answered, it would
-    // be unheard of by then: without an answer, and with the store out of reach, that takes for ever.
-    auto w = one_zone(2, 1);
-    const int holder = w->holder();
-    w->submit(w->job(1, JobKind::Array, 1, 4), 4 * kSecond, 0);
-    w->run(kSecond);
-    w->submit(w->job(2, JobKind::Array, 2, 4), 100 * kSecond, 0);
-    w->run(kSecond);
-    ASSERT_EQ(w->running("req-000002"), 1) << w->story();
-    w->late_writes = 1;  // from now on, and so the bind of what finds room once the first job is done
-    while (w->running("req-000001") > 0) w->run(10 * kMillisecond);
-    w->run(700 * kMillisecond);
-    w->late_writes = 0;
-    cancel_beside(*w, holder, "req-000002");
-    w->run(800 * kMillisecond);
-    EXPECT_EQ(w->running("req-000002"), 0) << "stopped before the write is given up\n" << w->story();
-    w->heal_all();
-    w->run(20 * kSecond);
-    EXPECT_RULES(*w);
+TEST(ControllerLease, CancellationIsAppliedWhileAWriteOfItsRecordIsPending) {
+    // The refresh that reads the cancellation also renews the controller's lease. If the holder applied the
+    // cancellation only after the pending write of the same record was answered, it would renew leases
+    // without stopping the tasks, with no end while the state service is unreachable.
+    auto simulator = settled_single_zone_simulator(2, 1);
+    const int holder = simulator->holder();
+    simulator->submit(simulator->job(1, JobKind::Array, 1, 4), 4 * kSecond, 0);
+    simulator->run(kSecond);
+    simulator->submit(simulator->job(2, JobKind::Array, 2, 4), 100 * kSecond, 0);
+    simulator->run(kSecond);
+    ASSERT_EQ(simulator->running("req-000002"), 1) << simulator->story();
+    simulator->late_writes =
+        1;  // delays writes from now on, and so the binding of the task that starts after the first job
+    while (simulator->running("req-000001") > 0) simulator->run(10 * kMillisecond);
+    simulator->run(700 * kMillisecond);
+    simulator->late_writes = 0;
+    cancel_at_other_controller(*simulator, holder, "req-000002");
+    simulator->run(800 * kMillisecond);
+    EXPECT_EQ(simulator->running("req-000002"), 0) << "stopped before the write times out\n"
+                                                   << simulator->story();
+    simulator->heal_all();
+    simulator->run(20 * kSecond);
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Authority, AHolderThatHasNotReadEverythingStopsWhatIsOver) {
-    // Between taking a shard and knowing all of it a holder answers reports, so that no lease runs out. An
-    // outage may begin in that moment: then it renewed the leases of cancelled jobs, without a stop, by looks
-    // of its own.
-    auto w = one_zone(3, 2);
-    const int old = w->holder();
-    const std::string shard = w->owner_at(old)->shard();
-    w->submit(w->job(1, JobKind::Service, 2), 0);
-    w->run(3 * kSecond);
-    ASSERT_EQ(w->running("req-000001"), 2);
-    w->refuse(old, true);
-    cancel_beside(*w, old, "req-000001");
-    ASSERT_EQ(w->running("req-000001"), 2) << "the old holder does not know";
-    auto taken = [&] {
+TEST(ControllerLease, HolderThatIsStillLoadingStopsTasksOfCancelledJobs) {
+    // Between acquiring a shard and having loaded its state, a holder answers reports so that no lease
+    // expires. When an outage began in that interval, the holder renewed the leases of machines with tasks of
+    // cancelled jobs without stopping these tasks.
+    auto simulator = settled_single_zone_simulator(3, 2);
+    const int former_holder = simulator->holder();
+    const std::string shard = simulator->owner_at(former_holder)->shard();
+    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+    simulator->run(3 * kSecond);
+    ASSERT_EQ(simulator->running("req-000001"), 2);
+    simulator->refuse(former_holder, true);
+    cancel_at_other_controller(*simulator, former_holder, "req-000001");
+    ASSERT_EQ(simulator->running("req-000001"), 2) << "the former holder must not know of the cancellation";
+    auto other_controller_is_loading = [&] {
         for (int i = 0; i < 3; ++i)
-            if (const ShardOwner* o = w->node(i)->owner(shard); i != old && o && !o->active()) return true;
+            if (const ShardOwner* owner = simulator->node(i)->owner(shard);
+                i != former_holder && owner && !owner->active())
+                return true;
         return false;
     };
-    for (int i = 0; i < 10'000 && !taken(); ++i) w->run(kMillisecond);
-    ASSERT_TRUE(taken()) << w->story();
-    w->state().set_down(true, w->now());
-    w->run(9 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0) << w->story();
-    w->run(30 * kSecond);
-    w->state().set_down(false, w->now());
-    w->refuse(old, false);
-    w->heal_all();
-    w->run(10 * kSecond);
-    EXPECT_RULES(*w);
+    for (int i = 0; i < 10'000 && !other_controller_is_loading(); ++i) simulator->run(kMillisecond);
+    ASSERT_TRUE(other_controller_is_loading()) << simulator->story();
+    simulator->state().set_down(true, simulator->now());
+    simulator->run(9 * kSecond);
+    EXPECT_EQ(simulator->running("req-000001"), 0) << simulator->story();
+    simulator->run(30 * kSecond);
+    simulator->state().set_down(false, simulator->now());
+    simulator->refuse(former_holder, false);
+    simulator->heal_all();
+    simulator->run(10 * kSecond);
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Authority, ALaunchOfACancelledJobIsOutdatedThoughItsMachineIsNotHeard) {
-    // Another controller keeps the machine's session alive on the holder's behalf, and the two don't reach
-    // each other. The holder's launch is held up on its way; only a higher token, which the other hears of
-    // from the store, keeps it from starting the task once it arrives.
-    auto w = one_zone(4, 1);
-    w->submit(w->job(2, JobKind::Service, 1), 0);  // keeps the machine from being returned
-    w->run(30 * kSecond);                          // a controller renews no lease for others before
-    const int holder = w->holder();
-    const std::string machine = w->machine_names().front();
-    w->hold_next(host(holder), machine);
-    w->submit(w->job(1, JobKind::Array, 1), 100 * kSecond, 0);
-    for (int i = 0; i < 300 && w->told("req-000001") != "accepted"; ++i) w->run(10 * kMillisecond);
-    w->run(100 * kMillisecond);
-    w->cut(host(holder), machine);
+TEST(ControllerLease, LaunchOfACancelledJobIsRefusedByToken) {
+    // Another controller renews the machine's session on behalf of the holder, and the two cannot reach each
+    // other. The holder's launch is delayed in the network. When it arrives, only a higher token, which the
+    // other controller reads from the state service, prevents the task from starting.
+    auto simulator = settled_single_zone_simulator(4, 1);
+    simulator->submit(simulator->job(2, JobKind::Service, 1),
+                      0);          // keeps the machine from being returned to the cloud
+    simulator->run(30 * kSecond);  // controllers renew no leases for others earlier
+    const int holder = simulator->holder();
+    const std::string machine = simulator->machine_names().front();
+    simulator->hold_next(host(holder), machine);
+    simulator->submit(simulator->job(1, JobKind::Array, 1), 100 * kSecond, 0);
+    for (int i = 0; i < 300 && simulator->told("req-000001") != "accepted"; ++i)
+        simulator->run(10 * kMillisecond);
+    simulator->run(100 * kMillisecond);
+    simulator->cut(host(holder), machine);
     for (int i = 0; i < 3; ++i)
-        if (i != holder) w->cut(host(holder), host(i));
-    cancel_beside(*w, holder, "req-000001");
-    w->run(w->settings.cancel_deadline + 2 * kSecond);
-    ASSERT_EQ(w->worker(machine)->session(), 1U) << "kept alive\n" << w->story();
-    w->release();
-    w->run(5 * kSecond);
-    EXPECT_EQ(w->starts("req-000001"), 0) << w->story();
-    w->heal_all();
-    w->run(20 * kSecond);
-    EXPECT_RULES(*w);
+        if (i != holder) simulator->cut(host(holder), host(i));
+    cancel_at_other_controller(*simulator, holder, "req-000001");
+    simulator->run(simulator->settings.cancel_deadline + 2 * kSecond);
+    ASSERT_EQ(simulator->worker(machine)->session(), 1U) << "the session must still be alive\n"
+                                                         << simulator->story();
+    simulator->release();
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(simulator->starts("req-000001"), 0) << simulator->story();
+    simulator->heal_all();
+    simulator->run(20 * kSecond);
+    EXPECT_RULES(*simulator);
 }
 
-TEST(Authority, AHolderThatIsCutOffAnswersNoUserAndItsWorkersFindTheNewOne) {
-    auto w = one_zone(5, 4);
-    const int old = w->holder();
-    w->submit(w->job(1, JobKind::Service, 2), 0);
-    w->submit(w->job(2, JobKind::Array, 2), 60 * kSecond, 0);
-    w->run(4 * kSecond);
-    w->cut_off(old, true);
-    cancel_beside(*w, old, "req-000002");
-    const auto submission = wire::job_value(w->job(1, JobKind::Service, 2));
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000001", Json::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000002", Json::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "GET", "/v1/jobs/req-000999", Json::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "POST", "/v1/jobs/req-000001/abort", Json::object()).status, 503);
-    EXPECT_EQ(w->ask(old, "POST", "/v1/jobs", submission).status, 503) << "a repeat";
-    EXPECT_EQ(w->ask(old, "POST", "/v1/jobs", wire::job_value(w->job(3, JobKind::Array, 1))).status, 503);
-    w->run(20 * kSecond);  // beyond its authority
-    EXPECT_EQ(w->running("req-000002"), 0) << w->story();
-    EXPECT_EQ(w->running("req-000001"), 2);
-    EXPECT_EQ(w->starts("req-000001"), 2) << "nothing was started again\n" << w->story();
-    w->heal("users", host(old));
-    w->submit(w->job(4, JobKind::Array, 4), 2 * kSecond, 0);
-    w->run(15 * kSecond);
-    EXPECT_EQ(w->told("req-000004"), "done") << w->story();
-    w->heal_all();
-    w->run(20 * kSecond);
-    EXPECT_RULES(*w);
+TEST(ControllerLease, CutOffHolderRefusesUsersAndItsWorkersMoveToTheNewHolder) {
+    auto simulator = settled_single_zone_simulator(5, 4);
+    const int former_holder = simulator->holder();
+    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+    simulator->submit(simulator->job(2, JobKind::Array, 2), 60 * kSecond, 0);
+    simulator->run(4 * kSecond);
+    simulator->cut_off(former_holder, true);
+    cancel_at_other_controller(*simulator, former_holder, "req-000002");
+    const auto submission = wire::job_value(simulator->job(1, JobKind::Service, 2));
+    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000001", Json::object()).status, 503);
+    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000002", Json::object()).status, 503);
+    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000999", Json::object()).status, 503);
+    EXPECT_EQ(simulator->ask(former_holder, "POST", "/v1/jobs/req-000001/abort", Json::object()).status, 503);
+    EXPECT_EQ(simulator->ask(former_holder, "POST", "/v1/jobs", submission).status, 503)
+        << "a repeated submission";
+    EXPECT_EQ(
+        simulator
+            ->ask(former_holder, "POST", "/v1/jobs", wire::job_value(simulator->job(3, JobKind::Array, 1)))
+            .status,
+        503);
+    simulator->run(20 * kSecond);  // until the controller's lease has expired
+    EXPECT_EQ(simulator->running("req-000002"), 0) << simulator->story();
+    EXPECT_EQ(simulator->running("req-000001"), 2);
+    EXPECT_EQ(simulator->starts("req-000001"), 2) << "no task was started again\n" << simulator->story();
+    simulator->heal("users", host(former_holder));
+    simulator->submit(simulator->job(4, JobKind::Array, 4), 2 * kSecond, 0);
+    simulator->run(15 * kSecond);
+    EXPECT_EQ(simulator->told("req-000004"), "done") << simulator->story();
+    simulator->heal_all();
+    simulator->run(20 * kSecond);
+    EXPECT_RULES(*simulator);
 }
 
 }  // namespace
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -1,4 +1,4 @@
-// Names that are as long as a message between controllers has room for, or longer.
+// Names as long as the maximum of a message between controllers, and longer ones.
 
 #include <gtest/gtest.h>
 
@@ -10,38 +10,40 @@
 using namespace simulation;
 namespace {
 
-constexpr std::size_t kLongestName = peer::kNameSize - 1;
+constexpr std::size_t kMaxNameLength = peer::kNameSize - 1;
 
-// A task ran twice: the promise not to renew a machine's lease was given for a name that had been cut short.
-TEST(LongMachineNames, AreNotTakenForOnesWhoseLeaseNobodyRenewed) {
+// A task ran twice: the name of a machine was truncated in the message that asks other controllers not to
+// renew its lease. The answer was for an unknown machine, whose lease nobody had renewed.
+TEST(LongMachineNames, DoNotMakeALeaseLookUnrenewed) {
     constexpr std::size_t kDigits = 6;
-    for (const std::size_t length : {kLongestName - 1, kLongestName, kLongestName + 1}) {
+    for (const std::size_t length : {kMaxNameLength - 1, kMaxNameLength, kMaxNameLength + 1}) {
         SCOPED_TRACE(length);
-        Simulator w(3);
-        w.cloud().name_prefix = std::string(length - kDigits, 'n');
-        for (int i = 0; i < 3; ++i) w.add_machine("small", "a");
-        w.start_nodes();
-        w.run(6 * kSecond);
-        w.submit(w.job(2, JobKind::Service, 3, 3), 0);  // one on each machine, so that none is returned
-        w.run(5 * kSecond);
-        w.submit(w.job(1, JobKind::Array, 1), 300 * kSecond);
-        w.run(30 * kSecond);  // a controller renews no lease for others before
-        ASSERT_EQ(w.running("req-000001"), 1) << w.story();
-        const int holder = w.holder();
-        const std::string machine = *w.machines_of("req-000001").begin();
+        Simulator simulator(3);
+        simulator.cloud().name_prefix = std::string(length - kDigits, 'n');
+        for (int i = 0; i < 3; ++i) simulator.add_machine("small", "a");
+        simulator.start_nodes();
+        simulator.run(6 * kSecond);
+        simulator.submit(simulator.job(2, JobKind::Service, 3, 3),
+                         0);  // one task on each machine, so that none is returned to the cloud
+        simulator.run(5 * kSecond);
+        simulator.submit(simulator.job(1, JobKind::Array, 1), 300 * kSecond);
+        simulator.run(30 * kSecond);  // controllers renew no leases for others earlier
+        ASSERT_EQ(simulator.running("req-000001"), 1) << simulator.story();
+        const int holder = simulator.holder();
+        const std::string machine = *simulator.machines_of("req-000001").begin();
         ASSERT_EQ(machine.size(), length);
         // Another controller renews the lease on the holder's behalf.
-        w.cut(host(holder), machine);
-        for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.cut(host(holder), host(i));
-        w.run(2 * w.settings.worker_lease);
-        ASSERT_EQ(w.starts("req-000001"), 1) << w.story();
-        // From now on the machine is not heard, and the holder can ask whether its lease was renewed.
-        w.mute(machine, true);
-        for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.heal(host(holder), host(i));
-        w.run(2 * w.settings.worker_lease);
-        EXPECT_RULES(w);
+        simulator.cut(host(holder), machine);
+        for (int i = 0; i < simulator.node_count(); ++i)
+            if (i != holder) simulator.cut(host(holder), host(i));
+        simulator.run(2 * simulator.settings.worker_lease);
+        ASSERT_EQ(simulator.starts("req-000001"), 1) << simulator.story();
+        // From now on the machine's reports are lost, and the holder can ask whether its lease was renewed.
+        simulator.mute(machine, true);
+        for (int i = 0; i < simulator.node_count(); ++i)
+            if (i != holder) simulator.heal(host(holder), host(i));
+        simulator.run(2 * simulator.settings.worker_lease);
+        EXPECT_RULES(simulator);
     }
 }
 
--- a/tests/stored_parts_test.cpp
+++ b/tests/stored_parts_test.cpp
@@ -1,4 +1,4 @@
-// Jobs whose tasks are stored in parts, each with room for so many bindings.
+// Jobs whose tasks are stored in parts: records that hold the bindings of a limited number of tasks.
 
 #include <gtest/gtest.h>
 
@@ -9,38 +9,38 @@
 using namespace simulation;
 namespace {
 
-/// Of a part of a job as the ones below.
-std::size_t tasks_in_a_part() {
-    auto w = settled_simulator(3, 6);
-    w->submit(w->job(1, JobKind::Service, 2, 0.1), 0);
-    w->run(2 * kSecond);
-    return w->owner_at(w->holder())->jobs().at("req-000001")->part_tasks;
+/// Returns the number of tasks per part for jobs like those of the tests below.
+std::size_t tasks_per_part() {
+    auto simulator = settled_simulator(3, 6);
+    simulator->submit(simulator->job(1, JobKind::Service, 2, 0.1), 0);
+    simulator->run(2 * kSecond);
+    return simulator->owner_at(simulator->holder())->jobs().at("req-000001")->part_tasks;
 }
 
-// The last replicas of a part never started: the others were taken to fill it.
-TEST(StoredParts, HaveRoomForAllOfTheirTasksAtOnce) {
-    const auto part = static_cast<int>(tasks_in_a_part());
-    for (const int tasks : {part - 1, part, part + 1}) {
-        auto w = settled_simulator(3, 6);
-        w->submit(w->job(1, JobKind::Service, tasks, 0.1), 0);
-        w->run(20 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), tasks) << w->story();
-        EXPECT_RULES(*w);
+// A part counted as full before all of its tasks were bound, so its last replicas never started.
+TEST(StoredParts, HoldTheBindingsOfAllTheirTasksAtOnce) {
+    const auto tasks_in_part = static_cast<int>(tasks_per_part());
+    for (const int tasks : {tasks_in_part - 1, tasks_in_part, tasks_in_part + 1}) {
+        auto simulator = settled_simulator(3, 6);
+        simulator->submit(simulator->job(1, JobKind::Service, tasks, 0.1), 0);
+        simulator->run(20 * kSecond);
+        EXPECT_EQ(simulator->running("req-000001"), tasks) << simulator->story();
+        EXPECT_RULES(*simulator);
     }
 }
 
-// The same where machines have longer names.
-TEST(StoredParts, HaveRoomForTheirTasksOnMachinesWithLongNames) {
-    const auto part = static_cast<int>(tasks_in_a_part());
-    Simulator w(3);
-    w.cloud().name_prefix = "machine-with-a-long-name-";
-    for (int i = 0; i < 6; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-    w.start_nodes();
-    w.run(6 * kSecond);
-    w.submit(w.job(1, JobKind::Service, part + 1, 0.1), 0);
-    w.run(20 * kSecond);
-    EXPECT_EQ(w.running("req-000001"), part + 1) << w.story();
-    EXPECT_RULES(w);
+// The same with longer machine names, which make each binding larger.
+TEST(StoredParts, HoldTheBindingsOfAllTheirTasksOnMachinesWithLongNames) {
+    const auto tasks_in_part = static_cast<int>(tasks_per_part());
+    Simulator simulator(3);
+    simulator.cloud().name_prefix = "machine-with-a-long-name-";
+    for (int i = 0; i < 6; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+    simulator.start_nodes();
+    simulator.run(6 * kSecond);
+    simulator.submit(simulator.job(1, JobKind::Service, tasks_in_part + 1, 0.1), 0);
+    simulator.run(20 * kSecond);
+    EXPECT_EQ(simulator.running("req-000001"), tasks_in_part + 1) << simulator.story();
+    EXPECT_RULES(simulator);
 }
 
 }  // namespace
