--- a/tests/lease_validity_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -81,8 +81,8 @@
 
 TEST(ControllerLease, CancellationIsAppliedWhileAWriteOfItsRecordIsPending) {
     // The refresh that reads the cancellation also renews the controller's lease. If the holder applied the
-    // cancellation only after the pending write of the same record was answered, it would renew leases
-    // without stopping the tasks, with no end while the state service is unreachable.
+    // cancellation only after the pending write of the same record was answered, the tasks would run too
+    // long: while the state service is unreachable, that answer does not come.
     auto simulator = settled_single_zone_simulator(2, 1);
     const int holder = simulator->holder();
     simulator->submit(simulator->job(1, JobKind::Array, 1, 4), 4 * kSecond, 0);
