--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -78,7 +78,7 @@
     std::vector<Objective> objectives;
     Micros report_interval = 3 * kSecond;
     Micros worker_lease = 30 * kSecond;  // a worker's session ends if its lease is not renewed for this long
-    Micros gang_wait_timeout = 60 * kSecond;
+    Micros gang_wait_timeout = 60 * kSecond;  // a gang's task exits if its gang is still incomplete then
     Micros gang_peer_timeout = 5 * kSecond;
     Micros cancel_deadline = 60 * kSecond;  // a cancelled job's tasks must have ended by then
     double state_rps = 100;
@@ -86,7 +86,7 @@
     double next_write_rps = 20;          // rate that the service may switch to without notice
     std::size_t max_value_bytes = 4096;  // the smaller of the current and the next limit, used from the start
     std::size_t current_max_value_bytes = 4096;
-    std::size_t max_txn_ops = 8;  // likewise
+    std::size_t max_txn_ops = 8;  // the smaller of the current and the next limit, too
     double cloud_rps = 4;
     Micros cloud_list_lag = 6 * kSecond;  // the cloud's list of machines may be outdated by this much
     std::size_t sockets = 1000;
@@ -102,7 +102,7 @@
         return "";
     }
     /// Returns the time limits of the objectives of a kind for a job class, shortest first.
-    std::vector<Micros> objective_times(const std::string& kind, const std::string& job_class) const {
+    std::vector<Micros> objective_time_limits(const std::string& kind, const std::string& job_class) const {
         std::vector<Micros> times;
         for (const auto& o : objectives)
             if (o.kind == kind && o.job_class == job_class) times.push_back(o.time_limit);
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -22,12 +22,12 @@
     JobKind kind = JobKind::Array;
     PriorityClass priority_class = PriorityClass::Normal;
     int tasks = 0;
-    Resources request;
-    std::optional<std::vector<std::string>> types;
-    std::optional<std::string> zone;
-    bool one_zone = false;
-    bool spread = false;
-    bool spot = false;
+    Resources request;                              // per task
+    std::optional<std::vector<std::string>> types;  // allowed machine types; none: all
+    std::optional<std::string> zone;                // the only allowed zone; none: all
+    bool one_zone = false;                          // all tasks run in the same zone
+    bool spread = false;                            // at most half of the tasks, rounded up, run in one zone
+    bool spot = false;                              // tasks may run on spot machines
     std::string image;
     Milli image_gb = 0;
     Micros estimated_duration = 0;
@@ -64,9 +64,9 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
-    std::uint64_t seq = 0;  // sequence number of the report
-    std::uint64_t token = 0;
+    std::uint64_t session = 0;                  // of the worker, which counts its sessions
+    std::uint64_t seq = 0;                      // sequence number of the report
+    std::uint64_t token = 0;                    // the highest fencing token that the worker has seen
     std::optional<Micros> interruption_notice;  // time until the cloud takes the machine
     std::vector<ReportedTask> tasks;
 };
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -434,7 +434,7 @@
     const double level = context_.store().write_budget_level();
     if (!binds) return level < 0.5 ? 2 * kDefer : kDefer;
     if (job.rank == PriorityClass::Production ||
-        !context_.settings().objective_times("wait", job.spec.job_class).empty())
+        !context_.settings().objective_time_limits("wait", job.spec.job_class).empty())
         return 0;
     return level < 0.3 ? kGatherLong : level < 0.6 ? kGatherShort : 0;
 }
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -153,8 +153,8 @@
 const Scheduler::Goals& Scheduler::goals(const Job& job) const {
     auto [it, added] = goals_.try_emplace(job.spec.job_class);
     if (added)
-        it->second = {context_.settings().objective_times("wait", job.spec.job_class),
-                      context_.settings().objective_times("finished", job.spec.job_class)};
+        it->second = {context_.settings().objective_time_limits("wait", job.spec.job_class),
+                      context_.settings().objective_time_limits("finished", job.spec.job_class)};
     return it->second;
 }
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -629,7 +629,7 @@
         into.acceptance.add(judge(w.fates(), w.settings.teams, w.now()), fmt::format("seed {}: ", seed));
     for (const auto& [name, t] : w.waits()) {
         into.waits[name].add(t);
-        const auto goals = e.settings.objective_times("wait", name);
+        const auto goals = e.settings.objective_time_limits("wait", name);
         if (goals.empty()) continue;
         ++into.in_aim[name].due;
         into.in_aim[name].served += t <= goals.front();
