--- a/src/config/lease_validity.hpp
+++ b/src/config/lease_validity.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // Durations of leases by a controller's own steady clock, as pure functions of the settings. There are two
 // kinds: a worker's lease, renewed by the answers to its reports, and a controller's lease, renewed by each
-// confirmed read of the state service. Without a valid lease a controller must
-// not renew worker leases or start tasks.
+// confirmed read of the state service. Without a valid lease a controller must not
+// renew worker leases or start tasks.
 
 #include <algorithm>
 
@@ -35,7 +35,7 @@
 
 /// Returns true if the settings allow every cancellation to take effect before the cancel deadline. If they
 /// do not, tasks of a job that is cancelled while its shard's holder cannot reach the state service may run
-/// for a worker lease and five seconds more.
+/// for up to a worker lease and five seconds.
 inline bool can_cancel_in_time(const Settings& settings) {
     return cancel_margin_after_worker_lease(settings) >= kMinControllerLease;
 }
