--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -150,7 +150,7 @@
             auto page = reply.status == 200 ? wire::parse_machines(reply.body) : std::nullopt;
             if (!page || !election_.is_leader()) return;
             for (const auto& machine : page->machines) on_machine_listed(machine);
-            if (page->more && !page->machines.empty()) return list_machines(page->machines.back().name);
+            if (page->has_more && !page->machines.empty()) return list_machines(page->machines.back().name);
             on_list_complete();
         });
     if (!sent)
@@ -181,12 +181,12 @@
         spdlog::debug("machine {}: in the cloud's list, not leased yet", machine.name);
     }
     // A running machine with an address is leased at once, so that its first report finds its shard's holder.
-    if (machine.state == CloudState::Running && !machine.addr.empty() &&
+    if (machine.state == CloudState::Running && !machine.address.empty() &&
         !never_registered_.count(machine.name))
-        machine_allocator_.allocate({machine.name, machine.addr, 0, false, false}, machine.type, machine.zone,
-                                    machine.spot, nullptr);
+        machine_allocator_.allocate({machine.name, machine.address, 0, false, false}, machine.type,
+                                    machine.zone, machine.spot, nullptr);
     const MachineType* type = cache_.machine_types.find(machine.type);
-    const Micros boot = type ? type->boot : 60 * kSecond;
+    const Micros boot = type ? type->boot_duration : 60 * kSecond;
     // Far beyond its type's boot time the machine will hardly come up any more, but it is charged for.
     if (machine.state == CloudState::Starting && machine.age > 3 * boot + 30 * kSecond &&
         now - leading_since_ > 20 * kSecond) {
@@ -227,7 +227,8 @@
 }
 
 bool Autoscaler::is_overdue(const PendingInstance& instance, const MachineType& type) const {
-    return runtime_.now() - instance.rented_at > kOverdueBootFactor * type.boot + settings_.list_lag;
+    return runtime_.now() - instance.rented_at >
+           kOverdueBootFactor * type.boot_duration + settings_.cloud_list_lag;
 }
 
 void Autoscaler::evaluate_demand() {
@@ -339,7 +340,7 @@
     std::stable_sort(candidates.begin(), candidates.end(), [](const Machine* a, const Machine* b) {
         return std::tuple(!a->draining, a->reserved.cores) < std::tuple(!b->draining, b->reserved.cores);
     });
-    const bool settled = runtime_.now() - first_tick_at_ > settings_.ops.idle_return;
+    const bool settled = runtime_.now() - first_tick_at_ > settings_.operators.idle_return_delay;
     for (const Machine* machine : candidates) {
         const bool draining = settled && surplus >= machine->type->size.cores;
         if (draining) surplus -= machine->type->size.cores;
@@ -356,17 +357,17 @@
     for (const auto& [name, machine] : owner.machines()) {
         if (machine->retired || machine->retiring || machine->transferring) continue;
         const Micros silent = owner.silent_for(*machine);
-        if (machine->tasks.empty() && now - first_tick_at_ > settings.lease &&
-            owner.unreachable_for(*machine) > settings.lease + kUnreachableGrace) {
+        if (machine->tasks.empty() && now - first_tick_at_ > settings.worker_lease &&
+            owner.unreachable_for(*machine) > settings.worker_lease + kUnreachableGrace) {
             owner.retire(name, machine->suspect ? "it does not receive answers" : "it does not report");
         } else if (machine->interruption_notice && now > machine->interruption_at + 2 * kSecond &&
-                   silent > settings.report_every * 5 / 4 + kSecond) {
+                   silent > settings.report_interval * 5 / 4 + kSecond) {
             owner.retire(name, "the cloud has reclaimed it");
         } else if (machine->failing_jobs.size() >= 3 && machine->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
         } else if (idle_too && machine->tasks.empty() && machine->type &&
-                   now - first_tick_at_ > settings.ops.idle_return &&
-                   runtime_.listened() - machine->idle_since > settings.ops.idle_return) {
+                   now - first_tick_at_ > settings.operators.idle_return_delay &&
+                   runtime_.listening_time() - machine->idle_since > settings.operators.idle_return_delay) {
             const Milli cores = machine->type->size.cores;
             Milli& left = machine->spot ? surplus.total : surplus.ordinary;
             if (left < cores) continue;
@@ -459,7 +460,7 @@
         machine_counts[{rental.type, rental.zone, rental.spot}] += rental.count;
     std::map<std::string, const Team*> teams;
     for (const auto& team : settings_.teams) teams[team.name] = &team;
-    const std::int64_t latest_ms = runtime_.wall_ms() - kUnschedulableMinWait / kMillisecond;
+    const std::int64_t latest_ms = runtime_.wall_clock_ms() - kUnschedulableMinWait / kMillisecond;
     const LiveJob* longest_waiting = nullptr;
     UnschedulableJob unschedulable;
     for (const auto& [ref, job] : cache_.jobs.live_jobs()) {
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -63,7 +63,7 @@
 
     void evaluate_demand();
     /// Returns the longest time until the cloud's list shows a rented machine.
-    Micros max_list_delay() const { return 3 * settings_.list_lag + 2 * kSecond; }
+    Micros max_list_delay() const { return 3 * settings_.cloud_list_lag + 2 * kSecond; }
     /// Returns true if the machine has been booting for so long that it may never come up. It no longer
     /// counts as expected capacity then, so that waiting tasks get another machine. If it comes up after all,
     /// a surplus machine is returned as usual.
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -14,7 +14,7 @@
     auto unused = [](Milli share, Milli used) {
         return share == kNoLimit ? 0 : std::max<Milli>(share - used, 0);
     };
-    return {unused(team.share.cores, team.used.cores), unused(team.share.gpus, team.used.gpus), 0};
+    return {unused(team.quota.cores, team.used.cores), unused(team.quota.gpus, team.used.gpus), 0};
 }
 
 /// Returns the part of a team's quota in a shard that is neither in use nor needed by waiting tasks.
@@ -68,7 +68,7 @@
 void CapacityBroker::request_machines(ShardOwner& owner, const peer::CapacityRequest& want) {
     const peer::ShardLoad* freest = nullptr;
     auto free_cores = [&](const peer::ShardLoad& load) {
-        return load.free_ordinary + (want.spot ? load.free_spot : 0) - load.waiting;
+        return load.free_ordinary + (want.allows_spot ? load.free_spot : 0) - load.waiting;
     };
     std::optional<std::size_t> best_peer;
     Milli most_idle = 0;
@@ -80,7 +80,7 @@
             if (record && record->mod_revision == load.mod_revision &&
                 (!freest || free_cores(load) > free_cores(*freest)))
                 freest = &load;
-            const Milli idle = load.idle_ordinary + (want.spot ? load.idle_spot : 0);
+            const Milli idle = load.idle_ordinary + (want.allows_spot ? load.idle_spot : 0);
             if (load.waiting == 0 && idle > most_idle && !machine_request_in_flight_[i]) {
                 most_idle = idle;
                 best_peer = i;
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -82,18 +82,18 @@
     Change change;
     const ShardOwner* owner = assignment_.find(next.shard);
     if (owner)
-        change.when.push_back({keys::shard + next.shard, owner->mod_revision()});
+        change.conditions.push_back({keys::shard + next.shard, owner->mod_revision()});
     else if (election_.is_leader())
-        change.when.push_back({keys::leader, election_.term()});
+        change.conditions.push_back({keys::leader, election_.term()});
     else
         return finish(std::exchange(edits.queued, {}), false);
     // Retiring a machine may wait until the store has capacity to spare, but not for ever.
     const bool deferrable = !edits.urgent && runtime_.now() - edits.first_queued_at < kMaxDeferral;
     change.priority = deferrable ? Priority::Deferrable : Priority::Normal;
-    if (!store_.room(change.priority)) return;
-    change.when.push_back({keys::block + id, next.mod_revision});
-    const Json value = next.machines.empty() ? Json() : next.value();
-    change.then.push_back({keys::block + id, value});
+    if (!store_.has_write_budget(change.priority)) return;
+    change.conditions.push_back({keys::block + id, next.mod_revision});
+    const Json value = next.machines.empty() ? Json() : next.to_json();
+    change.writes.push_back({keys::block + id, value});
     change.purpose = "block";
     edits.in_flight = true;
     store_.commit(std::move(change), [this, id, value, finish, committed = std::exchange(edits.queued, {})](
@@ -103,7 +103,7 @@
             cache_.apply(keys::block + id, value.is_null() ? nullptr : &value, result.revision);
             return finish(std::move(committed), true);
         }
-        const Micros delay = result.status == CommitStatus::Rejected ? kRefused : kRetryDelay;
+        const Micros delay = result.status == CommitStatus::Rejected ? kRejectedRetryDelay : kRetryDelay;
         auto requeue = [this, id, delay, committed = std::move(committed)](bool) mutable {
             BlockEdits& pending = edits_[id];
             pending.in_flight = false;
@@ -132,7 +132,7 @@
                {[machine, highest_token](Block& record) {
                     Block::Machine* entry = record.find(machine);
                     if (!entry || entry->token > highest_token) return false;
-                    entry->raise = true;
+                    entry->raise_token = true;
                     return true;
                 },
                 std::move(done)},
@@ -161,7 +161,7 @@
 
 /// Returns how many machines fit into a block record.
 std::size_t MachineAllocator::max_block_machines() const {
-    return std::max<std::size_t>(settings_.value_bytes * 17 / 20 / kMachineRecordBytes, 1);
+    return std::max<std::size_t>(settings_.max_value_bytes * 17 / 20 / kMachineRecordBytes, 1);
 }
 
 /// Splits a block into several records in one transaction. Each machine keeps its token, so its tasks are not
@@ -169,7 +169,7 @@
 void MachineAllocator::split(const Block& block, const ShardOwner& owner) {
     Block rest = block;
     std::vector<Block> parts;
-    while (rest.machines.size() > max_block_machines() && parts.size() + 1 < settings_.txn_ops) {
+    while (rest.machines.size() > max_block_machines() && parts.size() + 1 < settings_.max_txn_ops) {
         Block part = block;
         part.id = next_block_id(owner.mod_revision());
         const auto from = rest.machines.end() - static_cast<std::ptrdiff_t>(max_block_machines());
@@ -179,17 +179,17 @@
     }
     Change change;
     change.priority = Priority::Deferrable;
-    change.when = {{keys::shard + block.shard, owner.mod_revision()},
-                   {keys::block + block.id, block.mod_revision}};
+    change.conditions = {{keys::shard + block.shard, owner.mod_revision()},
+                         {keys::block + block.id, block.mod_revision}};
     // The new records come first: a machine that another block lists already does not count as gone when its
     // old block no longer lists it.
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
-        change.when.push_back({keys::block + part.id, 0});
-        writes.emplace_back(part.id, part.value());
+        change.conditions.push_back({keys::block + part.id, 0});
+        writes.emplace_back(part.id, part.to_json());
     }
-    writes.emplace_back(block.id, rest.value());
-    for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
+    writes.emplace_back(block.id, rest.to_json());
+    for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "split";
     edits_[block.id].in_flight = true;  // keeps edits of the record waiting until the split is known
     spdlog::info("block {}: {} machines, split into {}", block.id, block.machines.size(), writes.size());
@@ -211,7 +211,7 @@
 void MachineAllocator::split_blocks() {
     const Micros now = runtime_.now();
     if (!cache_.formats.is_read_by_all(format::kChunksAndDependencies) || now - split_at_ < kSplitInterval ||
-        !store_.room(Priority::Deferrable))
+        !store_.has_write_budget(Priority::Deferrable))
         return;
     split_at_ = now;
     for (const auto& [id, block] : cache_.blocks.all()) {
@@ -228,7 +228,7 @@
     auto [it, added] = unallocated_.try_emplace(machine.name);
     UnallocatedMachine& unallocated = it->second;
     if (added) unallocated = {machine, type, zone, spot, false, {}};
-    if (unallocated.machine.addr.empty()) unallocated.machine.addr = machine.addr;
+    if (unallocated.machine.address.empty()) unallocated.machine.address = machine.address;
     if (done) unallocated.callbacks.push_back(std::move(done));
 }
 
@@ -249,8 +249,8 @@
     const std::size_t machines =
         std::max(cache_.blocks.machine_count() + unallocated_.size(), autoscaler_.listed_machine_count());
     const double reports_per_second =
-        static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_every);
-    return peers_.count() > 0 && reports_per_second > kMaxReportsPerCore * settings_.cpu_share;
+        static_cast<double>(machines) * 1e6 / static_cast<double>(settings_.report_interval);
+    return peers_.count() > 0 && reports_per_second > kMaxReportsPerCore * settings_.cpu_cores;
 }
 
 std::vector<std::string> MachineAllocator::target_shards() const {
@@ -278,7 +278,8 @@
         return;
     }
     if (unallocated_.empty() || now - allocated_at_ < kAllocateInterval) return;
-    if (now - autoscaler_.leading_since() < kNewLeaderDelay || !store_.room(Priority::Normal)) return;
+    if (now - autoscaler_.leading_since() < kNewLeaderDelay || !store_.has_write_budget(Priority::Normal))
+        return;
     allocated_at_ = now;
     struct Shape {
         std::string type, zone;
@@ -376,10 +377,10 @@
 void MachineAllocator::lease_block(Block block, std::vector<std::string> machines) {
     const Revision term = election_.term();
     Change change;
-    change.when.push_back({keys::leader, term});
-    change.when.push_back({keys::block + block.id, 0});
-    const Json value = block.value();
-    change.then.push_back({keys::block + block.id, value});
+    change.conditions.push_back({keys::leader, term});
+    change.conditions.push_back({keys::block + block.id, 0});
+    const Json value = block.to_json();
+    change.writes.push_back({keys::block + block.id, value});
     change.purpose = "lease";
     store_.commit(std::move(change), [this, block, value, machines, term](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
@@ -414,7 +415,7 @@
                                               std::function<void(peer::Grant)> done) {
     const OwnershipRecord* receiver = cache_.membership.shard(want.shard);
     if (!from.active() || !receiver || receiver->mod_revision != want.mod_revision ||
-        want.shard == from.shard() || !store_.room(Priority::Normal))
+        want.shard == from.shard() || !store_.has_write_budget(Priority::Normal))
         return done({});
     std::vector<std::string> offered = from.offer_idle_machines(want);
     // All machines go into one new record, so they must have the same shape. They are taken from as many
@@ -428,7 +429,7 @@
         const bool fits =
             block && block->shard == from.shard() && !edits_.count(block->id) &&
             (first || (block->type == next.type && block->zone == next.zone && block->spot == next.spot)) &&
-            (sources.count(block->id) || sources.size() + 2 <= settings_.txn_ops) &&
+            (sources.count(block->id) || sources.size() + 2 <= settings_.max_txn_ops) &&
             transferred.size() < max_block_machines();
         if (!fits) {
             kept.push_back(name);
@@ -452,15 +453,15 @@
     next.id = next_block_id(from.mod_revision());
     next.shard = want.shard;
     Change change;
-    change.when.push_back({keys::shard + from.shard(), from.mod_revision()});
-    change.when.push_back({keys::block + next.id, 0});
-    std::vector<std::pair<std::string, Json>> writes{{next.id, next.value()}};
+    change.conditions.push_back({keys::shard + from.shard(), from.mod_revision()});
+    change.conditions.push_back({keys::block + next.id, 0});
+    std::vector<std::pair<std::string, Json>> writes{{next.id, next.to_json()}};
     for (auto& [id, source] : sources) {
-        change.when.push_back({keys::block + id, source.mod_revision});
-        writes.emplace_back(id, source.machines.empty() ? Json() : source.value());
+        change.conditions.push_back({keys::block + id, source.mod_revision});
+        writes.emplace_back(id, source.machines.empty() ? Json() : source.to_json());
         edits_[id].in_flight = true;  // keeps edits of the record waiting until the transfer is known
     }
-    for (const auto& [id, value] : writes) change.then.push_back({keys::block + id, value});
+    for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "move";
     spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, transferred.size(),
                  next.type, next.zone, from.shard(), want.shard);
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -20,12 +20,12 @@
         return;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::leader, election_.term()});
+    change.conditions.push_back({keys::leader, election_.term()});
     std::vector<std::pair<std::string, QuotaAllocation>> next;
     const auto& stored = cache_.quotas.all();
     if (stored.empty()) {
         auto targets = machine_allocator_.target_shards();
-        if (targets.size() > settings_.txn_ops) targets.resize(settings_.txn_ops);
+        if (targets.size() > settings_.max_txn_ops) targets.resize(settings_.max_txn_ops);
         if (targets.empty()) return;
         const auto target_count = static_cast<Milli>(targets.size());
         for (const auto& shard : targets) {
@@ -34,7 +34,7 @@
                 shares[team.name] = {distributed_amount(team.limit.cores) / target_count,
                                      distributed_amount(team.limit.gpus) / target_count, 0};
             next.emplace_back(shard, shares);
-            change.when.push_back({keys::share + shard, 0});
+            change.conditions.push_back({keys::quota + shard, 0});
         }
         for (const auto& team : settings_.teams) {
             next.front().second[team.name].cores += distributed_amount(team.limit.cores) % target_count;
@@ -58,21 +58,21 @@
             if (!raised) return;
             // Conditional on every share, since the sum was computed from all of them.
             for (const auto& [name, share] : stored)
-                change.when.push_back({keys::share + name, share.mod_revision});
+                change.conditions.push_back({keys::quota + name, share.mod_revision});
             next.emplace_back(shard, shares);
             break;
         }
         if (next.empty()) return;
     }
     for (const auto& [shard, shares] : next)
-        change.then.push_back({keys::share + shard, shares_value(shares)});
+        change.writes.push_back({keys::quota + shard, quota_to_json(shares)});
     allocating_ = true;
     const Revision term = election_.term();
     store_.commit(std::move(change), [this, next, term](const CommitResult& result) {
         if (result.status == CommitStatus::Ok)
             for (const auto& [shard, shares] : next) {
-                const Json value = shares_value(shares);
-                cache_.apply(keys::share + shard, &value, result.revision);
+                const Json value = quota_to_json(shares);
+                cache_.apply(keys::quota + shard, &value, result.revision);
             }
         // If this write were executed after first shares were created for other shards, the limits would be
         // allocated twice. A new term makes it fail.
@@ -111,11 +111,11 @@
     new_receiver[want.team] += grant;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::shard + shard, from.mod_revision()});
-    change.when.push_back({keys::share + shard, stored_from->mod_revision});
-    change.when.push_back({keys::share + want.shard, receiver_revision});
-    change.then.push_back({keys::share + shard, shares_value(new_from)});
-    change.then.push_back({keys::share + want.shard, shares_value(new_receiver)});
+    change.conditions.push_back({keys::shard + shard, from.mod_revision()});
+    change.conditions.push_back({keys::quota + shard, stored_from->mod_revision});
+    change.conditions.push_back({keys::quota + want.shard, receiver_revision});
+    change.writes.push_back({keys::quota + shard, quota_to_json(new_from)});
+    change.writes.push_back({keys::quota + want.shard, quota_to_json(new_receiver)});
     change.purpose = "share";
     shares.begin_transfer(shard, want.shard, want.team, grant);
     spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
@@ -123,9 +123,9 @@
                    done = std::move(done)](const CommitResult& result) {
         const bool ok = result.status == CommitStatus::Ok;
         if (ok) {
-            const Json from_value = shares_value(new_from), receiver_value = shares_value(new_receiver);
-            cache_.apply(keys::share + shard, &from_value, result.revision);
-            cache_.apply(keys::share + want.shard, &receiver_value, result.revision);
+            const Json from_value = quota_to_json(new_from), receiver_value = quota_to_json(new_receiver);
+            cache_.apply(keys::quota + shard, &from_value, result.revision);
+            cache_.apply(keys::quota + want.shard, &receiver_value, result.revision);
         }
         cache_.quotas.end_transfer(shard, want.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -91,14 +91,14 @@
             return respond({421, wire::redirect(leader)});
         return respond(unavailable());
     }
-    const bool can_probe = !machine_allocator_.is_allocating(report.machine) && !report.addr.empty() &&
+    const bool can_probe = !machine_allocator_.is_allocating(report.machine) && !report.address.empty() &&
                            probing_.size() < kMaxConcurrentProbes;
     if (!lease_is_valid() || machine_allocator_.is_returned(report.machine) || !can_probe ||
         !probing_.insert(report.machine).second)
         return respond(unavailable());
     Call call;
     call.target = Target::Worker;
-    call.addr = report.addr;
+    call.address = report.address;
     call.timeout = kProbeTimeout;
     call.method = "GET";
     call.path = "/show";
@@ -117,7 +117,7 @@
 /// holder.
 void HeartbeatRouter::allocate_machine(const Report& report, const ApiResponder& respond) {
     if (machine_allocator_.is_allocating(report.machine)) return respond(unavailable());
-    machine_allocator_.allocate({report.machine, report.addr, 0, false, false}, report.type, report.zone,
+    machine_allocator_.allocate({report.machine, report.address, 0, false, false}, report.type, report.zone,
                                 report.spot, [this, report, respond] {
                                     const Block* block = cache_.blocks.find_by_machine(report.machine);
                                     if (!block) return respond(unavailable());
@@ -158,7 +158,7 @@
     const bool returned_after_redirect =
         proxied.redirected_at > 0 && now - proxied.redirected_at < kReturnedAfterRedirectWindow;
     const bool lease_too_short_for_redirect =
-        settings_.lease < settings_.report_every * 5 / 4 + 2 * kWorkerAttemptTimeout + kSecond;
+        settings_.worker_lease < settings_.report_interval * 5 / 4 + 2 * kWorkerAttemptTimeout + kSecond;
     if (!returned_after_redirect &&
         (!lease_too_short_for_redirect || std::exchange(proxied.holder_reaches_worker, false))) {
         proxied.redirected_at = now;
@@ -178,7 +178,7 @@
                         if (!block || assignment_.find(block->shard)) return respond(unavailable());
                         return renew_on_behalf(report, *block, respond);
                     }
-                    if (relayed->direct) {  // redirect it the next time
+                    if (relayed->worker_reachable) {  // redirect it the next time
                         proxied_workers_[report.machine].redirected_at = 0;
                         proxied_workers_[report.machine].holder_reaches_worker = true;
                     }
@@ -233,7 +233,7 @@
     // This process does not know what a former process of this node promised, so it waits until those
     // promises have expired.
     evidence.former_promises_expired =
-        now - started_at_ > kForgottenPromiseLeases * with_drift(settings_.lease);
+        now - started_at_ > kForgottenPromiseLeases * with_drift(settings_.worker_lease);
     evidence.lease_relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
     evidence.machine_listed = machine && !machine->retired;
     evidence.jobs_known = job_archiver_.knows_outcomes_of(report);
@@ -247,8 +247,8 @@
     peer::Relinquished answer;
     for (const auto& name : request.machines) {
         ProxiedWorker& proxied = proxied_workers_[name];
-        proxied.refused_until = now + 3 * with_drift(settings_.lease);
-        answer.ages.push_back(now - std::max(proxied.renewed_at, started_at_));
+        proxied.refused_until = now + 3 * with_drift(settings_.worker_lease);
+        answer.renewal_ages.push_back(now - std::max(proxied.renewed_at, started_at_));
     }
     return answer;
 }
@@ -287,17 +287,17 @@
                     --relinquish_requests_in_flight_[peer];
                     const auto answer = peer::unpack<peer::Relinquished>(reply.bytes);
                     ShardOwner* current_owner = assignment_.find(shard);
-                    if (!answer || answer->ages.size() != machines.size() || !current_owner ||
+                    if (!answer || answer->renewal_ages.size() != machines.size() || !current_owner ||
                         current_owner->mod_revision() != mod_revision)
                         return;
                     // The peer promised for longer, but a successor process on its node does not know of the
                     // promise and waits only for this long before it renews leases.
-                    const Micros promised = kForgottenPromiseLeases * with_drift(settings_.lease);
+                    const Micros promised = kForgottenPromiseLeases * with_drift(settings_.worker_lease);
                     for (std::size_t i = 0; i < machines.size(); ++i)
                         current_owner->on_relinquished(
                             peer, machines[i],
                             {sent_at + promised - promised / 100,
-                             runtime_.now() - std::max<Micros>(answer->ages[i], 0)});
+                             runtime_.now() - std::max<Micros>(answer->renewal_ages[i], 0)});
                 });
 }
 
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -39,12 +39,12 @@
 /// record before any task is bound, and may be stored in chunks.
 std::size_t JobService::stored_spec_size(const JobSpec& spec) {
     JobSpec alone = spec;
-    alone.needs.clear();
+    alone.dependencies.clear();
     return chunks::stored_size(wire::job_value(alone));
 }
 
 JobService::Feasibility JobService::assess_feasibility(const JobSpec& spec) const {
-    if (stored_spec_size(spec) > settings_.value_bytes_now * 3 / 4) return Feasibility::TooLarge;
+    if (stored_spec_size(spec) > settings_.current_max_value_bytes * 3 / 4) return Feasibility::TooLarge;
     const Team* team = nullptr;
     for (const auto& candidate : settings_.teams)
         if (candidate.name == spec.team) team = &candidate;
@@ -71,9 +71,10 @@
         std::erase_if(*parsed.spec->types,
                       [&](const std::string& name) { return !cache_.machine_types.find(name); });
     const Feasibility feasibility = parsed.spec ? assess_feasibility(*parsed.spec) : Feasibility::Infeasible;
-    if (feasibility == Feasibility::Feasible && !find_view(parsed.spec->ref) && parsed.spec->needs.empty())
+    if (feasibility == Feasibility::Feasible && !find_view(parsed.spec->ref) &&
+        parsed.spec->dependencies.empty())
         return create(std::move(*parsed.spec), std::move(respond));
-    const auto ref = wire::ref_of(body);
+    const auto ref = wire::parse_ref(body);
     if (!ref) return respond({400, Json{{"error", parsed.error}}});
     // A job that was accepted before is answered with its state, whether or not the request is valid.
     check_in_store(*ref, [this, ref = *ref, parsed, feasibility, respond = std::move(respond)](
@@ -84,7 +85,7 @@
         if (feasibility == Feasibility::TooLarge) return respond({400, Json{{"error", "too long"}}});
         if (feasibility == Feasibility::Infeasible) return respond({422, Json{{"error", "can never run"}}});
         if (feasibility == Feasibility::MachineTypesUnknown) return respond(unavailable(2));
-        if (!parsed.spec->needs.empty())
+        if (!parsed.spec->dependencies.empty())
             return create_with_dependencies(std::move(*parsed.spec), std::move(respond));
         create(std::move(*parsed.spec), std::move(respond));
     });
@@ -98,10 +99,10 @@
     auto rejection = [](const std::string& ref) {
         return ApiResponse{422, Json{{"error", "was never accepted: " + ref}}};
     };
-    if (std::find(spec.needs.begin(), spec.needs.end(), spec.ref) != spec.needs.end())
+    if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.ref) != spec.dependencies.end())
         return respond(rejection(spec.ref));
     std::vector<std::string> unconfirmed;
-    for (const auto& dependency : spec.needs)
+    for (const auto& dependency : spec.dependencies)
         if (!find_view(dependency) && !cache_.jobs.find(dependency)) unconfirmed.push_back(dependency);
     if (unconfirmed.empty()) return create(std::move(spec), std::move(respond));
     struct PendingCheck {
@@ -141,7 +142,7 @@
 }
 
 void JobService::create(JobSpec spec, ApiResponder respond) {
-    if (!store_.reachable()) return respond(unavailable());
+    if (!store_.is_reachable()) return respond(unavailable());
     const std::size_t size = stored_spec_size(spec);
     const std::string ref = spec.ref;
     const std::string shard = select_shard(spec);
@@ -149,8 +150,8 @@
     const DependencyStatus dependency_status = DependencyGraph::preview(
         spec, [this](const auto& dependency) { return cache_.jobs.outcome(dependency); });
     const std::string summary = spec.job_class + ", " + std::to_string(spec.tasks) + " tasks of about " +
-                                std::to_string(spec.estimate / kSecond) + " s for " + spec.team + ", in " +
-                                shard;
+                                std::to_string(spec.estimated_duration / kSecond) + " s for " + spec.team +
+                                ", in " + shard;
     auto answer = [this, ref, summary, received_at = runtime_.now(),
                    respond = std::move(respond)](const Admission& admission) mutable {
         switch (admission.status) {
@@ -174,17 +175,17 @@
                 return respond(unavailable());
         }
     };
-    const bool best_effort = spec.rank == PriorityClass::Low;
+    const bool best_effort = spec.priority_class == PriorityClass::Low;
     // In a shard held here the commit that admits the job also binds its tasks.
     if (ShardOwner* owner = assignment_.find(shard);
         owner && owner->active() && !dependency_status.cancelled_by_dependency)
-        return owner->admit(std::move(spec), runtime_.wall_ms(), dependency_status, answer);
+        return owner->admit(std::move(spec), runtime_.wall_clock_ms(), dependency_status, answer);
     Json record{{"s", "queued"},
                 {"dom", shard},
                 {"k", spec.tasks},
                 {"d", wire::job_value(spec)},
-                {"at", runtime_.wall_ms()},
-                {"ps", compute_tasks_per_part(settings_.value_bytes, size + kRecordOverheadBytes)}};
+                {"at", runtime_.wall_clock_ms()},
+                {"ps", compute_tasks_per_part(settings_.max_value_bytes, size + kRecordOverheadBytes)}};
     // A dependency is cancelled already: the job is accepted and is cancelled at once.
     if (dependency_status.cancelled_by_dependency)
         record = {{"s", "cancelled"}, {"dom", shard}, {"k", spec.tasks}, {"fd", 0}};
@@ -193,11 +194,11 @@
                                                ? RecordLocation::Active
                                                : RecordLocation::Job;
     Change change;
-    change.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
+    change.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     // An unfinished job may be added under c/job/ only while legacy writes are not closed.
     if (record_location == RecordLocation::Job && !dependency_status.cancelled_by_dependency)
-        change.when.push_back({keys::history, 0});
-    change.then.push_back({record_key(record_location, ref), record});
+        change.conditions.push_back({keys::history, 0});
+    change.writes.push_back({record_key(record_location, ref), record});
     change.priority = best_effort ? Priority::Normal : Priority::Urgent;
     change.purpose = "admit";
     store_.commit(std::move(change),
@@ -270,9 +271,9 @@
     job.record["s"] = "cancelled";
     const std::string key = record_key(job.record_location, ref);
     Change change;
-    change.when =
+    change.conditions =
         JobCache::unchanged_conditions(ref, job.record_location, job.mod_revision, job.legacy_revision);
-    change.then.push_back({key, job.record});
+    change.writes.push_back({key, job.record});
     change.priority = Priority::Urgent;
     change.purpose = "cancel";
     store_.commit(std::move(change), [this, ref, key, attempt, record = std::move(job.record),
@@ -293,7 +294,7 @@
 /// of the cache.
 bool JobService::too_busy_for_polls(Micros timer_lag) {
     const auto max_waiting =
-        std::clamp<std::size_t>(static_cast<std::size_t>(kMaxWaitingPollsPerCore * settings_.cpu_share),
+        std::clamp<std::size_t>(static_cast<std::size_t>(kMaxWaitingPollsPerCore * settings_.cpu_cores),
                                 kMinWaitingPollLimit, kMaxWaitingPollLimit);
     if (timer_lag < kMaxTimerLagForPolls && feed_.waiter_count() < max_waiting) return false;
     ++rejected_polls_;
@@ -320,7 +321,7 @@
 /// Returns whether the store is known to be unreachable, so that users get an error without a further
 /// attempt.
 bool JobService::store_unreachable() const {
-    return !store_.reachable() && runtime_.now() - store_.last_contact() > kSecond;
+    return !store_.is_reachable() && runtime_.now() - store_.last_contact() > kSecond;
 }
 
 void JobService::check_in_store(const std::string& ref, Checked done) {
@@ -351,7 +352,7 @@
         return;
     }
     Change compare;
-    compare.when = {{keys::job + ref, 0}, {keys::active + ref, 0}};
+    compare.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
     store_.commit(std::move(compare),
                   [this, ref, done = std::move(done)](const CommitResult& result) mutable {
                       if (result.status == CommitStatus::Ok) return done(true, std::nullopt);
@@ -364,7 +365,7 @@
 void JobService::read_after_conflict(const std::string& ref, int attempt, Checked done) {
     read_record(ref, [this, ref, attempt, done = std::move(done)](bool ok,
                                                                   std::optional<Found> found) mutable {
-        if (!ok && attempt < 1 && store_.reachable())
+        if (!ok && attempt < 1 && store_.is_reachable())
             return read_after_conflict(ref, attempt + 1, std::move(done));
         // The job exists, so a missing record is being moved from one key to the other.
         if (!ok || !found) return done(false, std::nullopt);
@@ -396,7 +397,7 @@
 /// jobs count for them. If no machines are known a random shard is chosen.
 std::string JobService::select_shard(const JobSpec& spec) {
     // The shard of a dependency: the commit that finishes the dependency can start this job there.
-    for (const auto& dependency : spec.needs) {
+    for (const auto& dependency : spec.dependencies) {
         const LiveJob* live = cache_.jobs.find(dependency);
         const OwnershipRecord* shard = live ? cache_.membership.shard(live->shard) : nullptr;
         if (shard && cache_.membership.is_alive(shard->holder)) return live->shard;
@@ -418,7 +419,7 @@
             load = *reported_load;
         }
         Milli free_cores = 0, reference_cores = capacity;
-        if (load && spec.rank == PriorityClass::Production) {
+        if (load && spec.priority_class == PriorityClass::Production) {
             free_cores = (spec.spot ? load->capacity : load->ordinary) - load->production;
             reference_cores = std::max<Milli>(spec.spot ? load->capacity : load->ordinary, 1);
         } else if (load) {
@@ -429,7 +430,7 @@
                        (shard.holder == settings_.node ? kLocalShardBonus : 0.0);
         // A job of high priority goes to a shard that recently used its image, if there is room for all of
         // it.
-        if (spec.rank <= PriorityClass::High && free_cores >= needed_cores)
+        if (spec.priority_class <= PriorityClass::High && free_cores >= needed_cores)
             if (const Micros last_used = cache_.jobs.image_last_used(spec.image, name);
                 last_used > 0 && runtime_.now() - last_used < kImageCachedFor)
                 share += 1.0;
--- a/src/cache/change_feed.cpp
+++ b/src/cache/change_feed.cpp
@@ -29,7 +29,7 @@
     const Micros now = runtime_.now();
     for (auto it = waiters_.begin(); it != waiters_.end();) {
         if (now - it->waiting_since < kRefreshTimeout &&
-            (store_.reachable() || now - it->waiting_since < kMaxRefreshInterval)) {
+            (store_.is_reachable() || now - it->waiting_since < kMaxRefreshInterval)) {
             ++it;
             continue;
         }
--- a/src/cache/dependency_graph.cpp
+++ b/src/cache/dependency_graph.cpp
@@ -17,7 +17,7 @@
 
 DependencyStatus DependencyGraph::preview(const JobSpec& spec, const OutcomeLookup& lookup) {
     DependencyStatus status;
-    for (const auto& dependency : spec.needs) {
+    for (const auto& dependency : spec.dependencies) {
         const KnownOutcome known = lookup(dependency);
         if (known.outcome == Outcome::Cancelled) status.cancelled_by_dependency = true;
         if (known.outcome != Outcome::Done) status.dependencies_met = false;
@@ -31,16 +31,16 @@
     const std::string& ref = spec.ref;
     unknown_dependencies_.erase(ref);
     auto found = nodes_.find(ref);
-    if (spec.needs.empty() && found == nodes_.end()) return;
+    if (spec.dependencies.empty() && found == nodes_.end()) return;
     Node& node = nodes_[ref];
     if (std::exchange(node.added, true)) return;
-    node.own_priority = spec.rank;
+    node.own_priority = spec.priority_class;
     node.own_deadline_ms = spec.deadline ? submitted_ms + *spec.deadline / kMillisecond : INT64_MAX;
-    node.estimate = spec.estimate;
+    node.estimate = spec.estimated_duration;
     propagation_due_ = true;
     changed_.insert(ref);
     std::string cancelled;
-    for (const auto& dependency : spec.needs) {
+    for (const auto& dependency : spec.dependencies) {
         const KnownOutcome known = lookup(dependency);
         if (known.outcome == Outcome::Done) {
             node.dependencies_met_ms = std::max(node.dependencies_met_ms, known.ended_ms);
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -24,8 +24,8 @@
 Change JobCache::deletion_change(const Condition& leftover) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back(leftover);
-    change.then.push_back({leftover.key, Json()});
+    change.conditions.push_back(leftover);
+    change.writes.push_back({leftover.key, Json()});
     change.purpose = "history";
     return change;
 }
@@ -78,7 +78,7 @@
     job.request = parsed->request;
     job.image = parsed->image;
     job.spot = parsed->spot;
-    job.priority = parsed->rank;
+    job.priority = parsed->priority_class;
     job.allowed_types = parsed->types;
     job.required_zone = parsed->zone;
     job.kind = parsed->kind;
--- a/src/cache/machine_type_catalog.cpp
+++ b/src/cache/machine_type_catalog.cpp
@@ -7,7 +7,7 @@
 namespace cottonway {
 
 bool MachineTypeCatalog::merge(const Json& response) {
-    auto types = wire::parse_types(response);
+    auto types = wire::parse_machine_types(response);
     if (!types || types->empty()) return false;
     for (const auto& type : *types) {
         auto known = std::find_if(types_.begin(), types_.end(),
@@ -41,7 +41,7 @@
 bool MachineTypeCatalog::is_stored_outdated() const {
     auto fixed_properties = [](const Json& response) {
         std::set<std::tuple<std::string, Milli, Milli, Milli, std::vector<std::string>>> out;
-        if (auto types = wire::parse_types(response))
+        if (auto types = wire::parse_machine_types(response))
             for (const auto& type : *types)
                 out.emplace(type.name, type.size.cores, type.size.gpus, type.size.ram, type.zones);
         return out;
--- a/src/cache/quota_cache.cpp
+++ b/src/cache/quota_cache.cpp
@@ -6,7 +6,7 @@
 
 void QuotaCache::apply(const std::string& shard, const Json* value, Revision mod_revision) {
     Stored& stored = allocations_[shard];
-    if (value && mod_revision > stored.mod_revision) stored = {parse_shares(*value), mod_revision};
+    if (value && mod_revision > stored.mod_revision) stored = {parse_quota(*value), mod_revision};
 }
 
 const QuotaCache::Stored* QuotaCache::find(const std::string& shard) const {
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -28,11 +28,11 @@
 
 void StateCache::apply(const std::string& key, const Json* value, Revision mod_revision) {
     auto suffix_after = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-    if (starts_with(key, keys::chunk)) return store_.chunk_store().take(key, value, runtime_.now());
+    if (starts_with(key, keys::chunk)) return store_.chunk_store().apply(key, value, runtime_.now());
     std::optional<Json> joined;
-    if (!value || !chunks::named_by(*value)) {
-        store_.chunk_store().on_record_removed(key);
-    } else if (joined = store_.chunk_store().whole(key, *value); joined) {
+    if (!value || !chunks::chunk_reference(*value)) {
+        store_.chunk_store().clear_reference(key);
+    } else if (joined = store_.chunk_store().assemble(key, *value); joined) {
         value = &*joined;
     } else {
         // The record was replaced since and its chunks were deleted: an update of it follows.
@@ -46,8 +46,8 @@
         if (!value || !jobs.apply(ref, record_location, *value, mod_revision, runtime_.now())) return;
         listener_.on_job(ref, record_location, *value, mod_revision);
         if (jobs.dependency_graph().has_changes()) propagate_dependency_changes();
-    } else if (starts_with(key, keys::part)) {
-        const std::string name = suffix_after(keys::part);
+    } else if (starts_with(key, keys::job_part)) {
+        const std::string name = suffix_after(keys::job_part);
         const auto slash = name.rfind('/');
         if (slash == std::string::npos) return;
         const std::string ref = name.substr(0, slash);
@@ -57,15 +57,15 @@
     } else if (starts_with(key, keys::block)) {
         blocks.apply(suffix_after(keys::block), value, mod_revision);
         listener_.on_scheduling_input_changed();
-    } else if (starts_with(key, keys::live)) {
-        const std::string node = suffix_after(keys::live);
+    } else if (starts_with(key, keys::live_node)) {
+        const std::string node = suffix_after(keys::live_node);
         membership.apply_liveness(node, value != nullptr, runtime_.now());
         if (value && !resync_in_progress_) membership.mark_heard_from(node);
     } else if (starts_with(key, keys::shard)) {
         const std::string name = suffix_after(keys::shard);
         if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
-    } else if (starts_with(key, keys::share)) {
-        quotas.apply(suffix_after(keys::share), value, mod_revision);
+    } else if (starts_with(key, keys::quota)) {
+        quotas.apply(suffix_after(keys::quota), value, mod_revision);
         listener_.on_scheduling_input_changed();
     } else if (starts_with(key, keys::plan)) {
         plans.apply(suffix_after(keys::plan), value, mod_revision);
@@ -75,7 +75,7 @@
         if (policies.apply(value, mod_revision)) listener_.on_policy();
     } else if (key == keys::history) {
         if (value) apply_history(*value, mod_revision);
-    } else if (key == keys::types) {
+    } else if (key == keys::machine_types) {
         if (!value || !machine_types.apply_stored(*value, mod_revision)) return;
         jobs.invalidate_guarantees();
         listener_.on_scheduling_input_changed();
@@ -114,14 +114,15 @@
     resync_in_progress_ = false;
     std::vector<std::string> missing;
     for (const auto& name : membership.alive_nodes())
-        if (!seen.count(keys::live + name) && name != settings_.node) missing.push_back(keys::live + name);
+        if (!seen.count(keys::live_node + name) && name != settings_.node)
+            missing.push_back(keys::live_node + name);
     for (const auto& [id, block] : blocks.all())
         if (!seen.count(keys::block + id)) missing.push_back(keys::block + id);
     for (const auto& [shard, stored] : plans.all())
         if (!seen.count(keys::plan + shard)) missing.push_back(keys::plan + shard);
     for (const auto& [ref, job] : jobs.live_jobs())
         for (const auto& [part, record] : job.parts)
-            if (const auto key = keys::part + ref + "/" + std::to_string(part); !seen.count(key))
+            if (const auto key = keys::job_part + ref + "/" + std::to_string(part); !seen.count(key))
                 missing.push_back(key);
     if (policies.mod_revision() > 0 && !seen.count(keys::policy)) missing.push_back(keys::policy);
     for (const auto& key : missing) apply(key, nullptr, store_revision);
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -29,7 +29,7 @@
         const Revision legacy_revision = job ? job->legacy_revision : 0;
         // Comparisons without writes: many of them fit into one request, and none counts as a change.
         Change compare;
-        compare.when.push_back({keys::job + ref, legacy_revision});
+        compare.conditions.push_back({keys::job + ref, legacy_revision});
         store_.commit(std::move(compare), [this, ref, legacy_revision, delete_stale,
                                            on_job_verified](const CommitResult& result) {
             if (result.status == CommitStatus::Conflict)
@@ -109,7 +109,7 @@
 }
 
 void JobArchiver::delete_stale_records() {
-    while (!stale_records_.empty() && store_.room(Priority::Deferrable)) {
+    while (!stale_records_.empty() && store_.has_write_budget(Priority::Deferrable)) {
         const Condition stale = stale_records_.back();
         stale_records_.pop_back();
         store_.commit(JobCache::deletion_change(stale), [](const CommitResult&) {});
@@ -121,7 +121,8 @@
 /// a refresh begun after that shows no such record, none can exist, and history is marked as apart for good.
 void JobArchiver::separate_history() {
     if (writing_history_ || cache_.is_history_separated() || !election_.is_leader() ||
-        !cache_.formats.is_read_by_all(format::kSeparateActiveRecords) || !store_.room(Priority::Deferrable))
+        !cache_.formats.is_read_by_all(format::kSeparateActiveRecords) ||
+        !store_.has_write_budget(Priority::Deferrable))
         return;
     using State = StateCache::HistorySeparation;
     const Revision mod_revision = cache_.history_revision();
@@ -140,8 +141,8 @@
     writing_history_ = true;
     const Json value = StateCache::history_value(next);
     Change change;
-    change.when = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
-    change.then.push_back({keys::history, value});
+    change.conditions = {{keys::leader, election_.term()}, {keys::history, mod_revision}};
+    change.writes.push_back({keys::history, value});
     change.purpose = "history";
     store_.commit(std::move(change), [this, value, next](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -33,8 +33,8 @@
     caught_up_ = false;
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::leader, term()});
-    change.then.push_back({keys::leader, Json{{"node", settings_.node}}});
+    change.conditions.push_back({keys::leader, term()});
+    change.writes.push_back({keys::leader, Json{{"node", settings_.node}}});
     store_.commit(std::move(change), [this](const CommitResult& result) {
         const bool ok = result.status == CommitStatus::Ok;
         if (ok && result.revision > term()) cache_.membership.set_leader({settings_.node, result.revision});
@@ -62,8 +62,8 @@
     if (!types.is_stored_outdated()) return;
     storing_machine_types_ = true;
     Change change;
-    change.when = {{keys::leader, term()}, {keys::types, types.stored_revision()}};
-    change.then.push_back({keys::types, types.cloud_response()});
+    change.conditions = {{keys::leader, term()}, {keys::machine_types, types.stored_revision()}};
+    change.writes.push_back({keys::machine_types, types.cloud_response()});
     store_.commit(std::move(change), [this](const CommitResult& result) {
         // storing_machine_types_ stays set after a rejection, so a rejected write is not retried.
         if (result.status != CommitStatus::Rejected)
--- a/src/cluster/membership_lease.cpp
+++ b/src/cluster/membership_lease.cpp
@@ -4,7 +4,7 @@
 
 void MembershipLease::join() {
     registered_ = false;
-    store_.grant(settings_.ops.live_ttl, [this](std::uint64_t lease_id) {
+    store_.grant_lease(settings_.operators.liveness_ttl, [this](std::uint64_t lease_id) {
         if (lease_id == 0) {
             runtime_.after(400 * kMillisecond, [this] { join(); });
             return;
@@ -19,7 +19,7 @@
 /// would attach the key to a lease that is no longer renewed, and the key would be deleted when that lease
 /// expires.
 void MembershipLease::read_and_put_key() {
-    store_.read(keys::live + settings_.node, [this](const ReadResult& result) {
+    store_.read(keys::live_node + settings_.node, [this](const ReadResult& result) {
         if (result.ok) return put_key(result.found ? result.mod_revision : 0);
         runtime_.after(300 * kMillisecond, [this] { read_and_put_key(); });
     });
@@ -27,8 +27,8 @@
 
 void MembershipLease::put_key(Revision mod_revision) {
     Change change;
-    change.when.push_back({keys::live + settings_.node, mod_revision});
-    change.then.push_back({keys::live + settings_.node, Json{{"node", settings_.node}}, lease_id_});
+    change.conditions.push_back({keys::live_node + settings_.node, mod_revision});
+    change.writes.push_back({keys::live_node + settings_.node, Json{{"node", settings_.node}}, lease_id_});
     change.priority = Priority::Urgent;
     store_.commit(std::move(change), [this](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
@@ -42,8 +42,8 @@
 }
 
 void MembershipLease::renew() {
-    runtime_.after(settings_.ops.live_ttl / 3, [this] {
-        store_.extend(lease_id_, [this](int status) {
+    runtime_.after(settings_.operators.liveness_ttl / 3, [this] {
+        store_.renew_lease(lease_id_, [this](int status) {
             if (status == 404) return join();
             renew();
         });
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -31,7 +31,7 @@
 
 bool PeerDirectory::is_reachable(std::size_t peer) const {
     const auto& entry = peers_[peer];
-    return entry.last_heard > 0 && runtime_.listened() - entry.last_heard < kReachableWindow;
+    return entry.last_heard > 0 && runtime_.listening_time() - entry.last_heard < kReachableWindow;
 }
 
 const PeerDirectory::PeerStatus* PeerDirectory::recent_status(std::size_t peer, Micros max_age) const {
@@ -69,16 +69,16 @@
 
 void PeerDirectory::call(std::size_t peer, std::string bytes, Micros timeout,
                          std::function<void(const Reply&)> done) {
-    const Endpoint& endpoint = settings_.peers[peer].addr;
+    const Endpoint& endpoint = settings_.peers[peer].endpoint;
     Call call;
     call.target = Target::Peer;
-    call.addr = endpoint.host + ":" + std::to_string(endpoint.port);
+    call.address = endpoint.host + ":" + std::to_string(endpoint.port);
     call.method = "POST";
     call.path = "/peer";
     call.bytes = std::move(bytes);
     call.timeout = timeout;
     runtime_.call(std::move(call), [this, peer, done = std::move(done)](const Reply& reply) {
-        if (reply.status == 200) peers_[peer].last_heard = runtime_.listened();
+        if (reply.status == 200) peers_[peer].last_heard = runtime_.listening_time();
         done(reply);
     });
 }
@@ -98,7 +98,7 @@
     if (!peer) return;
     for (const auto& load : state.shards) cores_sent_.erase(load.shard);
     peers_[*peer].status = PeerStatus{state, runtime_.now()};
-    peers_[*peer].last_heard = runtime_.listened();
+    peers_[*peer].last_heard = runtime_.listening_time();
     cache_.membership.mark_heard_from(state.node);
 }
 
--- a/src/cluster/policy_publisher.cpp
+++ b/src/cluster/policy_publisher.cpp
@@ -49,9 +49,9 @@
 
 void PolicyPublisher::publish() {
     const Micros now = runtime_.now();
-    if (now < retry_at_ || !store_.room(Priority::Normal)) return;
+    if (now < retry_at_ || !store_.has_write_budget(Priority::Normal)) return;
     const Json value = policy::to_value(*file_);
-    if (chunks::stored_size(value) > settings_.value_bytes &&
+    if (chunks::stored_size(value) > settings_.max_value_bytes &&
         !cache_.formats.is_read_by_all(format::kChunksAndDependencies)) {
         spdlog::info(
             "policy: too large for a single value, and not all controllers can read chunked values yet: "
@@ -60,8 +60,8 @@
     }
     writing_ = true;
     Change change;
-    change.when.push_back({keys::policy, cache_.policies.mod_revision()});
-    change.then.push_back({keys::policy, value});
+    change.conditions.push_back({keys::policy, cache_.policies.mod_revision()});
+    change.writes.push_back({keys::policy, value});
     change.purpose = "policy";
     store_.commit(std::move(change), [this, value, revision = file_->revision](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) {
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -19,7 +19,7 @@
           settings_(settings),
           feed_(feed),
           cache_(cache),
-          file_(settings.ops.policy) {}
+          file_(settings.operators.policy) {}
 
     /// Sets the current content of the file. At startup it comes from the settings.
     void set_file(policy::Policy file);
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -48,7 +48,7 @@
     state.self = self;
     state.now = now;
     // A holder that may be restarting gets as long as it takes to notice that a node has failed.
-    state.holder_grace = context_.settings().ops.live_ttl;
+    state.holder_grace = context_.settings().operators.liveness_ttl;
     for (const auto& node : cache_.membership.alive_nodes())
         state.alive[node] = cache_.machine_count_of_node(node);
     state.alive.try_emplace(self, 0);
@@ -85,8 +85,8 @@
     const OwnershipRecord before = create ? OwnershipRecord{} : cache_.membership.shards().at(name);
     Change change;
     change.priority = Priority::Urgent;
-    change.when.push_back({keys::shard + name, before.mod_revision});
-    change.then.push_back({keys::shard + name, Json{{"holder", self}}});
+    change.conditions.push_back({keys::shard + name, before.mod_revision});
+    change.writes.push_back({keys::shard + name, Json{{"holder", self}}});
     context_.store().commit(
         std::move(change), [this, name, before, self, create](const CommitResult& result) {
             if (result.status != CommitStatus::Ok) {
@@ -105,7 +105,7 @@
             // the former record names this node: another holder may have transferred the shard to it, or this
             // node's own former process may have taken it from another holder just before.
             const Micros former_authority_end =
-                context_.runtime().now() + (create ? 0 : authority(context_.settings()));
+                context_.runtime().now() + (create ? 0 : controller_lease_duration(context_.settings()));
             auto& owner = owners_[name];
             if (owner) released_owners_.push_back(std::move(owner));
             owner = std::make_unique<ShardOwner>(context_, name, result.revision, former_authority_end);
@@ -197,16 +197,16 @@
             receivers.push_back({node, now - cache_.membership.alive_since(node)});
     auto transfers = recovery::shards_to_transfer(self, std::move(held), std::move(receivers));
     if (transfers.empty()) return;
-    if (transfers.size() > context_.settings().txn_ops) transfers.resize(context_.settings().txn_ops);
+    if (transfers.size() > context_.settings().max_txn_ops) transfers.resize(context_.settings().max_txn_ops);
     transferred_at_ = now;
     Change change;
     change.priority = Priority::Urgent;
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& [name, node] : transfers) {
         spdlog::info("domain {}: handed over to {}", name, node);
-        change.when.push_back({keys::shard + name, find(name)->mod_revision()});
+        change.conditions.push_back({keys::shard + name, find(name)->mod_revision()});
         writes.emplace_back(keys::shard + name, Json{{"holder", node}});
-        change.then.push_back({writes.back().first, writes.back().second});
+        change.writes.push_back({writes.back().first, writes.back().second});
     }
     context_.store().commit(std::move(change), [this, writes](const CommitResult& result) {
         if (result.status != CommitStatus::Ok) return;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -55,11 +55,12 @@
         spdlog::info(
             "team {}: {} cores guaranteed, {}", team.name, team.guarantee.cores / 1000,
             team.limit.cores < kNoLimit ? std::to_string(team.limit.cores / 1000) + " at most" : "no limit");
-    if (!cancels_in_time(settings_))
+    if (!can_cancel_in_time(settings_))
         spdlog::error(
             "cancel_s is too short for lease_s: if a controller is cut off from the state service, tasks may "
             "run for up to {} s after their job is cancelled",
-            (settings_.cancel - beyond_lease(settings_) + kLeastAuthority) / kSecond);
+            (settings_.cancel_deadline - cancel_margin_after_worker_lease(settings_) + kMinControllerLease) /
+                kSecond);
     fetch_machine_types();
     feed_.start();
     membership_lease_.join();
@@ -101,7 +102,8 @@
     summary_logged_at_ = now;
     cache_.jobs.forget_images_before(now - 20 * kSummaryInterval);
     std::string line;
-    for (const auto& [purpose, count] : store_.sent()) line += " " + purpose + " " + std::to_string(count);
+    for (const auto& [purpose, count] : store_.sent_writes())
+        line += " " + purpose + " " + std::to_string(count);
     spdlog::info("changes sent so far:{}", line);
     spdlog::info("event=decisions confirmed_ms_ago={} revision={} leader={} term={} {}",
                  feed_.confirmed_age() / kMillisecond, feed_.store_revision(), election_.leader_node(),
@@ -135,7 +137,8 @@
 std::optional<Micros> Controller::peer_authority_end(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
-    return *silent + authority(settings_) + authority(settings_) / 1000 + feed_.confirmed_age();
+    return *silent + controller_lease_duration(settings_) + controller_lease_duration(settings_) / 1000 +
+           feed_.confirmed_age();
 }
 
 bool Controller::has_valid_lease() const {
@@ -182,7 +185,7 @@
 void Controller::on_format() {
     spdlog::info("all {} controllers read format {}: it is written from now on", settings_.peers.size() + 1,
                  cache_.formats.common_format());
-    if (cache_.formats.is_read_by_all(format::kChunksAndDependencies)) store_.use_pieces();
+    if (cache_.formats.is_read_by_all(format::kChunksAndDependencies)) store_.enable_chunking();
 }
 
 void Controller::on_policy() {
@@ -207,8 +210,8 @@
 /// Announces the newest format that this node reads. One announcement also holds for later processes of this
 /// node.
 void Controller::announce_format() {
-    const std::uint64_t newest_format =
-        settings_.ops.history_apart ? format::kSeparateActiveRecords : format::kChunksAndDependencies;
+    const std::uint64_t newest_format = settings_.operators.separate_history ? format::kSeparateActiveRecords
+                                                                             : format::kChunksAndDependencies;
     if (!settings_.announces_format || !feed_.loaded() || announcing_format_ ||
         cache_.formats.format_read_by(settings_.node) >= newest_format)
         return;
@@ -216,7 +219,7 @@
     const std::string key = keys::format + settings_.node;
     const Json value{{"reads", newest_format}};
     Change change;
-    change.then.push_back({key, value});
+    change.writes.push_back({key, value});
     change.purpose = "format";
     store_.commit(std::move(change), [this, key, value](const CommitResult& result) {
         if (result.status == CommitStatus::Ok) cache_.apply(key, &value, result.revision);
@@ -233,28 +236,28 @@
     if (!election_.is_leader() || store_.chunk_store().size() == 0 ||
         now - chunks_checked_at_ < kOrphanedChunksInterval)
         return;
-    if (!store_.room(Priority::Deferrable)) return;
+    if (!store_.has_write_budget(Priority::Deferrable)) return;
     chunks_checked_at_ = now;
-    std::map<std::string, std::vector<chunks::ChunkStore::LeftOver>> by_record;
+    std::map<std::string, std::vector<chunks::ChunkStore::OrphanedChunk>> by_record;
     std::size_t count = 0;
-    for (const auto& orphan : store_.chunk_store().left_over(now))
-        if (++count <= settings_.txn_ops) by_record[orphan.of].push_back(orphan);
+    for (const auto& orphan : store_.chunk_store().orphaned_chunks(now))
+        if (++count <= settings_.max_txn_ops) by_record[orphan.record_key].push_back(orphan);
     for (const auto& [key, orphans] : by_record)
         store_.read(key, [this, orphans = orphans](const ReadResult& result) {
             if (!result.ok) return;
             feed_.after_next_refresh([this, orphans, mod_revision = result.mod_revision](bool refreshed) {
                 for (const auto& orphan : orphans)
-                    if (refreshed && !store_.chunk_store().named(orphan.name, orphan.of))
+                    if (refreshed && !store_.chunk_store().is_referenced(orphan.name, orphan.record_key))
                         delete_chunk(orphan, mod_revision);
             });
         });
 }
 
-void Controller::delete_chunk(const chunks::ChunkStore::LeftOver& orphan, Revision mod_revision) {
+void Controller::delete_chunk(const chunks::ChunkStore::OrphanedChunk& orphan, Revision mod_revision) {
     Change change;
     change.priority = Priority::Deferrable;
-    change.when.push_back({orphan.of, mod_revision});
-    change.then.push_back({orphan.key, Json()});
+    change.conditions.push_back({orphan.record_key, mod_revision});
+    change.writes.push_back({orphan.key, Json()});
     change.purpose = "cleanup";
     store_.commit(std::move(change), [](const CommitResult&) {});
 }
@@ -296,7 +299,7 @@
         if (is_abort) ref.resize(ref.size() - abort_suffix.size());
         if (ref.find('/') == std::string::npos) {
             if (is_abort ? !is_post : !is_get) return wrong_method();
-            if (!wire::valid_ref(ref)) return respond({404, Json::object()});
+            if (!wire::is_valid_ref(ref)) return respond({404, Json::object()});
             return is_abort ? job_service_.abort(ref, std::move(respond))
                             : job_service_.poll(ref, std::move(respond));
         }
@@ -329,7 +332,7 @@
             if (!message) return reject_message();
             return capacity_broker_.grant_machines(*message, respond_with_grant);
         }
-        case peer::Kind::Share: {
+        case peer::Kind::QuotaRequest: {
             auto message = peer::unpack<peer::QuotaRequest>(bytes);
             if (!message) return reject_message();
             return capacity_broker_.grant_quota(*message, respond_with_grant);
@@ -398,7 +401,7 @@
                                      {"holder", shard.holder},
                                      {"mark", shard.mod_revision},
                                      {"cores", cache_.capacity_of(name) / 1000},
-                                     {"share", stored ? shares_value(stored->allocation) : Json::object()}});
+                                     {"share", stored ? quota_to_json(stored->allocation) : Json::object()}});
     }
     status["held"] = Json::array();
     for (const auto& [name, owner] : assignment_.owners())
@@ -411,7 +414,7 @@
                         {"reads", cache_.formats.all()}};
     status["policy"] = policy_publisher_.status();
     status["fleet"] = autoscaler_.status();
-    status["changes_sent"] = store_.sent();
+    status["changes_sent"] = store_.sent_writes();
     status["decisions"] = decisions_.to_json();
     return status;
 }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -98,7 +98,7 @@
     void fetch_machine_types();
     void announce_format();
     void delete_orphaned_chunks();
-    void delete_chunk(const chunks::ChunkStore::LeftOver& orphan, Revision mod_revision);
+    void delete_chunk(const chunks::ChunkStore::OrphanedChunk& orphan, Revision mod_revision);
     void log_summary();
 
     Runtime& runtime_;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -238,7 +238,7 @@
     const TierRule* rule = most_specific_rule(tiers, job);
     const Tier ranked = tier_by_rank(job.kind, rank);
     if (!rule) return ranked;
-    return rank < job.rank ? std::min(rule->tier, ranked) : rule->tier;
+    return rank < job.priority_class ? std::min(rule->tier, ranked) : rule->tier;
 }
 
 const ZoneRule* Policy::zone_rule(const JobSpec& job) const {
@@ -247,7 +247,7 @@
 
 bool Policy::is_movable(const JobSpec& job) const {
     if (tier(job) == Tier::Live) return false;
-    if (job.kind != JobKind::Service && job.checkpoint > 0) return true;
+    if (job.kind != JobKind::Service && job.checkpoint_interval > 0) return true;
     const MoveRule* rule = most_specific_rule(moves, job);
     return rule && rule->movable;
 }
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -114,7 +114,7 @@
 
     /// Returns the tier by the most specific rule. Without a rule, production services are live, other work
     /// of production or high rank is urgent, normal rank is batch, and low rank is best effort.
-    Tier tier(const JobSpec& job) const { return tier(job, job.rank); }
+    Tier tier(const JobSpec& job) const { return tier(job, job.priority_class); }
     /// `rank` is the job's own, or the higher one of a job that depends on it; a higher one raises the tier
     /// to that of the rank.
     Tier tier(const JobSpec& job, PriorityClass rank) const;
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -292,8 +292,9 @@
         const JobSpec& spec = view_.jobs[task.job].spec;
         if (spec.kind == JobKind::Service) return kServiceWeight * kMoveSeconds;
         if (!task.running) return kMoveSeconds;
-        const Micros lost_work = spec.checkpoint > 0 ? task.run_time % spec.checkpoint : task.run_time;
-        return kMoveSeconds + seconds(spec.save) + seconds(lost_work);
+        const Micros lost_work =
+            spec.checkpoint_interval > 0 ? task.run_time % spec.checkpoint_interval : task.run_time;
+        return kMoveSeconds + seconds(spec.save_duration) + seconds(lost_work);
     }
 
     /// Returns up to `max_count` best destinations for tasks of a job, with the cost of the image fetch. They
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -143,8 +143,9 @@
         const TaskView& task = view.tasks[i];
         const JobSpec& spec = view.jobs[task.job].spec;
         if (spec.kind == JobKind::Service && !task.stopping) continue;
-        task_ends.emplace_back(task.stopping ? 0 : std::max<Micros>(spec.estimate - task.run_time, kSecond),
-                               spec.request);
+        task_ends.emplace_back(
+            task.stopping ? 0 : std::max<Micros>(spec.estimated_duration - task.run_time, kSecond),
+            spec.request);
     }
     std::sort(task_ends.begin(), task_ends.end(),
               [](const auto& a, const auto& b) { return a.first < b.first; });
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 void ShardOwner::set_unbound(Job& job, Slot& slot) {
-    shard_state_.release(job, slot, context_.runtime().listened());
+    shard_state_.release(job, slot, context_.runtime().listening_time());
     plan_due_ = true;
 }
 
@@ -116,9 +116,10 @@
     Micros retry_in = 0;
     if (cause == ExitCause::Error) {
         retry_in = handle_task_failure(machine, job, slot);
-    } else if (cause == ExitCause::NoRoom || cause == ExitCause::Busy || cause == ExitCause::Unknown) {
+    } else if (cause == ExitCause::NoCapacity || cause == ExitCause::AlreadyPresent ||
+               cause == ExitCause::UnknownJob) {
         retry_in = kSecond;
-        if (cause == ExitCause::NoRoom) machine.avoid_until = now + 2 * kSecond;
+        if (cause == ExitCause::NoCapacity) machine.avoid_until = now + 2 * kSecond;
         spdlog::info("task {}/{}: the worker on {} refused to start it", job.spec.ref, task, machine.name);
     }
     on_attempt_terminated(job, task, retry_in);
@@ -135,7 +136,7 @@
     machine.session = report.session;
     machine.token_seen = std::max(machine.token_seen, report.token);
     machine.last_heartbeat = machine.heartbeat_before_load = context_.runtime().now();
-    machine.last_heartbeat_listening = context_.runtime().listened();
+    machine.last_heartbeat_listening = context_.runtime().listening_time();
     if (is_report) machine.last_report_listening = machine.last_heartbeat_listening;
 }
 
@@ -146,7 +147,7 @@
     const Micros now = context_.runtime().now();
     if (machine.last_report_at == 0 || report.session != machine.session) return false;
     return now - machine.last_report_at < kWorkerAnswerTimeout ||
-           now - machine.session_since > with_drift(context_.settings().lease);
+           now - machine.session_since > with_drift(context_.settings().worker_lease);
 }
 
 /// Applies a worker's message. `is_report` is true for a report and false for the answer to a /do.
@@ -169,14 +170,14 @@
     machine.seq = report.seq;
     machine.token_seen = std::max(machine.token_seen, report.token);
     machine.last_heartbeat = now;
-    machine.last_heartbeat_listening = context_.runtime().listened();
+    machine.last_heartbeat_listening = context_.runtime().listening_time();
     if (is_report)
         machine.last_report_at = now, machine.last_report_listening = machine.last_heartbeat_listening;
-    if (report.notice && !machine.interruption_notice) {
+    if (report.interruption_notice && !machine.interruption_notice) {
         machine.interruption_notice = true;
-        machine.interruption_at = now + *report.notice;
+        machine.interruption_at = now + *report.interruption_notice;
         spdlog::info("machine {}: the cloud will interrupt it in {} s", machine.name,
-                     *report.notice / kSecond);
+                     *report.interruption_notice / kSecond);
         stop_before_interruption(machine);
     }
     std::erase_if(machine.unacknowledged_launches,
@@ -266,7 +267,7 @@
     if (slot.phase != Phase::Running && phase == Phase::Running) {
         // It is unknown for how long a task that a former holder launched has been running; half of the
         // estimate is assumed.
-        slot.running_since = slot.inherited ? now - job.spec.estimate / 2 : now;
+        slot.running_since = slot.inherited ? now - job.spec.estimated_duration / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
         ShardState::remember_image(machine, job, true);
     }
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -41,7 +41,7 @@
     }
     if (decision) return std::nullopt;
     const Micros now = context_.runtime().now();
-    if (machine.addr.empty()) machine.addr = report.addr;
+    if (machine.addr.empty()) machine.addr = report.address;
     // A report that is not newer than the last message tells nothing, not even that the machine is alive. It
     // is still answered, with the token and with stops only: if just the answer to a /do has overtaken it,
     // the worker still waits for the answer. The lease that this renews counts from when the report was sent,
@@ -124,7 +124,7 @@
     evidence.saving_with_grace = slot.phase == Phase::Saving && slot.grace > 0;
     evidence.renews_lease = !direct;
     evidence.sent_recently =
-        slot.stop_sent_at != 0 && now - slot.stop_sent_at < context_.settings().report_every;
+        slot.stop_sent_at != 0 && now - slot.stop_sent_at < context_.settings().report_interval;
     if (!permission::is_stop_due(evidence)) return;
     startup_.record_order(OrderKind::Stop, slot.stop_sent_at != 0);
     slot.stop_sent_at = now;
@@ -244,7 +244,7 @@
     ++direct_calls_in_flight_;
     Call call;
     call.target = Target::Worker;
-    call.addr = machine.addr;
+    call.address = machine.addr;
     call.timeout = 2500 * kMillisecond;
     call.method = "POST";
     call.path = "/do";
@@ -295,7 +295,7 @@
 
 /// Marks a machine whose worker did not answer a call.
 void ShardOwner::mark_suspect(Machine& machine) {
-    if (!std::exchange(machine.suspect, true)) machine.suspect_since = context_.runtime().listened();
+    if (!std::exchange(machine.suspect, true)) machine.suspect_since = context_.runtime().listening_time();
 }
 
 /// Handles a call that failed before the connection was made, so none of its orders was or will be executed.
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -142,7 +142,7 @@
         {"tasks", {{"waiting", job.unbound_tasks}, {"bound", job.bound_tasks}, {"done", job.done_tasks}}},
         {"a_task_needs", resources_value(job.spec.request)},
         {"counts_since_ms_ago",
-         std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0)}};
+         std::max<std::int64_t>(context_.runtime().wall_clock_ms() - job.eligible_since_ms, 0)}};
     if (job.unbound_tasks > 0 && job.waiting_since > 0)
         explanation["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
     explanation["queue"] = queue_position(job);
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -36,7 +36,8 @@
 
 std::string ShardOwner::part_key(const Job& job, std::size_t part) const {
     const std::string& ref = job.spec.ref;
-    return part == 0 ? record_key(job.record_location, ref) : keys::part + ref + "/" + std::to_string(part);
+    return part == 0 ? record_key(job.record_location, ref)
+                     : keys::job_part + ref + "/" + std::to_string(part);
 }
 
 /// Returns the conditions that the job's record is unchanged since it was read or written here, and not
@@ -118,9 +119,9 @@
     job->waiting_since = context_.runtime().now();
     job->unbound_tasks = job->spec.tasks;
     job->eligible_since_ms = dependencies_done_ms.value_or(submitted_ms);
-    job->has_dependencies = dependencies_done_ms || !job->spec.needs.empty();
-    job->rank = job->spec.rank;
-    job->dependencies_done = job->spec.needs.empty();
+    job->has_dependencies = dependencies_done_ms || !job->spec.dependencies.empty();
+    job->rank = job->spec.priority_class;
+    job->dependencies_done = job->spec.dependencies.empty();
     apply_dependency_status(*job, dependency_status);
     if (job->dependencies_done) job->slots.resize(static_cast<std::size_t>(job->spec.tasks));
     return job;
@@ -136,10 +137,11 @@
     const std::string ref = spec.ref;
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
     auto job = create_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
-    auto needs = std::exchange(job->spec.needs, {});  // the record lacks them by the time when its parts fill
-    divide_into_parts(*job, compute_tasks_per_part(context_.settings().value_bytes,
+    auto needs =
+        std::exchange(job->spec.dependencies, {});  // the record lacks them by the time when its parts fill
+    divide_into_parts(*job, compute_tasks_per_part(context_.settings().max_value_bytes,
                                                    chunks::stored_size(part_value(*job, 0, false))));
-    job->spec.needs = std::move(needs);
+    job->spec.dependencies = std::move(needs);
     if (context_.all_can_read(format::kSeparateActiveRecords)) job->record_location = RecordLocation::Active;
     job->on_admitted = std::move(done);
     mark_part_dirty(*job, 0);
@@ -165,7 +167,7 @@
     job.deadline_ms = dependency_status.inherited_deadline_ms;
     if (job.spec.deadline)
         job.deadline_ms = std::min(job.deadline_ms, job.submitted_ms + *job.spec.deadline / kMillisecond);
-    set_rank(job, std::min(job.spec.rank, dependency_status.inherited_priority));
+    set_rank(job, std::min(job.spec.priority_class, dependency_status.inherited_priority));
     if (dependency_status.dependencies_met_ms > 0)
         job.eligible_since_ms = std::max(job.submitted_ms, dependency_status.dependencies_met_ms);
     if (dependency_status.dependencies_met && !dependency_status.cancelled_by_dependency &&
@@ -177,7 +179,7 @@
 /// job, and its record only keeps the time when it became eligible.
 void ShardOwner::on_dependencies_done(Job& job) {
     job.dependencies_done = true;
-    job.spec.needs.clear();
+    job.spec.dependencies.clear();
     job.slots.resize(static_cast<std::size_t>(job.spec.tasks));
     job.waiting_since = context_.runtime().now();
     plan_due_ = true;
@@ -313,7 +315,7 @@
             record["fd"] = job.done_tasks;
             // Jobs that depend on this one are eligible from this time.
             if (job.stage != Stage::Cancelled && context_.all_can_read(format::kChunksAndDependencies))
-                record["end"] = context_.runtime().wall_ms();
+                record["end"] = context_.runtime().wall_clock_ms();
             return record;
         }
         record["d"] = wire::job_value(job.spec);
@@ -443,7 +445,7 @@
         return key(a) < key(b);
     });
     for (const auto& write : due_writes) {
-        if (!context_.store().room(write.priority)) break;
+        if (!context_.store().has_write_budget(write.priority)) break;
         write_part(*write.job, write.part, write.priority);
     }
 }
@@ -452,10 +454,10 @@
 /// store's write rate is left. Binds of production jobs and of classes with a wait-time objective are not
 /// delayed.
 Micros ShardOwner::batching_delay(const Job& job, bool has_binds) const {
-    const double level = context_.store().level();
+    const double level = context_.store().write_budget_level();
     if (!has_binds) return level < 0.5 ? 2 * kDoneTasksDelay : kDoneTasksDelay;
     if (job.rank == PriorityClass::Production ||
-        !context_.settings().goals("wait", job.spec.job_class).empty())
+        !context_.settings().objective_time_limits("wait", job.spec.job_class).empty())
         return 0;
     return level < 0.3 ? kLongBatchDelay : level < 0.6 ? kShortBatchDelay : 0;
 }
@@ -468,14 +470,14 @@
     change.priority = priority;
     // The write precedes the launches, and is conditional on the records known here: a former holder can't
     // bind, and a cancelled job can't be bound.
-    change.when = record_conditions(job);
-    change.when.push_back({keys::shard + shard_, mod_revision_});
-    if (index > 0) change.when.push_back({part_key(job, index), part.mod_revision});
+    change.conditions = record_conditions(job);
+    change.conditions.push_back({keys::shard + shard_, mod_revision_});
+    if (index > 0) change.conditions.push_back({part_key(job, index), part.mod_revision});
     // A record of the old format must not be added once that format is closed (c/history), nor next to a
     // record of the new format.
     if (job.on_admitted && job.record_location == RecordLocation::Job) {
-        change.when.push_back({keys::active + ref, 0});
-        change.when.push_back({keys::history, 0});
+        change.conditions.push_back({keys::active + ref, 0});
+        change.conditions.push_back({keys::history, 0});
     }
     Json value = part_value(job, index, final_record);
     std::vector<AttemptKey> bound_attempts;
@@ -487,23 +489,23 @@
         if (job.slots[i].state == SlotState::DonePending) done_tasks.push_back(static_cast<int>(i));
     }
     // A record of the old format moves to its new key while the store has spare write rate.
-    const bool migrates = index == 0 && !final_record && !job.on_admitted &&
-                          job.record_location == RecordLocation::Job &&
-                          context_.all_can_read(format::kSeparateActiveRecords) && context_.store().quiet();
+    const bool migrates =
+        index == 0 && !final_record && !job.on_admitted && job.record_location == RecordLocation::Job &&
+        context_.all_can_read(format::kSeparateActiveRecords) && context_.store().is_quiet();
     const RecordLocation location = migrates ? RecordLocation::Active : job.record_location;
     if (migrates) {
-        change.when.push_back({keys::active + ref, 0});
-        change.then.push_back({keys::job + ref, Json()});
+        change.conditions.push_back({keys::active + ref, 0});
+        change.writes.push_back({keys::job + ref, Json()});
     }
-    change.then.push_back({final_record ? keys::job + ref
-                           : index == 0 ? record_key(location, ref)
-                                        : part_key(job, index),
-                           value});
+    change.writes.push_back({final_record ? keys::job + ref
+                             : index == 0 ? record_key(location, ref)
+                                          : part_key(job, index),
+                             value});
     // The final record deletes the one under c/active/ if the store has spare write rate. Otherwise that is
     // deleted later (see drop_stale_records).
     const bool drops_active =
-        final_record && job.record_location == RecordLocation::Active && context_.store().quiet();
-    if (drops_active) change.then.push_back({keys::active + ref, Json()});
+        final_record && job.record_location == RecordLocation::Active && context_.store().is_quiet();
+    if (drops_active) change.writes.push_back({keys::active + ref, Json()});
     change.purpose = job.on_admitted          ? "admit"
                      : final_record           ? "over"
                      : bound_attempts.empty() ? "done"
@@ -576,7 +578,8 @@
         return mark_part_dirty(*job, index);
     }
     // A change that the store rejects is not repeated at once.
-    if (result.status == CommitStatus::Rejected) part.not_before = context_.runtime().now() + kRefused;
+    if (result.status == CommitStatus::Rejected)
+        part.not_before = context_.runtime().now() + kRejectedRetryDelay;
     // The record shows whether the change was executed.
     reload_part(ref, index);
     if (index > 0) reload_part(ref, 0);
@@ -599,7 +602,7 @@
                     // new holder numbers its attempts from the same record, and its binds must not be taken
                     // for unanswered ones of this owner.
                     Change ownership_check;
-                    ownership_check.when.push_back({keys::shard + shard_, mod_revision_});
+                    ownership_check.conditions.push_back({keys::shard + shard_, mod_revision_});
                     context_.store().commit(
                         std::move(ownership_check), [this, alive, ref, index, result, location,
                                                      legacy_revision](const CommitResult& check) {
@@ -618,7 +621,7 @@
                              std::function<void(const ReadResult&, RecordLocation, Revision)> done) {
     if (index > 0)
         return context_.store().read(
-            keys::part + ref + "/" + std::to_string(index),
+            keys::job_part + ref + "/" + std::to_string(index),
             [done = std::move(done)](const ReadResult& result) { done(result, RecordLocation::Job, 0); });
     context_.store().read(
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
@@ -680,7 +683,7 @@
 void ShardOwner::migrate_legacy_record() {
     const Micros now = context_.runtime().now();
     if (!context_.all_can_read(format::kSeparateActiveRecords) ||
-        now - last_record_migration_at_ < kMigrationInterval || !context_.store().quiet())
+        now - last_record_migration_at_ < kMigrationInterval || !context_.store().is_quiet())
         return;
     last_record_migration_at_ = now;
     for (auto& [ref, job] : shard_state_.jobs) {
@@ -702,7 +705,7 @@
     const bool has_many = stale_records_.size() > kManyStaleRecords;
     if (!stale_records_.empty() &&
         now - last_record_drop_at_ >= (has_many ? kStaleRecordDropInterval / 4 : kStaleRecordDropInterval) &&
-        (has_many ? context_.store().room(Priority::Deferrable) : context_.store().quiet())) {
+        (has_many ? context_.store().has_write_budget(Priority::Deferrable) : context_.store().is_quiet())) {
         last_record_drop_at_ = now;
         const Condition stale_record = stale_records_.back();
         stale_records_.pop_back();
@@ -743,8 +746,8 @@
         if (job.parts[part].mod_revision == 0) continue;
         Change change;
         change.priority = Priority::Deferrable;
-        change.when.push_back({keys::shard + shard_, mod_revision_});
-        change.then.push_back({part_key(job, part), Json()});
+        change.conditions.push_back({keys::shard + shard_, mod_revision_});
+        change.writes.push_back({part_key(job, part), Json()});
         change.purpose = "cleanup";
         context_.store().commit(std::move(change), [](const CommitResult&) {});
     }
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -110,8 +110,8 @@
     peer::CapacityRequest request;
     request.shard = shard_;
     request.mod_revision = mod_revision_;
-    request.task = first_job->spec.request;
-    request.spot = first_job->spec.spot;
+    request.largest_task = first_job->spec.request;
+    request.allows_spot = first_job->spec.spot;
     if (first_job->spec.zone) request.zone = *first_job->spec.zone;
     // Where the zones that have tasks of the job may take no more, the job needs machines in another zone.
     if (first_job->spec.spread && request.zone.empty()) {
@@ -138,7 +138,7 @@
 std::vector<std::string> ShardOwner::offer_idle_machines(const peer::CapacityRequest& want) {
     std::vector<std::string> names;
     if (!active_) return names;
-    const Micros now = context_.runtime().listened();
+    const Micros now = context_.runtime().listening_time();
     std::vector<Machine*> idle_machines;
     for (auto& [name, machine] : shard_state_.machines) {
         if (!is_usable(*machine) || !machine->tasks.empty() || !machine->exited_tasks.empty() ||
@@ -148,7 +148,7 @@
             machine->raising_token)
             continue;
         if (now - machine->idle_since < kMinIdleBeforeOffer) continue;
-        if ((machine->spot && !want.spot) || !want.task.fits(machine->type->size)) continue;
+        if ((machine->spot && !want.allows_spot) || !want.largest_task.fits(machine->type->size)) continue;
         if (!want.type.empty() && want.type != machine->type_name) continue;
         if (!want.zone.empty() && want.zone != machine->zone) continue;
         idle_machines.push_back(machine.get());
@@ -197,13 +197,13 @@
         room.ordinary -= needed - from_spot;
         room.idle_spot -= from_spot;
         room.idle_ordinary -= needed - from_spot;
-        if (!context_.store().room(Priority::Normal)) return;
+        if (!context_.store().has_write_budget(Priority::Normal)) return;
         Change change;
-        change.when = record_conditions(job);
-        change.when.push_back({keys::shard + shard_, mod_revision_});
+        change.conditions = record_conditions(job);
+        change.conditions.push_back({keys::shard + shard_, mod_revision_});
         Json value = part_value(job, 0, false);
         value["dom"] = to;
-        change.then.push_back({part_key(job, 0), value});
+        change.writes.push_back({part_key(job, 0), value});
         change.purpose = "rehome";
         part.in_flight = true;
         job.transferring = true;
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -106,7 +106,7 @@
 /// Returns whether all machines that matter to the plan have reported to this owner, or have had the
 /// duration of a lease to do so.
 bool Rebalancer::has_heard_all_machines() const {
-    if (context_.runtime().now() - owned_since_ > context_.settings().lease) return true;
+    if (context_.runtime().now() - owned_since_ > context_.settings().worker_lease) return true;
     auto has_reported = [this](const Machine& machine) {
         return machine.seq > 0 && machine.token_seen >= shard_revision_;
     };
@@ -140,12 +140,13 @@
 /// some of its machines report and all of those that have tasks do.
 void Rebalancer::update_zone_stability() {
     const Micros now = context_.runtime().now();
-    const Micros max_silence = context_.settings().report_every * 5 / 2 + kSecond;
+    const Micros max_silence = context_.settings().report_interval * 5 / 2 + kSecond;
     std::map<std::string, std::pair<bool, bool>> zones;  // has a machine that reports, has one in doubt
     for (const auto& [name, machine] : shard_state_.machines) {
         auto& [has_reporting, has_doubtful] = zones[machine->zone];
         const bool reports_lately =
-            machine->seq > 0 && context_.runtime().listened() - machine->last_report_listening < max_silence;
+            machine->seq > 0 &&
+            context_.runtime().listening_time() - machine->last_report_listening < max_silence;
         has_reporting = has_reporting || reports_lately;
         has_doubtful = has_doubtful || (!reports_lately && !machine->tasks.empty());
     }
@@ -191,7 +192,7 @@
         job_view.bound_tasks = job->bound_tasks;
         job_view.waiting_time =
             job_view.waiting_tasks > 0 ? std::max<Micros>(now - job->waiting_since, 1) : 0;
-        job_view.age = (context_.runtime().wall_ms() - job->eligible_since_ms) * kMillisecond;
+        job_view.age = (context_.runtime().wall_clock_ms() - job->eligible_since_ms) * kMillisecond;
         job_view.tasks_by_zone = job->tasks_by_zone();
         auto history = move_history_.find(job->spec.ref);
         // An earlier owner may have moved a task of it until this process took the shard.
@@ -264,8 +265,8 @@
     for (auto& reservation : scheduling::reservations_for_overdue_job(snapshot, policy))
         reservations.push_back(std::move(reservation));
     if (moves.empty() && reservations.empty()) return;
-    const std::size_t added =
-        plan_.add(moves, reservations, context_.runtime().wall_ms(), policy.budgets, ShardStateQuery(*this));
+    const std::size_t added = plan_.add(moves, reservations, context_.runtime().wall_clock_ms(),
+                                        policy.budgets, ShardStateQuery(*this));
     if (added > 0)
         spdlog::info("domain {}: {} moves and reservations planned, {} in all", shard_, added,
                      plan_.moves().size() + plan_.reservations().size());
@@ -273,11 +274,13 @@
 
 void Rebalancer::execute_plan() {
     const scheduling::MigrationPlan::Actions actions =
-        plan_.advance(ShardStateQuery(*this), context_.runtime().wall_ms(), kPlanTimeoutMs);
+        plan_.advance(ShardStateQuery(*this), context_.runtime().wall_clock_ms(), kPlanTimeoutMs);
     if (!is_outcome_unknown_ && context_.stable_for() > 0) stop_moving_tasks(actions.tasks_to_stop);
     const bool has_obsolete_record = plan_.empty() && record_revision_ != 0;
     if ((!actions.needs_write && !has_obsolete_record) || write_in_flight_ || is_outcome_unknown_) return;
-    if (context_.runtime().now() < write_not_before_ || !context_.store().room(Priority::Deferrable)) return;
+    if (context_.runtime().now() < write_not_before_ ||
+        !context_.store().has_write_budget(Priority::Deferrable))
+        return;
     if (plan_.empty() && record_revision_ == 0) return;  // the plan was taken back before it was ever written
     write_plan();
 }
@@ -308,7 +311,7 @@
 }
 
 void Rebalancer::stop_moving_tasks(const std::vector<Move>& moves) {
-    const std::int64_t now_ms = context_.runtime().wall_ms();
+    const std::int64_t now_ms = context_.runtime().wall_clock_ms();
     std::map<Job*, std::vector<const Move*>> moves_by_job;  // a gang stops as a whole or not at all
     for (const Move& move : moves) {
         Job* job = shard_state_.job(move.job);
@@ -328,7 +331,7 @@
             spdlog::info("task {}/{}: stopped on {} to move to {}{}", move->job, move->task, move->from,
                          move->to.empty() ? "any machine that fits" : move->to,
                          move->for_job.empty() ? "" : ", to make room for " + move->for_job);
-            owner_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save + kSecond);
+            owner_.stop(job->slots[static_cast<std::size_t>(move->task)], job->spec.save_duration + kSecond);
             MoveHistory& history = move_history_[move->job];
             history.last_move_at = context_.runtime().now();
             if (move->reason == MoveReason::Balance) history.balance_moves_at.push_back(history.last_move_at);
@@ -376,8 +379,8 @@
     Change change;
     change.priority = Priority::Deferrable;
     change.purpose = "plan";
-    change.when = {{keys::shard + shard_, shard_revision_}, {key, record_revision_}};
-    change.then.push_back({key, deletes_record ? Json() : plan_.to_value()});
+    change.conditions = {{keys::shard + shard_, shard_revision_}, {key, record_revision_}};
+    change.writes.push_back({key, deletes_record ? Json() : plan_.to_value()});
     write_in_flight_ = true;
     plan_.begin_write();
     context_.store().commit(std::move(change),
@@ -398,7 +401,7 @@
             write_not_before_ = context_.runtime().now() + kSecond;
             return;
         case CommitStatus::Rejected:
-            write_not_before_ = context_.runtime().now() + kRefused;
+            write_not_before_ = context_.runtime().now() + kRejectedRetryDelay;
             return;
         case CommitStatus::Conflict:
             if (std::find(result.failed.begin(), result.failed.end(), keys::shard + shard_) !=
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -48,8 +48,8 @@
       shard_(std::move(shard)),
       shard_state_(shard_state),
       owner_(owner),
-      best_effort_start_budget_(kBestEffortStartsPerSecond * context.settings().cpu_share,
-                                kBestEffortStartsPerSecond * context.settings().cpu_share) {}
+      best_effort_start_budget_(kBestEffortStartsPerSecond * context.settings().cpu_cores,
+                                kBestEffortStartsPerSecond * context.settings().cpu_cores) {}
 
 void Scheduler::bind(Job& job, int task, Machine& machine, std::int64_t attempt) {
     shard_state_.bind(job, task, machine, attempt);
@@ -166,8 +166,8 @@
 const Scheduler::Objectives& Scheduler::objectives(const Job& job) const {
     auto [it, added] = objectives_by_class_.try_emplace(job.spec.job_class);
     if (added)
-        it->second = {context_.settings().goals("wait", job.spec.job_class),
-                      context_.settings().goals("finished", job.spec.job_class)};
+        it->second = {context_.settings().objective_time_limits("wait", job.spec.job_class),
+                      context_.settings().objective_time_limits("finished", job.spec.job_class)};
     return it->second;
 }
 
@@ -236,8 +236,9 @@
 bool Scheduler::can_wait(const Job& job) const {
     const auto& finish_objectives = objectives(job).finished;
     if (finish_objectives.empty()) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
-    const Micros needed = job.spec.estimate + job.spec.estimate / 3;  // the slowest of several tasks
+    const Micros age = (context_.runtime().wall_clock_ms() - job.eligible_since_ms) * kMillisecond;
+    const Micros needed =
+        job.spec.estimated_duration + job.spec.estimated_duration / 3;  // the slowest of several tasks
     if (age + needed <= finish_objectives.front()) return false;
     return finish_objectives.size() == 1 || age + needed < finish_objectives.back() * 3 / 4;
 }
@@ -350,7 +351,7 @@
 
 std::ptrdiff_t Scheduler::place_in_groups(const Job& job, const std::vector<CandidateGroup>& groups) {
     for (const auto& group : groups) {
-        const auto chosen = place(group.candidates, job.spec.request, context_.settings().ops.placement,
+        const auto chosen = place(group.candidates, job.spec.request, context_.settings().operators.placement,
                                   context_.runtime().random());
         if (chosen >= 0) return chosen;
     }
@@ -376,7 +377,7 @@
 scheduling::QueuedJob Scheduler::queued_job(const Job& job, std::size_t index) const {
     const Micros now = context_.runtime().now();
     const std::int64_t age_ms =
-        std::max<std::int64_t>(context_.runtime().wall_ms() - job.eligible_since_ms, 0);
+        std::max<std::int64_t>(context_.runtime().wall_clock_ms() - job.eligible_since_ms, 0);
     const JobSpec& spec = job.spec;
     scheduling::QueuedJob queued;
     queued.index = index;
@@ -390,7 +391,7 @@
     // Waiting makes up for size, so that no job starves.
     const auto work_left = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
                            static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
-                           static_cast<double>(std::max<Micros>(spec.estimate, kSecond)) / 1e6;
+                           static_cast<double>(std::max<Micros>(spec.estimated_duration, kSecond)) / 1e6;
     queued.remaining_work = work_left / static_cast<double>(age_ms + 10'000);
     queued.age = age_ms * kMillisecond;
     // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
@@ -525,8 +526,8 @@
 /// meet.
 bool Scheduler::stop_misses_objective(const Job& job, Micros ran) const {
     const auto& finish_objectives = objectives(job).finished;
-    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
-    const Micros left = std::max<Micros>(job.spec.estimate * 6 / 5 - ran, 2 * kSecond);
+    const Micros age = (context_.runtime().wall_clock_ms() - job.eligible_since_ms) * kMillisecond;
+    const Micros left = std::max<Micros>(job.spec.estimated_duration * 6 / 5 - ran, 2 * kSecond);
     return std::any_of(finish_objectives.begin(), finish_objectives.end(), [&](Micros objective) {
         return age + left <= objective && age + left + kRestartDelay > objective;
     });
@@ -536,7 +537,7 @@
 /// often they are bound: each bind costs a change, and a task that was just preempted is likely to be
 /// preempted again.
 Micros Scheduler::best_effort_interval(const Job& job) {
-    return std::clamp(job.spec.estimate / 20, kBestEffortInterval, kMaxBestEffortInterval);
+    return std::clamp(job.spec.estimated_duration / 20, kBestEffortInterval, kMaxBestEffortInterval);
 }
 
 Scheduler::ZoneConstraints Scheduler::zone_constraints(const Job& job) const {
@@ -688,7 +689,7 @@
     bool tried_relayed = false, tried_draining = !may_use_draining_machines(job);
     const bool includes_draining = !tried_draining;
     const bool image_ready_only = job.waiting_for_image = waits_for_image(job);
-    const bool values_in_pieces = context_.store().uses_pieces();
+    const bool values_in_pieces = context_.store().is_chunking_enabled();
     while (job.first_unbound < job.slots.size() && job.slots[job.first_unbound].state != SlotState::Unbound)
         ++job.first_unbound;
     for (std::size_t i = job.first_unbound; i < job.slots.size(); ++i) {
@@ -702,7 +703,7 @@
         // sent a report.
         const Machine* preferred = owner_.move_destination(job, static_cast<int>(i));
         if (preferred && preferred->seq == 0 &&
-            now - preferred->known_since < 2 * context_.settings().report_every)
+            now - preferred->known_since < 2 * context_.settings().report_interval)
             continue;
         // Unless values are stored in pieces, a stored part must not grow beyond the size of one value. The
         // following parts still have room.
@@ -822,7 +823,7 @@
                     leaves_reserve(job, candidate_zone, tasks_by_zone[candidate_zone]))
                     eligible.push_back(candidate);
             }
-            const auto index = place(eligible, job.spec.request, context_.settings().ops.placement,
+            const auto index = place(eligible, job.spec.request, context_.settings().operators.placement,
                                      context_.runtime().random());
             if (index < 0) break;
             auto& candidate = trial[static_cast<std::size_t>(index)];
@@ -850,8 +851,9 @@
     const Micros now = context_.runtime().now();
     // Stopping work that cannot save its progress discards that work. Jobs of production rank may always do
     // that; others only when their deadline is near, or to reclaim a guarantee that they have waited for.
-    const std::int64_t now_ms = context_.runtime().wall_ms();
-    const bool is_late = now_ms + (job.spec.estimate * 5 / 4 + 3 * kSecond) / kMillisecond > job.deadline_ms;
+    const std::int64_t now_ms = context_.runtime().wall_clock_ms();
+    const bool is_late =
+        now_ms + (job.spec.estimated_duration * 5 / 4 + 3 * kSecond) / kMillisecond > job.deadline_ms;
     const bool may_discard_work =
         job.rank == PriorityClass::Production || (job.rank == PriorityClass::High && is_late);
     const bool reclaims_guarantee = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
@@ -943,9 +945,9 @@
 Scheduler::Victim Scheduler::evaluate_victim(Slot& slot, Job& job, bool stop_at_once) const {
     const Micros now = context_.runtime().now();
     const Micros ran = slot.running_since ? now - slot.running_since : 0;
-    const Micros save_time = job.spec.save + kSecond;
-    const Micros unsaved = job.spec.checkpoint > 0 ? ran % job.spec.checkpoint : ran;
-    const bool saves = job.spec.checkpoint > 0 && !stop_at_once && unsaved > save_time;
+    const Micros save_time = job.spec.save_duration + kSecond;
+    const Micros unsaved = job.spec.checkpoint_interval > 0 ? ran % job.spec.checkpoint_interval : ran;
+    const bool saves = job.spec.checkpoint_interval > 0 && !stop_at_once && unsaved > save_time;
     const double lost = static_cast<double>(saves ? save_time : unsaved) / 1e6 + 1.0 +
                         (ran < kMinUsefulRun ? kShortRunLoss : 0.0) +
                         (stop_misses_objective(job, ran) ? kMissedObjectiveLoss : 0.0);
@@ -957,7 +959,7 @@
 /// work but live work and return to the same machine first, so that neither job makes progress.
 bool Scheduler::would_be_overdue_again(const Job& job) const {
     if (job.bound_tasks > 1 || job.done_tasks > 0 || job.backing_off) return false;
-    const Micros age = (context_.runtime().wall_ms() - job.eligible_since_ms) * kMillisecond;
+    const Micros age = (context_.runtime().wall_clock_ms() - job.eligible_since_ms) * kMillisecond;
     return tier(job) != policy::Tier::Live && age >= context_.policy().priority.overdue_after;
 }
 
@@ -983,7 +985,7 @@
         const bool has_lower_rank = other->rank == PriorityClass::Low
                                         ? job.rank < PriorityClass::Low
                                         : job.rank <= PriorityClass::High && other->rank > job.rank &&
-                                              (may_discard_work || other->spec.checkpoint > 0);
+                                              (may_discard_work || other->spec.checkpoint_interval > 0);
         // A job of higher rank would only return to the same machine and preempt in turn; so would a job that
         // is within its own guarantee by now, even if it was not when it last waited.
         const bool is_reclaimable = reclaims_guarantee && other->rank >= job.rank &&
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -42,7 +42,7 @@
         owned->name = entry.name;
         owned->known_since = context_.runtime().now();
         owned->last_heartbeat_listening = owned->last_report_listening = owned->idle_since =
-            context_.runtime().listened();
+            context_.runtime().listening_time();
         owned->relinquishments.resize(context_.settings().peers.size());
     }
     Machine& machine = *owned;
@@ -50,7 +50,7 @@
     machine.type_name = block.type;
     machine.zone = block.zone;
     machine.spot = block.spot;
-    if (!entry.addr.empty()) machine.addr = entry.addr;
+    if (!entry.address.empty()) machine.addr = entry.address;
     machine.retired = entry.retired;
     machine.token = std::max<std::uint64_t>(machine.token, entry.token);
     machine.type = context_.machine_type(block.type);
@@ -80,19 +80,19 @@
 }
 
 Micros ShardOwner::silent_for(const Machine& machine) const {
-    return context_.runtime().listened() - machine.last_heartbeat_listening;
+    return context_.runtime().listening_time() - machine.last_heartbeat_listening;
 }
 
 /// A worker is usable while it reports, which renews its lease, and receives orders. Its answers to direct
 /// calls only prove the latter.
 Micros ShardOwner::unreachable_for(const Machine& machine) const {
-    const Micros listened = context_.runtime().listened();
+    const Micros listened = context_.runtime().listening_time();
     return std::max(listened - machine.last_report_listening,
                     machine.suspect ? listened - machine.suspect_since : 0);
 }
 
 Micros ShardOwner::unreachable_limit() const {
-    return context_.settings().report_every * 5 / 2 + kSecond;
+    return context_.settings().report_interval * 5 / 2 + kSecond;
 }
 
 void ShardOwner::set_draining(const std::string& machine, bool on) {
@@ -133,7 +133,7 @@
 /// granted one after `last`.
 bool ShardOwner::are_leases_expired_since(const Machine& machine, Micros last) const {
     const Micros now = context_.runtime().now();
-    if (now <= last + with_drift(context_.settings().lease)) return false;
+    if (now <= last + with_drift(context_.settings().worker_lease)) return false;
     for (std::size_t peer = 0; peer < machine.relinquishments.size(); ++peer) {
         if (machine.relinquishments[peer].until > now)
             last = std::max(last, machine.relinquishments[peer].last_renewal_at);
@@ -142,18 +142,18 @@
         else
             return false;
     }
-    return now > last + with_drift(context_.settings().lease);
+    return now > last + with_drift(context_.settings().worker_lease);
 }
 
 std::vector<std::string> ShardOwner::machines_to_relinquish(std::size_t peer) const {
     std::vector<std::string> names;
     const Micros now = context_.runtime().now();
-    const Micros half_lease = context_.settings().lease / 2;
+    const Micros half_lease = context_.settings().worker_lease / 2;
     for (const auto& [name, machine] : shard_state_.machines) {
         const bool is_silent = silent_for(*machine) > half_lease ||
                                (machine->token_seen < mod_revision_ && now - acquired_at_ > half_lease);
         if (is_silent && !machine->is_idle() &&
-            machine->relinquishments[peer].until < now + context_.settings().lease)
+            machine->relinquishments[peer].until < now + context_.settings().worker_lease)
             names.push_back(name);
     }
     return names;
@@ -191,7 +191,7 @@
         // The session of a silent worker ends by itself, unless another controller renews its lease on this
         // holder's behalf. In that case an unanswered launch could arrive at any time, even if its job has
         // been cancelled since, so the token is raised for jobs that are no longer queued as well.
-        const bool heard = silent_for(machine) < 2 * context_.settings().report_every;
+        const bool heard = silent_for(machine) < 2 * context_.settings().report_interval;
         const bool needs_new_token = std::any_of(
             machine.unacknowledged_launches.begin(), machine.unacknowledged_launches.end(),
             [&](const auto& launch) {
@@ -221,9 +221,9 @@
         if (machine.interruption_notice && now <= machine.interruption_at) stop_before_interruption(machine);
     }
     flush_due_ = true;
-    for (const auto& job : cancellations_.take_overdue(now, context_.settings().cancel / 2))
+    for (const auto& job : cancellations_.take_overdue(now, context_.settings().cancel_deadline / 2))
         spdlog::warn("event=cancellation_unfinished job={} domain={} token={} for_ms={}", job, shard_,
-                     mod_revision_, context_.settings().cancel / 2 / kMillisecond);
+                     mod_revision_, context_.settings().cancel_deadline / 2 / kMillisecond);
     if (const std::string line = startup_.take_log_line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
@@ -283,10 +283,10 @@
         const Micros ran = slot.running_since > 0 ? now - slot.running_since : 0;
         if (job->spec.kind == JobKind::Gang) {
             for (auto& gang_slot : job->slots)
-                if (gang_slot.state == SlotState::Bound) stop(gang_slot, job->spec.save + kSecond);
-        } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint > 0) {
-            stop(slot, job->spec.save + kSecond);
-        } else if (job->spec.estimate * 4 / 5 - ran > left) {
+                if (gang_slot.state == SlotState::Bound) stop(gang_slot, job->spec.save_duration + kSecond);
+        } else if (job->spec.kind == JobKind::Service || job->spec.checkpoint_interval > 0) {
+            stop(slot, job->spec.save_duration + kSecond);
+        } else if (job->spec.estimated_duration * 4 / 5 - ran > left) {
             stop(slot, 0);
         }
     }
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -28,12 +28,12 @@
     s.teams = {{"red", {8'000, 0, 0}, {24'000, 0, 0}},
                {"blue", {8'000, 0, 0}, {16'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    s.ops.history_apart = true;
-    s.report_every = 2 * kSecond;
-    s.lease = 12 * kSecond;
-    s.gang_wait = 20 * kSecond;
-    s.gang_peer = 4 * kSecond;
-    s.cancel = 30 * kSecond;
+    s.operators.separate_history = true;
+    s.report_interval = 2 * kSecond;
+    s.worker_lease = 12 * kSecond;
+    s.gang_wait_timeout = 20 * kSecond;
+    s.gang_peer_timeout = 4 * kSecond;
+    s.cancel_deadline = 30 * kSecond;
     s.state_rps = 500;
     s.state_write_rps = 200;
     s.cloud_rps = 5;
@@ -55,11 +55,11 @@
         offset_ = static_cast<Micros>(random_() % 1'000'000'000) + kSecond;
     }
     Micros now() override { return offset_ + simulator_.now_ + simulator_.now_ / 1'000'000 * drift_ppm_; }
-    Micros listened() override {
-        clock_.turn(now());
+    Micros listening_time() override {
+        clock_.advance(now());
         return clock_.now();
     }
-    std::int64_t wall_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
+    std::int64_t wall_clock_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
         simulator_.at(simulator_.now_ + std::max<Micros>(delay, 0),
@@ -72,7 +72,7 @@
             index_,
             [self = shared_from_this(), what = std::move(what)] {
                 if (!self->alive) return;
-                self->clock_.turn(self->now());
+                self->clock_.advance(self->now());
                 what();
             },
             timer);
@@ -89,13 +89,13 @@
                 },
                 false);
         };
-        release_shard(listened() + call.timeout, pending, finish);
+        release_shard(listening_time() + call.timeout, pending, finish);
         std::string to = call.target == Target::State ? "state" : call.target == Target::Cloud ? "cloud" : "";
         if (call.target == Target::Worker)
-            if (auto at = simulator_.by_addr_.find(call.addr);
+            if (auto at = simulator_.by_addr_.find(call.address);
                 at != simulator_.by_addr_.end() && simulator_.worker(at->second))
                 to = at->second;
-        if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.addr.substr(7)) - 1);
+        if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.address.substr(7)) - 1);
         auto back = [self = shared_from_this(), to, finish](Reply r) {
             self->simulator_.send(to, self->name_, [finish, r = std::move(r)] { finish(r); });
         };
@@ -124,10 +124,11 @@
     /// Time-outs go by the time spent listening.
     void release_shard(Micros deadline, const std::shared_ptr<Pending>& pending,
                        const std::function<void(const Reply&)>& finish) {
-        after(std::max<Micros>(deadline - listened(), kMillisecond),
+        after(std::max<Micros>(deadline - listening_time(), kMillisecond),
               [self = shared_from_this(), deadline, pending, finish] {
                   if (pending->over) return;
-                  if (self->listened() < deadline) return self->release_shard(deadline, pending, finish);
+                  if (self->listening_time() < deadline)
+                      return self->release_shard(deadline, pending, finish);
                   finish(Reply{});
               });
     }
@@ -446,7 +447,7 @@
 void Simulator::start_nodes(int count, std::set<int> old) {
     nodes_.resize(static_cast<std::size_t>(count));
     for (int i : old) nodes_[static_cast<std::size_t>(i)].old = true;
-    state_.limits = {settings.value_bytes_now, std::max<std::size_t>(settings.txn_ops, 8), 0};
+    state_.limits = {settings.current_max_value_bytes, std::max<std::size_t>(settings.max_txn_ops, 8), 0};
     for (int i = 0; i < count; ++i) start_node(i);
 }
 
@@ -540,13 +541,14 @@
         if (m.up_at > now_) continue;
         m.up = true;
         m.info.state = CloudState::Running;
-        m.info.addr = "10.1." + std::to_string(workers_.size() / 250) + "." +
-                      std::to_string(workers_.size() % 250 + 1) + ":9000";
-        by_addr_[m.info.addr] = name;
+        m.info.address = "10.1." + std::to_string(workers_.size() / 250) + "." +
+                         std::to_string(workers_.size() % 250 + 1) + ":9000";
+        by_addr_[m.info.address] = name;
         zone_of_[name] = m.info.zone;
         auto& r = workers_[name];
-        r.worker = std::make_unique<Worker>(name, m.info.addr, *cloud_.type(m.info.type), m.info.zone,
-                                            m.info.spot, settings.lease, settings.gang_wait, *this, now_);
+        r.worker = std::make_unique<Worker>(name, m.info.address, *cloud_.type(m.info.type), m.info.zone,
+                                            m.info.spot, settings.worker_lease, settings.gang_wait_timeout,
+                                            *this, now_);
         r.node = static_cast<int>(random() % std::max<std::size_t>(nodes_.size(), 1));
         r.next = now_ + delay();
     }
@@ -613,7 +615,7 @@
         breach("invariant", "a lease was about to be renewed without a stop that was due");
     }
     for (auto& [ref, u] : users_) {
-        if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel) continue;
+        if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel_deadline) continue;
         if (running(ref) > 0) breach("ran_cancelled", ref + " is still on a machine");
     }
 }
@@ -626,8 +628,8 @@
     const auto generation = ++r.generation;
     r.in_flight = true;
     r.last = now_;
-    r.next = now_ + settings.report_every * 3 / 4 +
-             static_cast<Micros>(random() % 1000) * settings.report_every / 2000;
+    r.next = now_ + settings.report_interval * 3 / 4 +
+             static_cast<Micros>(random() % 1000) * settings.report_interval / 2000;
     const std::string body = wire::encode(w.report(now_));
     const int target = r.node;
     const std::string host = "loom-" + std::to_string(target);
@@ -652,7 +654,7 @@
         return;
     }
     repeat(again);
-    if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.lease)), again);
+    if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.worker_lease)), again);
     const int next = (target + 1) % node_count();
     at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
     if (!nodes_[static_cast<std::size_t>(target)].controller) {
@@ -695,7 +697,7 @@
     s.job_class = "class";
     s.team = "red";
     s.kind = kind;
-    s.rank = PriorityClass::Normal;
+    s.priority_class = PriorityClass::Normal;
     s.tasks = tasks;
     s.request = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
     s.image = "img-" + std::to_string(number % 3);
@@ -925,7 +927,7 @@
     User& u = users_[ref];
     const std::string stage = wire::text(body, "stage").value_or("");
     if (const Micros told = cancel_told(ref);
-        stage != "cancelled" && stage != "done" && told > 0 && sent > told + settings.cancel)
+        stage != "cancelled" && stage != "done" && told > 0 && sent > told + settings.cancel_deadline)
         breach("orphaned", ref + " is still called " + stage);
     const std::string next = stage == "done" || stage == "cancelled" ? stage : "accepted";
     // An answer that was overtaken by a newer one tells nothing.
@@ -970,7 +972,7 @@
     for (const auto& [ref, u] : users_) {
         const JobSpec& spec = u.info.spec;
         if (u.told != "accepted" || u.finished >= 0 || u.info.broken || cancel_wanted(ref)) continue;
-        if (std::any_of(spec.needs.begin(), spec.needs.end(),
+        if (std::any_of(spec.dependencies.begin(), spec.dependencies.end(),
                         [this](const auto& need) { return users_.at(need).finished < 0; }))
             continue;
         WaitingJob job{spec, spec.tasks - static_cast<int>(u.done.size()), {}, u.starts};
@@ -1074,14 +1076,14 @@
 
 bool Simulator::cancel_wanted(const std::string& ref) const {
     const User& u = users_.at(ref);
-    return u.wants_cancel || std::any_of(u.info.spec.needs.begin(), u.info.spec.needs.end(),
+    return u.wants_cancel || std::any_of(u.info.spec.dependencies.begin(), u.info.spec.dependencies.end(),
                                          [this](const auto& need) { return cancel_wanted(need); });
 }
 
 Micros Simulator::cancel_told(const std::string& ref) const {
     const User& u = users_.at(ref);
     if (u.told == "cancelled") return u.cancelled_at;
-    for (const auto& need : u.info.spec.needs)
+    for (const auto& need : u.info.spec.dependencies)
         if (const Micros told = cancel_told(need)) return told;
     return 0;
 }
@@ -1102,7 +1104,7 @@
     const JobSpec& s = u.info.spec;
     ++u.starts;
     note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " + machine);
-    for (const auto& need : s.needs)
+    for (const auto& need : s.dependencies)
         if (static_cast<int>(users_.at(need).done.size()) < users_.at(need).info.spec.tasks)
             breach("too_early", ref + " starts before " + need + " is done");
     auto& where = on_[{ref, task}];
@@ -1115,7 +1117,7 @@
     if (u.begun < 0) u.begun = now_;
     if (u.all_begun < 0 && static_cast<int>(u.started.size()) == s.tasks) u.all_begun = now_;
     started_again_ += running_before_.count({ref, task});
-    if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel)
+    if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel_deadline)
         breach("ran_cancelled", ref + " starts on " + machine);
     const Resources used = used_[s.team] += s.request;
     auto& zones = u.zones;
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -15,7 +15,7 @@
 Settings gpu_site() {
     Settings s = small_site();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_share = 0.005;  // spreads the machines over several shards
+    s.cpu_cores = 0.005;  // spreads the machines over several shards
     return s;
 }
 
@@ -38,7 +38,7 @@
     JobSpec job = simulator.job(number, kind, tasks, 5);
     job.team = "captions";
     job.request = {5'000, 1'000, 38'000};
-    job.rank = rank;
+    job.priority_class = rank;
     job.spot = kind == JobKind::Array;
     return job;
 }
@@ -104,7 +104,7 @@
 
 TEST(Autoscaling, ReturnsNoMachineThatWaitingTasksFitOn) {
     auto simulator = gpu_simulator(75, 0);
-    simulator->settings.ops.idle_return = 5 * kSecond;
+    simulator->settings.operators.idle_return_delay = 5 * kSecond;
     for (int i = 1; i <= 8; ++i)
         simulator->submit(gpu_job(*simulator, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
     simulator->run(60 * kSecond);
@@ -121,7 +121,7 @@
     simulator->run(40 * kSecond);
     int job_transfers = 0;
     for (int i = 0; i < simulator->node_count(); ++i) {
-        const auto& sent = simulator->node(i)->store().sent();
+        const auto& sent = simulator->node(i)->store().sent_writes();
         if (auto it = sent.find("rehome"); it != sent.end()) job_transfers += static_cast<int>(it->second);
     }
     EXPECT_LE(job_transfers, 24) << simulator->story();
--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -82,8 +82,8 @@
     for (const Fault& fault : kFaults) {
         if (combination++ % 3 > 0 && !std::getenv("WORLD_ALL")) continue;
         Settings site = small_site();
-        if (transfer.several_shards) site.cpu_share = 0.001;
-        site.ops.idle_return = 600 * kSecond;
+        if (transfer.several_shards) site.cpu_cores = 0.001;
+        site.operators.idle_return_delay = 600 * kSecond;
         auto simulator = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
         const std::string combination_name = fmt::format("{}, {}", transfer.name, fault.name);
         const int holder = simulator->holder();
@@ -120,7 +120,7 @@
                         told_job.second = simulator->starts(ref);
                 }
         }
-        simulator->run(simulator->settings.cancel);
+        simulator->run(simulator->settings.cancel_deadline);
         const JobSpec filler = simulator->job(900, JobKind::Array, 24);
         simulator->submit(filler, 400 * kSecond);
         simulator->run(10 * kSecond);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -29,16 +29,16 @@
     constexpr int kMachines = 16;
     constexpr int kReplicas = 4;
     Settings settings = small_site();
-    settings.report_every = GetParam().report_every;
-    settings.lease = GetParam().lease;
-    settings.cancel = GetParam().cancel;
+    settings.report_interval = GetParam().report_every;
+    settings.worker_lease = GetParam().lease;
+    settings.cancel_deadline = GetParam().cancel;
     Simulator simulator(7, settings);
     for (int i = 0; i < kMachines; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes();
-    simulator.run(2 * settings.report_every + 6 * kSecond);
+    simulator.run(2 * settings.report_interval + 6 * kSecond);
     for (int job = 1; job <= 3; ++job)
         simulator.submit(simulator.job(job, JobKind::Service, kReplicas, 2), 0);
-    simulator.run(2 * settings.report_every);
+    simulator.run(2 * settings.report_interval);
     ASSERT_EQ(
         simulator.running("req-000001") + simulator.running("req-000002") + simulator.running("req-000003"),
         3 * kReplicas)
@@ -48,10 +48,10 @@
     simulator.run(kSecond);
     ASSERT_EQ(simulator.told("req-000001"), "cancelled") << simulator.story();
     // The answer to each worker's next heartbeat must be enough.
-    simulator.run(settings.report_every * 5 / 4 + kSecond);
+    simulator.run(settings.report_interval * 5 / 4 + kSecond);
     EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
     simulator.cancel("req-000002");
-    simulator.run(settings.cancel + 5 * kSecond);
+    simulator.run(settings.cancel_deadline + 5 * kSecond);
     EXPECT_EQ(simulator.running("req-000003"), kReplicas) << simulator.story();
     EXPECT_RULES(simulator);
 }
@@ -91,7 +91,7 @@
                   [&simulator] { simulator->cancel("req-000001"); });
     simulator->run(10 * kSecond);
     EXPECT_EQ(simulator->told("req-000001"), "cancelled") << simulator->story();
-    simulator->run(simulator->settings.cancel + 5 * kSecond);
+    simulator->run(simulator->settings.cancel_deadline + 5 * kSecond);
     EXPECT_EQ(simulator->running("req-000001"), 0) << simulator->story();
     EXPECT_RULES(*simulator);
 }
@@ -187,7 +187,7 @@
             service.mute_workers(true);  // no report arrives until the other jobs are known
             service.cancel_before(other_jobs);
             service.mute_workers(false);
-            simulator.run(simulator.settings.cancel);
+            simulator.run(simulator.settings.cancel_deadline);
             EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
             EXPECT_EQ(simulator.running("req-000002"), 2) << simulator.story();
             simulator.heal_all();
@@ -214,7 +214,7 @@
             ASSERT_EQ(simulator.state().handle("POST", "/commit", change, simulator.now()).status, 200);
             finish_other_jobs(simulator, other_jobs.through_feed);
             service.mute_workers(false);
-            simulator.run(simulator.settings.cancel);
+            simulator.run(simulator.settings.cancel_deadline);
             EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
             EXPECT_EQ(simulator.starts("req-000002"), 2)
                 << "the tasks of the other service keep their leases\n"
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -14,7 +14,7 @@
 
 Settings site(bool apart, double write_rps = 200) {
     Settings s = small_site();
-    s.ops.history_apart = apart;
+    s.operators.separate_history = apart;
     s.state_write_rps = write_rps;  // few: what a job's record was outlasts its end
     return s;
 }
@@ -108,7 +108,8 @@
 
 /// Once what it needs is accepted.
 void submit_once_accepted(Simulator& w, const JobSpec& s) {
-    if (w.told(s.needs[0]).empty()) return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
+    if (w.told(s.dependencies[0]).empty())
+        return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
     w.submit(s, 300 * kMs, 100 * kMs);
 }
 
@@ -133,7 +134,7 @@
             trouble.begin(*w, asked);
             for (const int need : {first, first + 2}) {
                 JobSpec s = w->job(++number, JobKind::Array, 1);
-                s.needs = {w->job(need, JobKind::Array, 1).ref};
+                s.dependencies = {w->job(need, JobKind::Array, 1).ref};
                 submit_once_accepted(*w, s);
             }
             w->run(500 * kMs);
@@ -171,7 +172,7 @@
         w->run(300 * kMs);
         w->slow_state = 300 * kMs;
         JobSpec next = w->job(n + 1, JobKind::Array, 1);
-        next.needs = {first.ref};
+        next.dependencies = {first.ref};
         refs.push_back(next.ref);
         w->submit(next, kSecond);
         for (int ms = 0; ms < 500; ++ms) {
@@ -266,7 +267,7 @@
     w->users_at = holder;
     const JobSpec first = w->job(1, JobKind::Service, 1);
     JobSpec next = w->job(2, JobKind::Array, 1);
-    next.needs = {first.ref};
+    next.dependencies = {first.ref};
     w->submit(first, 0);
     w->run(2 * kSecond);
     w->submit(next, kSecond);
@@ -345,7 +346,7 @@
 TEST_P(LastTasks, AreCancelledInAnyOrder) {
     const auto [apart, scarce] = GetParam();
     Settings s = site(apart, scarce ? 40 : 200);
-    s.value_bytes = s.value_bytes_now = 1024;
+    s.max_value_bytes = s.current_max_value_bytes = 1024;
     s.teams = {{"red", {48'000, 0, 0}, {96'000, 0, 0}}};
     auto w = settled_simulator(5, 12, s);
     w->close_looks = true;
@@ -363,7 +364,7 @@
             refs[e].push_back(spec.ref);
             if (kEndings[e].needed) {
                 JobSpec next = w->job(++number, JobKind::Array, 1);
-                next.needs = {spec.ref};
+                next.dependencies = {spec.ref};
                 submit_once_accepted(*w, next);
                 needed.emplace_back(spec.ref, next.ref);
             }
@@ -387,8 +388,8 @@
 class AtOnce : public Runtime {
   public:
     Micros now() override { return now_; }
-    Micros listened() override { return now_; }
-    std::int64_t wall_ms() override { return now_ / kMs; }
+    Micros listening_time() override { return now_; }
+    std::int64_t wall_clock_ms() override { return now_ / kMs; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
         timers_.emplace(now_ + std::max<Micros>(delay, 1), std::move(run));
@@ -425,10 +426,10 @@
         ASSERT_TRUE(mod_revision);
         const std::vector<Condition> unchanged_conditions{{"c/active/x", *mod_revision}, {"c/job/x", 0}};
         std::vector<Change> changes(3);
-        changes[0].when = changes[1].when = unchanged_conditions;
-        changes[swapped].then.push_back({"c/active/x", {{"s", "cancelled"}}});
-        changes[!swapped].then.push_back({"c/job/x", {{"s", "done"}}});
-        changes[2].then.push_back({"c/other", 1});
+        changes[0].conditions = changes[1].conditions = unchanged_conditions;
+        changes[swapped].writes.push_back({"c/active/x", {{"s", "cancelled"}}});
+        changes[!swapped].writes.push_back({"c/job/x", {{"s", "done"}}});
+        changes[2].writes.push_back({"c/other", 1});
         std::vector<CommitStatus> status;
         for (auto& c : changes)
             store.commit(c, [&status](const CommitResult& r) { status.push_back(r.status); });
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -17,7 +17,7 @@
 /// machines.
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, std::set<int> old_nodes = {}) {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;
+    settings.cpu_cores = 0.001;
     auto simulator = std::make_unique<Simulator>(seed, settings);
     for (int i = 0; i < 8; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
     simulator->start_nodes(3, std::move(old_nodes));
@@ -28,7 +28,7 @@
 JobSpec job_with_dependencies(Simulator& simulator, int number, std::vector<std::string> dependencies,
                               int tasks = 2) {
     JobSpec spec = simulator.job(number, JobKind::Array, tasks);
-    spec.needs = std::move(dependencies);
+    spec.dependencies = std::move(dependencies);
     return spec;
 }
 
@@ -286,15 +286,15 @@
     JobSpec first = simulator.job(1, JobKind::Array, 1),
             second = job_with_dependencies(simulator, 2, {"req-000001"}),
             last = job_with_dependencies(simulator, 3, {"req-000002"});
-    first.rank = second.rank = PriorityClass::Low;
-    second.estimate = 30 * kSecond;
+    first.priority_class = second.priority_class = PriorityClass::Low;
+    second.estimated_duration = 30 * kSecond;
     graph.add_job(first, 1000, unfinished);
     graph.add_job(second, 1000, unfinished);
     graph.propagate_priorities();
     EXPECT_EQ(graph.dependency_status("req-000001").inherited_priority, PriorityClass::Low);
-    last.rank = PriorityClass::High;
+    last.priority_class = PriorityClass::High;
     last.deadline = 100 * kSecond;
-    last.estimate = 9 * kSecond;
+    last.estimated_duration = 9 * kSecond;
     graph.add_job(last, 2000, unfinished);
     graph.propagate_priorities();
     EXPECT_EQ(graph.dependency_status("req-000001").inherited_priority, PriorityClass::High);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -40,8 +40,8 @@
     simulator.submit(service, 0);
     JobSpec gang = simulator.job(2, JobKind::Gang, 2);
     gang.one_zone = true;
-    gang.checkpoint = 3 * kSecond;
-    gang.save = kSecond;
+    gang.checkpoint_interval = 3 * kSecond;
+    gang.save_duration = kSecond;
     simulator.submit(gang, 60 * kSecond);
     JobSpec array = simulator.job(3, JobKind::Array, 6, 2);
     array.deadline = 90 * kSecond;
@@ -54,7 +54,7 @@
     simulator.submit(broken, 0, 100 * kMillisecond, true);
     JobSpec wide = simulator.job(6, JobKind::Array, 250);
     wide.team = "guests";
-    wide.rank = PriorityClass::Low;
+    wide.priority_class = PriorityClass::Low;
     simulator.submit(wide, 4 * kSecond);
     simulator.submit(simulator.job(7, JobKind::Service, 2), 0);
     simulator.run(8 * kSecond);
@@ -127,7 +127,7 @@
     EXPECT_EQ(wide.bound_tasks, 10) << "unconfirmed until their machines report";
     EXPECT_EQ(wide.tasks_per_part, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
-    EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
+    EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint_interval, 3 * kSecond);
     EXPECT_EQ(simulator.node(0)->quota_share("loom-1", "red").cores, 24'000);
     EXPECT_EQ(wire::text(simulator.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
     EXPECT_EQ(wire::text(simulator.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
@@ -173,28 +173,29 @@
     EXPECT_GT(split.texts.size(), 5u);
     EXPECT_EQ(split.head["s"], "queued") << "polls need only the head";
     for (const auto& text : split.texts)
-        EXPECT_LE(chunks::stored_size(chunks::chunk("c/job/req-000000000000000001", text)), 1024u);
+        EXPECT_LE(chunks::stored_size(chunks::chunk_record("c/job/req-000000000000000001", text)), 1024u);
     EXPECT_EQ(chunks::join(split.head, split.texts), value);
     chunks::ChunkStore chunk_store;
     for (std::size_t i = 0; i < split.texts.size(); ++i) {
-        EXPECT_FALSE(chunk_store.whole("c/job/x", split.head)) << "some chunks are missing";
-        const Json chunk = chunks::chunk("c/job/x", split.texts[i]);
-        chunk_store.take(chunks::key("feed", i), &chunk, kSecond);
+        EXPECT_FALSE(chunk_store.assemble("c/job/x", split.head)) << "some chunks are missing";
+        const Json chunk = chunks::chunk_record("c/job/x", split.texts[i]);
+        chunk_store.apply(chunks::key("feed", i), &chunk, kSecond);
     }
-    EXPECT_EQ(chunk_store.whole("c/job/x", split.head), value);
-    EXPECT_TRUE(chunk_store.left_over(500 * kSecond).empty());
-    EXPECT_EQ(chunk_store.whole("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
-    EXPECT_EQ(chunk_store.left_over(500 * kSecond).size(), split.texts.size()) << "no head refers to them";
+    EXPECT_EQ(chunk_store.assemble("c/job/x", split.head), value);
+    EXPECT_TRUE(chunk_store.orphaned_chunks(500 * kSecond).empty());
+    EXPECT_EQ(chunk_store.assemble("c/job/x", Json{{"s", "done"}}), (Json{{"s", "done"}}));
+    EXPECT_EQ(chunk_store.orphaned_chunks(500 * kSecond).size(), split.texts.size())
+        << "no head refers to them";
 }
 
 /// Returns the settings after the limits of the state service were lowered.
 Settings settings_with_lowered_limits() {
     Settings settings = small_site();
-    settings.value_bytes_now = 4096;
-    settings.value_bytes = 1024;
-    settings.txn_ops = 4;
+    settings.current_max_value_bytes = 4096;
+    settings.max_value_bytes = 1024;
+    settings.max_txn_ops = 4;
     settings.next_write_rps = 60;
-    settings.ops.idle_return = 600 * kSecond;
+    settings.operators.idle_return_delay = 600 * kSecond;
     settings.teams.push_back({std::string(48, 't'), {8'000, 0, 0}, {100'000, 0, 0}});
     return settings;
 }
@@ -202,8 +203,8 @@
 TEST(Limits, CanBeLoweredWithLargeRecordsOfEveryKind) {
     // Records as production wrote them: 150 tasks in one part, blocks of dozens of machines, a long spec.
     Settings before = settings_with_lowered_limits();
-    before.value_bytes = 4096;
-    before.txn_ops = 8;
+    before.max_value_bytes = 4096;
+    before.max_txn_ops = 8;
     Simulator simulator(5, before);
     for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes(3, {0, 1, 2});
@@ -245,7 +246,7 @@
 TEST(Limits, SplitBlockLosesNoTaskWhicheverUpdateArrivesFirst) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Settings before = settings_with_lowered_limits();
-        before.value_bytes = 4096;
+        before.max_value_bytes = 4096;
         Simulator simulator(seed, before);
         for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
         simulator.start_nodes(3, {0, 1, 2});
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -110,8 +110,8 @@
                 const bool is_batch = uniform() < 0.5;
                 spec.kind = is_batch ? JobKind::Array : JobKind::Service;
                 spec.job_class = is_batch ? "train" : "model";
-                spec.checkpoint = is_batch ? 60 * kSecond : 0;
-                spec.save = is_batch ? 2 * kSecond : 0;
+                spec.checkpoint_interval = is_batch ? 60 * kSecond : 0;
+                spec.save_duration = is_batch ? 2 * kSecond : 0;
                 spec.request = {gpus * (4'000 + static_cast<Milli>(uniform() * 8'000)), gpus * 1'000,
                                 gpus * 64'000};
                 spec.image = "w-" + std::to_string(static_cast<int>(uniform() * 40));
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -58,7 +58,7 @@
     std::size_t add_batch(int gpus, Micros run_time, Micros checkpoint = 60 * kSecond) {
         const std::size_t job = add_service(gpus, "render");
         view.jobs[job].spec.kind = JobKind::Array;
-        view.jobs[job].spec.checkpoint = checkpoint;
+        view.jobs[job].spec.checkpoint_interval = checkpoint;
         run_times_[job] = run_time;
         return job;
     }
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -93,7 +93,7 @@
     EXPECT_EQ(wire::text(reply.body, "stage"), "done") << "for a late retry of its submission";
     EXPECT_EQ(simulator->ask(0, "GET", "/v1/jobs/req-999999", {}).status, 404);
     JobSpec dependent = simulator->job(2, JobKind::Array, 1);
-    dependent.needs = {"req-502222"};
+    dependent.dependencies = {"req-502222"};
     EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", wire::job_value(dependent)).status, 201);
     simulator->run(2 * kSecond);
     EXPECT_TRUE(simulator->node(2)->cache().jobs.live_jobs().at("req-000002").dependencies_met)
@@ -162,7 +162,7 @@
     needed.types = {"large"};
     simulator->submit(needed, 2 * kSecond);
     JobSpec dependent = simulator->job(2, JobKind::Array, 1);
-    dependent.needs = {"req-000001"};
+    dependent.dependencies = {"req-000001"};
     simulator->run(kSecond);
     simulator->submit(dependent, kSecond);
     simulator->run(3 * kSecond);
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -43,7 +43,7 @@
     spec.tasks = 1;
     spec.request = {1'000, 0, 1'000};
     spec.image = "img-0";
-    spec.needs = std::move(dependencies);
+    spec.dependencies = std::move(dependencies);
     return spec;
 }
 
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -56,8 +56,8 @@
 /// Settings with which no machine is returned to the cloud for being idle.
 inline Settings settings_without_idle_return(double cpu_share = 1.0) {
     Settings settings = simulation::small_site();
-    settings.ops.idle_return = 600 * kSecond;
-    settings.cpu_share = cpu_share;  // a small value spreads the machines over several shards
+    settings.operators.idle_return_delay = 600 * kSecond;
+    settings.cpu_cores = cpu_share;  // a small value spreads the machines over several shards
     return settings;
 }
 
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -24,10 +24,10 @@
 /// has small values and few changes per transaction, so that jobs have many parts and are stored in chunks.
 Settings settings_for_seed(int seed) {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;
+    settings.cpu_cores = 0.001;
     if (seed % 3 == 0) {
-        settings.value_bytes = 1024;
-        settings.txn_ops = 4;
+        settings.max_value_bytes = 1024;
+        settings.max_txn_ops = 4;
     }
     return settings;
 }
@@ -97,11 +97,11 @@
                                                         : JobKind::Array;
             JobSpec spec = simulator.job(next_job++, kind, 1 + random_below(kind == JobKind::Array ? 24 : 4));
             spec.team = random_below(3) == 0 ? "blue" : "red";
-            spec.rank = static_cast<PriorityClass>(random_below(4));
+            spec.priority_class = static_cast<PriorityClass>(random_below(4));
             spec.spot = kind != JobKind::Service;
-            if (random_below(3) == 0) spec.checkpoint = 3 * kSecond, spec.save = kSecond;
+            if (random_below(3) == 0) spec.checkpoint_interval = 3 * kSecond, spec.save_duration = kSecond;
             if (!previous_job.empty() && !simulator.told(previous_job).empty() && random_below(4) == 0)
-                spec.needs.push_back(previous_job);
+                spec.dependencies.push_back(previous_job);
             simulator.submit(spec, static_cast<Micros>(1000 + random_below(6000)) * kMillisecond,
                              200 * kMillisecond);
             if (random_below(4) == 0 || kind == JobKind::Service)
@@ -174,7 +174,7 @@
 /// create the block again.
 TEST(LateWrite, LateBlockCreationDoesNotTakeBackAMovedMachine) {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;  // several shards
+    settings.cpu_cores = 0.001;  // several shards
     Simulator simulator(1, settings);
     simulator.add_machine("small", "a");
     simulator.start_nodes();
@@ -200,9 +200,9 @@
 /// parts: until it is written, no task of the job may run here.
 TEST(LateWrite, JobWithRunningTasksIsNotTransferred) {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;
-    settings.value_bytes = 1024;  // three parts
-    settings.txn_ops = 2;         // too few to write them in one transaction
+    settings.cpu_cores = 0.001;
+    settings.max_value_bytes = 1024;  // three parts
+    settings.max_txn_ops = 2;         // too few to write them in one transaction
     Simulator simulator(1, settings);
     simulator.add_machine("small", "a");
     simulator.start_nodes();
@@ -239,7 +239,7 @@
 /// changed.
 TEST(LateWrite, ChunksOfALateHeadAreNotDeleted) {
     Settings settings = small_site();
-    settings.value_bytes = 1024;
+    settings.max_value_bytes = 1024;
     Simulator simulator(1, settings);
     simulator.add_machine("small", "a");
     simulator.start_nodes();
@@ -258,7 +258,7 @@
     for (int i = 0; i < 40; ++i) simulator.late_next("c/0/", 15 * kSecond);  // the deletion of each chunk
     simulator.run(head_written_at + 30 * kSecond - simulator.now());
     EXPECT_LT(simulator.late_to_come(), 40U) << "the chunks were to be deleted";
-    const auto head = chunks::named_by(read_store(simulator, "/store/c/policy")["data"]);
+    const auto head = chunks::chunk_reference(read_store(simulator, "/store/c/policy")["data"]);
     ASSERT_TRUE(head) << "the head was written";
     for (std::size_t i = 0; i < head->second; ++i)
         EXPECT_TRUE(read_store(simulator, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
@@ -282,7 +282,7 @@
     simulator.run(20 * kSecond);
     Milli red = 0;
     const Json shares = read_store(simulator, "/store?starts=c/share/&page=10")["pairs"];
-    for (const auto& pair : shares) red += parse_shares(pair["data"])["red"].cores;
+    for (const auto& pair : shares) red += parse_quota(pair["data"])["red"].cores;
     EXPECT_EQ(red, 24'000) << shares << simulator.story();
 }
 
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -51,12 +51,13 @@
     cut_from_all_nodes(*simulator, machine);
     crash_controllers(*simulator, false);
     // The leases that the former holder granted expire soon after this.
-    simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings));
+    simulator->run(simulator->settings.operators.liveness_ttl +
+                   controller_lease_duration(simulator->settings));
     deliver_report_to_all(*simulator, running);
     simulator->kill_machine(*simulator->machines_of("req-000001").begin());
     const Micros elapsed =
         run_until(*simulator, 60 * kSecond, [&] { return simulator->running("req-000001") == 1; });
-    EXPECT_LE(elapsed, with_drift(simulator->settings.lease) + 3 * kSecond) << simulator->story();
+    EXPECT_LE(elapsed, with_drift(simulator->settings.worker_lease) + 3 * kSecond) << simulator->story();
     EXPECT_RULES(*simulator);
 }
 
@@ -73,7 +74,7 @@
     const Json result_report = current_report(*simulator, machines[0]);
     simulator->run(30 * kSecond);
     crash_controllers(*simulator, false);
-    simulator->run(simulator->settings.ops.live_ttl + 2 * kSecond);
+    simulator->run(simulator->settings.operators.liveness_ttl + 2 * kSecond);
     deliver_report_to_all(*simulator, result_report);
     for (const auto& m : machines) simulator->kill_machine(m);  // along with all other results of the gang
     for (int i = 0; i < 2; ++i) simulator->add_machine("small", "a");
@@ -148,10 +149,10 @@
         const Micros elapsed = simulator->now() - cut_at + run_until(*simulator, 90 * kSecond, [&] {
                                    return simulator->running("req-000001") == 1;
                                });
-        const Micros former_holder_bound =
-            simulator->settings.ops.live_ttl + kSecond + authority(simulator->settings);
+        const Micros former_holder_bound = simulator->settings.operators.liveness_ttl + kSecond +
+                                           controller_lease_duration(simulator->settings);
         EXPECT_LE(elapsed, std::max(former_holder_bound, last_copy_s * kSecond) +
-                               with_drift(simulator->settings.lease) + 2 * kSecond)
+                               with_drift(simulator->settings.worker_lease) + 2 * kSecond)
             << simulator->story();
         EXPECT_EQ(simulator->starts("req-000001"), 2) << simulator->story();
         EXPECT_RULES(*simulator);
@@ -206,7 +207,7 @@
     simulator->run(40 * kSecond);
     EXPECT_EQ(simulator->running("req-000001"), 0);
     crash_controllers(*simulator, false);
-    simulator->run(simulator->settings.ops.live_ttl + kSecond);
+    simulator->run(simulator->settings.operators.liveness_ttl + kSecond);
     simulator->add_machine("small", "b");
     simulator->run(8 * kSecond);
     EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
@@ -220,8 +221,9 @@
     simulator->run(10 * kSecond);
     cut_from_all_nodes(*simulator, *simulator->machines_of("req-000001").begin());
     crash_controllers(*simulator, false);
-    simulator->run(simulator->settings.ops.live_ttl + authority(simulator->settings) +
-                   with_drift(simulator->settings.lease) + 5 * kSecond);
+    simulator->run(simulator->settings.operators.liveness_ttl +
+                   controller_lease_duration(simulator->settings) +
+                   with_drift(simulator->settings.worker_lease) + 5 * kSecond);
     EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
     EXPECT_RULES(*simulator);
 }
@@ -251,7 +253,7 @@
                    !simulator->machines_of("req-000001").count(machine);
         });
         EXPECT_LE(simulator->now() - cut_at,
-                  std::max(last_copy_s * kSecond, with_drift(simulator->settings.lease)) + 4 * kSecond)
+                  std::max(last_copy_s * kSecond, with_drift(simulator->settings.worker_lease)) + 4 * kSecond)
             << simulator->story();
         EXPECT_RULES(*simulator);
     }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -17,8 +17,8 @@
 
 Settings site_settings(bool has_several_shards) {
     Settings settings = small_site();
-    if (has_several_shards) settings.cpu_share = 0.001;
-    settings.ops.idle_return = 600 * kSecond;
+    if (has_several_shards) settings.cpu_cores = 0.001;
+    settings.operators.idle_return_delay = 600 * kSecond;
     return settings;
 }
 
@@ -43,7 +43,7 @@
             const JobKind kind = i % 5 == 3 ? JobKind::Gang : i % 5 == 4 ? JobKind::Service : JobKind::Array;
             JobSpec spec = simulator.job(number++, kind, kind != JobKind::Array ? 2 : is_red ? 7 : 4);
             spec.team = team;
-            if (i % 2) spec.checkpoint = 5 * kSecond, spec.save = kSecond;
+            if (i % 2) spec.checkpoint_interval = 5 * kSecond, spec.save_duration = kSecond;
             simulator.submit(spec, 400 * kSecond);
             jobs[spec.ref] = spec;
         }
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -53,10 +53,10 @@
 
 Settings settings_with_small_limits() {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;  // leads to several shards
-    settings.value_bytes = 1024;
-    settings.txn_ops = 4;
-    settings.ops.idle_return = 600 * kSecond;
+    settings.cpu_cores = 0.001;  // leads to several shards
+    settings.max_value_bytes = 1024;
+    settings.max_txn_ops = 4;
+    settings.operators.idle_return_delay = 600 * kSecond;
     return settings;
 }
 
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -47,7 +47,7 @@
     rule.max_zone_share = 0.5;
     rule.rebalance = true;
     policy.zones = {rule};
-    settings.ops.policy = policy;
+    settings.operators.policy = policy;
     return settings;
 }
 
@@ -62,7 +62,7 @@
         simulator.start_nodes();
         simulator.run(6 * kSecond);
         JobSpec service = simulator.job(1, JobKind::Service, 4);
-        service.rank = PriorityClass::Production;
+        service.priority_class = PriorityClass::Production;
         simulator.submit(service, 0);
         simulator.run(4 * kSecond);
         for (int i = 0; i < 2; ++i) simulator.add_machine("small", "b");
@@ -255,7 +255,7 @@
         policy::Policy policy = policy_with_short_waits();
         policy.gpus.make_room = true;
         policy.gpus.min_wait = 2 * kSecond;
-        result.ops.policy = policy;
+        result.operators.policy = policy;
         return result;
     }
     static std::vector<MachineType> types() {
@@ -264,9 +264,9 @@
     JobSpec gpu_job(int number, Milli gpus) {
         JobSpec spec = simulator.job(number, JobKind::Array, 1);
         spec.request = {gpus * 2, gpus, gpus * 8};
-        spec.estimate = 300 * kSecond;
-        spec.checkpoint = 10 * kSecond;
-        spec.save = kSecond;
+        spec.estimated_duration = 300 * kSecond;
+        spec.checkpoint_interval = 10 * kSecond;
+        spec.save_duration = kSecond;
         spec.spot = false;  // else its machine could be drained and returned
         return spec;
     }
@@ -383,7 +383,7 @@
 TEST(SimulatedMoves, NothingIsWrittenWithoutAPolicyOrAnythingToMove) {
     for (const bool has_policy : {true, false}) {
         Settings settings = rebalancing_settings();
-        if (!has_policy) settings.ops.policy.reset();
+        if (!has_policy) settings.operators.policy.reset();
         Simulator simulator(8, settings);
         for (int i = 0; i < 4; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
         simulator.start_nodes();
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -129,7 +129,7 @@
             simulator->run(60 * kSecond);
             EXPECT_NE(simulator->worker(machine), nullptr) << "a short fault must not return the machine\n"
                                                            << story();
-            simulator->run(simulator->settings.lease + 60 * kSecond);
+            simulator->run(simulator->settings.worker_lease + 60 * kSecond);
             EXPECT_EQ(simulator->worker(machine), nullptr) << story();
             if (busy) {
                 EXPECT_EQ(simulator->running("req-000001"), 1) << story();
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -20,7 +20,7 @@
     std::uint64_t writes = 0;
     for (int i = 0; i < simulator.node_count(); ++i)
         if (simulator.node(i))
-            for (const auto& [purpose, sent] : simulator.node(i)->store().sent()) writes += sent;
+            for (const auto& [purpose, sent] : simulator.node(i)->store().sent_writes()) writes += sent;
     return writes;
 }
 
@@ -32,7 +32,7 @@
     const auto [jobs_per_second, has_crash] = GetParam();
     Settings settings = small_site();
     settings.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
-    settings.cpu_share = 0.02;  // so little that there are several shards
+    settings.cpu_cores = 0.02;  // so little that there are several shards
     settings.state_write_rps = settings.next_write_rps = kWriteRps;
     Simulator simulator(7, settings,
                         {{"wren", {4'000, 0, 32'000}, 50'000, 1, 1, 1, 10 * kSecond, {"a", "b"}}});
@@ -49,7 +49,7 @@
     for (int i = 0; i < job_count; ++i)
         simulator.at(start + static_cast<Micros>(i / jobs_per_second * 1e6), [&, i] {
             JobSpec job = simulator.job(i + 1, JobKind::Array, 1, 4);
-            job.estimate = 8 * kSecond;
+            job.estimated_duration = 8 * kSecond;
             submitted_at[job.ref] = simulator.now();
             simulator.submit(job, 8 * kSecond);
             if (i % 4 == 0)
@@ -93,7 +93,7 @@
         backlog.c_str());
     for (int i = 0; i < simulator.node_count(); ++i)
         if (simulator.node(i) && std::getenv("WORLD_CHANGES"))
-            for (const auto& [purpose, writes] : simulator.node(i)->store().sent())
+            for (const auto& [purpose, writes] : simulator.node(i)->store().sent_writes())
                 std::printf("  loom-%d %s %d\n", i, purpose.c_str(), static_cast<int>(writes));
 }
 
@@ -105,7 +105,7 @@
     Settings settings = small_site();
     settings.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}},
                       {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
-    settings.cpu_share = 0.02;
+    settings.cpu_cores = 0.02;
     settings.state_write_rps = settings.next_write_rps = kWriteRps;
     Simulator simulator(3, settings);
     simulator.slow_links = 150 * kMillisecond;
@@ -132,8 +132,8 @@
                 JobSpec job = simulator.job(job_number, JobKind::Array, job_class.tasks, job_class.cores);
                 job.job_class = job_class.name;
                 job.team = job_number % 2 ? "red" : "blue";
-                job.rank = job_class.rank;
-                job.estimate = job_class.run_time;
+                job.priority_class = job_class.rank;
+                job.estimated_duration = job_class.run_time;
                 simulator.submit(job, job_class.run_time);
             });
     simulator.at(start + 100 * kSecond, [&simulator] { simulator.crash(simulator.leader(), 2 * kSecond); });
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -202,7 +202,7 @@
     s.teams = {{"red", {24'000, 0, 0}, {96'000, 0, 0}},
                {"blue", {16'000, 0, 0}, {56'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    if (random() % 2) s.cpu_share = 0.001;  // several shards
+    if (random() % 2) s.cpu_cores = 0.001;  // several shards
     if (random() % 4 == 0) s.state_write_rps = 40;
     return s;
 }
@@ -270,7 +270,7 @@
             const JobKind kind = draw == 0 ? JobKind::Service : draw < 3 ? JobKind::Gang : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 6 : 3), 1 + pick(2));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
+            s.priority_class = static_cast<PriorityClass>(pick(4));
             // Some run across a trouble, whatever its length.
             const bool lasting = kind != JobKind::Service && pick(3) == 0;
             s.job_class = kind == JobKind::Service ? "service"
@@ -278,13 +278,13 @@
                           : kind == JobKind::Gang  ? "gang"
                                                    : "short";
             if (kind == JobKind::Array && !lasting && pick(6) == 0)
-                s.team = "guests", s.rank = PriorityClass::Low;
+                s.team = "guests", s.priority_class = PriorityClass::Low;
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
+            if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
             const Micros run = lasting ? ms(15'000, 60'000) : ms(2'000, 15'000);
-            s.estimate = kind == JobKind::Service ? 0 : run;
+            s.estimated_duration = kind == JobKind::Service ? 0 : run;
             const bool mistaken = pick(25) == 0;
             w.submit(s, run, ms(1, 1'500), mistaken);
             if (kind == JobKind::Service || mistaken || pick(6) == 0)
@@ -297,7 +297,7 @@
     w.run(end);
     w.heal_all();
     // What still lasts is over by then: an end within a freeze, or copies and transactions that come late.
-    w.at(w.now() + Simulator::latest_report(w.settings.lease) + 2 * kSecond, [&w] { w.quiesce(); });
+    w.at(w.now() + Simulator::latest_report(w.settings.worker_lease) + 2 * kSecond, [&w] { w.quiesce(); });
     w.run(260 * kSecond);
     EXPECT_TRUE(w.broken.empty()) << "seed " << seed << ", " << one << " and " << other << ": "
                                   << w.broken.front() << "\n"
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -24,7 +24,7 @@
     JobSpec job;
     job.team = team;
     job.job_class = job_class;
-    job.rank = rank;
+    job.priority_class = rank;
     job.kind = kind;
     return job;
 }
@@ -67,7 +67,7 @@
     EXPECT_TRUE(policy.is_movable(job_of("red", "x", PriorityClass::Normal, JobKind::Service)));
     JobSpec batch = job_of("blue", "fixed", PriorityClass::Normal, JobKind::Array);
     EXPECT_FALSE(policy.is_movable(batch));
-    batch.checkpoint = kSecond;
+    batch.checkpoint_interval = kSecond;
     EXPECT_TRUE(policy.is_movable(batch));
 }
 
@@ -333,11 +333,11 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         PolicyCluster cluster(seed);
         // Every process starts with the older file; the newer file is loaded while the controllers run.
-        cluster.simulator.settings.ops.policy = policy_of_revision(1);
+        cluster.simulator.settings.operators.policy = policy_of_revision(1);
         cluster.simulator.start_nodes(5);
         cluster.simulator.run(static_cast<Micros>(cluster.simulator.random() % 4000) * kMillisecond);
         const int writer = static_cast<int>(cluster.simulator.random() % 5);
-        cluster.simulator.settings.ops.policy = policy_of_revision(2, Tier::BestEffort);
+        cluster.simulator.settings.operators.policy = policy_of_revision(2, Tier::BestEffort);
         cluster.simulator.node(writer)->set_policy_file(policy_of_revision(2, Tier::BestEffort));
         cluster.simulator.run(static_cast<Micros>(cluster.simulator.random() % 60) * kMillisecond);
         if (seed % 2) {
@@ -402,7 +402,7 @@
     Policy large_policy = policy_of_revision(1);
     for (int i = 0; i < 400; ++i)
         large_policy.tiers.push_back({{"red", "a-class-with-a-long-name-" + std::to_string(i)}, Tier::Batch});
-    cluster.simulator.settings.ops.policy = large_policy;
+    cluster.simulator.settings.operators.policy = large_policy;
     cluster.simulator.start_nodes(3, {2});
     cluster.simulator.run(12 * kSecond);
     EXPECT_TRUE(cluster.all_use(policy::default_policy(cluster.simulator.settings)));
@@ -411,7 +411,7 @@
     EXPECT_TRUE(cluster.all_use(large_policy));
     for (int i = 0; i < 3; ++i)
         cluster.simulator.crash(i, kSecond);  // a restarted controller reads it from its pieces
-    cluster.simulator.settings.ops.policy.reset();
+    cluster.simulator.settings.operators.policy.reset();
     cluster.simulator.run(15 * kSecond);
     EXPECT_TRUE(cluster.all_use(large_policy));
     EXPECT_RULES(cluster.simulator);
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -117,7 +117,7 @@
         job.spec.ref = "run-" + std::to_string(view.jobs.size());
         job.spec.kind = kind;
         job.spec.request = {4 * kCore, 0, 0};
-        job.spec.estimate = estimate;
+        job.spec.estimated_duration = estimate;
         job.bound_tasks = 1;
         TaskView task;
         task.job = view.jobs.size();
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -67,7 +67,7 @@
 /// Returns a settled simulator with nine machines in the shards of three controllers.
 std::unique_ptr<Simulator> simulator_with_several_shards(std::uint64_t seed) {
     Settings settings = small_site();
-    settings.cpu_share = 0.001;
+    settings.cpu_cores = 0.001;
     auto simulator = std::make_unique<Simulator>(seed, settings);
     for (int i = 0; i < 9; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
     simulator->start_nodes();
@@ -144,13 +144,13 @@
     simulator.submit(simulator.job(1, JobKind::Service, 4), 0);
     simulator.submit(simulator.job(2, JobKind::Array, 6), 12 * kSecond);
     JobSpec gang = simulator.job(3, JobKind::Gang, 3, 2);
-    gang.checkpoint = 3 * kSecond;
-    gang.save = kSecond;
+    gang.checkpoint_interval = 3 * kSecond;
+    gang.save_duration = kSecond;
     simulator.submit(gang, 20 * kSecond);
     simulator.submit(simulator.job(4, JobKind::Array, 2), 15 * kSecond);
     simulator.run(4 * kSecond);
     JobSpec dependent = simulator.job(5, JobKind::Array, 2);
-    dependent.needs = {"req-000004"};
+    dependent.dependencies = {"req-000004"};
     simulator.submit(dependent, 2 * kSecond);
     JobSpec failing = simulator.job(6, JobKind::Array, 8, 0.5);
     simulator.submit(failing, kSecond, 0, true);
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -54,7 +54,7 @@
     const Case& test_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         Settings site = small_site();
-        if (seed == 2) site.cpu_share = 0.001;  // spreads the machines over several shards
+        if (seed == 2) site.cpu_cores = 0.001;  // spreads the machines over several shards
         auto simulator = settled_simulator(seed, 5, site);
         const int leader = simulator->leader();
         simulator->poll_rate = 4;
@@ -63,7 +63,7 @@
         simulator->submit(simulator->job(kNeededJob, JobKind::Array, 2), 60 * kSecond);
         simulator->run(kSecond);
         JobSpec dependent = simulator->job(kDependentJob, JobKind::Array, 2);
-        dependent.needs = {ref(kNeededJob)};
+        dependent.dependencies = {ref(kNeededJob)};
         simulator->submit(dependent, 2 * kSecond);
         simulator->run(2 * kSecond);
         const Micros refused_at = simulator->now() + 4 * kSecond;
@@ -97,14 +97,15 @@
                 simulator->cancel(ref(job));
             }
         });
-        simulator->run(4 * kSecond + test_case.outage_at + simulator->settings.cancel + 15 * kSecond);
+        simulator->run(4 * kSecond + test_case.outage_at + simulator->settings.cancel_deadline +
+                       15 * kSecond);
         simulator->state().set_down(false, simulator->now());
         simulator->refuse(leader, false);
         simulator->heal_all();
         simulator->slow_state = 0;
         simulator->run(5 * kSecond);
         simulator->submit(simulator->job(20, JobKind::Array, 8), 3 * kSecond);
-        simulator->run(simulator->settings.cancel + 40 * kSecond);
+        simulator->run(simulator->settings.cancel_deadline + 40 * kSecond);
         EXPECT_RULES(*simulator);
         for (const auto& job : simulator->refs()) {
             EXPECT_TRUE(simulator->told(job) == "done" || simulator->told(job) == "cancelled")
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -29,7 +29,7 @@
     constexpr Micros kListLag = 5 * kSecond;
     for (const int newer_machines : {kRememberedNames - 1, kRememberedNames, kRememberedNames + 1}) {
         Settings site = small_site();
-        site.list_lag = kListLag;
+        site.cloud_list_lag = kListLag;
         auto simulator = settled_simulator(5, 4, site);
         // The service keeps its machines from being returned until it is cancelled.
         simulator->submit(simulator->job(1, JobKind::Service, 12, 2), 0);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -17,11 +17,11 @@
 Settings site(int seed) {
     Settings s = small_site();
     if (seed % 3 == 0) {
-        s.value_bytes = 1024;
-        s.txn_ops = 4;
+        s.max_value_bytes = 1024;
+        s.max_txn_ops = 4;
         s.next_write_rps = 150;
     }
-    if (seed % 2 == 0) s.cpu_share = 0.001;
+    if (seed % 2 == 0) s.cpu_cores = 0.001;
     if (seed % 4 == 0) s.state_write_rps = 25;
     return s;
 }
@@ -50,7 +50,8 @@
         for (int i = 0; i < 3; ++i) w.at((10 + 8 * i) * kSecond, [&w, i, back] { w.upgrade(i, back(3000)); });
         w.at(60 * kSecond, [&w] {
             w.note("the state service lowers its limits");
-            w.state().limits = {w.settings.value_bytes, w.settings.txn_ops, w.settings.next_write_rps};
+            w.state().limits = {w.settings.max_value_bytes, w.settings.max_txn_ops,
+                                w.settings.next_write_rps};
         });
     } else {
         w.start_nodes();
@@ -60,7 +61,7 @@
     // DependencyGraph: each job is submitted as soon as those that it needs are accepted.
     std::function<void(std::vector<JobSpec>)> submit_chain = [&](std::vector<JobSpec> chain) {
         if (chain.empty()) return;
-        const bool ready = std::all_of(chain.front().needs.begin(), chain.front().needs.end(),
+        const bool ready = std::all_of(chain.front().dependencies.begin(), chain.front().dependencies.end(),
                                        [&](const auto& need) { return !w.told(need).empty(); });
         if (ready) {
             w.submit(chain.front(), static_cast<Micros>(1000 + pick(4000)) * kMillisecond, 300 * kMillisecond,
@@ -77,12 +78,12 @@
             std::vector<JobSpec> chain;
             for (int i = 0, stages = 2 + pick(4); i < stages; ++i) {
                 JobSpec s = w.job(number++, pick(4) == 0 ? JobKind::Gang : JobKind::Array, 1 + pick(3));
-                s.rank = i + 1 == stages ? PriorityClass::High
-                         : pick(2)       ? PriorityClass::Low
-                                         : PriorityClass::Normal;
+                s.priority_class = i + 1 == stages ? PriorityClass::High
+                                   : pick(2)       ? PriorityClass::Low
+                                                   : PriorityClass::Normal;
                 if (i + 1 == stages) s.deadline = 40 * kSecond;
                 for (const auto& before : chain)
-                    if (&before == &chain.back() || pick(3) == 0) s.needs.push_back(before.ref);
+                    if (&before == &chain.back() || pick(3) == 0) s.dependencies.push_back(before.ref);
                 chain.push_back(s);
             }
             submit_chain(chain);
@@ -95,16 +96,16 @@
                                                 : JobKind::Array;
             JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Service ? 3 : 6), 1 + pick(3));
             s.team = pick(3) == 0 ? "blue" : "red";
-            s.rank = static_cast<PriorityClass>(pick(4));
+            s.priority_class = static_cast<PriorityClass>(pick(4));
             if (pick(6) == 0 && kind != JobKind::Service) {  // a guest's, now and then one of many tasks
                 s.team = "guests";
-                s.rank = PriorityClass::Low;
+                s.priority_class = PriorityClass::Low;
                 if (kind == JobKind::Array && pick(3) == 0) s.tasks = 60;
             }
             s.spot = kind != JobKind::Service;
             s.spread = kind == JobKind::Service && s.tasks > 1;
             s.one_zone = kind == JobKind::Gang && pick(2);
-            if (pick(3) == 0) s.checkpoint = 3 * kSecond, s.save = kSecond;
+            if (pick(3) == 0) s.checkpoint_interval = 3 * kSecond, s.save_duration = kSecond;
             s.request.cores = std::min<Milli>(s.request.cores, 16'000 / s.tasks);
             const bool broken = pick(12) == 0;
             w.submit(s, static_cast<Micros>(2000 + pick(9000)) * kMillisecond,
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -17,7 +17,7 @@
     // workers.
     for (const bool new_holder_crashes : {false, true}) {
         Settings site = small_site();
-        site.ops.idle_return = 600 * kSecond;
+        site.operators.idle_return_delay = 600 * kSecond;
         auto simulator = settled_simulator(21, 2, site);
         const int old_holder = simulator->holder(), new_holder = (old_holder + 1) % 3;
         simulator->submit(simulator->job(1, JobKind::Service, 1), 0);
@@ -72,7 +72,7 @@
     simulator->deafen(machine, true);
     for (int i = 2; i <= 3; ++i) simulator->submit(simulator->job(i, JobKind::Array, 1, 5), 2 * kSecond);
     // Its lease, an unanswered report to each controller in turn, and the duration of the tasks.
-    simulator->run(simulator->settings.lease + 4 * 5 * kSecond + 5 * kSecond);
+    simulator->run(simulator->settings.worker_lease + 4 * 5 * kSecond + 5 * kSecond);
     EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
     EXPECT_EQ(simulator->told("req-000003"), "done") << simulator->story();
     EXPECT_EQ(simulator->running("req-000001"), 1) << simulator->story();
@@ -98,8 +98,8 @@
         << "one task must be bound to the machine that receives nothing";
     simulator->crash(former_holder, 300 * kSecond);
     // The time to notice the dead holder, its authority, a lease, a report and the duration of the task.
-    simulator->run(3 * kSecond + authority(simulator->settings) + with_drift(simulator->settings.lease) +
-                   5 * kSecond + 5 * kSecond);
+    simulator->run(3 * kSecond + controller_lease_duration(simulator->settings) +
+                   with_drift(simulator->settings.worker_lease) + 5 * kSecond + 5 * kSecond);
     EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
     EXPECT_EQ(simulator->told("req-000002"), "done") << simulator->story();
     EXPECT_RULES(*simulator);
@@ -108,7 +108,7 @@
 TEST(ControllerRestart, JobsFinishAlthoughAllControllersRestartRepeatedly) {
     for (std::uint64_t seed = 31; seed < 35; ++seed) {
         Settings site = small_site();
-        if (seed % 2) site.cpu_share = 0.001;  // several shards, so that some are transferred back
+        if (seed % 2) site.cpu_cores = 0.001;  // several shards, so that some are transferred back
         auto simulator = settled_simulator(seed, 8, site);
         simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
         for (int i = 2; i <= 6; ++i) simulator->submit(simulator->job(i, JobKind::Array, 3), 15 * kSecond);
@@ -185,7 +185,7 @@
     for (const Micros downtime : {20 * kSecond, 60 * kSecond})
         for (const bool staggered : {false, true}) {
             Settings site = small_site();
-            if (downtime > 30 * kSecond) site.cpu_share = 0.001;
+            if (downtime > 30 * kSecond) site.cpu_cores = 0.001;
             auto simulator = settled_simulator(43, 6, site);
             simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
             // More tasks than the team's limit allows at once.
@@ -217,7 +217,7 @@
     for (const bool same_node : {true, false})
         for (const bool outage : {false, true}) {
             Settings site = small_site();
-            site.cpu_share = 0.001;  // spreads the machines over several shards
+            site.cpu_cores = 0.001;  // spreads the machines over several shards
             auto simulator = settled_simulator(44, 9, site);
             simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
             std::set<std::uint64_t> terms;
@@ -260,8 +260,8 @@
     auto simulator = settled_simulator(47, 1);
     const std::string machine = simulator->machine_names().front();
     JobSpec low = simulator->job(1, JobKind::Array, 1, 8), high = simulator->job(2, JobKind::Service, 1, 4);
-    low.rank = PriorityClass::Low;
-    high.rank = PriorityClass::Production;
+    low.priority_class = PriorityClass::Low;
+    high.priority_class = PriorityClass::Production;
     simulator->submit(low, 60 * kSecond);
     simulator->run(4 * kSecond);
     simulator->hold_next(host(simulator->holder()), machine);  // the /do with the stop
@@ -323,8 +323,8 @@
 /// Returns settings under which no machine is returned for being idle and a failed node is noticed after 6 s.
 Settings slow_timeout_site() {
     Settings site = small_site();
-    site.ops.idle_return = 600 * kSecond;
-    site.ops.live_ttl = 6 * kSecond;
+    site.operators.idle_return_delay = 600 * kSecond;
+    site.operators.liveness_ttl = 6 * kSecond;
     return site;
 }
 
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -13,9 +13,9 @@
 
 JobSpec ranked(Simulator& w, int number, PriorityClass rank, JobKind kind, int tasks, double cores) {
     JobSpec s = w.job(number, kind, tasks, cores);
-    s.rank = rank;
+    s.priority_class = rank;
     s.job_class = s.ref;  // by which the world tells waits
-    s.estimate = 6 * kSecond;
+    s.estimated_duration = 6 * kSecond;
     return s;
 }
 
@@ -82,9 +82,9 @@
 TEST(Starvation, BatchLeavesHalfOfEachZoneToLiveWorkWhoeverHoldsTheDomain) {
     Settings s = small_site();
     s.teams.front().guarantee.cores = s.teams.front().limit.cores = 100'000;
-    s.ops.policy.emplace();
-    s.ops.policy->revision = 1;
-    s.ops.policy->priority.live_reserve = 0.5;
+    s.operators.policy.emplace();
+    s.operators.policy->revision = 1;
+    s.operators.policy->priority.live_reserve = 0.5;
     Simulator w(7, s);
     for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
@@ -125,7 +125,7 @@
         later((40 + 6 * i) * kSecond, "blue", PriorityClass::Normal, JobKind::Array, 1, 4, 5 * kSecond);
     // What is overdue longest; by the work that is left it stands last until then.
     JobSpec large = ranked(*w, 1, PriorityClass::Normal, JobKind::Array, 1, 4);
-    large.estimate = 900 * kSecond;
+    large.estimated_duration = 900 * kSecond;
     w->at(w->now() + 20 * kSecond, [&] { w->submit(large, 40 * kSecond); });
     w->run(280 * kSecond);
     EXPECT_EQ(w->told(large.ref), "done") << w->story();
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -47,13 +47,13 @@
         // With a long lease a worker keeps its results during a takeover that takes long because answers are
         // lost repeatedly.
         Settings settings = small_site();
-        settings.lease = 30 * kSecond;
-        settings.cancel = 60 * kSecond;
+        settings.worker_lease = 30 * kSecond;
+        settings.cancel_deadline = 60 * kSecond;
         Simulator simulator(static_cast<std::uint64_t>(moment + 1), settings);
         const std::string first = simulator.add_machine("small", "a");
         simulator.swift_boots = 1;
         simulator.cloud().capacity = 30;
-        simulator.cloud().list_lag = simulator.settings.list_lag;
+        simulator.cloud().list_lag = simulator.settings.cloud_list_lag;
         simulator.start_nodes();
         for (int i = 1; i <= 4; ++i) {
             JobSpec spec = simulator.job(i, JobKind::Array, 10);
@@ -110,7 +110,7 @@
     Simulator simulator(13);
     simulator.add_machine("small", "a");
     simulator.cloud().capacity = 30;
-    simulator.cloud().list_lag = simulator.settings.list_lag;
+    simulator.cloud().list_lag = simulator.settings.cloud_list_lag;
     simulator.start_nodes();
     for (int i = 0; i < 400 && simulator.cloud().rentals().empty(); ++i) simulator.run(50 * kMillisecond);
     simulator.run(1500 * kMillisecond);  // it takes at most this long until the other controllers know
@@ -132,7 +132,7 @@
     const int old_leader = simulator->leader();
     const Revision term = simulator->node(old_leader)->cache().membership.leader().mod_revision;
     simulator->cut_off(old_leader, true);
-    simulator->run(authority(simulator->settings) + 2 * kSecond);
+    simulator->run(controller_lease_duration(simulator->settings) + 2 * kSecond);
     ASSERT_NE(simulator->leader(), -1);
     const int before = rentals_of_term(*simulator, term);
     simulator->cloud().capacity = 20;
@@ -149,11 +149,12 @@
 /// a block, so the old one must not delete it.
 TEST(RentingLeader, LeaderThatIsCutOffDeletesNoMachineLeasedByItsSuccessor) {
     auto simulator = settled_simulator(12, 1);
-    simulator->cloud().list_lag = simulator->settings.list_lag;
+    simulator->cloud().list_lag = simulator->settings.cloud_list_lag;
     const int old_leader = simulator->leader();
     simulator->submit(simulator->job(1, JobKind::Service, 8), 0);  // fills the only machine
     simulator->run(2 * kSecond);
-    const Micros boot_time = 3 * simulator->cloud().types().front().boot + 30 * kSecond + 4 * kSecond;
+    const Micros boot_time =
+        3 * simulator->cloud().types().front().boot_duration + 30 * kSecond + 4 * kSecond;
     const std::string late_machine =
         simulator->cloud().rent_one("small", "b", false, simulator->now(), boot_time);
     simulator->submit(simulator->job(2, JobKind::Array, 8), 20 * kSecond);
@@ -173,7 +174,7 @@
     simulator->cloud().capacity = 30;
     const auto before = simulator->machine_names();
     JobSpec spec = simulator->job(1, JobKind::Service, 20);
-    spec.rank = PriorityClass::Production;
+    spec.priority_class = PriorityClass::Production;
     spec.spot = false;
     simulator->submit(spec, 0);
     std::size_t stuck = 0;
@@ -183,8 +184,8 @@
             if (!m.up) m.up_at = 3600 * kSecond, ++stuck;
     }
     ASSERT_GT(stuck, 0u) << simulator->story();
-    const Micros boot = small_types().front().boot;
-    simulator->run(2 * boot + simulator->settings.list_lag + boot + 8 * kSecond);
+    const Micros boot = small_types().front().boot_duration;
+    simulator->run(2 * boot + simulator->settings.cloud_list_lag + boot + 8 * kSecond);
     EXPECT_EQ(simulator->running(spec.ref), spec.tasks) << simulator->story();
     EXPECT_RULES(*simulator);
 }
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -30,10 +30,10 @@
     static Settings settings(const ZoneRule& rule) {
         Settings settings = small_site();
         settings.zones = {"a", "b", "c"};
-        settings.ops.idle_return = 600 * kSecond;  // so that idle machines are not returned
-        settings.ops.policy.emplace();
-        settings.ops.policy->revision = 1;
-        settings.ops.policy->zones = {rule};
+        settings.operators.idle_return_delay = 600 * kSecond;  // so that idle machines are not returned
+        settings.operators.policy.emplace();
+        settings.operators.policy->revision = 1;
+        settings.operators.policy->zones = {rule};
         return settings;
     }
     static std::vector<MachineType> types() {
@@ -43,7 +43,7 @@
     }
     JobSpec service(int replicas) {
         JobSpec spec = simulator.job(1, JobKind::Service, replicas);
-        spec.rank = PriorityClass::Production;
+        spec.priority_class = PriorityClass::Production;
         return spec;
     }
     /// Returns the service's replicas by zone, as the shard's holder counts them.
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -235,7 +235,7 @@
     w->run(2 * kSecond);
     auto r = w->ask(other_than(old), "POST", "/v1/jobs/req-000001/abort", Json::object());
     ASSERT_EQ(r.status, 200);
-    w->run(w->settings.cancel);
+    w->run(w->settings.cancel_deadline);
     EXPECT_EQ(w->running("req-000001"), 0) << "its authority time ended early enough\n" << w->story();
 }
 
@@ -309,13 +309,13 @@
 TEST(Traces, HigherRankMakesRoomAndSavedWorkIsNotLost) {
     auto w = settled_simulator(9, 1);
     JobSpec low = w->job(1, JobKind::Array, 1, 8);
-    low.rank = PriorityClass::Low;
-    low.checkpoint = kSecond;
-    low.save = kSecond;
+    low.priority_class = PriorityClass::Low;
+    low.checkpoint_interval = kSecond;
+    low.save_duration = kSecond;
     w->submit(low, 20 * kSecond);
     w->run(4 * kSecond);
     JobSpec high = w->job(2, JobKind::Service, 1, 4);
-    high.rank = PriorityClass::Production;
+    high.priority_class = PriorityClass::Production;
     w->submit(high, 0);
     w->run(6 * kSecond);
     EXPECT_EQ(w->running("req-000002"), 1) << w->story();
@@ -404,8 +404,8 @@
 
 TEST(Workers, AreSentToTheHolderOfTheirBlock) {
     Settings site = small_site();
-    site.lease = 20 * kSecond;  // long enough to try the holder in vain and come back
-    site.cancel = 50 * kSecond;
+    site.worker_lease = 20 * kSecond;  // long enough to try the holder in vain and come back
+    site.cancel_deadline = 50 * kSecond;
     auto w = settled_simulator(1, 4, site);
     w->run(15 * kSecond);  // whoever a worker asked at first is forgotten
     const int holder = w->holder();
@@ -521,12 +521,12 @@
     auto w = settled_simulator(1, 2);
     JobSpec wide = w->job(1, JobKind::Array, 400, 0.25);
     wide.team = "guests";
-    wide.rank = PriorityClass::Low;
+    wide.priority_class = PriorityClass::Low;
     w->submit(wide, 4 * kSecond);
     w->run(8 * kSecond);
     EXPECT_GT(w->running("req-000001"), 30) << "it has all of both machines";
     JobSpec service = w->job(2, JobKind::Service, 2, 6);
-    service.rank = PriorityClass::Production;
+    service.priority_class = PriorityClass::Production;
     service.spot = false;
     w->submit(service, 0);
     JobSpec usual = w->job(3, JobKind::Array, 1, 2);
@@ -540,7 +540,7 @@
 
 TEST(BadNights, TheDeadDomainsShareIsUsedAgain) {
     Settings site = small_site();
-    site.cpu_share = 0.001;  // several shards
+    site.cpu_cores = 0.001;  // several shards
     auto w = settled_simulator(3, 9, site);
     w->run(4 * kSecond);
     w->crash(0, 120 * kSecond);
@@ -566,7 +566,7 @@
 
 TEST(BadNights, PollsAreTurnedAwayBeforeReports) {
     Settings site = small_site();
-    site.cpu_share = 0.02;
+    site.cpu_cores = 0.02;
     auto w = settled_simulator(1, 4, site);
     w->submit(w->job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -47,12 +47,12 @@
             const JobKind kind = i % 5 == 0 ? JobKind::Service : i % 4 == 0 ? JobKind::Gang : JobKind::Array;
             JobSpec job = w.job(i, kind, 1 + i % 4, 1 + i % 3);
             job.team = i % 6 == 0 ? "guests" : i % 3 == 0 ? "blue" : "red";
-            job.rank = static_cast<PriorityClass>(i % 4);
+            job.priority_class = static_cast<PriorityClass>(i % 4);
             job.spot = kind != JobKind::Service;
             job.spread = kind == JobKind::Service;
             job.one_zone = kind == JobKind::Gang;
-            if (i % 7 == 0) job.checkpoint = 3 * kSecond, job.save = kSecond;
-            if (i % 9 == 0) job.needs.push_back(w.job(i - 1, JobKind::Array, 1).ref);
+            if (i % 7 == 0) job.checkpoint_interval = 3 * kSecond, job.save_duration = kSecond;
+            if (i % 9 == 0) job.dependencies.push_back(w.job(i - 1, JobKind::Array, 1).ref);
             w.submit(job, (3 + i % 9) * kSecond, 500 * kMillisecond, i % 11 == 0);
             if (i % 8 == 0) w.at(w.now() + 6 * kSecond, [&w, job] { w.cancel(job.ref); });
         });
@@ -77,7 +77,7 @@
 TEST_P(Traffic, OfControllersIsAsPinned) {
     const auto [seed, expected] = GetParam();
     Settings site = small_site();
-    if (seed % 2 == 0) site.cpu_share = 0.001;  // several shards
+    if (seed % 2 == 0) site.cpu_cores = 0.001;  // several shards
     Simulator w(static_cast<std::uint64_t>(seed), site);
     TrafficDigest digest;
     w.on_traffic = [&digest](const std::string& who, const std::string& what, const std::string& body) {
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -17,8 +17,8 @@
 class StillRuntime : public Runtime {
   public:
     Micros now() override { return now_; }
-    Micros listened() override { return now_; }
-    std::int64_t wall_ms() override { return 1'790'000'000'000 + now_ / kMillisecond; }
+    Micros listening_time() override { return now_; }
+    std::int64_t wall_clock_ms() override { return 1'790'000'000'000 + now_ / kMillisecond; }
     void call(Call, ReplyHandler) override {}
     void after(Micros, std::function<void()>) override {}
     std::mt19937_64& random() override { return random_; }
@@ -95,13 +95,13 @@
         s.ref = fmt::format("req-{}", first + i);
         s.job_class = "push";
         s.team = "red";
-        s.rank = PriorityClass::High;
+        s.priority_class = PriorityClass::High;
         s.tasks = 50;
         s.request = {cores * 1000, 0, cores * 3000};
         s.spot = true;
         s.image = fmt::format("push-{}", i % 5);
         s.image_gb = 500;
-        s.estimate = 30 * kSecond;
+        s.estimated_duration = 30 * kSecond;
         const Json record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
                           {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
         owner.on_job(s.ref, RecordLocation::Active, record, 1);
