--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -111,7 +111,7 @@
     if (std::exchange(waking_, true)) return;
     runtime_.after(0, [this] {
         waking_ = false;
-        assignment_.work();
+        assignment_.process_pending_work();
     });
 }
 
