--- a/src/cluster/leader_election.hpp
+++ b/src/cluster/leader_election.hpp
@@ -26,8 +26,8 @@
         return caught_up_ && claimed_term_ != 0 && claimed_term_ == cache_.membership.leader().mod_revision;
     }
     /// Returns true if the leader may also rent and delete machines. A leader that is cut off from the store
-    /// does not learn that another node has taken over, so it calls the cloud only while its last
-    /// confirmation by the store is recent enough (see lease_validity.hpp).
+    /// does not learn that another node has taken over, so it calls the cloud only while its controller lease
+    /// is valid, that is while its last confirmation by the store is recent enough (see lease_validity.hpp).
     bool term_is_valid() const { return is_leader() && has_valid_lease(feed_.confirmed_ago(), settings_); }
     Revision term() const { return cache_.membership.leader().mod_revision; }
     const std::string& leader_node() const { return cache_.membership.leader().holder; }
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -98,14 +98,15 @@
                 record && record->mod_revision > result.revision)
                 return;  // lost again
             cache_.membership.set_shard(name, {self, result.revision});
-            // The former holder may go on answering workers that this node can't reach. This also holds if
-            // the former record names this node: another holder may have transferred the shard to it, or this
-            // node's own former process may have taken it from another holder just before.
-            const Micros former_authority_end =
+            // Until its controller lease ends, the former holder may go on answering workers that this node
+            // can't reach. This also holds if the former record names this node: another holder may have
+            // transferred the shard to it, or this node's own former process may have taken it from another
+            // holder just before.
+            const Micros former_lease_end =
                 context_.runtime().now() + (create ? 0 : authority(context_.settings()));
             auto& owner = owners_[name];
             if (owner) released_owners_.push_back(std::move(owner));
-            owner = std::make_unique<ShardOwner>(context_, name, result.revision, former_authority_end);
+            owner = std::make_unique<ShardOwner>(context_, name, result.revision, former_lease_end);
             for (const auto& [id, block] : cache_.blocks.all())
                 if (block.shard == name)
                     for (const auto& machine : block.machines) owner->on_machine(block, machine);
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -97,7 +97,8 @@
     ASSERT_EQ(simulator->starts("req-000001") + simulator->starts("req-000002"), 1)
         << "one task must be bound to the machine that receives nothing";
     simulator->crash(former_holder, 300 * kSecond);
-    // The time to notice the dead holder, its authority, a lease, a report and the duration of the task.
+    // The time to notice the dead holder, its controller lease, a worker lease, a report and the duration of
+    // the task.
     simulator->run(3 * kSecond + authority(simulator->settings) + with_drift(simulator->settings.lease) +
                    5 * kSecond + 5 * kSecond);
     EXPECT_EQ(simulator->told("req-000001"), "done") << simulator->story();
