--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -114,7 +114,7 @@
     if (std::exchange(wake_scheduled_, true)) return;
     runtime_.after(0, [this] {
         wake_scheduled_ = false;
-        assignment_.work();
+        assignment_.process_pending_work();
     });
 }
 
