--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-void StateService::expire(Micros now) {
+void StateService::expire_leases(Micros now) {
     if (down_) return;
     std::vector<std::uint64_t> over;
     for (const auto& [id, lease] : leases_)
@@ -90,7 +90,7 @@
 
 Reply StateService::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
     if (down_) return {503, Json::object()};
-    expire(now);
+    expire_leases(now);
     if (method == "GET" && starts_with(path, "/store/")) {
         auto it = items_.find(path.substr(7));
         if (it == items_.end()) return {404, Json{{"ledger", store_revision_}}};
@@ -173,7 +173,7 @@
     return {200, Json{{"ledger", store_revision_}}};
 }
 
-void add_history(StateService& state, int jobs) {
+void add_finished_jobs(StateService& state, int jobs) {
     for (int i = 0; i < jobs; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%07d", 2'000'000 + i);
@@ -199,29 +199,29 @@
       leased_from_(now) {}
 
 Worker::~Worker() {
-    kill_all();
+    kill_all_tasks();
 }
 
-void Worker::kill_all() {
+void Worker::kill_all_tasks() {
     for (auto& t : tasks_)
-        if (t.on) observer_.off_machine(name_, t.job, t.task, t.attempt);
+        if (t.on) observer_.on_task_stopped(name_, t.job, t.task, t.attempt);
     tasks_.clear();
 }
 
 void Worker::exit(Task& t, const char* cause) {
-    if (t.on) observer_.off_machine(name_, t.job, t.task, t.attempt);
+    if (t.on) observer_.on_task_stopped(name_, t.job, t.task, t.attempt);
     t.on = false;
     t.phase = Phase::Exited;
     t.cause = cause;
-    changed = true;
+    has_unreported_changes = true;
 }
 
-void Worker::expire(Micros now) {
+void Worker::expire_session(Micros now) {
     if (now - leased_from_ <= lease_) return;
-    kill_all();
+    kill_all_tasks();
     ++session_;
     leased_from_ = now;
-    changed = true;
+    has_unreported_changes = true;
 }
 
 bool Worker::has_image(const JobSpec& spec) const {
@@ -250,7 +250,7 @@
     std::set<std::string> wanted;
     for (const auto& t : tasks_) {
         const JobInfo* info = t.phase == Phase::Fetching ? observer_.job(t.job) : nullptr;
-        if (!info || info->fetch >= 0 || has_image(info->spec)) continue;
+        if (!info || info->image_fetch_time >= 0 || has_image(info->spec)) continue;
         const double gb = static_cast<double>(info->spec.image_gb) / 1000;
         wanted.insert(info->spec.image);
         images_.try_emplace(info->spec.image, Image{gb, std::max(gb, 1e-6), now});
@@ -263,38 +263,39 @@
 }
 
 void Worker::advance(Micros now) {
-    expire(now);
+    expire_session(now);
     fetch(now);
     for (auto& t : tasks_) {
         if (t.phase == Phase::Exited) continue;
         const JobInfo* info = observer_.job(t.job);
         const std::string id = t.job + "/" + std::to_string(t.task);
         if (t.phase == Phase::Fetching &&
-            (has_image(info->spec) || (info->fetch >= 0 && now - t.since >= info->fetch))) {
+            (has_image(info->spec) ||
+             (info->image_fetch_time >= 0 && now - t.since >= info->image_fetch_time))) {
             use_image(info->spec, now);
             t.on = true;
-            observer_.on_machine(name_, t.job, t.task, t.attempt);
+            observer_.on_task_started(name_, t.job, t.task, t.attempt);
             t.since = now;
             t.phase = info->spec.kind == JobKind::Gang ? Phase::Waiting : Phase::Running;
             if (results_.count(id)) exit(t, "done");
-            changed = true;
+            has_unreported_changes = true;
         } else if (t.phase == Phase::Waiting) {
-            if (observer_.gang_complete(t.job, t.attempt)) {
+            if (observer_.is_gang_complete(t.job, t.attempt)) {
                 t.phase = Phase::Running;
                 t.since = now;
-                changed = true;
+                has_unreported_changes = true;
             } else if (now - t.since > gang_wait_) {
                 exit(t, "incomplete");
             }
         } else if (t.phase == Phase::Running) {
-            if (info->spec.kind == JobKind::Gang && !observer_.gang_whole(t.job, t.attempt) &&
-                now - t.since < info->run) {
+            if (info->spec.kind == JobKind::Gang && !observer_.is_gang_intact(t.job, t.attempt) &&
+                now - t.since < info->run_time) {
                 exit(t, "mates_gone");
-            } else if (info->broken || faulty) {
+            } else if (info->always_fails || faulty) {
                 exit(t, "error");
-            } else if (info->spec.kind != JobKind::Service && now - t.since >= info->run) {
+            } else if (info->spec.kind != JobKind::Service && now - t.since >= info->run_time) {
                 results_.insert(id);
-                observer_.completed(t.job, t.task, t.attempt);
+                observer_.on_task_completed(t.job, t.task, t.attempt);
                 exit(t, "done");
             }
         } else if (t.phase == Phase::Saving && now - t.since >= info->spec.save) {
@@ -331,7 +332,7 @@
             else if (!info->spec.request.fits(type_.size - used))
                 exit(t, "full");
             tasks_.push_back(t);
-            changed = true;
+            has_unreported_changes = true;
         } else if (kind == "stop" && it != tasks_.end() && it->phase != Phase::Exited) {
             const JobInfo* info = observer_.job(job);
             const double grace = wire::number(o, "slack_s").value_or(0);
@@ -340,13 +341,13 @@
             if (it->phase == Phase::Running && can_save) {
                 it->phase = Phase::Saving;
                 it->since = now;
-                changed = true;
+                has_unreported_changes = true;
             } else if (it->phase != Phase::Saving || grace == 0) {
                 exit(*it, "stopped");
             }
         } else if (kind == "clear" && it != tasks_.end() && it->phase == Phase::Exited) {
             tasks_.erase(it);
-            changed = true;
+            has_unreported_changes = true;
         }
     }
     advance(now);
@@ -354,7 +355,7 @@
 
 Json Worker::report(Micros now) {
     advance(now);
-    changed = false;
+    has_unreported_changes = false;
     Json tasks = Json::array();
     for (const auto& t : tasks_) {
         static const char* const names[] = {"pulling", "gathering", "running", "saving", "exited"};
@@ -367,16 +368,17 @@
     Json v{{"frame", name_},  {"addr", addr_},     {"loom_type", type_.name},
            {"mill", zone_},   {"remnant", spot_},  {"shift", session_},
            {"tally", ++seq_}, {"shuttle", token_}, {"threads", std::move(tasks)}};
-    if (notice) v["warning_s"] = static_cast<double>(std::max<Micros>(*notice - now, 0)) / 1e6;
+    if (reclaim_deadline)
+        v["warning_s"] = static_cast<double>(std::max<Micros>(*reclaim_deadline - now, 0)) / 1e6;
     return v;
 }
 
-void Worker::answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now) {
+void Worker::on_report_answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now) {
     advance(now);
     if (session_then != session_) return;
     const auto token = wire::count(body, "shuttle");
     if (!token || *token < token_) return;
-    if (*token > token_) changed = true;
+    if (*token > token_) has_unreported_changes = true;
     token_ = *token;
     leased_from_ = std::max(leased_from_, sent);
     if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
@@ -388,13 +390,13 @@
     const auto token = wire::count(body, "shuttle"), session = wire::count(body, "shift");
     if (!token || !session) return {400, Json::object()};
     if (*token < token_ || *session != session_) return {409, report(now)};
-    if (*token > token_) changed = true;
+    if (*token > token_) has_unreported_changes = true;
     token_ = *token;
     if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
     return {200, report(now)};
 }
 
-std::vector<std::pair<std::string, int>> Worker::held() const {
+std::vector<std::pair<std::string, int>> Worker::occupying_tasks() const {
     std::vector<std::pair<std::string, int>> out;
     for (const auto& t : tasks_)
         if (t.phase != Phase::Exited) out.emplace_back(t.job, t.task);
@@ -409,15 +411,15 @@
     return nullptr;
 }
 
-std::string Cloud::rent_one(const std::string& type_name, const std::string& zone, bool spot, Micros now,
-                            Micros boot) {
+std::string Cloud::rent_machine(const std::string& type_name, const std::string& zone, bool spot, Micros now,
+                                Micros boot) {
     char number[16];
     std::snprintf(number, sizeof number, "%06d", next_++);
-    const std::string name = name_prefix + number;
+    const std::string name = machine_name_prefix + number;
     Machine m;
     m.info = {name, "", type_name, zone, spot, CloudState::Starting, 0};
-    m.rented = now;
-    m.up_at = now + boot;
+    m.rented_at = now;
+    m.boot_ends_at = now + boot;
     machines_[name] = m;
     return name;
 }
@@ -425,9 +427,9 @@
 /// As of a moment in the past.
 void Cloud::list(const std::string& name, Machine& m, Micros as_of, Json& to) const {
     static const char* const states[] = {"starting", "running", "failed"};
-    m.listed = m.listed || m.rented <= as_of;
-    if (!m.listed || (m.gone_at > 0 && m.gone_at <= as_of)) return;
-    const bool then_up = m.up_at <= as_of || list_lag == 0;
+    m.listed = m.listed || m.rented_at <= as_of;
+    if (!m.listed || (m.deleted_at > 0 && m.deleted_at <= as_of)) return;
+    const bool then_up = m.boot_ends_at <= as_of || list_lag == 0;
     const CloudState state = then_up ? m.info.state : CloudState::Starting;
     to.push_back(Json{{"ref", name},
                       {"addr", then_up ? m.info.addr : ""},
@@ -435,7 +437,7 @@
                       {"mill", m.info.zone},
                       {"remnant", m.info.spot},
                       {"stage", states[static_cast<int>(state)]},
-                      {"held_s", static_cast<double>(std::max<Micros>(as_of - m.rented, 0)) / 1e6}});
+                      {"held_s", static_cast<double>(std::max<Micros>(as_of - m.rented_at, 0)) / 1e6}});
 }
 
 Reply Cloud::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
@@ -465,8 +467,8 @@
         if (count == 0) return {503, Json{{"error", "no capacity"}}};
         std::vector<std::string> names;
         for (int i = 0; i < count; ++i) {
-            names.push_back(rent_one(t->name, wire::text(body, "mill").value_or(""),
-                                     wire::flag(body, "remnant").value_or(false), now, t->boot));
+            names.push_back(rent_machine(t->name, wire::text(body, "mill").value_or(""),
+                                         wire::flag(body, "remnant").value_or(false), now, t->boot));
             --capacity;
         }
         requests_[name] = names;
@@ -478,7 +480,7 @@
                 const auto name = n.get<std::string>();
                 if (auto m = machines_.extract(name)) {
                     ++capacity;
-                    m.mapped().gone_at = now;
+                    m.mapped().deleted_at = now;
                     if (list_lag > 0) gone_.insert(std::move(m));
                 }
                 if (on_delete) on_delete(name);
--- a/src/fakes/fakes.hpp
+++ b/src/fakes/fakes.hpp
@@ -26,7 +26,7 @@
     std::optional<Reply> watch(const std::string& path, bool last);
     static Micros block_time(const std::string& path);
     void set_down(bool down, Micros now);
-    void expire(Micros now);
+    void expire_leases(Micros now);
     bool down() const { return down_; }
     /// Puts a record there before anybody looks, beside all limits.
     void put(const std::string& key, Json value) { items_[key] = {std::move(value), store_revision_, 0}; }
@@ -68,14 +68,15 @@
 };
 
 /// Records of jobs that were finished before anything else, as controllers leave them behind.
-void add_history(StateService& state, int jobs);
+void add_finished_jobs(StateService& state, int jobs);
 
 /// What a worker needs to know of a job; users upload it.
 struct JobInfo {
     JobSpec spec;
-    Micros run = 0;
-    Micros fetch = 0;     // of its image on any machine; -1: as long as its size takes at the machine's rate
-    bool broken = false;  // submitted with a mistake: fails wherever it starts
+    Micros run_time = 0;
+    Micros image_fetch_time =
+        0;  // of its image on any machine; -1: as long as its size takes at the machine's rate
+    bool always_fails = false;  // submitted with a mistake: fails wherever it starts
 };
 
 /// The world that the workers' tasks live in.
@@ -84,16 +85,16 @@
     virtual ~TaskObserver() = default;
     virtual const JobInfo* job(const std::string& ref) = 0;
     /// A task has its image and is on the machine from now on.
-    virtual void on_machine(const std::string& machine, const std::string& job, int task,
-                            std::int64_t attempt) = 0;
-    virtual void off_machine(const std::string& machine, const std::string& job, int task,
-                             std::int64_t attempt) = 0;
+    virtual void on_task_started(const std::string& machine, const std::string& job, int task,
+                                 std::int64_t attempt) = 0;
+    virtual void on_task_stopped(const std::string& machine, const std::string& job, int task,
+                                 std::int64_t attempt) = 0;
     /// A task has completed (its result is kept).
-    virtual void completed(const std::string& job, int task, std::int64_t attempt) = 0;
+    virtual void on_task_completed(const std::string& job, int task, std::int64_t attempt) = 0;
     /// True once every task of the gang's attempt waits or runs somewhere.
-    virtual bool gang_complete(const std::string& job, std::int64_t attempt) = 0;
+    virtual bool is_gang_complete(const std::string& job, std::int64_t attempt) = 0;
     /// False once a task of the gang's attempt is gone.
-    virtual bool gang_whole(const std::string& job, std::int64_t attempt) = 0;
+    virtual bool is_gang_intact(const std::string& job, std::int64_t attempt) = 0;
 };
 
 class Worker {
@@ -106,13 +107,13 @@
     Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
     /// A report's body; `sent` is needed when it is answered.
     Json report(Micros now);
-    void answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now);
+    void on_report_answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now);
     void advance(Micros now);
     /// Ends the session if its lease is over; a machine that hangs does no more than that.
-    void expire(Micros now);
-    void kill_all();
+    void expire_session(Micros now);
+    void kill_all_tasks();
     /// Tasks that take room here: all that have not exited.
-    std::vector<std::pair<std::string, int>> held() const;
+    std::vector<std::pair<std::string, int>> occupying_tasks() const;
 
     std::uint64_t session() const { return session_; }
     std::uint64_t token() const { return token_; }
@@ -121,9 +122,9 @@
     const MachineType& type() const { return type_; }
     const std::string& zone() const { return zone_; }
     bool spot() const { return spot_; }
-    std::optional<Micros> notice;
+    std::optional<Micros> reclaim_deadline;
     bool faulty = false;  // whatever starts here fails
-    bool changed = false;
+    bool has_unreported_changes = false;
 
   private:
     struct Task {
@@ -165,24 +166,24 @@
   public:
     struct Machine {
         CloudMachine info;
-        Micros rented = 0;
-        Micros up_at = 0;
-        bool up = false;
+        Micros rented_at = 0;
+        Micros boot_ends_at = 0;
+        bool booted = false;
         bool listed = false;
-        Micros gone_at = 0;  // 0: it is there
+        Micros deleted_at = 0;  // 0: it is there
     };
     explicit Cloud(std::vector<MachineType> types) : types_(std::move(types)) {}
 
     Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
-    std::string rent_one(const std::string& type, const std::string& zone, bool spot, Micros now,
-                         Micros boot);
+    std::string rent_machine(const std::string& type, const std::string& zone, bool spot, Micros now,
+                             Micros boot);
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::vector<MachineType>& types() const { return types_; }
     const MachineType* type(const std::string& name) const;
     std::function<void(const std::string&)> on_delete;
     int capacity = 1000;
     bool down = false;
-    std::string name_prefix = "n-";  // of machines
+    std::string machine_name_prefix = "n-";  // of machines
     /// A list is as old as this, or up to twice as old: new machines are missing until then, and those that
     /// are gone still appear. Once listed, a machine stays listed until it is gone.
     Micros list_lag = 0;
--- a/src/fakes/live_worker.cpp
+++ b/src/fakes/live_worker.cpp
@@ -28,11 +28,11 @@
 
 void LiveWorker::on_command(const net::Request& request, const net::Responder& respond) {
     const Json body = wire::decode(request.body).value_or(Json());
-    const Delivery delivery = request.method == "POST" ? options_.command() : Delivery::Arrives;
+    const Delivery delivery = request.method == "POST" ? options_.command_delivery() : Delivery::Delivered;
     if (delivery == Delivery::Lost) return;
     if (delivery == Delivery::Late) {
         auto timer =
-            std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(options_.latest_command));
+            std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(options_.late_command_delay));
         timer->async_wait([this, timer, path = request.path, body](asio::error_code ec) {
             if (!ec) worker_->handle("POST", path, body, net::steady_micros());
         });
@@ -45,7 +45,7 @@
 void LiveWorker::tick() {
     const Micros now = net::steady_micros();
     worker_->advance(now);
-    const bool changed = worker_->changed && now - sent_ >= kLeastInterval;
+    const bool changed = worker_->has_unreported_changes && now - sent_ >= kLeastInterval;
     if (in_flight_ || (now < next_ && !changed)) return;
     report(now);
 }
@@ -64,8 +64,9 @@
     in_flight_ = false;
     const std::size_t next = (target_ + 1) % controllers_.size();
     const auto body = wire::decode(reply.body);
-    if (reply.status == 200 && options_.answer_lost()) return turn_to(next, kNextControllerAfter);
-    if (reply.status == 200 && body) return worker_->answered(*body, session, sent, net::steady_micros());
+    if (reply.status == 200 && options_.is_answer_lost()) return turn_to(next, kNextControllerAfter);
+    if (reply.status == 200 && body)
+        return worker_->on_report_answered(*body, session, sent, net::steady_micros());
     const auto holder = reply.status == 421 && body ? wire::text(*body, "overseer") : std::nullopt;
     const auto named = std::find_if(controllers_.begin(), controllers_.end(),
                                     [&holder](const Controller& c) { return holder == c.name; });
--- a/src/fakes/live_worker.hpp
+++ b/src/fakes/live_worker.hpp
@@ -14,7 +14,7 @@
 namespace cottonway::fakes {
 
 /// What becomes of a direct command, or of the answer to a heartbeat.
-enum class Delivery { Arrives, Lost, Late };
+enum class Delivery { Delivered, Lost, Late };
 
 class LiveWorker {
   public:
@@ -24,9 +24,9 @@
     };
     struct Options {
         Micros report_every = 500 * kMillisecond;
-        Micros latest_command = 4 * kSecond;  // of those that are carried out late, unanswered
-        std::function<Delivery()> command = [] { return Delivery::Arrives; };
-        std::function<bool()> answer_lost = [] { return false; };
+        Micros late_command_delay = 4 * kSecond;  // of those that are carried out late, unanswered
+        std::function<Delivery()> command_delivery = [] { return Delivery::Delivered; };
+        std::function<bool()> is_answer_lost = [] { return false; };
     };
     LiveWorker(asio::io_context& io, std::unique_ptr<Worker> worker, std::vector<Controller> controllers,
                Options options);
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -571,7 +571,7 @@
 
 void play(const Scenario& e, std::uint64_t seed, Results& into) {
     Simulator w(seed, e.settings, e.types);
-    fakes::add_history(w.state(), e.history);
+    fakes::add_finished_jobs(w.state(), e.history);
     for (const auto& m : e.machines)
         for (int i = 0; i < m.count; ++i) w.add_machine(m.type, m.zone, m.spot);
     w.cloud().capacity = e.capacity;
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -526,18 +526,18 @@
 }
 
 std::string Simulator::add_machine(const std::string& type, const std::string& zone, bool spot) {
-    const std::string name = cloud_.rent_one(type, zone, spot, now_, 0);
+    const std::string name = cloud_.rent_machine(type, zone, spot, now_, 0);
     boot_machines();
     return name;
 }
 
 void Simulator::boot_machines() {
     for (auto& [name, m] : cloud_.machines()) {
-        if (m.up) continue;
-        if (m.up_at > m.rented && seen_rented_.insert(name).second && drawn(swift_boots))
-            m.up_at = std::min(m.up_at, m.rented + between(200 * kMillisecond, 2 * kSecond));
-        if (m.up_at > now_) continue;
-        m.up = true;
+        if (m.booted) continue;
+        if (m.boot_ends_at > m.rented_at && seen_rented_.insert(name).second && drawn(swift_boots))
+            m.boot_ends_at = std::min(m.boot_ends_at, m.rented_at + between(200 * kMillisecond, 2 * kSecond));
+        if (m.boot_ends_at > now_) continue;
+        m.booted = true;
         m.info.state = CloudState::Running;
         m.info.addr = "10.1." + std::to_string(workers_.size() / 250) + "." +
                       std::to_string(workers_.size() % 250 + 1) + ":9000";
@@ -595,15 +595,16 @@
     at(now_ + kStep, [this] { tick(); });
     if (odd_requests && drawn(0.2)) odd_request();
     boot_machines();
-    state_.expire(now_);
+    state_.expire_leases(now_);
     for (auto& [name, r] : workers_) {
         if (!r.worker) continue;
         if (r.hung) {
-            r.worker->expire(now_);
+            r.worker->expire_session(now_);
             continue;
         }
         r.worker->advance(now_);
-        const bool due = now_ >= r.next || (r.worker->changed && now_ - r.last >= 500 * kMillisecond);
+        const bool due =
+            now_ >= r.next || (r.worker->has_unreported_changes && now_ - r.last >= 500 * kMillisecond);
         if (!r.in_flight && due) report(name);
     }
     for (auto& n : nodes_) {
@@ -668,7 +669,7 @@
                     if (!x.worker || x.hung || x.generation != generation || !x.in_flight) return;
                     if (a.status == 200) {
                         x.in_flight = false;
-                        x.worker->answered(a.body, session, sent, now_);
+                        x.worker->on_report_answered(a.body, session, sent, now_);
                     } else if (a.status == 421 && wire::text(a.body, "overseer")) {
                         const std::string to = *wire::text(a.body, "overseer");
                         release_shard(std::atoi(to.c_str() + 5),
@@ -715,7 +716,7 @@
     std::vector<std::string> chosen;
     for (const auto& [ref, u] : users_) {
         const bool long_to_go =
-            u.info.spec.kind == JobKind::Service || (u.begun >= 0 && now_ - u.begun < u.info.run / 2);
+            u.info.spec.kind == JobKind::Service || (u.begun >= 0 && now_ - u.begun < u.info.run_time / 2);
         if (u.told == "accepted" && !u.wants_cancel && long_to_go && running(ref) > 0) chosen.push_back(ref);
     }
     std::shuffle(chosen.begin(), chosen.end(), random);
@@ -952,20 +953,20 @@
     for (const auto& [name, r] : workers_) {
         if (!r.worker) continue;
         Room room{r.worker->type().name, r.worker->zone(), r.worker->spot(), r.worker->type().size};
-        for (const auto& [ref, task] : r.worker->held()) {
+        for (const auto& [ref, task] : r.worker->occupying_tasks()) {
             const JobSpec& spec = users_.at(ref).info.spec;
             room.free -= spec.request;
             s.left[spec.team] -= spec.request;
             held[{ref, task}] = room.zone;
         }
-        bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->notice;
+        bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->reclaim_deadline;
         for (int i = 0; reached && !(cuts_.empty() && one_way_.empty()) && i < node_count(); ++i)
             reached = !is_cut(name, "loom-" + std::to_string(i));
         if (reached) s.rooms[name] = std::move(room);
     }
     for (const auto& [ref, u] : users_) {
         const JobSpec& spec = u.info.spec;
-        if (u.told != "accepted" || u.finished >= 0 || u.info.broken || cancel_wanted(ref)) continue;
+        if (u.told != "accepted" || u.finished >= 0 || u.info.always_fails || cancel_wanted(ref)) continue;
         if (std::any_of(spec.needs.begin(), spec.needs.end(),
                         [this](const auto& need) { return users_.at(need).finished < 0; }))
             continue;
@@ -989,9 +990,9 @@
     std::vector<Fate> out;
     for (const auto& [ref, u] : users_) {
         if (u.told.empty()) continue;
-        const bool left_out = u.info.broken || u.told == "cancelled" || cancel_wanted(ref);
-        const Micros fetch = std::max<Micros>(u.info.fetch, 0);
-        out.push_back({u.info.spec, u.info.run + fetch, u.accepted_at, u.begun, u.all_begun, u.finished,
+        const bool left_out = u.info.always_fails || u.told == "cancelled" || cancel_wanted(ref);
+        const Micros fetch = std::max<Micros>(u.info.image_fetch_time, 0);
+        out.push_back({u.info.spec, u.info.run_time + fetch, u.accepted_at, u.begun, u.all_begun, u.finished,
                        left_out, std::max(u.unanswered, unanswered(u)), starvation_checker_.of(ref)});
     }
     return out;
@@ -1092,8 +1093,8 @@
     return it == users_.end() ? nullptr : &it->second.info;
 }
 
-void Simulator::on_machine(const std::string& machine, const std::string& ref, int task,
-                           std::int64_t attempt) {
+void Simulator::on_task_started(const std::string& machine, const std::string& ref, int task,
+                                std::int64_t attempt) {
     User& u = users_.at(ref);
     const JobSpec& s = u.info.spec;
     ++u.starts;
@@ -1127,8 +1128,8 @@
         breach("wrong_place", ref + " on " + machine);
 }
 
-void Simulator::off_machine(const std::string& machine, const std::string& ref, int task,
-                            std::int64_t attempt) {
+void Simulator::on_task_stopped(const std::string& machine, const std::string& ref, int task,
+                                std::int64_t attempt) {
     note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " leaves " + machine);
     auto it = on_.find({ref, task});
     if (it == on_.end() || it->second.erase(machine) == 0) return;
@@ -1140,7 +1141,7 @@
     if (u.info.spec.kind == JobKind::Service && !on_.count({ref, task})) left_[{ref, task}] = now_;
 }
 
-void Simulator::completed(const std::string& ref, int task, std::int64_t attempt) {
+void Simulator::on_task_completed(const std::string& ref, int task, std::int64_t attempt) {
     User& u = users_.at(ref);
     u.done.insert(task);
     if (u.info.spec.kind == JobKind::Gang) {
@@ -1154,7 +1155,7 @@
         at(now_ + between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
 }
 
-bool Simulator::gang_complete(const std::string& ref, std::int64_t attempt) {
+bool Simulator::is_gang_complete(const std::string& ref, std::int64_t attempt) {
     const int tasks = users_.at(ref).info.spec.tasks;
     for (int i = 0; i < tasks; ++i) {
         auto it = on_.find({ref, i});
@@ -1163,8 +1164,8 @@
     return true;
 }
 
-bool Simulator::gang_whole(const std::string& ref, std::int64_t attempt) {
-    return finished_gangs_.count({ref, attempt}) || gang_complete(ref, attempt);
+bool Simulator::is_gang_intact(const std::string& ref, std::int64_t attempt) {
+    return finished_gangs_.count({ref, attempt}) || is_gang_complete(ref, attempt);
 }
 
 }  // namespace cottonway::simulation
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -190,13 +190,13 @@
 
     // TaskObserver.
     const fakes::JobInfo* job(const std::string& ref) override;
-    void on_machine(const std::string& machine, const std::string& ref, int task,
-                    std::int64_t attempt) override;
-    void off_machine(const std::string& machine, const std::string& ref, int task,
-                     std::int64_t attempt) override;
-    void completed(const std::string& ref, int task, std::int64_t attempt) override;
-    bool gang_complete(const std::string& ref, std::int64_t attempt) override;
-    bool gang_whole(const std::string& ref, std::int64_t attempt) override;
+    void on_task_started(const std::string& machine, const std::string& ref, int task,
+                         std::int64_t attempt) override;
+    void on_task_stopped(const std::string& machine, const std::string& ref, int task,
+                         std::int64_t attempt) override;
+    void on_task_completed(const std::string& ref, int task, std::int64_t attempt) override;
+    bool is_gang_complete(const std::string& ref, std::int64_t attempt) override;
+    bool is_gang_intact(const std::string& ref, std::int64_t attempt) override;
 
     Settings settings;
     std::mt19937_64 random;
--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -92,8 +92,8 @@
     return it == jobs_.end() ? nullptr : &it->second.info;
 }
 
-void RuleChecker::on_machine(const std::string& machine, const std::string& ref, int task,
-                             std::int64_t attempt) {
+void RuleChecker::on_task_started(const std::string& machine, const std::string& ref, int task,
+                                  std::int64_t attempt) {
     SubmittedJob& job = jobs_.at(ref);
     auto& where = on_[{ref, task}];
     if (!where.empty())
@@ -112,7 +112,8 @@
                                 std::to_string(team.limit.cores) + " thousandths of a core");
 }
 
-void RuleChecker::off_machine(const std::string& machine, const std::string& ref, int task, std::int64_t) {
+void RuleChecker::on_task_stopped(const std::string& machine, const std::string& ref, int task,
+                                  std::int64_t) {
     auto it = on_.find({ref, task});
     if (it == on_.end() || it->second.erase(machine) == 0) return;
     if (it->second.empty()) on_.erase(it);
@@ -123,7 +124,7 @@
         longest_to_stop_ = std::max(longest_to_stop_, now_ - job.cancelled_at);
 }
 
-void RuleChecker::completed(const std::string& ref, int task, std::int64_t attempt) {
+void RuleChecker::on_task_completed(const std::string& ref, int task, std::int64_t attempt) {
     SubmittedJob& job = jobs_.at(ref);
     job.done.insert(task);
     if (job.info.spec.kind != JobKind::Gang) return;
@@ -131,7 +132,7 @@
     for (int i = 0; i < job.info.spec.tasks; ++i) job.done.insert(i);
 }
 
-bool RuleChecker::gang_complete(const std::string& ref, std::int64_t attempt) {
+bool RuleChecker::is_gang_complete(const std::string& ref, std::int64_t attempt) {
     for (int i = 0; i < jobs_.at(ref).info.spec.tasks; ++i) {
         auto it = on_.find({ref, i});
         if (it == on_.end() || it->second.begin()->second != attempt) return false;
@@ -139,8 +140,8 @@
     return true;
 }
 
-bool RuleChecker::gang_whole(const std::string& ref, std::int64_t attempt) {
-    return finished_gangs_.count({ref, attempt}) || gang_complete(ref, attempt);
+bool RuleChecker::is_gang_intact(const std::string& ref, std::int64_t attempt) {
+    return finished_gangs_.count({ref, attempt}) || is_gang_complete(ref, attempt);
 }
 
 }  // namespace cottonway::soak
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -267,14 +267,14 @@
         for (int i = 0; i < options_.workers; ++i) {
             const std::string zone = i % 2 ? "b" : "a";
             const Micros now = net::steady_micros();
-            const std::string name = cloud_.rent_one("small", zone, false, now, 0);
+            const std::string name = cloud_.rent_machine("small", zone, false, now, 0);
             const std::string address = text_of(ports_.worker(i));
             cloud_.machines()[name].info.addr = address;
             cloud_.machines()[name].info.state = CloudState::Running;
             fakes::LiveWorker::Options worker;
             worker.report_every = deployment_.report_every * (75 + below(51)) / 100;
-            worker.command = [this] { return command_delivery(); };
-            worker.answer_lost = [this] { return active_.lose_answers > 0 && drawn(0.5); };
+            worker.command_delivery = [this] { return command_delivery(); };
+            worker.is_answer_lost = [this] { return active_.lose_answers > 0 && drawn(0.5); };
             workers_.push_back(std::make_unique<fakes::LiveWorker>(
                 io_,
                 std::make_unique<fakes::Worker>(name, address, machine_type(), zone, false, deployment_.lease,
@@ -286,7 +286,7 @@
     Delivery command_delivery() {
         if (active_.lose_commands > 0 && drawn(0.7)) return Delivery::Lost;
         if (active_.delay_commands > 0 && drawn(0.5)) return Delivery::Late;
-        return Delivery::Arrives;
+        return Delivery::Delivered;
     }
 
     void start_controllers() {
@@ -305,7 +305,7 @@
         const Micros now = net::steady_micros();
         latest_ = std::max(latest_, now - expected_);
         rules_.set_time(now);
-        state_.expire(now);
+        state_.expire_leases(now);
         for (auto& w : workers_) w->tick();
         rules_.tick();
         watch_processes();
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -18,7 +18,7 @@
     for (const std::size_t length : {kLongestName - 1, kLongestName, kLongestName + 1}) {
         SCOPED_TRACE(length);
         Simulator w(3);
-        w.cloud().name_prefix = std::string(length - kDigits, 'n');
+        w.cloud().machine_name_prefix = std::string(length - kDigits, 'n');
         for (int i = 0; i < 3; ++i) w.add_machine("small", "a");
         w.start_nodes();
         w.run(6 * kSecond);
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -12,7 +12,7 @@
 /// So many newer machines that never come up, until the leader has returned them all.
 void return_newer_machines(Simulator& w, int count) {
     for (int i = 0; i < count; ++i) {
-        const std::string name = w.cloud().rent_one("small", "a", false, w.now(), 3'600 * kSecond);
+        const std::string name = w.cloud().rent_machine("small", "a", false, w.now(), 3'600 * kSecond);
         w.cloud().machines().at(name).info.state = CloudState::Failed;
     }
     const auto there = [&] { return w.cloud().machines().size(); };
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -83,10 +83,10 @@
 
 TEST_F(RuleCheckerTest, FindsNothingWhereNothingIsBroken) {
     submit("req-000001");
-    rules_.on_machine("n-1", "req-000001", 0, 1);
+    rules_.on_task_started("n-1", "req-000001", 0, 1);
     cancel("req-000001");
     rules_.set_time(4 * kSecond);
-    rules_.off_machine("n-1", "req-000001", 0, 1);
+    rules_.on_task_stopped("n-1", "req-000001", 0, 1);
     rules_.set_time(20 * kSecond);
     rules_.tick();
     rules_.quiesce();
@@ -99,7 +99,7 @@
 
 TEST_F(RuleCheckerTest, ReportsACancelledTaskThatRunsOnOrStarts) {
     submit("req-000001");
-    rules_.on_machine("n-1", "req-000001", 0, 1);
+    rules_.on_task_started("n-1", "req-000001", 0, 1);
     cancel("req-000001");
     rules_.set_time(10 * kSecond);
     rules_.tick();
@@ -108,17 +108,17 @@
     rules_.tick();
     rules_.tick();
     EXPECT_EQ(broken(), Rules{"ran_cancelled"});
-    rules_.off_machine("n-1", "req-000001", 0, 1);
-    rules_.on_machine("n-1", "req-000001", 0, 2);
+    rules_.on_task_stopped("n-1", "req-000001", 0, 1);
+    rules_.on_task_started("n-1", "req-000001", 0, 2);
     EXPECT_EQ(broken(), (Rules{"ran_cancelled", "ran_cancelled"}));
 }
 
 TEST_F(RuleCheckerTest, ReportsATaskThatRunsTwiceAndATeamAboveItsLimit) {
     submit("req-000001", JobKind::Service, 2);
-    rules_.on_machine("n-1", "req-000001", 0, 1);
-    rules_.on_machine("n-2", "req-000001", 0, 2);
+    rules_.on_task_started("n-1", "req-000001", 0, 1);
+    rules_.on_task_started("n-2", "req-000001", 0, 2);
     EXPECT_EQ(broken(), Rules{"ran_twice"});
-    rules_.on_machine("n-2", "req-000001", 1, 2);
+    rules_.on_task_started("n-2", "req-000001", 1, 2);
     EXPECT_EQ(broken(), (Rules{"ran_twice", "quota"}));
 }
 
--- a/tests/stored_parts_test.cpp
+++ b/tests/stored_parts_test.cpp
@@ -33,7 +33,7 @@
 TEST(StoredParts, HaveRoomForTheirTasksOnMachinesWithLongNames) {
     const auto part = static_cast<int>(tasks_in_a_part());
     Simulator w(3);
-    w.cloud().name_prefix = "machine-with-a-long-name-";
+    w.cloud().machine_name_prefix = "machine-with-a-long-name-";
     for (int i = 0; i < 6; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
     w.run(6 * kSecond);
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -144,7 +144,7 @@
     w->submit(w->job(1, JobKind::Service, 8), 0);  // all of the machine that is there
     w->run(2 * kSecond);
     const Micros slow = 3 * w->cloud().types().front().boot + 30 * kSecond + 4 * kSecond;
-    const std::string late = w->cloud().rent_one("small", "b", false, w->now(), slow);
+    const std::string late = w->cloud().rent_machine("small", "b", false, w->now(), slow);
     w->submit(w->job(2, JobKind::Array, 8), 20 * kSecond);
     w->run(15 * kSecond);
     w->cut_off(old, true);
@@ -169,7 +169,7 @@
     for (int i = 0; i < 20 && stuck == 0; ++i) {
         w->run(500 * kMillisecond);
         for (auto& [name, m] : w->cloud().machines())
-            if (!m.up) m.up_at = 3600 * kSecond, ++stuck;
+            if (!m.booted) m.boot_ends_at = 3600 * kSecond, ++stuck;
     }
     ASSERT_GT(stuck, 0u) << w->story();
     const Micros boot = small_types().front().boot;
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -16,15 +16,15 @@
   public:
     explicit Tasks(Micros run) : info_{{}, run, 500 * kMillisecond} {}
     const fakes::JobInfo* job(const std::string&) override { return &info_; }
-    void on_machine(const std::string& m, const std::string& job, int task, std::int64_t) override {
+    void on_task_started(const std::string& m, const std::string& job, int task, std::int64_t) override {
         std::cout << job << "/" << task << " starts on " << m << std::endl;
     }
-    void off_machine(const std::string& m, const std::string& job, int task, std::int64_t) override {
+    void on_task_stopped(const std::string& m, const std::string& job, int task, std::int64_t) override {
         std::cout << job << "/" << task << " leaves " << m << std::endl;
     }
-    void completed(const std::string&, int, std::int64_t) override {}
-    bool gang_complete(const std::string&, std::int64_t) override { return true; }
-    bool gang_whole(const std::string&, std::int64_t) override { return true; }
+    void on_task_completed(const std::string&, int, std::int64_t) override {}
+    bool is_gang_complete(const std::string&, std::int64_t) override { return true; }
+    bool is_gang_intact(const std::string&, std::int64_t) override { return true; }
 
   private:
     fakes::JobInfo info_;
@@ -58,7 +58,7 @@
 
     asio::io_context io(1);
     fakes::StateService state;
-    fakes::add_history(state, history);
+    fakes::add_finished_jobs(state, history);
     const MachineType small{"small", {8'000, 0, 32'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
     fakes::Cloud cloud({small});
     cloud.capacity = 0;
@@ -94,7 +94,7 @@
     std::vector<std::unique_ptr<fakes::LiveWorker>> live;
     for (int i = 0; i < workers; ++i) {
         const std::string zone = i % 2 ? "b" : "a";
-        const std::string name = cloud.rent_one("small", zone, false, now(), 0);
+        const std::string name = cloud.rent_machine("small", zone, false, now(), 0);
         const std::string addr = "127.0.0.1:" + std::to_string(worker_port + i);
         cloud.machines()[name].info.addr = addr;
         cloud.machines()[name].info.state = CloudState::Running;
@@ -108,7 +108,7 @@
               << " workers from " << worker_port << std::endl;
     asio::steady_timer timer(io);
     std::function<void()> tick = [&] {
-        state.expire(now());
+        state.expire_leases(now());
         for (auto& w : live) w->tick();
         timer.expires_after(std::chrono::milliseconds(100));
         timer.async_wait([&](asio::error_code ec) {
