--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -14,7 +14,7 @@
 }
 
 /// Tells what went wrong; true if something did.
-bool complain(const Endpoint& to, const std::string& what, const Answer& a) {
+bool complain(const Endpoint& to, const std::string& what, const Response& a) {
     if (a.status > 0 && a.status < 300) return false;
     std::cerr << "cottonway: " << what << ": ";
     if (a.status == 0)
@@ -26,10 +26,11 @@
 
 }  // namespace
 
-Answer ask(const Endpoint& to, const std::string& method, const std::string& path, const Json& body) {
+Response send_request(const Endpoint& to, const std::string& method, const std::string& path,
+                      const Json& body) {
     asio::io_context io(1);
     net::HttpClient client(io, 1, 1);
-    Answer answer;
+    Response answer;
     client.call(to, method, path, body.is_null() ? std::string() : wire::encode(body), 5 * kSecond,
                 [&](const net::ClientReply& r) {
                     answer.status = r.status;
@@ -39,18 +40,19 @@
     return answer;
 }
 
-int request(const Endpoint& to, const std::string& method, const std::string& path, const Json& body) {
-    const Answer a = ask(to, method, path, body);
+int request_and_print(const Endpoint& to, const std::string& method, const std::string& path,
+                      const Json& body) {
+    const Response a = send_request(to, method, path, body);
     if (a.status != 0) print(a.body);
     return complain(to, path, a) ? 1 : 0;
 }
 
-int submit(const Endpoint& to, const Json& jobs) {
-    if (!jobs.is_array()) return request(to, "POST", "/v1/jobs", jobs);
+int submit_jobs(const Endpoint& to, const Json& jobs) {
+    if (!jobs.is_array()) return request_and_print(to, "POST", "/v1/jobs", jobs);
     Json answers = Json::array();
     int code = 0;
     for (const auto& job : jobs) {
-        const Answer a = ask(to, "POST", "/v1/jobs", job);
+        const Response a = send_request(to, "POST", "/v1/jobs", job);
         if (a.status != 0) answers.push_back(a.body);
         if (!complain(to, wire::ref_of(job).value_or("a job without an id"), a)) continue;
         code = 1;
@@ -60,11 +62,11 @@
     return code;
 }
 
-int show(const Endpoint& to, const std::vector<std::string>& refs) {
+int show_jobs(const Endpoint& to, const std::vector<std::string>& refs) {
     Json answers = Json::array();
     int code = 0;
     for (const auto& ref : refs) {
-        const Answer a = ask(to, "GET", "/v1/jobs/" + ref, Json());
+        const Response a = send_request(to, "GET", "/v1/jobs/" + ref, Json());
         if (complain(to, ref, a)) code = 1;
         if (a.status == 200) answers.push_back(a.body);
     }
@@ -78,7 +80,7 @@
 namespace {
 /// The entry of a controller's status; nothing, with the reason told, if there is none.
 std::optional<Json> policy_of(const Endpoint& to) {
-    const Answer a = ask(to, "GET", "/status", Json());
+    const Response a = send_request(to, "GET", "/status", Json());
     if (complain(to, "/status", a)) return std::nullopt;
     const Json* found = wire::find(a.body, "policy");
     if (found && found->is_object() && found->contains("value")) return *found;
@@ -87,21 +89,21 @@
 }
 }  // namespace
 
-int policy_check(const std::string& file, const std::string& config) {
+int check_policy(const std::string& file, const std::string& config) {
     std::optional<Settings> settings;
     if (!config.empty()) settings = load_settings(config, "");
     print(policy::describe(policy::load(file, settings ? &*settings : nullptr)));
     return 0;
 }
 
-int policy_show(const Endpoint& to) {
+int show_policy(const Endpoint& to) {
     const auto entry = policy_of(to);
     if (!entry) return 1;
     print(*entry);
     return 0;
 }
 
-int policy_diff(const std::string& file, const Endpoint& to) {
+int diff_policy(const std::string& file, const Endpoint& to) {
     const Json ours = policy::describe(policy::load(file, nullptr));
     const auto entry = policy_of(to);
     if (!entry) return 1;
--- a/src/cli/verify.cpp
+++ b/src/cli/verify.cpp
@@ -11,22 +11,22 @@
 
 void print(const std::vector<recovery::Finding>& findings, const Json& summary, bool json) {
     auto weight = [](const recovery::Finding& f) {
-        return f.weight == recovery::Finding::Weight::Damage ? "damage" : "notice";
+        return f.severity == recovery::Finding::Severity::Damage ? "damage" : "notice";
     };
     if (json) {
         Json list = Json::array();
         for (const auto& f : findings)
-            list.push_back({{"weight", weight(f)}, {"key", f.key}, {"what", f.what}});
+            list.push_back({{"weight", weight(f)}, {"key", f.key}, {"what", f.message}});
         std::cout << Json{{"findings", std::move(list)}, {"read", summary}}.dump(2) << "\n";
         return;
     }
-    for (const auto& f : findings) std::cout << weight(f) << ": " << f.key << " " << f.what << "\n";
+    for (const auto& f : findings) std::cout << weight(f) << ": " << f.key << " " << f.message << "\n";
     for (const auto& [kind, n] : summary.items()) std::cerr << kind << ": " << n.dump() << "\n";
 }
 
 }  // namespace
 
-int verify(Settings settings, bool json) {
+int verify_store(Settings settings, bool json) {
     // Controllers that serve meanwhile need the rest.
     settings.state_rps *= 0.1;
     settings.peers.clear();
@@ -37,7 +37,7 @@
     int code = 2;
     store.list(
         keys::root, [](const std::string& key) { return key; },
-        [&](const Entry& e) { verifier.take(e.key, e.value, e.mod_revision); },
+        [&](const Entry& e) { verifier.add_record(e.key, e.value, e.mod_revision); },
         [&](const ListResult& r) {
             io.stop();
             if (!r.ok) {
@@ -48,7 +48,7 @@
             const auto findings = verifier.finish();
             print(findings, verifier.summary(), json);
             const bool damaged =
-                !findings.empty() && findings.front().weight == recovery::Finding::Weight::Damage;
+                !findings.empty() && findings.front().severity == recovery::Finding::Severity::Damage;
             code = damaged ? 1 : 0;
         });
     io.run();
--- a/src/cli/verify.hpp
+++ b/src/cli/verify.hpp
@@ -7,6 +7,6 @@
 
 /// Prints the findings, as JSON or as lines, on standard output. Takes a tenth of the store's requests.
 /// Returns the exit code: 0 nothing is damaged, 1 something is, 2 the store could not be read.
-int verify(Settings settings, bool json);
+int verify_store(Settings settings, bool json);
 
 }  // namespace cottonway::cli
--- a/src/soak/controller_process.cpp
+++ b/src/soak/controller_process.cpp
@@ -13,7 +13,7 @@
 namespace cottonway::soak {
 
 void ControllerProcess::start() {
-    if (running()) return;
+    if (is_running()) return;
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
@@ -31,22 +31,22 @@
 }
 
 void ControllerProcess::kill() {
-    if (!running()) return;
+    if (!is_running()) return;
     ::kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     pid_ = -1;
 }
 
 void ControllerProcess::pause() {
-    if (running()) ::kill(pid_, SIGSTOP);
+    if (is_running()) ::kill(pid_, SIGSTOP);
 }
 
 void ControllerProcess::resume() {
-    if (running()) ::kill(pid_, SIGCONT);
+    if (is_running()) ::kill(pid_, SIGCONT);
 }
 
-bool ControllerProcess::ended_by_itself() {
-    if (!running() || waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
+bool ControllerProcess::reap_if_exited() {
+    if (!is_running() || waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
     pid_ = -1;
     return true;
 }
--- a/src/soak/controller_process.hpp
+++ b/src/soak/controller_process.hpp
@@ -22,9 +22,9 @@
     void kill();
     void pause();
     void resume();
-    bool running() const { return pid_ > 0; }
+    bool is_running() const { return pid_ > 0; }
     /// Whether it has ended by itself since it was started; then it counts as not running.
-    bool ended_by_itself();
+    bool reap_if_exited();
 
   private:
     std::string binary_;
--- a/src/soak/fault_schedule.cpp
+++ b/src/soak/fault_schedule.cpp
@@ -58,7 +58,7 @@
     return "?";
 }
 
-std::vector<Fault> draw_faults(std::uint64_t seed, int controllers, Micros from, Micros until) {
+std::vector<Fault> generate_faults(std::uint64_t seed, int controllers, Micros from, Micros until) {
     Random random(seed);
     std::vector<Fault> faults;
     Micros group = from;
@@ -66,9 +66,10 @@
         const int overlapping = 2 + random.below(2);
         for (int i = 0; i < overlapping; ++i) {
             Fault fault;
-            fault.at = std::min(group + random.between(0, kLongestOffsetInGroup), until - kShortestFault);
-            fault.lasts = std::min(random.between(kShortestFault, kLongestFault), until - fault.at);
-            fault.kind = static_cast<FaultKind>(random.below(kFaultKinds));
+            fault.starts_at =
+                std::min(group + random.between(0, kLongestOffsetInGroup), until - kShortestFault);
+            fault.duration = std::min(random.between(kShortestFault, kLongestFault), until - fault.starts_at);
+            fault.kind = static_cast<FaultKind>(random.below(kFaultKindCount));
             fault.controller = random.below(controllers);
             faults.push_back(fault);
         }
@@ -78,14 +79,14 @@
         group += random.between(kShortestFault, kLongestPauseBetweenGroups) + kLongestOffsetInGroup;
     }
     std::stable_sort(faults.begin(), faults.end(),
-                     [](const Fault& a, const Fault& b) { return a.at < b.at; });
+                     [](const Fault& a, const Fault& b) { return a.starts_at < b.starts_at; });
     return faults;
 }
 
 std::string describe(const Fault& fault) {
     return std::string("event=fault kind=") + name_of(fault.kind) +
            " controller=" + std::to_string(fault.controller) +
-           " for_ms=" + std::to_string(fault.lasts / kMillisecond);
+           " for_ms=" + std::to_string(fault.duration / kMillisecond);
 }
 
 }  // namespace cottonway::soak
--- a/src/soak/fault_schedule.hpp
+++ b/src/soak/fault_schedule.hpp
@@ -24,18 +24,18 @@
     DelayCommits,   // transactions get no answer and are carried out late
     CancelJobs      // users cancel several running jobs at once
 };
-constexpr int kFaultKinds = 13;
+constexpr int kFaultKindCount = 13;
 const char* name_of(FaultKind kind);
 
 struct Fault {
-    Micros at = 0;
-    Micros lasts = 0;
+    Micros starts_at = 0;
+    Micros duration = 0;
     FaultKind kind = FaultKind::KillController;
     int controller = 0;  // what it happens to, where it happens to one
 };
 
 /// Ordered by time; all are over by `until`. Two or three overlap, and controllers end in series.
-std::vector<Fault> draw_faults(std::uint64_t seed, int controllers, Micros from, Micros until);
+std::vector<Fault> generate_faults(std::uint64_t seed, int controllers, Micros from, Micros until);
 std::string describe(const Fault& fault);
 
 }  // namespace cottonway::soak
--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -6,8 +6,8 @@
 
 using simulation::Asked;
 
-void RuleChecker::breach(const std::string& rule, const std::string& what) {
-    breaches_.push_back(rule + ": " + what);
+void RuleChecker::report_violation(const std::string& rule, const std::string& what) {
+    violations_.push_back(rule + ": " + what);
 }
 
 void RuleChecker::submit(const JobSpec& spec, Micros run) {
@@ -16,13 +16,13 @@
     jobs_.emplace(spec.ref, std::move(submitted));
 }
 
-void RuleChecker::told(Asked asked, const std::string& ref, std::uint64_t begun, int status,
-                       const std::string& stage) {
+void RuleChecker::on_answer(Asked asked, const std::string& ref, std::uint64_t begun, int status,
+                            const std::string& stage) {
     SubmittedJob& job = jobs_.at(ref);
     const bool complete = static_cast<int>(job.done.size()) >= job.info.spec.tasks;
-    for (const auto& line :
-         answers_.hear(ref, {asked, begun, status, stage, true}, {true, job.cancel_wanted, complete}))
-        breaches_.push_back(line);
+    for (const auto& line : answers_.hear(ref, {asked, begun, status, stage, true},
+                                          {true, job.cancellation_requested, complete}))
+        violations_.push_back(line);
     if (status != 200 && status != 201) return;
     job.answered_at = now_;
     if (job.told == "done" || job.told == "cancelled") return;
@@ -31,58 +31,60 @@
     if (stage == "cancelled") job.cancelled_at = now_;
 }
 
-void RuleChecker::tick() {
+void RuleChecker::check_deadlines() {
     for (auto& [ref, job] : jobs_) {
         if (job.told != "cancelled" || job.reported || now_ <= job.cancelled_at + deployment_.cancel)
             continue;
         if (job.on_machines == 0) continue;
         job.reported = true;
-        breach("ran_cancelled", ref + " is still on a machine");
+        report_violation("ran_cancelled", ref + " is still on a machine");
     }
 }
 
-void RuleChecker::finish(Micros answer_within) {
+void RuleChecker::check_final_state(Micros answer_within) {
     for (const auto& [ref, job] : jobs_) {
         if (job.told.empty()) continue;
-        if (now_ - std::max(job.answered_at, quiesced_at_) > answer_within)
-            breach("forgotten", ref + ": no question about it is answered");
+        if (now_ - std::max(job.answered_at, faults_over_at_) > answer_within)
+            report_violation("forgotten", ref + ": no question about it is answered");
         const bool ends = job.info.spec.kind != JobKind::Service;
-        if (job.told == "accepted" && !job.cancel_wanted && ends)
-            breach("left_waiting", ref + " is not done, " + std::to_string(job.starts) + " starts, " +
-                                       std::to_string(job.done.size()) + " tasks done");
-        if (job.told == "accepted" && !ends && job.on_machines < job.info.spec.tasks && !job.cancel_wanted)
-            breach("left_waiting", ref + " lacks replicas");
+        if (job.told == "accepted" && !job.cancellation_requested && ends)
+            report_violation("left_waiting", ref + " is not done, " + std::to_string(job.starts) +
+                                                 " starts, " + std::to_string(job.done.size()) +
+                                                 " tasks done");
+        if (job.told == "accepted" && !ends && job.on_machines < job.info.spec.tasks &&
+            !job.cancellation_requested)
+            report_violation("left_waiting", ref + " lacks replicas");
     }
 }
 
-bool RuleChecker::settled() const {
+bool RuleChecker::is_settled() const {
     return std::all_of(jobs_.begin(), jobs_.end(), [](const auto& j) {
         const SubmittedJob& job = j.second;
         const bool service = job.info.spec.kind == JobKind::Service;
         if (job.told == "cancelled") return job.on_machines == 0;
         if (job.told != "accepted") return true;
-        return service && !job.cancel_wanted && job.on_machines == job.info.spec.tasks;
+        return service && !job.cancellation_requested && job.on_machines == job.info.spec.tasks;
     });
 }
 
-std::vector<std::string> RuleChecker::running() const {
+std::vector<std::string> RuleChecker::running_jobs() const {
     std::vector<std::string> refs;
     for (const auto& [ref, job] : jobs_)
-        if (job.told == "accepted" && !job.cancel_wanted && job.on_machines > 0) refs.push_back(ref);
+        if (job.told == "accepted" && !job.cancellation_requested && job.on_machines > 0) refs.push_back(ref);
     return refs;
 }
 
-std::size_t RuleChecker::accepted() const {
+std::size_t RuleChecker::accepted_jobs() const {
     return static_cast<std::size_t>(
         std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) { return !j.second.told.empty(); }));
 }
 
-std::size_t RuleChecker::cancelled() const {
+std::size_t RuleChecker::cancelled_jobs() const {
     return static_cast<std::size_t>(std::count_if(
         jobs_.begin(), jobs_.end(), [](const auto& j) { return j.second.told == "cancelled"; }));
 }
 
-bool RuleChecker::over(const std::string& ref) const {
+bool RuleChecker::is_finished(const std::string& ref) const {
     const std::string& told = jobs_.at(ref).told;
     return told == "done" || told == "cancelled";
 }
@@ -97,19 +99,19 @@
     SubmittedJob& job = jobs_.at(ref);
     auto& where = on_[{ref, task}];
     if (!where.empty())
-        breach("ran_twice", ref + "/" + std::to_string(task) + " starts on " + machine + " while it is on " +
-                                where.begin()->first);
+        report_violation("ran_twice", ref + "/" + std::to_string(task) + " starts on " + machine +
+                                          " while it is on " + where.begin()->first);
     where[machine] = attempt;
     ++job.on_machines;
     ++job.starts;
-    ++starts_;
+    ++task_starts_;
     if (job.told == "cancelled" && now_ > job.cancelled_at + deployment_.cancel)
-        breach("ran_cancelled", ref + " starts on " + machine);
+        report_violation("ran_cancelled", ref + " starts on " + machine);
     const Resources used = used_[job.info.spec.team] += job.info.spec.request;
     for (const auto& team : deployment_.teams)
         if (team.name == job.info.spec.team && used.cores > team.limit.cores)
-            breach("quota", team.name + " uses " + std::to_string(used.cores) + " of " +
-                                std::to_string(team.limit.cores) + " thousandths of a core");
+            report_violation("quota", team.name + " uses " + std::to_string(used.cores) + " of " +
+                                          std::to_string(team.limit.cores) + " thousandths of a core");
 }
 
 void RuleChecker::on_task_stopped(const std::string& machine, const std::string& ref, int task,
@@ -121,7 +123,7 @@
     --job.on_machines;
     used_[job.info.spec.team] -= job.info.spec.request;
     if (job.told == "cancelled" && job.on_machines == 0)
-        longest_to_stop_ = std::max(longest_to_stop_, now_ - job.cancelled_at);
+        longest_stop_time_ = std::max(longest_stop_time_, now_ - job.cancelled_at);
 }
 
 void RuleChecker::on_task_completed(const std::string& ref, int task, std::int64_t attempt) {
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -21,32 +21,32 @@
     void set_time(Micros now) { now_ = now; }
     /// A user begins to submit a job; a task of it runs for `run`.
     void submit(const JobSpec& spec, Micros run);
-    void want_cancel(const std::string& job) { jobs_.at(job).cancel_wanted = true; }
+    void record_cancellation_request(const std::string& job) { jobs_.at(job).cancellation_requested = true; }
     /// To be called before a request is sent; what it returns goes into `told`.
-    std::uint64_t begin() { return answers_.begin(); }
-    void told(simulation::Asked asked, const std::string& job, std::uint64_t begun, int status,
-              const std::string& stage);
+    std::uint64_t begin_request() { return answers_.begin(); }
+    void on_answer(simulation::Asked asked, const std::string& job, std::uint64_t begun, int status,
+                   const std::string& stage);
     /// Rules that break by time alone.
-    void tick();
+    void check_deadlines();
     /// All faults are over: from now on users are due answers, and jobs that fit are due a start.
-    void quiesce() { quiesced_at_ = now_; }
+    void on_faults_over() { faults_over_at_ = now_; }
     /// The rules that are judged at the end: nothing is forgotten, and nothing is left waiting.
-    void finish(Micros answer_within);
+    void check_final_state(Micros answer_within);
     /// Whether all accepted jobs are over that are to end by themselves or were cancelled.
-    bool settled() const;
+    bool is_settled() const;
 
-    const std::vector<std::string>& breaches() const { return breaches_; }
-    void breach(const std::string& rule, const std::string& what);
+    const std::vector<std::string>& violations() const { return violations_; }
+    void report_violation(const std::string& rule, const std::string& what);
     /// Accepted jobs that their users may still cancel, with tasks on machines.
-    std::vector<std::string> running() const;
-    std::size_t accepted() const;
-    std::size_t cancelled() const;
-    std::size_t starts() const { return starts_; }
+    std::vector<std::string> running_jobs() const;
+    std::size_t accepted_jobs() const;
+    std::size_t cancelled_jobs() const;
+    std::size_t task_starts() const { return task_starts_; }
     std::size_t answers() const { return answers_.heard(); }
     /// The longest time from when a user was told of a cancellation until the last task was gone.
-    Micros longest_to_stop() const { return longest_to_stop_; }
+    Micros longest_stop_time() const { return longest_stop_time_; }
     const JobSpec& spec(const std::string& job) const { return jobs_.at(job).info.spec; }
-    bool over(const std::string& job) const;
+    bool is_finished(const std::string& job) const;
 
     // TaskObserver.
     const fakes::JobInfo* job(const std::string& ref) override;
@@ -61,7 +61,7 @@
   private:
     struct SubmittedJob {
         fakes::JobInfo info;
-        bool cancel_wanted = false;
+        bool cancellation_requested = false;
         bool reported = false;  // as one that ran on
         std::string told;       // "", "accepted", "done" or "cancelled"
         Micros cancelled_at = 0;
@@ -73,15 +73,15 @@
 
     const Settings& deployment_;
     Micros now_ = 0;
-    Micros quiesced_at_ = -1;
-    Micros longest_to_stop_ = 0;
-    std::size_t starts_ = 0;
+    Micros faults_over_at_ = -1;
+    Micros longest_stop_time_ = 0;
+    std::size_t task_starts_ = 0;
     std::map<std::string, SubmittedJob> jobs_;
     std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> on_;
     std::set<std::pair<std::string, std::int64_t>> finished_gangs_;
     std::map<std::string, Resources> used_;  // by team
     simulation::ConsistencyChecker answers_;
-    std::vector<std::string> breaches_;
+    std::vector<std::string> violations_;
 };
 
 }  // namespace cottonway::soak
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -159,10 +159,10 @@
         start_proxies();
         start_workers();
         start_controllers();
-        faults_ = draw_faults(options_.seed, kControllers, kStartUp, kStartUp + options_.duration);
+        faults_ = generate_faults(options_.seed, kControllers, kStartUp, kStartUp + options_.fault_duration);
     }
 
-    SoakVerdict play() {
+    SoakVerdict run() {
         expected_ = net::steady_micros() + kTick;
         tick();
         io_.run();
@@ -293,8 +293,8 @@
         for (int i = 0; i < kControllers; ++i) {
             const std::string base = options_.folder + "/loom-" + std::to_string(i);
             std::ofstream(base + ".toml") << settings_text(deployment_, ports_, i);
-            controllers_.push_back(
-                std::make_unique<ControllerProcess>(options_.controller, base + ".toml", base + ".log"));
+            controllers_.push_back(std::make_unique<ControllerProcess>(options_.controller_binary,
+                                                                       base + ".toml", base + ".log"));
             controllers_.back()->start();
         }
     }
@@ -307,10 +307,10 @@
         rules_.set_time(now);
         state_.expire_leases(now);
         for (auto& w : workers_) w->tick();
-        rules_.tick();
+        rules_.check_deadlines();
         watch_processes();
         begin_faults();
-        if (elapsed() < kStartUp + options_.duration) submit_when_due(now);
+        if (elapsed() < kStartUp + options_.fault_duration) submit_when_due(now);
         if (interrupted_ || step_is_last()) return io_.stop();
         expected_ = net::steady_micros() + kTick;
         timer_.expires_after(std::chrono::microseconds(kTick));
@@ -321,19 +321,19 @@
 
     void watch_processes() {
         for (std::size_t i = 0; i < controllers_.size(); ++i) {
-            if (!controllers_[i]->ended_by_itself()) continue;
-            rules_.breach("ended_by_itself", "loom-" + std::to_string(i));
+            if (!controllers_[i]->reap_if_exited()) continue;
+            rules_.report_violation("ended_by_itself", "loom-" + std::to_string(i));
             controllers_[i]->start();
         }
     }
 
     void begin_faults() {
-        while (next_fault_ < faults_.size() && faults_[next_fault_].at <= elapsed()) {
+        while (next_fault_ < faults_.size() && faults_[next_fault_].starts_at <= elapsed()) {
             const Fault fault = faults_[next_fault_++];
             note(describe(fault));
             apply(fault, true);
-            if (fault.lasts > 0 && fault.kind != FaultKind::KillController)
-                after(fault.lasts, [this, fault] {
+            if (fault.duration > 0 && fault.kind != FaultKind::KillController)
+                after(fault.duration, [this, fault] {
                     note(std::string("event=fault_over kind=") + name_of(fault.kind) +
                          " controller=" + std::to_string(fault.controller));
                     apply(fault, false);
@@ -405,16 +405,16 @@
 
     /// Whether the run is over; it then begins to ask the controllers for their counters, once.
     bool step_is_last() {
-        const Micros faults_end = kStartUp + options_.duration;
+        const Micros faults_end = kStartUp + options_.fault_duration;
         if (elapsed() < faults_end + kControllerBackAfter + kTick) return false;
         if (settling_since_ < 0) {
             settling_since_ = elapsed();
             note("event=quiesced");
-            rules_.quiesce();
+            rules_.on_faults_over();
         }
         const Micros settling = elapsed() - settling_since_;
         if (settling < deployment_.cancel + deployment_.lease) return false;
-        return rules_.settled() || settling > kSettleWithin;
+        return rules_.is_settled() || settling > kSettleWithin;
     }
 
     // ------------------------------------------------------------ users
@@ -458,15 +458,16 @@
         if (asked == Asked::Cancellation) path += "/abort";
         const std::string body =
             asked == Asked::Submission ? wire::encode(wire::job_value(rules_.spec(ref))) : "";
-        users_.call(
-            ports_.client(target), state ? "GET" : "POST", path, body, state ? 2 * kSecond : kUserPatience,
-            [this, asked, ref, begun = rules_.begin(), done = std::move(done)](const net::ClientReply& r) {
-                rules_.set_time(net::steady_micros());
-                const Json answer = wire::decode(r.body).value_or(Json());
-                const std::string stage = wire::text(answer, "stage").value_or("");
-                if (r.status > 0) rules_.told(asked, ref, begun, r.status, stage);
-                done(r.status);
-            });
+        users_.call(ports_.client(target), state ? "GET" : "POST", path, body,
+                    state ? 2 * kSecond : kUserPatience,
+                    [this, asked, ref, begun = rules_.begin_request(),
+                     done = std::move(done)](const net::ClientReply& r) {
+                        rules_.set_time(net::steady_micros());
+                        const Json answer = wire::decode(r.body).value_or(Json());
+                        const std::string stage = wire::text(answer, "stage").value_or("");
+                        if (r.status > 0) rules_.on_answer(asked, ref, begun, r.status, stage);
+                        done(r.status);
+                    });
     }
 
     void submit(const std::string& ref) {
@@ -478,7 +479,7 @@
 
     /// Users go on asking, now and then also about what is over, and repeat what they asked for.
     void poll(const std::string& ref) {
-        const Micros pause = rules_.over(ref) ? 4 * kPollEvery : kPollEvery;
+        const Micros pause = rules_.is_finished(ref) ? 4 * kPollEvery : kPollEvery;
         after(pause / 2 + static_cast<Micros>(random_() % static_cast<std::uint64_t>(pause)), [this, ref] {
             const bool repeats = drawn(0.1);
             ask(repeats ? Asked::Submission : Asked::State, ref, [this, ref](int) { poll(ref); });
@@ -486,7 +487,7 @@
     }
 
     void cancel(const std::string& ref) {
-        rules_.want_cancel(ref);
+        rules_.record_cancellation_request(ref);
         ask(Asked::Cancellation, ref, [this, ref](int status) {
             if (status != 200) return after(kRetryEvery, [this, ref] { cancel(ref); });
             for (int i = 0; i < kControllers; ++i)
@@ -497,7 +498,7 @@
     }
 
     void cancel_several() {
-        auto running = rules_.running();
+        auto running = rules_.running_jobs();
         std::shuffle(running.begin(), running.end(), random_);
         if (running.size() > kCancelledAtOnce) running.resize(kCancelledAtOnce);
         for (const auto& ref : running) cancel(ref);
@@ -507,22 +508,22 @@
 
     SoakVerdict verdict() {
         rules_.set_time(net::steady_micros());
-        if (!interrupted_) rules_.finish(kAnswerWithin);
+        if (!interrupted_) rules_.check_final_state(kAnswerWithin);
         controllers_.clear();
         read_logs();
         SoakVerdict v;
-        v.breaches = rules_.breaches();
-        v.latest = latest_;
-        v.accepted = rules_.accepted();
-        v.cancelled = rules_.cancelled();
-        v.starts = rules_.starts();
+        v.violations = rules_.violations();
+        v.max_lateness = latest_;
+        v.accepted_jobs = rules_.accepted_jobs();
+        v.cancelled_jobs = rules_.cancelled_jobs();
+        v.task_starts = rules_.task_starts();
         v.answers = rules_.answers();
-        v.longest_to_stop = rules_.longest_to_stop();
+        v.longest_stop_time = rules_.longest_stop_time();
         const bool judged = !interrupted_ && latest_ <= kJudgedUpTo;
-        v.result = !judged              ? SoakResult::NotJudged
-                   : v.breaches.empty() ? SoakResult::Passed
-                                        : SoakResult::Failed;
-        for (const auto& line : v.breaches) note("event=breach " + line);
+        v.result = !judged                ? SoakResult::NotJudged
+                   : v.violations.empty() ? SoakResult::Passed
+                                          : SoakResult::Failed;
+        for (const auto& line : v.violations) note("event=breach " + line);
         return v;
     }
 
@@ -532,7 +533,7 @@
             std::ifstream log(options_.folder + "/loom-" + std::to_string(i) + ".log");
             for (std::string line; std::getline(log, line);)
                 if (line.find("event=renewal_without_stop") != std::string::npos)
-                    rules_.breach("invariant", line);
+                    rules_.report_violation("invariant", line);
         }
     }
 
@@ -568,12 +569,12 @@
 
 }  // namespace
 
-int ports_for(int workers) {
+int port_count(int workers) {
     return Ports::kBeforeWorkers + workers;
 }
 
-SoakVerdict play(const SoakOptions& options, const std::atomic<bool>& interrupted) {
-    return SoakRun(options, interrupted).play();
+SoakVerdict run_soak(const SoakOptions& options, const std::atomic<bool>& interrupted) {
+    return SoakRun(options, interrupted).run();
 }
 
 }  // namespace cottonway::soak
--- a/src/soak/soak_run.hpp
+++ b/src/soak/soak_run.hpp
@@ -14,14 +14,14 @@
 struct SoakOptions {
     std::uint64_t seed = 1;
     int workers = 12;
-    Micros duration = 30 * kSecond;  // of the faults; settling comes on top
-    std::string controller;          // its binary
-    std::string folder;              // for settings and logs; made if need be
+    Micros fault_duration = 30 * kSecond;  // of the faults; settling comes on top
+    std::string controller_binary;         // its binary
+    std::string folder;                    // for settings and logs; made if need be
     std::uint16_t first_port = 21'000;
 };
 
 /// Ports that a run takes, from its first one on.
-int ports_for(int workers);
+int port_count(int workers);
 
 enum class SoakResult : std::uint8_t {
     Passed,
@@ -31,16 +31,16 @@
 
 struct SoakVerdict {
     SoakResult result = SoakResult::Passed;
-    std::vector<std::string> breaches;
-    Micros latest = 0;  // how late the test itself was at most
-    std::size_t accepted = 0;
-    std::size_t cancelled = 0;
-    std::size_t starts = 0;
+    std::vector<std::string> violations;
+    Micros max_lateness = 0;  // how late the test itself was at most
+    std::size_t accepted_jobs = 0;
+    std::size_t cancelled_jobs = 0;
+    std::size_t task_starts = 0;
     std::size_t answers = 0;
-    Micros longest_to_stop = 0;
+    Micros longest_stop_time = 0;
 };
 
 /// Plays one run. Throws std::system_error for what makes it impossible: a port in use, no such binary.
-SoakVerdict play(const SoakOptions& options, const std::atomic<bool>& interrupted);
+SoakVerdict run_soak(const SoakOptions& options, const std::atomic<bool>& interrupted);
 
 }  // namespace cottonway::soak
--- a/src/soak/tcp_proxy.hpp
+++ b/src/soak/tcp_proxy.hpp
@@ -20,7 +20,7 @@
     void cut();
     void heal();
     bool is_cut() const { return cut_; }
-    std::size_t connections() const { return connections_.size(); }
+    std::size_t connection_count() const { return connections_.size(); }
 
   private:
     friend class ProxiedConnection;
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -32,14 +32,14 @@
 }  // namespace
 
 void Verifier::damage(const std::string& key, std::string what) {
-    findings_.push_back({Finding::Weight::Damage, key, std::move(what)});
+    findings_.push_back({Finding::Severity::Damage, key, std::move(what)});
 }
 
 void Verifier::notice(const std::string& key, std::string what) {
-    findings_.push_back({Finding::Weight::Notice, key, std::move(what)});
+    findings_.push_back({Finding::Severity::Notice, key, std::move(what)});
 }
 
-void Verifier::take(const std::string& key, const Json& stored, Revision mod_revision) {
+void Verifier::add_record(const std::string& key, const Json& stored, Revision mod_revision) {
     auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
     if (starts_with(key, keys::chunk)) return take_piece(key, stored);
     const auto value = whole(key, stored);
@@ -255,7 +255,7 @@
     for (const auto& [name, key] : chunk_of_)
         if (!named_pieces_.count(name)) notice(key, "no record names it; dropped after a minute");
     std::stable_sort(findings_.begin(), findings_.end(),
-                     [](const Finding& a, const Finding& b) { return a.weight > b.weight; });
+                     [](const Finding& a, const Finding& b) { return a.severity > b.severity; });
     return findings_;
 }
 
--- a/src/verify/verify.hpp
+++ b/src/verify/verify.hpp
@@ -17,17 +17,17 @@
 struct Finding {
     /// Damage: something is lost or in the way, and an operator has to look. Notice: the service sees to it,
     /// or it does no harm.
-    enum class Weight { Notice, Damage };
-    Weight weight = Weight::Damage;
+    enum class Severity { Notice, Damage };
+    Severity severity = Severity::Damage;
     std::string key;
-    std::string what;
+    std::string message;
 };
 
 class Verifier {
   public:
     explicit Verifier(const Settings& settings) : settings_(settings) {}
 
-    void take(const std::string& key, const Json& value, Revision mod_revision);
+    void add_record(const std::string& key, const Json& value, Revision mod_revision);
     /// After the last record: what only all of them together tell. Damage first.
     std::vector<Finding> finish();
     /// Records by kind, and how many jobs are in which state.
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -18,16 +18,16 @@
 
 TEST(FaultSchedule, IsDrawnFromItsSeedAndOverInTime) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        const auto faults = draw_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
-        const auto again = draw_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
+        const auto faults = generate_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
+        const auto again = generate_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
         ASSERT_EQ(faults.size(), again.size());
         ASSERT_GE(faults.size(), 12u);
         for (std::size_t i = 0; i < faults.size(); ++i) {
             EXPECT_EQ(describe(faults[i]), describe(again[i]));
-            EXPECT_GE(faults[i].at, 5 * kSecond);
-            EXPECT_LE(faults[i].at + faults[i].lasts, 35 * kSecond);
+            EXPECT_GE(faults[i].starts_at, 5 * kSecond);
+            EXPECT_LE(faults[i].starts_at + faults[i].duration, 35 * kSecond);
             EXPECT_LT(faults[i].controller, kControllers);
-            EXPECT_TRUE(i == 0 || faults[i - 1].at <= faults[i].at);
+            EXPECT_TRUE(i == 0 || faults[i - 1].starts_at <= faults[i].starts_at);
         }
     }
 }
@@ -36,13 +36,13 @@
     std::set<FaultKind> kinds;
     int overlaps = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        const auto faults = draw_faults(seed, kControllers, 0, 30 * kSecond);
+        const auto faults = generate_faults(seed, kControllers, 0, 30 * kSecond);
         for (std::size_t i = 0; i < faults.size(); ++i) {
             kinds.insert(faults[i].kind);
-            overlaps += i > 0 && faults[i].at < faults[i - 1].at + faults[i - 1].lasts;
+            overlaps += i > 0 && faults[i].starts_at < faults[i - 1].starts_at + faults[i - 1].duration;
         }
     }
-    EXPECT_EQ(kinds.size(), static_cast<std::size_t>(kFaultKinds));
+    EXPECT_EQ(kinds.size(), static_cast<std::size_t>(kFaultKindCount));
     EXPECT_GT(overlaps, 100);
 }
 
@@ -63,16 +63,16 @@
         hear(Asked::Submission, ref, 201, "pending");
     }
     void hear(Asked asked, const std::string& ref, int status, const std::string& stage) {
-        rules_.told(asked, ref, rules_.begin(), status, stage);
+        rules_.on_answer(asked, ref, rules_.begin_request(), status, stage);
     }
     void cancel(const std::string& ref) {
-        rules_.want_cancel(ref);
+        rules_.record_cancellation_request(ref);
         hear(Asked::Cancellation, ref, 200, "cancelled");
     }
     /// The rules that were broken, without what happened.
     std::vector<std::string> broken() const {
         std::vector<std::string> rules;
-        for (const auto& line : rules_.breaches()) rules.push_back(line.substr(0, line.find(':')));
+        for (const auto& line : rules_.violations()) rules.push_back(line.substr(0, line.find(':')));
         return rules;
     }
 
@@ -88,13 +88,13 @@
     rules_.set_time(4 * kSecond);
     rules_.on_task_stopped("n-1", "req-000001", 0, 1);
     rules_.set_time(20 * kSecond);
-    rules_.tick();
-    rules_.quiesce();
+    rules_.check_deadlines();
+    rules_.on_faults_over();
     hear(Asked::State, "req-000001", 200, "cancelled");
-    rules_.finish(kSecond);
+    rules_.check_final_state(kSecond);
     EXPECT_EQ(broken(), Rules{});
-    EXPECT_EQ(rules_.longest_to_stop(), 4 * kSecond);
-    EXPECT_TRUE(rules_.settled());
+    EXPECT_EQ(rules_.longest_stop_time(), 4 * kSecond);
+    EXPECT_TRUE(rules_.is_settled());
 }
 
 TEST_F(RuleCheckerTest, ReportsACancelledTaskThatRunsOnOrStarts) {
@@ -102,11 +102,11 @@
     rules_.on_task_started("n-1", "req-000001", 0, 1);
     cancel("req-000001");
     rules_.set_time(10 * kSecond);
-    rules_.tick();
+    rules_.check_deadlines();
     EXPECT_EQ(broken(), Rules{});
     rules_.set_time(10 * kSecond + 1);
-    rules_.tick();
-    rules_.tick();
+    rules_.check_deadlines();
+    rules_.check_deadlines();
     EXPECT_EQ(broken(), Rules{"ran_cancelled"});
     rules_.on_task_stopped("n-1", "req-000001", 0, 1);
     rules_.on_task_started("n-1", "req-000001", 0, 2);
@@ -136,11 +136,11 @@
 
 TEST_F(RuleCheckerTest, ReportsWhatIsForgottenOrLeftWaitingAtTheEnd) {
     submit("req-000001", JobKind::Array);
-    rules_.quiesce();
+    rules_.on_faults_over();
     rules_.set_time(30 * kSecond);
-    rules_.finish(15 * kSecond);
+    rules_.check_final_state(15 * kSecond);
     EXPECT_EQ(broken(), (Rules{"forgotten", "left_waiting"}));
-    EXPECT_FALSE(rules_.settled());
+    EXPECT_FALSE(rules_.is_settled());
 }
 
 class TcpProxyTest : public testing::Test {
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -23,7 +23,7 @@
             "GET", "/store?starts=c/" + (since.empty() ? "" : "&since=" + since) + "&page=500", {}, w.now());
         for (const auto& p : r.body["pairs"]) {
             since = p["k"];
-            v.take(since, p["data"], p["mark"]);
+            v.add_record(since, p["data"], p["mark"]);
         }
         if (!r.body["has_next"].get<bool>()) return v.finish();
     }
@@ -32,8 +32,8 @@
 std::string text_of(const std::vector<Finding>& findings) {
     std::string out;
     for (const auto& f : findings)
-        out += std::string(f.weight == Finding::Weight::Damage ? "damage: " : "notice: ") + f.key + " " +
-               f.what + "\n";
+        out += std::string(f.severity == Finding::Severity::Damage ? "damage: " : "notice: ") + f.key + " " +
+               f.message + "\n";
     return out;
 }
 
--- a/tools/cottonway.cpp
+++ b/tools/cottonway.cpp
@@ -58,19 +58,21 @@
     try {
         if (submit->parsed()) {
             std::ifstream in(file);
-            return cli::submit(parse_endpoint(node), Json::parse(in));
+            return cli::submit_jobs(parse_endpoint(node), Json::parse(in));
         }
-        if (show->parsed()) return cli::show(parse_endpoint(node), refs);
+        if (show->parsed()) return cli::show_jobs(parse_endpoint(node), refs);
         if (cancel->parsed())
-            return cli::request(parse_endpoint(node), "POST", "/v1/jobs/" + ref + "/abort", Json::object());
-        if (status->parsed()) return cli::request(parse_endpoint(node), "GET", "/status", {});
-        if (explain->parsed()) return cli::request(parse_endpoint(node), "GET", "/explain/" + ref, {});
-        if (policy_check->parsed()) return cli::policy_check(file, config);
-        if (policy_show->parsed()) return cli::policy_show(parse_endpoint(node));
-        if (policy_diff->parsed()) return cli::policy_diff(file, parse_endpoint(node));
+            return cli::request_and_print(parse_endpoint(node), "POST", "/v1/jobs/" + ref + "/abort",
+                                          Json::object());
+        if (status->parsed()) return cli::request_and_print(parse_endpoint(node), "GET", "/status", {});
+        if (explain->parsed())
+            return cli::request_and_print(parse_endpoint(node), "GET", "/explain/" + ref, {});
+        if (policy_check->parsed()) return cli::check_policy(file, config);
+        if (policy_show->parsed()) return cli::show_policy(parse_endpoint(node));
+        if (policy_diff->parsed()) return cli::diff_policy(file, parse_endpoint(node));
         if (verify->parsed()) {
             start_logging("verify", "error");
-            return cli::verify(load_settings(config, ""), json);
+            return cli::verify_store(load_settings(config, ""), json);
         }
         if (config.empty()) {
             std::cerr << app.help();
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -57,11 +57,12 @@
 
 void print(const Arguments& arguments, std::uint64_t seed, const soak::SoakVerdict& v,
            const std::string& folder) {
-    std::cout << "seed " << seed << ": " << name_of(v.result) << ", " << v.accepted << " jobs accepted, "
-              << v.cancelled << " cancelled, " << v.starts << " starts, " << v.answers
-              << " answers, longest from cancellation to last task gone " << v.longest_to_stop / kMillisecond
-              << " ms, test late by " << v.latest / kMillisecond << " ms at most" << std::endl;
-    for (const auto& line : v.breaches) std::cout << "  " << line << std::endl;
+    std::cout << "seed " << seed << ": " << name_of(v.result) << ", " << v.accepted_jobs << " jobs accepted, "
+              << v.cancelled_jobs << " cancelled, " << v.task_starts << " starts, " << v.answers
+              << " answers, longest from cancellation to last task gone "
+              << v.longest_stop_time / kMillisecond << " ms, test late by " << v.max_lateness / kMillisecond
+              << " ms at most" << std::endl;
+    for (const auto& line : v.violations) std::cout << "  " << line << std::endl;
     if (v.result == soak::SoakResult::Failed)
         std::cout << "  again: cottonway-soak --seed " << seed << " --workers " << arguments.workers
                   << " --duration " << arguments.duration_s << " --keep-logs; logs, in one timeline: sort -m "
@@ -71,17 +72,17 @@
 /// Plays every `jobs`-th seed from its own block of ports.
 void play_every(const Arguments& arguments, int offset, Totals& totals, std::string& error,
                 std::mutex& lock) {
-    const int ports = soak::ports_for(arguments.workers);
+    const int ports = soak::port_count(arguments.workers);
     for (int i = offset; i < arguments.seeds && !interrupted; i += arguments.jobs) {
         soak::SoakOptions options;
         options.seed = arguments.seed + static_cast<std::uint64_t>(i);
         options.workers = arguments.workers;
-        options.duration = arguments.duration_s * kSecond;
-        options.controller = arguments.controller;
+        options.fault_duration = arguments.duration_s * kSecond;
+        options.controller_binary = arguments.controller;
         options.folder = arguments.logs + "/seed-" + std::to_string(options.seed);
         options.first_port = static_cast<std::uint16_t>(arguments.first_port + offset * ports);
         try {
-            const soak::SoakVerdict v = soak::play(options, interrupted);
+            const soak::SoakVerdict v = soak::run_soak(options, interrupted);
             const std::lock_guard<std::mutex> guard(lock);
             print(arguments, options.seed, v, options.folder);
             totals.passed += v.result == soak::SoakResult::Passed;
@@ -104,7 +105,7 @@
 }
 
 int check(const Arguments& arguments) {
-    const int ports = arguments.first_port + arguments.jobs * soak::ports_for(arguments.workers);
+    const int ports = arguments.first_port + arguments.jobs * soak::port_count(arguments.workers);
     if (ports > 65'535) {
         std::cerr << "cottonway-soak: " << arguments.jobs << " runs at once with " << arguments.workers
                   << " workers need ports up to " << ports << "\n";
