--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -9,165 +9,175 @@
 
 namespace {
 
-std::string query(const std::string& path, const std::string& key) {
-    auto q = path.find('?');
-    while (q != std::string::npos) {
-        const auto end = path.find('&', q + 1);
-        const std::string part = path.substr(q + 1, end == std::string::npos ? end : end - q - 1);
-        if (part.compare(0, key.size() + 1, key + "=") == 0) return part.substr(key.size() + 1);
-        q = end;
+std::string query_parameter(const std::string& path, const std::string& key) {
+    auto start = path.find('?');
+    while (start != std::string::npos) {
+        const auto end = path.find('&', start + 1);
+        const std::string parameter =
+            path.substr(start + 1, end == std::string::npos ? end : end - start - 1);
+        if (parameter.compare(0, key.size() + 1, key + "=") == 0) return parameter.substr(key.size() + 1);
+        start = end;
     }
     return "";
 }
 
-bool starts_with(const std::string& s, const std::string& prefix) {
-    return s.compare(0, prefix.size(), prefix) == 0;
+bool starts_with(const std::string& text, const std::string& prefix) {
+    return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-constexpr std::size_t kEvents = 10'000;
+constexpr std::size_t kMaxEvents = 10'000;  // kept for watches; a watch from before them gets 410
 
 }  // namespace
 
 // ---------------------------------------------------------------- state service
 
-void StateService::note(const std::string& key, const Json& value) {
+void StateService::record_event(const std::string& key, const Json& value) {
     events_.push_back({key, value, store_revision_});
-    if (events_.size() > kEvents) events_.pop_front();
+    if (events_.size() > kMaxEvents) events_.pop_front();
 }
 
-void StateService::drop_lease(std::uint64_t id) {
+void StateService::revoke_lease(std::uint64_t id) {
     leases_.erase(id);
-    std::vector<std::string> attached;
+    std::vector<std::string> attached_keys;
     for (const auto& [key, item] : items_)
-        if (item.lease == id) attached.push_back(key);
-    if (attached.empty()) return;
+        if (item.lease_id == id) attached_keys.push_back(key);
+    if (attached_keys.empty()) return;
     ++store_revision_;
-    for (const auto& key : attached) {
+    for (const auto& key : attached_keys) {
         items_.erase(key);
-        note(key, Json());
+        record_event(key, Json());
     }
 }
 
 void StateService::expire_leases(Micros now) {
     if (down_) return;
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, lease] : leases_)
-        if (lease.until < now) over.push_back(id);
-    for (auto id : over) drop_lease(id);
+        if (lease.expires_at < now) expired.push_back(id);
+    for (auto id : expired) revoke_lease(id);
 }
 
 void StateService::set_down(bool down, Micros now) {
     if (down_ && !down)
-        for (auto& [id, lease] : leases_) lease.until = now + lease.ttl;
+        for (auto& [id, lease] : leases_) lease.expires_at = now + lease.ttl;
     down_ = down;
 }
 
 Micros StateService::block_time(const std::string& path) {
-    const std::string ms = query(path, "block_ms");
-    return ms.empty() ? 0 : std::stoll(ms) * kMillisecond;
+    const std::string milliseconds = query_parameter(path, "block_ms");
+    return milliseconds.empty() ? 0 : std::stoll(milliseconds) * kMillisecond;
 }
 
-std::optional<Reply> StateService::watch(const std::string& path, bool last) {
+std::optional<Reply> StateService::watch(const std::string& path, bool deadline_reached) {
     if (down_) return std::nullopt;
-    const std::string prefix = query(path, "starts");
-    const auto since = std::stoull(query(path, "since"));
-    if (events_.size() >= kEvents && since < events_.front().mod_revision) return Reply{410, Json::object()};
-    Json news = Json::array();
-    // In the order of their marks.
-    auto e = std::upper_bound(
+    const std::string prefix = query_parameter(path, "starts");
+    const auto since = std::stoull(query_parameter(path, "since"));
+    if (events_.size() >= kMaxEvents && since < events_.front().mod_revision)
+        return Reply{410, Json::object()};
+    Json events = Json::array();
+    // Events are ordered by mod_revision.
+    auto event = std::upper_bound(
         events_.begin(), events_.end(), since,
-        [](std::uint64_t mod_revision, const Event& event) { return mod_revision < event.mod_revision; });
-    for (; e != events_.end(); ++e) {
-        if (!starts_with(e->key, prefix)) continue;
-        if (e->value.is_null())
-            news.push_back(Json{{"drop", e->key}, {"mark", e->mod_revision}});
+        [](std::uint64_t mod_revision, const Event& other) { return mod_revision < other.mod_revision; });
+    for (; event != events_.end(); ++event) {
+        if (!starts_with(event->key, prefix)) continue;
+        if (event->value.is_null())
+            events.push_back(Json{{"drop", event->key}, {"mark", event->mod_revision}});
         else
-            news.push_back(Json{{"write", e->key}, {"data", e->value}, {"mark", e->mod_revision}});
+            events.push_back(
+                Json{{"write", event->key}, {"data", event->value}, {"mark", event->mod_revision}});
     }
-    if (news.empty() && !last) return std::nullopt;
-    return Reply{200, Json{{"ledger", store_revision_}, {"news", std::move(news)}}};
+    if (events.empty() && !deadline_reached) return std::nullopt;
+    return Reply{200, Json{{"ledger", store_revision_}, {"news", std::move(events)}}};
 }
 
 Reply StateService::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
     if (down_) return {503, Json::object()};
     expire_leases(now);
     if (method == "GET" && starts_with(path, "/store/")) {
-        auto it = items_.find(path.substr(7));
-        if (it == items_.end()) return {404, Json{{"ledger", store_revision_}}};
-        return {200, Json{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}}};
+        auto found = items_.find(path.substr(7));
+        if (found == items_.end()) return {404, Json{{"ledger", store_revision_}}};
+        return {
+            200,
+            Json{{"k", found->first}, {"data", found->second.value}, {"mark", found->second.mod_revision}}};
     }
     if (method == "GET" && starts_with(path, "/store?")) {
-        const std::string prefix = query(path, "starts"), since = query(path, "since");
-        const auto page = std::stoul(query(path, "page"));
-        Json pairs = Json::array();
-        bool more = false;
-        for (auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(since);
-             it != items_.end() && starts_with(it->first, prefix); ++it) {
-            if (pairs.size() >= page) {
-                more = true;
+        const std::string prefix = query_parameter(path, "starts"), since = query_parameter(path, "since");
+        const auto page_size = std::stoul(query_parameter(path, "page"));
+        Json records = Json::array();
+        bool has_more = false;
+        for (auto item = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(since);
+             item != items_.end() && starts_with(item->first, prefix); ++item) {
+            if (records.size() >= page_size) {
+                has_more = true;
                 break;
             }
-            pairs.push_back(
-                Json{{"k", it->first}, {"data", it->second.value}, {"mark", it->second.mod_revision}});
+            records.push_back(
+                Json{{"k", item->first}, {"data", item->second.value}, {"mark", item->second.mod_revision}});
         }
-        return {200, Json{{"pairs", std::move(pairs)}, {"has_next", more}, {"ledger", store_revision_}}};
+        return {200,
+                Json{{"pairs", std::move(records)}, {"has_next", has_more}, {"ledger", store_revision_}}};
     }
     if (method == "POST" && path == "/commit") return commit(body, now);
     if (method == "POST" && path == "/grants") {
         const auto ttl = static_cast<Micros>(wire::count(body, "ttl_ms").value_or(0)) * kMillisecond;
-        leases_[next_lease_] = {ttl, now + ttl};
-        return {200, Json{{"lien", next_lease_++}}};
+        leases_[next_lease_id_] = {ttl, now + ttl};
+        return {200, Json{{"lien", next_lease_id_++}}};
     }
     if (method == "POST" && starts_with(path, "/grants/")) {
-        auto it = leases_.find(std::stoull(path.substr(8)));
-        if (it == leases_.end()) return {404, Json::object()};
-        it->second.until = now + it->second.ttl;
+        auto found = leases_.find(std::stoull(path.substr(8)));
+        if (found == leases_.end()) return {404, Json::object()};
+        found->second.expires_at = now + found->second.ttl;
         return {200, Json::object()};
     }
     return {400, Json::object()};
 }
 
 Reply StateService::commit(const Json& body, Micros now) {
-    const Json* ops = wire::find(body, "then");
+    const Json* operations = wire::find(body, "then");
     const Json* conditions = wire::find(body, "when");
-    const std::size_t count = ops ? ops->size() : 0;
+    const std::size_t count = operations ? operations->size() : 0;
     if (count > limits.txn_ops || (conditions && conditions->size() > 4 * limits.txn_ops))
         return {400, Json{{"error", "too many operations"}}};
     for (std::size_t i = 0; i < count; ++i)
-        if (const Json* data = wire::find((*ops)[i], "data");
+        if (const Json* data = wire::find((*operations)[i], "data");
             data && data->dump().size() > limits.value_bytes)
             return {400, Json{{"error", "value too large"}}};
     if (limits.write_rps > 0 && count > 0) {
-        writes_left_ = std::min(
-            limits.write_rps, writes_left_ + limits.write_rps * static_cast<double>(now - writes_at_) / 1e6);
-        writes_at_ = now;
-        if (writes_left_ < static_cast<double>(count)) return {429, Json::object()};
-        writes_left_ -= static_cast<double>(count);
+        write_budget_ = std::min(
+            limits.write_rps,
+            write_budget_ + limits.write_rps * static_cast<double>(now - write_budget_updated_at_) / 1e6);
+        write_budget_updated_at_ = now;
+        if (write_budget_ < static_cast<double>(count)) return {429, Json::object()};
+        write_budget_ -= static_cast<double>(count);
     }
-    Json failed = Json::array();
-    if (const Json* when = wire::find(body, "when"))
-        for (const auto& c : *when) {
-            const std::string key = wire::text(c, "k").value_or("");
-            auto it = items_.find(key);
-            if ((it == items_.end() ? 0 : it->second.mod_revision) != wire::count(c, "mark").value_or(0))
-                failed.push_back(key);
+    Json failed_keys = Json::array();
+    if (const Json* required_revisions = wire::find(body, "when"))
+        for (const auto& condition : *required_revisions) {
+            const std::string key = wire::text(condition, "k").value_or("");
+            auto found = items_.find(key);
+            if ((found == items_.end() ? 0 : found->second.mod_revision) !=
+                wire::count(condition, "mark").value_or(0))
+                failed_keys.push_back(key);
         }
-    if (!failed.empty()) return {409, Json{{"failed", failed}, {"ledger", store_revision_}}};
-    const Json* then = wire::find(body, "then");
-    if (!then) return {200, Json{{"ledger", store_revision_}}};
-    for (const auto& op : *then)
-        if (auto lease = wire::count(op, "lien"); lease && !leases_.count(*lease))
+    if (!failed_keys.empty()) return {409, Json{{"failed", failed_keys}, {"ledger", store_revision_}}};
+    const Json* changes = wire::find(body, "then");
+    if (!changes) return {200, Json{{"ledger", store_revision_}}};
+    for (const auto& operation : *changes)
+        if (auto lease = wire::count(operation, "lien"); lease && !leases_.count(*lease))
             return {400, Json{{"error", "no such lease"}}};
     ++store_revision_;
-    // All are one change, so the news may tell of them in any order: the last first.
-    for (auto op = then->rbegin(); op != then->rend(); ++op) {
-        if (auto key = wire::text(*op, "write")) {
-            const Json* data = wire::find(*op, "data");
-            items_[*key] = {data ? *data : Json(), store_revision_, wire::count(*op, "lien").value_or(0)};
-            note(*key, items_[*key].value);
-        } else if (auto drop = wire::text(*op, "drop")) {
-            items_.erase(*drop);
-            note(*drop, Json());
+    // A transaction is one revision, so watches may report its events in any order; here the last comes
+    // first.
+    for (auto operation = changes->rbegin(); operation != changes->rend(); ++operation) {
+        if (auto key = wire::text(*operation, "write")) {
+            const Json* data = wire::find(*operation, "data");
+            items_[*key] = {data ? *data : Json(), store_revision_,
+                            wire::count(*operation, "lien").value_or(0)};
+            record_event(*key, items_[*key].value);
+        } else if (auto deleted_key = wire::text(*operation, "drop")) {
+            items_.erase(*deleted_key);
+            record_event(*deleted_key, Json());
         }
     }
     return {200, Json{{"ledger", store_revision_}}};
@@ -180,7 +190,7 @@
         state.put(keys::job + ref,
                   {{"s", i % 20 ? "done" : "cancelled"}, {"dom", "loom-0"}, {"k", 12}, {"fd", 12}});
     }
-    // Whoever finished them had set history apart.
+    // Controllers that leave such records have moved finished jobs out of the active ones, and marked it so.
     if (jobs > 0) state.put(keys::history, {{"apart", true}});
 }
 
@@ -193,160 +203,167 @@
       type_(std::move(type)),
       zone_(std::move(zone)),
       spot_(spot),
-      lease_(lease),
+      lease_duration_(lease),
       gang_wait_(gang_wait),
       observer_(observer),
-      leased_from_(now) {}
+      lease_started_at_(now) {}
 
 Worker::~Worker() {
     kill_all_tasks();
 }
 
 void Worker::kill_all_tasks() {
-    for (auto& t : tasks_)
-        if (t.on) observer_.on_task_stopped(name_, t.job, t.task, t.attempt);
+    for (auto& task : tasks_)
+        if (task.on_machine) observer_.on_task_stopped(name_, task.job, task.index, task.attempt);
     tasks_.clear();
 }
 
-void Worker::exit(Task& t, const char* cause) {
-    if (t.on) observer_.on_task_stopped(name_, t.job, t.task, t.attempt);
-    t.on = false;
-    t.phase = Phase::Exited;
-    t.cause = cause;
+void Worker::exit(Task& task, const char* cause) {
+    if (task.on_machine) observer_.on_task_stopped(name_, task.job, task.index, task.attempt);
+    task.on_machine = false;
+    task.phase = Phase::Exited;
+    task.cause = cause;
     has_unreported_changes = true;
 }
 
 void Worker::expire_session(Micros now) {
-    if (now - leased_from_ <= lease_) return;
+    if (now - lease_started_at_ <= lease_duration_) return;
     kill_all_tasks();
     ++session_;
-    leased_from_ = now;
+    lease_started_at_ = now;
     has_unreported_changes = true;
 }
 
 bool Worker::has_image(const JobSpec& spec) const {
-    auto it = images_.find(spec.image);
-    return it != images_.end() && it->second.left <= 0;
+    auto found = images_.find(spec.image);
+    return found != images_.end() && found->second.gb_left <= 0;
 }
 
-void Worker::use_image(const JobSpec& spec, Micros now) {
-    const double gb = static_cast<double>(spec.image_gb) / 1000;
-    images_[spec.image] = {gb, 0, now};
-    double total = 0;
-    for (const auto& [name, image] : images_) total += image.left > 0 ? 0 : image.gb;
-    while (total > static_cast<double>(type_.cache_gb) / 1000) {
-        auto oldest = images_.end();
-        for (auto it = images_.begin(); it != images_.end(); ++it)
-            if (it->second.left <= 0 && it->first != spec.image &&
-                (oldest == images_.end() || it->second.used < oldest->second.used))
-                oldest = it;
-        if (oldest == images_.end()) return;
-        total -= oldest->second.gb;
-        images_.erase(oldest);
+void Worker::mark_image_used(const JobSpec& spec, Micros now) {
+    const double size_gb = static_cast<double>(spec.image_gb) / 1000;
+    images_[spec.image] = {size_gb, 0, now};
+    double cached_gb = 0;
+    for (const auto& [name, image] : images_) cached_gb += image.gb_left > 0 ? 0 : image.size_gb;
+    while (cached_gb > static_cast<double>(type_.cache_gb) / 1000) {
+        auto least_recent = images_.end();
+        for (auto candidate = images_.begin(); candidate != images_.end(); ++candidate)
+            if (candidate->second.gb_left <= 0 && candidate->first != spec.image &&
+                (least_recent == images_.end() ||
+                 candidate->second.last_used_at < least_recent->second.last_used_at))
+                least_recent = candidate;
+        if (least_recent == images_.end()) return;
+        cached_gb -= least_recent->second.size_gb;
+        images_.erase(least_recent);
     }
 }
 
-void Worker::fetch(Micros now) {
-    std::set<std::string> wanted;
-    for (const auto& t : tasks_) {
-        const JobInfo* info = t.phase == Phase::Fetching ? observer_.job(t.job) : nullptr;
+void Worker::advance_image_fetches(Micros now) {
+    std::set<std::string> wanted_images;
+    for (const auto& task : tasks_) {
+        const JobInfo* info = task.phase == Phase::Fetching ? observer_.job(task.job) : nullptr;
         if (!info || info->image_fetch_time >= 0 || has_image(info->spec)) continue;
-        const double gb = static_cast<double>(info->spec.image_gb) / 1000;
-        wanted.insert(info->spec.image);
-        images_.try_emplace(info->spec.image, Image{gb, std::max(gb, 1e-6), now});
+        const double size_gb = static_cast<double>(info->spec.image_gb) / 1000;
+        wanted_images.insert(info->spec.image);
+        images_.try_emplace(info->spec.image, Image{size_gb, std::max(size_gb, 1e-6), now});
     }
-    // Given up when no task waits for it any more.
-    std::erase_if(images_, [&](const auto& i) { return i.second.left > 0 && !wanted.count(i.first); });
-    const double each = type_.fetch_gb_per_s * static_cast<double>(now - std::exchange(fetched_at_, now)) /
-                        1e6 / static_cast<double>(std::max<std::size_t>(wanted.size(), 1));
-    for (const auto& name : wanted) images_[name].left -= each;
+    // A fetch is abandoned once no task waits for the image.
+    std::erase_if(images_, [&](const auto& image) {
+        return image.second.gb_left > 0 && !wanted_images.count(image.first);
+    });
+    const double fetched_gb_per_image =
+        type_.fetch_gb_per_s * static_cast<double>(now - std::exchange(fetches_advanced_at_, now)) / 1e6 /
+        static_cast<double>(std::max<std::size_t>(wanted_images.size(), 1));
+    for (const auto& name : wanted_images) images_[name].gb_left -= fetched_gb_per_image;
 }
 
 void Worker::advance(Micros now) {
     expire_session(now);
-    fetch(now);
-    for (auto& t : tasks_) {
-        if (t.phase == Phase::Exited) continue;
-        const JobInfo* info = observer_.job(t.job);
-        const std::string id = t.job + "/" + std::to_string(t.task);
-        if (t.phase == Phase::Fetching &&
+    advance_image_fetches(now);
+    for (auto& task : tasks_) {
+        if (task.phase == Phase::Exited) continue;
+        const JobInfo* info = observer_.job(task.job);
+        const std::string task_id = task.job + "/" + std::to_string(task.index);
+        if (task.phase == Phase::Fetching &&
             (has_image(info->spec) ||
-             (info->image_fetch_time >= 0 && now - t.since >= info->image_fetch_time))) {
-            use_image(info->spec, now);
-            t.on = true;
-            observer_.on_task_started(name_, t.job, t.task, t.attempt);
-            t.since = now;
-            t.phase = info->spec.kind == JobKind::Gang ? Phase::Waiting : Phase::Running;
-            if (results_.count(id)) exit(t, "done");
+             (info->image_fetch_time >= 0 && now - task.phase_since >= info->image_fetch_time))) {
+            mark_image_used(info->spec, now);
+            task.on_machine = true;
+            observer_.on_task_started(name_, task.job, task.index, task.attempt);
+            task.phase_since = now;
+            task.phase = info->spec.kind == JobKind::Gang ? Phase::Waiting : Phase::Running;
+            if (completed_tasks_.count(task_id)) exit(task, "done");
             has_unreported_changes = true;
-        } else if (t.phase == Phase::Waiting) {
-            if (observer_.is_gang_complete(t.job, t.attempt)) {
-                t.phase = Phase::Running;
-                t.since = now;
+        } else if (task.phase == Phase::Waiting) {
+            if (observer_.is_gang_complete(task.job, task.attempt)) {
+                task.phase = Phase::Running;
+                task.phase_since = now;
                 has_unreported_changes = true;
-            } else if (now - t.since > gang_wait_) {
-                exit(t, "incomplete");
+            } else if (now - task.phase_since > gang_wait_) {
+                exit(task, "incomplete");
             }
-        } else if (t.phase == Phase::Running) {
-            if (info->spec.kind == JobKind::Gang && !observer_.is_gang_intact(t.job, t.attempt) &&
-                now - t.since < info->run_time) {
-                exit(t, "mates_gone");
+        } else if (task.phase == Phase::Running) {
+            if (info->spec.kind == JobKind::Gang && !observer_.is_gang_intact(task.job, task.attempt) &&
+                now - task.phase_since < info->run_time) {
+                exit(task, "mates_gone");
             } else if (info->always_fails || faulty) {
-                exit(t, "error");
-            } else if (info->spec.kind != JobKind::Service && now - t.since >= info->run_time) {
-                results_.insert(id);
-                observer_.on_task_completed(t.job, t.task, t.attempt);
-                exit(t, "done");
+                exit(task, "error");
+            } else if (info->spec.kind != JobKind::Service && now - task.phase_since >= info->run_time) {
+                completed_tasks_.insert(task_id);
+                observer_.on_task_completed(task.job, task.index, task.attempt);
+                exit(task, "done");
             }
-        } else if (t.phase == Phase::Saving && now - t.since >= info->spec.save) {
-            exit(t, "stopped");
+        } else if (task.phase == Phase::Saving && now - task.phase_since >= info->spec.save) {
+            exit(task, "stopped");
         }
     }
 }
 
-void Worker::execute(const Json& orders, Micros now) {
-    for (const auto& o : orders) {
-        const std::string kind = wire::text(o, "order").value_or("");
-        const std::string name = wire::text(o, "thread").value_or("/");
-        const auto slash = name.rfind('/');
-        const std::string job = name.substr(0, slash);
-        const int task = std::atoi(name.c_str() + slash + 1);
-        const auto attempt = static_cast<std::int64_t>(wire::count(o, "try").value_or(0));
-        auto same = [&](const Task& t) { return t.job == job && t.task == task && t.attempt == attempt; };
-        auto it = std::find_if(tasks_.begin(), tasks_.end(), same);
+void Worker::execute_orders(const Json& orders, Micros now) {
+    for (const auto& order : orders) {
+        const std::string kind = wire::text(order, "order").value_or("");
+        const std::string task_id = wire::text(order, "thread").value_or("/");
+        const auto slash = task_id.rfind('/');
+        const std::string job = task_id.substr(0, slash);
+        const int task_index = std::atoi(task_id.c_str() + slash + 1);
+        const auto attempt = static_cast<std::int64_t>(wire::count(order, "try").value_or(0));
+        auto is_same_attempt = [&](const Task& task) {
+            return task.job == job && task.index == task_index && task.attempt == attempt;
+        };
+        auto found = std::find_if(tasks_.begin(), tasks_.end(), is_same_attempt);
         if (kind == "launch") {
-            if (it != tasks_.end()) continue;
-            Task t{job, task, attempt, Phase::Fetching, "", now, false};
+            if (found != tasks_.end()) continue;
+            Task task{job, task_index, attempt, Phase::Fetching, "", now, false};
             const JobInfo* info = observer_.job(job);
-            Resources used;
-            bool busy = false;
+            Resources used_resources;
+            bool other_attempt_present = false;
             for (const auto& other : tasks_) {
                 if (other.phase == Phase::Exited) continue;
-                used += observer_.job(other.job)->spec.request;
-                busy = busy || (other.job == job && other.task == task);
+                used_resources += observer_.job(other.job)->spec.request;
+                other_attempt_present =
+                    other_attempt_present || (other.job == job && other.index == task_index);
             }
             if (!info)
-                exit(t, "no_such");
-            else if (busy)
-                exit(t, "in_use");
-            else if (!info->spec.request.fits(type_.size - used))
-                exit(t, "full");
-            tasks_.push_back(t);
+                exit(task, "no_such");
+            else if (other_attempt_present)
+                exit(task, "in_use");
+            else if (!info->spec.request.fits(type_.size - used_resources))
+                exit(task, "full");
+            tasks_.push_back(task);
             has_unreported_changes = true;
-        } else if (kind == "stop" && it != tasks_.end() && it->phase != Phase::Exited) {
+        } else if (kind == "stop" && found != tasks_.end() && found->phase != Phase::Exited) {
             const JobInfo* info = observer_.job(job);
-            const double grace = wire::number(o, "slack_s").value_or(0);
+            const double grace_seconds = wire::number(order, "slack_s").value_or(0);
             const bool can_save =
-                info->spec.checkpoint > 0 && grace * 1e6 >= static_cast<double>(info->spec.save);
-            if (it->phase == Phase::Running && can_save) {
-                it->phase = Phase::Saving;
-                it->since = now;
+                info->spec.checkpoint > 0 && grace_seconds * 1e6 >= static_cast<double>(info->spec.save);
+            if (found->phase == Phase::Running && can_save) {
+                found->phase = Phase::Saving;
+                found->phase_since = now;
                 has_unreported_changes = true;
-            } else if (it->phase != Phase::Saving || grace == 0) {
-                exit(*it, "stopped");
+            } else if (found->phase != Phase::Saving || grace_seconds == 0) {
+                exit(*found, "stopped");
             }
-        } else if (kind == "clear" && it != tasks_.end() && it->phase == Phase::Exited) {
-            tasks_.erase(it);
+        } else if (kind == "clear" && found != tasks_.end() && found->phase == Phase::Exited) {
+            tasks_.erase(found);
             has_unreported_changes = true;
         }
     }
@@ -357,31 +374,37 @@
     advance(now);
     has_unreported_changes = false;
     Json tasks = Json::array();
-    for (const auto& t : tasks_) {
-        static const char* const names[] = {"pulling", "gathering", "running", "saving", "exited"};
-        Json v{{"thread", t.job + "/" + std::to_string(t.task)},
-               {"try", t.attempt},
-               {"stage", names[static_cast<int>(t.phase)]}};
-        if (t.phase == Phase::Exited) v["cause"] = t.cause;
-        tasks.push_back(std::move(v));
+    for (const auto& task : tasks_) {
+        static const char* const phase_names[] = {"pulling", "gathering", "running", "saving", "exited"};
+        Json entry{{"thread", task.job + "/" + std::to_string(task.index)},
+                   {"try", task.attempt},
+                   {"stage", phase_names[static_cast<int>(task.phase)]}};
+        if (task.phase == Phase::Exited) entry["cause"] = task.cause;
+        tasks.push_back(std::move(entry));
     }
-    Json v{{"frame", name_},  {"addr", addr_},     {"loom_type", type_.name},
-           {"mill", zone_},   {"remnant", spot_},  {"shift", session_},
-           {"tally", ++seq_}, {"shuttle", token_}, {"threads", std::move(tasks)}};
+    Json body{{"frame", name_},
+              {"addr", addr_},
+              {"loom_type", type_.name},
+              {"mill", zone_},
+              {"remnant", spot_},
+              {"shift", session_},
+              {"tally", ++report_sequence_},
+              {"shuttle", token_},
+              {"threads", std::move(tasks)}};
     if (reclaim_deadline)
-        v["warning_s"] = static_cast<double>(std::max<Micros>(*reclaim_deadline - now, 0)) / 1e6;
-    return v;
+        body["warning_s"] = static_cast<double>(std::max<Micros>(*reclaim_deadline - now, 0)) / 1e6;
+    return body;
 }
 
-void Worker::on_report_answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now) {
+void Worker::on_report_answered(const Json& body, std::uint64_t session_at_send, Micros sent_at, Micros now) {
     advance(now);
-    if (session_then != session_) return;
+    if (session_at_send != session_) return;
     const auto token = wire::count(body, "shuttle");
     if (!token || *token < token_) return;
     if (*token > token_) has_unreported_changes = true;
     token_ = *token;
-    leased_from_ = std::max(leased_from_, sent);
-    if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
+    lease_started_at_ = std::max(lease_started_at_, sent_at);
+    if (const Json* orders = wire::find(body, "orders")) execute_orders(*orders, now);
 }
 
 Reply Worker::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
@@ -392,108 +415,109 @@
     if (*token < token_ || *session != session_) return {409, report(now)};
     if (*token > token_) has_unreported_changes = true;
     token_ = *token;
-    if (const Json* orders = wire::find(body, "orders")) execute(*orders, now);
+    if (const Json* orders = wire::find(body, "orders")) execute_orders(*orders, now);
     return {200, report(now)};
 }
 
 std::vector<std::pair<std::string, int>> Worker::occupying_tasks() const {
-    std::vector<std::pair<std::string, int>> out;
-    for (const auto& t : tasks_)
-        if (t.phase != Phase::Exited) out.emplace_back(t.job, t.task);
-    return out;
+    std::vector<std::pair<std::string, int>> occupying;
+    for (const auto& task : tasks_)
+        if (task.phase != Phase::Exited) occupying.emplace_back(task.job, task.index);
+    return occupying;
 }
 
 // ---------------------------------------------------------------- cloud
 
 const MachineType* Cloud::type(const std::string& name) const {
-    for (const auto& t : types_)
-        if (t.name == name) return &t;
+    for (const auto& machine_type : types_)
+        if (machine_type.name == name) return &machine_type;
     return nullptr;
 }
 
 std::string Cloud::rent_machine(const std::string& type_name, const std::string& zone, bool spot, Micros now,
                                 Micros boot) {
     char number[16];
-    std::snprintf(number, sizeof number, "%06d", next_++);
+    std::snprintf(number, sizeof number, "%06d", next_machine_number_++);
     const std::string name = machine_name_prefix + number;
-    Machine m;
-    m.info = {name, "", type_name, zone, spot, CloudState::Starting, 0};
-    m.rented_at = now;
-    m.boot_ends_at = now + boot;
-    machines_[name] = m;
+    Machine machine;
+    machine.info = {name, "", type_name, zone, spot, CloudState::Starting, 0};
+    machine.rented_at = now;
+    machine.boot_ends_at = now + boot;
+    machines_[name] = machine;
     return name;
 }
 
-/// As of a moment in the past.
-void Cloud::list(const std::string& name, Machine& m, Micros as_of, Json& to) const {
-    static const char* const states[] = {"starting", "running", "failed"};
-    m.listed = m.listed || m.rented_at <= as_of;
-    if (!m.listed || (m.deleted_at > 0 && m.deleted_at <= as_of)) return;
-    const bool then_up = m.boot_ends_at <= as_of || list_lag == 0;
-    const CloudState state = then_up ? m.info.state : CloudState::Starting;
-    to.push_back(Json{{"ref", name},
-                      {"addr", then_up ? m.info.addr : ""},
-                      {"loom_type", m.info.type},
-                      {"mill", m.info.zone},
-                      {"remnant", m.info.spot},
-                      {"stage", states[static_cast<int>(state)]},
-                      {"held_s", static_cast<double>(std::max<Micros>(as_of - m.rented_at, 0)) / 1e6}});
+void Cloud::append_to_list(const std::string& name, Machine& machine, Micros as_of, Json& list) const {
+    static const char* const state_names[] = {"starting", "running", "failed"};
+    machine.listed = machine.listed || machine.rented_at <= as_of;
+    if (!machine.listed || (machine.deleted_at > 0 && machine.deleted_at <= as_of)) return;
+    const bool had_booted = machine.boot_ends_at <= as_of || list_lag == 0;
+    const CloudState state = had_booted ? machine.info.state : CloudState::Starting;
+    list.push_back(
+        Json{{"ref", name},
+             {"addr", had_booted ? machine.info.addr : ""},
+             {"loom_type", machine.info.type},
+             {"mill", machine.info.zone},
+             {"remnant", machine.info.spot},
+             {"stage", state_names[static_cast<int>(state)]},
+             {"held_s", static_cast<double>(std::max<Micros>(as_of - machine.rented_at, 0)) / 1e6}});
 }
 
 Reply Cloud::handle(const std::string& method, const std::string& path, const Json& body, Micros now) {
     if (down) return {503, Json{{"error", "trouble"}}};
     if (method == "GET" && path == "/machine_types") {
-        Json list = Json::array();
-        for (const auto& t : types_)
-            list.push_back(Json{{"name", t.name},
-                                {"cores", static_cast<double>(t.size.cores) / 1000},
-                                {"cards", static_cast<double>(t.size.gpus) / 1000},
-                                {"ram_gb", static_cast<double>(t.size.ram) / 1000},
-                                {"cache_gb", static_cast<double>(t.cache_gb) / 1000},
-                                {"fetch_gb_per_s", t.fetch_gb_per_s},
-                                {"price", t.price},
-                                {"spot_price", t.spot_price},
-                                {"ready_s", static_cast<double>(t.boot) / 1e6},
-                                {"mills", t.zones}});
-        return {200, Json{{"looms", list}}};
+        Json types = Json::array();
+        for (const auto& machine_type : types_)
+            types.push_back(Json{{"name", machine_type.name},
+                                 {"cores", static_cast<double>(machine_type.size.cores) / 1000},
+                                 {"cards", static_cast<double>(machine_type.size.gpus) / 1000},
+                                 {"ram_gb", static_cast<double>(machine_type.size.ram) / 1000},
+                                 {"cache_gb", static_cast<double>(machine_type.cache_gb) / 1000},
+                                 {"fetch_gb_per_s", machine_type.fetch_gb_per_s},
+                                 {"price", machine_type.price},
+                                 {"spot_price", machine_type.spot_price},
+                                 {"ready_s", static_cast<double>(machine_type.boot) / 1e6},
+                                 {"mills", machine_type.zones}});
+        return {200, Json{{"looms", types}}};
     }
     if (method == "POST" && path == "/machines") {
-        const std::string name = wire::text(body, "hire").value_or("");
-        auto known = requests_.find(name);
-        if (known != requests_.end()) return {200, Json{{"frames", known->second}}};
-        const auto* t = type(wire::text(body, "loom_type").value_or(""));
-        if (!t || name.empty()) return {400, Json::object()};
+        const std::string request_name = wire::text(body, "hire").value_or("");
+        auto known_request = rentals_by_request_.find(request_name);
+        if (known_request != rentals_by_request_.end()) return {200, Json{{"frames", known_request->second}}};
+        const auto* machine_type = type(wire::text(body, "loom_type").value_or(""));
+        if (!machine_type || request_name.empty()) return {400, Json::object()};
         const int count = std::min(static_cast<int>(wire::count(body, "how_many").value_or(0)), capacity);
         if (count == 0) return {503, Json{{"error", "no capacity"}}};
         std::vector<std::string> names;
         for (int i = 0; i < count; ++i) {
-            names.push_back(rent_machine(t->name, wire::text(body, "mill").value_or(""),
-                                         wire::flag(body, "remnant").value_or(false), now, t->boot));
+            names.push_back(rent_machine(machine_type->name, wire::text(body, "mill").value_or(""),
+                                         wire::flag(body, "remnant").value_or(false), now,
+                                         machine_type->boot));
             --capacity;
         }
-        requests_[name] = names;
+        rentals_by_request_[request_name] = names;
         return {200, Json{{"frames", names}}};
     }
     if (method == "POST" && path == "/machines/delete") {
         if (const Json* names = wire::find(body, "frames"))
-            for (const auto& n : *names) {
-                const auto name = n.get<std::string>();
-                if (auto m = machines_.extract(name)) {
+            for (const auto& name_value : *names) {
+                const auto name = name_value.get<std::string>();
+                if (auto machine = machines_.extract(name)) {
                     ++capacity;
-                    m.mapped().deleted_at = now;
-                    if (list_lag > 0) gone_.insert(std::move(m));
+                    machine.mapped().deleted_at = now;
+                    if (list_lag > 0) deleted_machines_.insert(std::move(machine));
                 }
                 if (on_delete) on_delete(name);
             }
         return {200, Json::object()};
     }
     if (method == "GET" && starts_with(path, "/machines?")) {
-        Json frames = Json::array();
+        Json machine_list = Json::array();
         const Micros as_of =
             now - (list_lag > 0 ? list_lag + static_cast<Micros>(random_()) % (list_lag + 1) : 0);
-        for (auto& [name, m] : machines_) list(name, m, as_of, frames);
-        for (auto& [name, m] : gone_) list(name, m, as_of, frames);
-        return {200, Json{{"frames", std::move(frames)}, {"has_next", false}}};
+        for (auto& [name, machine] : machines_) append_to_list(name, machine, as_of, machine_list);
+        for (auto& [name, machine] : deleted_machines_) append_to_list(name, machine, as_of, machine_list);
+        return {200, Json{{"frames", std::move(machine_list)}, {"has_next", false}}};
     }
     return {404, Json::object()};
 }
--- a/src/fakes/fakes.hpp
+++ b/src/fakes/fakes.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Fakes for the outside systems, written from their published protocol: the state service, the cloud and
-// the workers. They are pure state machines; the tests put a simulated network around them, and
-// cottonway-standins puts them on loopback for trying things out.
+// Fakes of the external systems, written from their published protocols: the state service, the cloud and the
+// workers. They are state machines without I/O: the simulator connects them through a simulated network, and
+// cottonway-standins and the soak test serve them on loopback.
 
 #include <deque>
 #include <functional>
@@ -17,24 +17,29 @@
 
 namespace cottonway::fakes {
 
-/// The state service. A watch that has nothing to tell yet gives no reply: ask again until `block_ms` is
-/// over.
+/// The state service: a key-value store with revisions, transactions, leases and watches. A watch without
+/// events gives no reply; the caller repeats it until the `block_ms` of the request are over.
 class StateService {
   public:
     Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
-    /// The reply to a watch, or nothing while it blocks.
-    std::optional<Reply> watch(const std::string& path, bool last);
+    /// Returns the reply to a watch, or nullopt while the watch blocks: it has no events, and its deadline is
+    /// not reached. The reply is 410 if events since the requested revision are no longer kept.
+    std::optional<Reply> watch(const std::string& path, bool deadline_reached);
+    /// Returns the `block_ms` of a watch request.
     static Micros block_time(const std::string& path);
+    /// Starts or ends an outage. When it ends, every lease lasts for its full TTL again.
     void set_down(bool down, Micros now);
+    /// Removes expired leases and the keys attached to them.
     void expire_leases(Micros now);
     bool down() const { return down_; }
-    /// Puts a record there before anybody looks, beside all limits.
+    /// Stores a record directly, without an event and without regard to the limits; for initial data.
     void put(const std::string& key, Json value) { items_[key] = {std::move(value), store_revision_, 0}; }
-    /// What it takes; more is answered 400, and changes beyond the rate 429. They may be lowered at any time.
+    /// Limits on requests. A larger value or transaction is answered 400, writes beyond the rate 429. They
+    /// may be lowered at any time.
     struct Limits {
         std::size_t value_bytes = 64 * 1024;
         std::size_t txn_ops = 1000;
-        double write_rps = 0;  // 0: any
+        double write_rps = 0;  // 0: unlimited
     };
     Limits limits;
 
@@ -42,77 +47,84 @@
     struct Item {
         Json value;
         std::uint64_t mod_revision = 0;
-        std::uint64_t lease = 0;
+        std::uint64_t lease_id = 0;
     };
     struct Lease {
         Micros ttl = 0;
-        Micros until = 0;
+        Micros expires_at = 0;
     };
     struct Event {
         std::string key;
-        Json value;  // null: dropped
+        Json value;  // null: the key was deleted
         std::uint64_t mod_revision = 0;
     };
     Reply commit(const Json& body, Micros now);
-    void drop_lease(std::uint64_t id);
-    void note(const std::string& key, const Json& value);
+    void revoke_lease(std::uint64_t id);
+    void record_event(const std::string& key, const Json& value);
 
     std::map<std::string, Item> items_;
     std::map<std::uint64_t, Lease> leases_;
     std::deque<Event> events_;
     std::uint64_t store_revision_ = 1;
-    std::uint64_t next_lease_ = 1;
+    std::uint64_t next_lease_id_ = 1;
     bool down_ = false;
-    double writes_left_ = 0;
-    Micros writes_at_ = 0;
+    double write_budget_ = 0;
+    Micros write_budget_updated_at_ = 0;
 };
 
-/// Records of jobs that were finished before anything else, as controllers leave them behind.
+/// Adds records of `jobs` finished jobs, in the form in which controllers store them.
 void add_finished_jobs(StateService& state, int jobs);
 
-/// What a worker needs to know of a job; users upload it.
+/// A job as its tasks on the worker see it.
 struct JobInfo {
     JobSpec spec;
     Micros run_time = 0;
-    Micros image_fetch_time =
-        0;  // of its image on any machine; -1: as long as its size takes at the machine's rate
-    bool always_fails = false;  // submitted with a mistake: fails wherever it starts
+    Micros image_fetch_time = 0;  // on any machine; -1: image size over the machine's fetch rate
+    bool always_fails = false;    // its tasks fail on every machine
 };
 
-/// The world that the workers' tasks live in.
+/// Tells the workers about jobs and gangs, and is notified when their tasks start and stop.
 class TaskObserver {
   public:
     virtual ~TaskObserver() = default;
+    /// Returns nullptr if the job is unknown.
     virtual const JobInfo* job(const std::string& ref) = 0;
-    /// A task has its image and is on the machine from now on.
+    /// A task's image is fetched, and the task occupies the machine from now on.
     virtual void on_task_started(const std::string& machine, const std::string& job, int task,
                                  std::int64_t attempt) = 0;
+    /// A task no longer runs on the machine, for whatever reason.
     virtual void on_task_stopped(const std::string& machine, const std::string& job, int task,
                                  std::int64_t attempt) = 0;
-    /// A task has completed (its result is kept).
+    /// A task has completed; its result is kept.
     virtual void on_task_completed(const std::string& job, int task, std::int64_t attempt) = 0;
-    /// True once every task of the gang's attempt waits or runs somewhere.
+    /// Returns true once every task of the gang's attempt has started on some machine.
     virtual bool is_gang_complete(const std::string& job, std::int64_t attempt) = 0;
-    /// False once a task of the gang's attempt is gone.
+    /// Returns false once a task of the gang's attempt has stopped before the gang finished.
     virtual bool is_gang_intact(const std::string& job, std::int64_t attempt) = 0;
 };
 
+/// A worker: runs tasks on one machine as long as its session's lease lasts.
 class Worker {
   public:
     Worker(std::string name, std::string addr, MachineType type, std::string zone, bool spot, Micros lease,
            Micros gang_wait, TaskObserver& observer, Micros now);
     ~Worker();
 
-    /// POST /do, GET /show.
+    /// Handles POST /do and GET /show.
     Reply handle(const std::string& method, const std::string& path, const Json& body, Micros now);
-    /// A report's body; `sent` is needed when it is answered.
+    /// Returns the body of a heartbeat report and clears has_unreported_changes.
     Json report(Micros now);
-    void on_report_answered(const Json& body, std::uint64_t session_then, Micros sent, Micros now);
+    /// Takes the answer to a report that was sent at `sent_at` in session `session_at_send`: renews the lease
+    /// from `sent_at` on and executes the orders.
+    void on_report_answered(const Json& body, std::uint64_t session_at_send, Micros sent_at, Micros now);
+    /// Advances lease, image fetches and tasks to `now`.
     void advance(Micros now);
-    /// Ends the session if its lease is over; a machine that hangs does no more than that.
+    /// Kills all tasks and starts a new session if the lease has expired. A machine that hangs does only
+    /// this.
     void expire_session(Micros now);
     void kill_all_tasks();
-    /// Tasks that take room here: all that have not exited.
+    /// Returns job and index of every task that occupies resources here, which is every task that has not
+    /// exited.
     std::vector<std::pair<std::string, int>> occupying_tasks() const;
 
     std::uint64_t session() const { return session_; }
@@ -122,46 +134,50 @@
     const MachineType& type() const { return type_; }
     const std::string& zone() const { return zone_; }
     bool spot() const { return spot_; }
+    /// When the cloud takes this spot machine back; set once that is announced.
     std::optional<Micros> reclaim_deadline;
-    bool faulty = false;  // whatever starts here fails
+    bool faulty = false;  // every task that runs here fails
     bool has_unreported_changes = false;
 
   private:
     struct Task {
         std::string job;
-        int task = 0;
+        int index = 0;
         std::int64_t attempt = 0;
         Phase phase = Phase::Fetching;
         const char* cause = "";
-        Micros since = 0;
-        bool on = false;
+        Micros phase_since = 0;
+        bool on_machine = false;
     };
-    void execute(const Json& orders, Micros now);
-    void exit(Task& t, const char* cause);
-    /// Images that tasks wait for share the machine's rate; the least recently used leave its cache.
-    void fetch(Micros now);
+    void execute_orders(const Json& orders, Micros now);
+    void exit(Task& task, const char* cause);
+    /// Advances the fetches of images that tasks wait for; they share the machine's fetch rate equally.
+    void advance_image_fetches(Micros now);
     bool has_image(const JobSpec& spec) const;
-    void use_image(const JobSpec& spec, Micros now);
+    /// Puts a fetched image into the cache, or marks it as used now; evicts the least recently used images
+    /// while the cache exceeds its size.
+    void mark_image_used(const JobSpec& spec, Micros now);
 
     std::string name_, addr_;
     MachineType type_;
     std::string zone_;
     bool spot_;
-    Micros lease_, gang_wait_;
+    Micros lease_duration_, gang_wait_;
     TaskObserver& observer_;
-    std::uint64_t session_ = 1, seq_ = 0, token_ = 0;
-    Micros leased_from_;
+    std::uint64_t session_ = 1, report_sequence_ = 0, token_ = 0;
+    Micros lease_started_at_;
     std::vector<Task> tasks_;
     struct Image {
-        double gb = 0;
-        double left = 0;  // to be fetched
-        Micros used = 0;
+        double size_gb = 0;
+        double gb_left = 0;  // not yet fetched
+        Micros last_used_at = 0;
     };
     std::map<std::string, Image> images_;
-    Micros fetched_at_ = 0;
-    std::set<std::string> results_;
+    Micros fetches_advanced_at_ = 0;
+    std::set<std::string> completed_tasks_;
 };
 
+/// The cloud that machines are rented from.
 class Cloud {
   public:
     struct Machine {
@@ -170,7 +186,7 @@
         Micros boot_ends_at = 0;
         bool booted = false;
         bool listed = false;
-        Micros deleted_at = 0;  // 0: it is there
+        Micros deleted_at = 0;  // 0: not deleted
     };
     explicit Cloud(std::vector<MachineType> types) : types_(std::move(types)) {}
 
@@ -180,25 +196,26 @@
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::vector<MachineType>& types() const { return types_; }
     const MachineType* type(const std::string& name) const;
-    std::function<void(const std::string&)> on_delete;
-    int capacity = 1000;
+    std::function<void(const std::string&)> on_delete;  // called with the name of each machine to delete
+    int capacity = 1000;                                // machines that can still be rented
     bool down = false;
-    std::string machine_name_prefix = "n-";  // of machines
-    /// A list is as old as this, or up to twice as old: new machines are missing until then, and those that
-    /// are gone still appear. Once listed, a machine stays listed until it is gone.
+    std::string machine_name_prefix = "n-";
+    /// Age of the list of machines: between this and twice this. New machines are missing from it until then,
+    /// and deleted ones still appear. A machine that was listed once stays listed until it is deleted.
     Micros list_lag = 0;
-    /// Names of the rentals that were carried out, with how many machines each got.
-    const std::map<std::string, std::vector<std::string>>& rentals() const { return requests_; }
+    /// Returns the rentals that were carried out: the request's name, with the names of the machines it got.
+    const std::map<std::string, std::vector<std::string>>& rentals() const { return rentals_by_request_; }
 
   private:
-    void list(const std::string& name, Machine& m, Micros as_of, Json& to) const;
+    /// Appends a machine as the cloud knew it at `as_of` to the list, if it was listed then.
+    void append_to_list(const std::string& name, Machine& machine, Micros as_of, Json& list) const;
 
     std::vector<MachineType> types_;
     std::map<std::string, Machine> machines_;
-    std::map<std::string, Machine> gone_;  // and maybe still listed
+    std::map<std::string, Machine> deleted_machines_;  // may still be listed; see list_lag
     std::minstd_rand random_;
-    std::map<std::string, std::vector<std::string>> requests_;
-    int next_ = 1;
+    std::map<std::string, std::vector<std::string>> rentals_by_request_;
+    int next_machine_number_ = 1;
 };
 
 }  // namespace cottonway::fakes
--- a/src/fakes/live_worker.cpp
+++ b/src/fakes/live_worker.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// By the protocol.
-constexpr Micros kAnswerPatience = 4 * kSecond;
-constexpr Micros kNextControllerAfter = kSecond;
-constexpr Micros kLeastInterval = 500 * kMillisecond;
-constexpr std::size_t kConnections = 2;
+// These values are prescribed by the worker protocol.
+constexpr Micros kReportTimeout = 4 * kSecond;
+constexpr Micros kControllerSwitchDelay = kSecond;
+constexpr Micros kMinReportInterval = 500 * kMillisecond;
+constexpr std::size_t kMaxConnections = 2;
 
 }  // namespace
 
@@ -20,9 +20,11 @@
       worker_(std::move(worker)),
       controllers_(std::move(controllers)),
       options_(std::move(options)),
-      client_(io, kConnections, kConnections),
+      client_(io, kMaxConnections, kMaxConnections),
       server_(io, parse_endpoint(worker_->addr()), {},
-              [this](const net::Request& r, const net::Responder& respond) { on_command(r, respond); }) {
+              [this](const net::Request& request, const net::Responder& respond) {
+                  on_command(request, respond);
+              }) {
     server_.start();
 }
 
@@ -45,40 +47,45 @@
 void LiveWorker::tick() {
     const Micros now = net::steady_micros();
     worker_->advance(now);
-    const bool changed = worker_->has_unreported_changes && now - sent_ >= kLeastInterval;
-    if (in_flight_ || (now < next_ && !changed)) return;
-    report(now);
+    const bool has_changes_to_send =
+        worker_->has_unreported_changes && now - last_report_at_ >= kMinReportInterval;
+    if (report_in_flight_ || (now < next_report_at_ && !has_changes_to_send)) return;
+    send_report(now);
 }
 
-void LiveWorker::report(Micros now) {
-    in_flight_ = true;
-    sent_ = now;
-    next_ = now + options_.report_every;
-    client_.call(controllers_[target_].address, "POST", "/v1/report", wire::encode(worker_->report(now)),
-                 kAnswerPatience, [this, session = worker_->session(), now](const net::ClientReply& r) {
-                     answered(r, session, now);
+void LiveWorker::send_report(Micros now) {
+    report_in_flight_ = true;
+    last_report_at_ = now;
+    next_report_at_ = now + options_.report_every;
+    client_.call(controllers_[controller_index_].address, "POST", "/v1/report",
+                 wire::encode(worker_->report(now)), kReportTimeout,
+                 [this, session = worker_->session(), now](const net::ClientReply& reply) {
+                     on_report_reply(reply, session, now);
                  });
 }
 
-void LiveWorker::answered(const net::ClientReply& reply, std::uint64_t session, Micros sent) {
-    in_flight_ = false;
-    const std::size_t next = (target_ + 1) % controllers_.size();
+void LiveWorker::on_report_reply(const net::ClientReply& reply, std::uint64_t session, Micros sent_at) {
+    report_in_flight_ = false;
+    const std::size_t next_index = (controller_index_ + 1) % controllers_.size();
     const auto body = wire::decode(reply.body);
-    if (reply.status == 200 && options_.is_answer_lost()) return turn_to(next, kNextControllerAfter);
+    if (reply.status == 200 && options_.is_answer_lost())
+        return switch_controller(next_index, kControllerSwitchDelay);
     if (reply.status == 200 && body)
-        return worker_->on_report_answered(*body, session, sent, net::steady_micros());
-    const auto holder = reply.status == 421 && body ? wire::text(*body, "overseer") : std::nullopt;
-    const auto named = std::find_if(controllers_.begin(), controllers_.end(),
-                                    [&holder](const Controller& c) { return holder == c.name; });
-    const auto index = static_cast<std::size_t>(named - controllers_.begin());
-    if (named != controllers_.end() && index != target_) return turn_to(index, 0);
-    turn_to(next, kNextControllerAfter);
+        return worker_->on_report_answered(*body, session, sent_at, net::steady_micros());
+    const auto shard_holder = reply.status == 421 && body ? wire::text(*body, "overseer") : std::nullopt;
+    const auto named_controller = std::find_if(
+        controllers_.begin(), controllers_.end(),
+        [&shard_holder](const Controller& controller) { return shard_holder == controller.name; });
+    const auto named_index = static_cast<std::size_t>(named_controller - controllers_.begin());
+    if (named_controller != controllers_.end() && named_index != controller_index_)
+        return switch_controller(named_index, 0);
+    switch_controller(next_index, kControllerSwitchDelay);
 }
 
-void LiveWorker::turn_to(std::size_t controller, Micros pause) {
-    target_ = controller;
-    next_ = net::steady_micros() + pause;
-    sent_ = next_ - kLeastInterval;
+void LiveWorker::switch_controller(std::size_t controller, Micros pause) {
+    controller_index_ = controller;
+    next_report_at_ = net::steady_micros() + pause;
+    last_report_at_ = next_report_at_ - kMinReportInterval;
 }
 
 }  // namespace cottonway::fakes
