--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -14,259 +14,282 @@
 
 namespace {
 
-bool starts_with(const std::string& s, const std::string& prefix) {
-    return s.compare(0, prefix.size(), prefix) == 0;
+bool starts_with(const std::string& text, const std::string& prefix) {
+    return text.compare(0, prefix.size(), prefix) == 0;
 }
 
 std::optional<std::size_t> number_at_end(const std::string& key) {
     const auto slash = key.rfind('/');
-    std::size_t n = 0;
+    std::size_t number = 0;
     const char* end = key.data() + key.size();
-    const char* from = key.data() + slash + 1;
-    if (slash == std::string::npos || from == end) return std::nullopt;
-    const auto r = std::from_chars(from, end, n);
-    if (r.ec != std::errc() || r.ptr != end) return std::nullopt;
-    return n;
+    const char* first = key.data() + slash + 1;
+    if (slash == std::string::npos || first == end) return std::nullopt;
+    const auto result = std::from_chars(first, end, number);
+    if (result.ec != std::errc() || result.ptr != end) return std::nullopt;
+    return number;
 }
 
 }  // namespace
 
-void Verifier::damage(const std::string& key, std::string what) {
-    findings_.push_back({Finding::Severity::Damage, key, std::move(what)});
+void Verifier::add_damage(const std::string& key, std::string message) {
+    findings_.push_back({Finding::Severity::Damage, key, std::move(message)});
 }
 
-void Verifier::notice(const std::string& key, std::string what) {
-    findings_.push_back({Finding::Severity::Notice, key, std::move(what)});
+void Verifier::add_notice(const std::string& key, std::string message) {
+    findings_.push_back({Finding::Severity::Notice, key, std::move(message)});
 }
 
 void Verifier::add_record(const std::string& key, const Json& stored, Revision mod_revision) {
-    auto rest = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-    if (starts_with(key, keys::chunk)) return take_piece(key, stored);
-    const auto value = whole(key, stored);
+    auto after_prefix = [&](const std::string& prefix) { return key.substr(prefix.size()); };
+    if (starts_with(key, keys::chunk)) return add_chunk(key, stored);
+    const auto value = join_chunks(key, stored);
     if (!value) return;
-    if (!value->is_object()) return damage(key, "is no map");
+    if (!value->is_object()) return add_damage(key, "is not a map");
     if (starts_with(key, keys::active)) {
-        take_job(key, rest(keys::active), RecordLocation::Active, *value);
+        check_job(key, after_prefix(keys::active), RecordLocation::Active, *value);
     } else if (starts_with(key, keys::job)) {
-        take_job(key, rest(keys::job), RecordLocation::Job, *value);
+        check_job(key, after_prefix(keys::job), RecordLocation::Job, *value);
     } else if (starts_with(key, keys::part)) {
-        take_part(key, *value);
+        check_part(key, *value);
     } else if (starts_with(key, keys::block)) {
-        take_block(key, *value, mod_revision);
+        check_block(key, *value, mod_revision);
     } else if (starts_with(key, keys::shard)) {
-        ++kinds_["domains"];
+        ++record_counts_["domains"];
         const auto holder = wire::text(*value, "holder");
-        if (!holder || holder->empty()) damage(key, "names no holder");
-        shards_[rest(keys::shard)] = holder.value_or("");
+        if (!holder || holder->empty()) add_damage(key, "has no holder");
+        shard_holders_[after_prefix(keys::shard)] = holder.value_or("");
     } else if (starts_with(key, keys::share)) {
-        ++kinds_["shares"];
-        shared_.insert(rest(keys::share));
-        for (const auto& [team, r] : value->items())
-            if (!r.is_array() || r.size() != 2 || !r[0].is_number_integer() || !r[1].is_number_integer() ||
-                r[0].get<Milli>() < 0 || r[1].get<Milli>() < 0)
-                damage(key, fmt::format("the share of team {} does not parse and grants nothing", team));
-        for (const auto& [team, r] : parse_shares(*value)) sums_[team] += r;
+        ++record_counts_["shares"];
+        shards_with_share_.insert(after_prefix(keys::share));
+        for (const auto& [team, resources] : value->items())
+            if (!resources.is_array() || resources.size() != 2 || !resources[0].is_number_integer() ||
+                !resources[1].is_number_integer() || resources[0].get<Milli>() < 0 ||
+                resources[1].get<Milli>() < 0)
+                add_damage(key, fmt::format("the share of team {} does not parse and counts as zero", team));
+        for (const auto& [team, resources] : parse_shares(*value)) share_totals_[team] += resources;
     } else if (starts_with(key, keys::plan)) {
-        ++kinds_["plans"];
-        if (!scheduling::Plan().take(*value)) damage(key, "does not parse: nothing of it is carried on");
+        ++record_counts_["plans"];
+        if (!scheduling::Plan().take(*value))
+            add_damage(key, "does not parse; nothing of the plan is resumed");
     } else if (starts_with(key, keys::format)) {
-        ++kinds_["formats"];
-        const auto reads = wire::count(*value, "reads").value_or(0);
-        reads_[rest(keys::format)] = reads;
-        if (reads > format::kNewest)
-            notice(key, fmt::format("reads format {}, newer than this program's {}", reads, format::kNewest));
+        ++record_counts_["formats"];
+        const auto read_format = wire::count(*value, "reads").value_or(0);
+        read_formats_[after_prefix(keys::format)] = read_format;
+        if (read_format > format::kNewest)
+            add_notice(key, fmt::format("reads format {}, newer than this program's {}", read_format,
+                                        format::kNewest));
     } else if (starts_with(key, keys::live)) {
-        ++kinds_["nodes alive"];
+        ++record_counts_["nodes alive"];
     } else if (key == keys::history) {
-        apart_ = wire::flag(*value, "apart").value_or(false);
+        history_apart_ = wire::flag(*value, "apart").value_or(false);
     } else if (key == keys::policy) {
-        if (!policy::from_value(*value)) damage(key, "does not parse: the default policy is in force");
+        if (!policy::from_value(*value)) add_damage(key, "does not parse; the default policy applies");
     } else if (key == keys::types) {
-        if (!wire::parse_types(*value)) damage(key, "does not parse: controllers wait for the cloud instead");
+        if (!wire::parse_types(*value))
+            add_damage(key, "does not parse; controllers wait for the machine types from the cloud");
     } else if (key != keys::leader) {
-        notice(key, "is of a kind that this program does not know");
+        add_notice(key, "is a record of an unknown kind");
     }
 }
 
-/// A value that is stored in pieces is put together; with some missing it counts for nothing.
-std::optional<Json> Verifier::whole(const std::string& key, const Json& value) {
-    const auto named = chunks::named_by(value);
-    if (!named) return value;
-    named_pieces_.insert(named->first);
-    auto it = chunks_.find(named->first);
+std::optional<Json> Verifier::join_chunks(const std::string& key, const Json& value) {
+    const auto chunk_reference = chunks::named_by(value);
+    if (!chunk_reference) return value;
+    referenced_chunks_.insert(chunk_reference->first);
+    auto found = chunk_texts_.find(chunk_reference->first);
     std::vector<std::string> texts;
-    if (it != chunks_.end())
-        for (const auto& [i, t] : it->second) texts.push_back(t);
-    if (texts.size() != named->second) {
-        damage(key,
-               fmt::format("{} of its {} pieces are missing", named->second - texts.size(), named->second));
+    if (found != chunk_texts_.end())
+        for (const auto& [index, text] : found->second) texts.push_back(text);
+    if (texts.size() != chunk_reference->second) {
+        add_damage(key, fmt::format("{} of its {} chunks are missing", chunk_reference->second - texts.size(),
+                                    chunk_reference->second));
         return std::nullopt;
     }
     auto joined = chunks::join(value, texts);
-    if (!joined) damage(key, "its pieces do not make a value");
+    if (!joined) add_damage(key, "its chunks cannot be joined to a value");
     return joined;
 }
 
-void Verifier::take_piece(const std::string& key, const Json& value) {
-    ++kinds_["pieces"];
+void Verifier::add_chunk(const std::string& key, const Json& value) {
+    ++record_counts_["pieces"];
     const auto index = number_at_end(key);
     auto text = wire::text(value, "t");
-    if (!index || !text) return damage(key, "is no piece of a value");
+    if (!index || !text) return add_damage(key, "is not a chunk of a value");
     const auto slash = key.rfind('/');
     const std::string name = key.substr(keys::chunk.size(), slash - keys::chunk.size());
-    chunks_[name][*index] = std::move(*text);
-    chunk_of_[name] = key;
+    chunk_texts_[name][*index] = std::move(*text);
+    chunk_keys_[name] = key;
 }
 
-void Verifier::take_job(const std::string& key, const std::string& ref, RecordLocation place,
-                        const Json& value) {
-    if (!wire::valid_ref(ref)) damage(key, "is not named like a job");
+void Verifier::check_job(const std::string& key, const std::string& ref, RecordLocation location,
+                         const Json& value) {
+    if (!wire::valid_ref(ref)) add_damage(key, "is not the key of a valid job id");
     const auto stage = wire::text(value, "s");
     const Json* spec = wire::find(value, "d");
-    const bool final = (stage == "done" || stage == "cancelled") && !spec;
-    auto live = jobs_.find(ref);
-    if (final) {
-        ++(stage == "done" ? done_ : cancelled_);
-        if (place == RecordLocation::Active) return damage(key, "is final, which no record of a live job is");
-        if (live == jobs_.end()) return;
-        notice(live->second.key, "is left over: the job is " + *stage + "; dropped in a quiet moment");
-        jobs_.erase(live);
+    const bool is_final = (stage == "done" || stage == "cancelled") && !spec;
+    auto known_job = live_jobs_.find(ref);
+    if (is_final) {
+        ++(stage == "done" ? done_jobs_ : cancelled_jobs_);
+        if (location == RecordLocation::Active)
+            return add_damage(key, "is a final record, but has the key of an active one");
+        if (known_job == live_jobs_.end()) return;
+        add_notice(known_job->second.key,
+                   "is left over: the job is " + *stage + "; deleted while the controller is idle");
+        live_jobs_.erase(known_job);
         return;
     }
-    ++kinds_["jobs live"];
-    if (live != jobs_.end())
-        return notice(key,
-                      "came late, beside the record of the same job that counts; overwritten at its end");
-    if (place == RecordLocation::Job && apart_)
-        return damage(key, "is not over, although history is apart: no start reads it");
+    ++record_counts_["jobs live"];
+    if (known_job != live_jobs_.end())
+        return add_notice(key,
+                          "was written late; the job's active record takes precedence, and this one is "
+                          "overwritten when the job ends");
+    if (location == RecordLocation::Job && history_apart_)
+        return add_damage(
+            key,
+            "is not over, although finished jobs are stored separately: no starting controller reads it");
     if (!stage || (stage != "queued" && stage != "cancelled"))
-        return damage(key, "tells no known state; the job is set aside");
-    if (!spec) return damage(key, "has no description; the job is set aside");
+        return add_damage(key, "has no known state; the job is not scheduled");
+    if (!spec) return add_damage(key, "has no description; the job is not scheduled");
     const auto parsed = wire::parse_job(*spec);
     if (!parsed.spec)
-        return damage(key, "its description is broken: " + parsed.error + "; the job is set aside");
-    if (parsed.spec->ref != ref) damage(key, "describes " + parsed.spec->ref);
-    if (const auto k = wire::count(value, "k"); k != static_cast<std::uint64_t>(parsed.spec->tasks))
-        damage(key, fmt::format("counts {} tasks and describes {}", k.value_or(0), parsed.spec->tasks));
-    KnownJob job;
+        return add_damage(key, "its description is invalid: " + parsed.error + "; the job is not scheduled");
+    if (parsed.spec->ref != ref) add_damage(key, "describes another job, " + parsed.spec->ref);
+    if (const auto stored_tasks = wire::count(value, "k");
+        stored_tasks != static_cast<std::uint64_t>(parsed.spec->tasks))
+        add_damage(key, fmt::format("states {} tasks, but describes {}", stored_tasks.value_or(0),
+                                    parsed.spec->tasks));
+    LiveJob job;
     job.key = key;
     job.shard = wire::text(value, "dom").value_or("");
     job.tasks = parsed.spec->tasks;
-    job.part_tasks = std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1);
+    job.tasks_per_part = std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1);
     job.cancelled = stage == "cancelled";
-    take_bindings(job, key, value, 0);
-    jobs_.emplace(ref, std::move(job));
+    check_bindings(job, key, value, 0);
+    live_jobs_.emplace(ref, std::move(job));
 }
 
-void Verifier::take_part(const std::string& key, const Json& value) {
-    ++kinds_["parts"];
+void Verifier::check_part(const std::string& key, const Json& value) {
+    ++record_counts_["parts"];
     const auto index = number_at_end(key);
     const auto slash = key.rfind('/');
-    if (!index || slash <= keys::part.size()) return damage(key, "is not named like a part");
+    if (!index || slash <= keys::part.size()) return add_damage(key, "is not the key of a part");
     const std::string ref = key.substr(keys::part.size(), slash - keys::part.size());
-    auto job = jobs_.find(ref);
-    if (job == jobs_.end()) return notice(key, "is left of a job that is over, or was set aside");
-    const std::size_t first = *index * job->second.part_tasks;
-    if (*index == 0 || first >= static_cast<std::size_t>(job->second.tasks))
-        return damage(
-            key, fmt::format("the job has {} tasks, {} a part", job->second.tasks, job->second.part_tasks));
-    take_bindings(job->second, key, value, first);
+    auto job = live_jobs_.find(ref);
+    if (job == live_jobs_.end()) return add_notice(key, "belongs to a job that is over or not scheduled");
+    const std::size_t first_task = *index * job->second.tasks_per_part;
+    if (*index == 0 || first_task >= static_cast<std::size_t>(job->second.tasks))
+        return add_damage(key, fmt::format("is not a part of its job, which has {} tasks, {} per part",
+                                           job->second.tasks, job->second.tasks_per_part));
+    check_bindings(job->second, key, value, first_task);
 }
 
-void Verifier::take_bindings(KnownJob& job, const std::string& key, const Json& value, std::size_t first) {
+void Verifier::check_bindings(LiveJob& job, const std::string& key, const Json& value,
+                              std::size_t first_task) {
     job.next_attempt = std::max(job.next_attempt, wire::count(value, "n").value_or(1));
     const Json* bindings = wire::find(value, "b");
     if (!bindings) return;
-    if (!bindings->is_array()) return damage(key, "its bindings do not parse");
-    const std::size_t last = std::min(first + job.part_tasks, static_cast<std::size_t>(job.tasks));
-    for (const auto& b : *bindings) {
-        if (!b.is_array() || b.size() < 3 || !b[0].is_number_unsigned()) {
-            damage(key, "a binding does not parse and is ignored: " + b.dump());
+    if (!bindings->is_array()) return add_damage(key, "its bindings do not parse");
+    const std::size_t end_task =
+        std::min(first_task + job.tasks_per_part, static_cast<std::size_t>(job.tasks));
+    for (const auto& binding : *bindings) {
+        if (!binding.is_array() || binding.size() < 3 || !binding[0].is_number_unsigned()) {
+            add_damage(key, "a binding does not parse and is ignored: " + binding.dump());
             continue;
         }
-        auto bind = [&](std::size_t task, std::uint64_t attempt, const std::string& machine) {
-            if (task < first || task >= last)
-                return damage(key, fmt::format("binds task {}, which it does not hold", task));
+        auto add_binding = [&](std::size_t task, std::uint64_t attempt, const std::string& machine) {
+            if (task < first_task || task >= end_task)
+                return add_damage(key, fmt::format("binds task {}, which belongs to another part", task));
             if (attempt >= job.next_attempt)
-                damage(key, fmt::format("task {} is bound by attempt {}, and {} is the next", task, attempt,
-                                        job.next_attempt));
-            if (!job.bound.emplace(task, machine).second)
-                damage(key,
-                       fmt::format("task {} is bound twice, to {} and {}", task, job.bound[task], machine));
+                add_damage(key, fmt::format("task {} is bound by attempt {}, but the next attempt is {}",
+                                            task, attempt, job.next_attempt));
+            if (!job.machine_of_task.emplace(task, machine).second)
+                add_damage(key, fmt::format("task {} is bound twice, to {} and {}", task,
+                                            job.machine_of_task[task], machine));
         };
-        if (b[1].is_string()) {  // attempt, machine, tasks
-            for (std::size_t i = 2; i < b.size(); ++i)
-                if (b[i].is_number_unsigned())
-                    bind(b[i].get<std::size_t>(), b[0].get<std::uint64_t>(), b[1].get<std::string>());
-        } else if (b[1].is_number_unsigned() && b[2].is_string()) {
-            bind(b[0].get<std::size_t>(), b[1].get<std::uint64_t>(), b[2].get<std::string>());
+        if (binding[1].is_string()) {  // [attempt, machine, task...]
+            for (std::size_t i = 2; i < binding.size(); ++i)
+                if (binding[i].is_number_unsigned())
+                    add_binding(binding[i].get<std::size_t>(), binding[0].get<std::uint64_t>(),
+                                binding[1].get<std::string>());
+        } else if (binding[1].is_number_unsigned() && binding[2].is_string()) {
+            add_binding(binding[0].get<std::size_t>(), binding[1].get<std::uint64_t>(),
+                        binding[2].get<std::string>());
         }
     }
 }
 
-void Verifier::take_block(const std::string& key, const Json& value, Revision mod_revision) {
-    ++kinds_["blocks"];
+void Verifier::check_block(const std::string& key, const Json& value, Revision mod_revision) {
+    ++record_counts_["blocks"];
     const std::string id = key.substr(keys::block.size());
     const auto block = Block::parse(id, value, mod_revision);
-    if (!block) return damage(key, "is broken; it is ignored, and its machines with it");
+    if (!block) return add_damage(key, "does not parse; the block and its machines are ignored");
     shard_of_block_[key] = block->shard;
-    for (const auto& m : block->machines) {
-        ++kinds_["machines"];
-        auto [it, added] = machines_.try_emplace(m.name, id, block->shard);
+    for (const auto& machine : block->machines) {
+        ++record_counts_["machines"];
+        auto [found, added] = machine_locations_.try_emplace(machine.name, id, block->shard);
         if (!added)
-            damage(key, fmt::format("machine {} is in block {} as well; the newer one counts", m.name,
-                                    it->second.first));
-        if (m.token > mod_revision)
-            damage(key, fmt::format("machine {} has a token from the future", m.name));
+            add_damage(key, fmt::format("machine {} is also in block {}; the newer block takes precedence",
+                                        machine.name, found->second.first));
+        if (machine.token > mod_revision)
+            add_damage(key,
+                       fmt::format("machine {} has a token above the revision of its block", machine.name));
     }
 }
 
 std::vector<Finding> Verifier::finish() {
     for (const auto& [key, shard] : shard_of_block_)
-        if (!shards_.count(shard)) damage(key, "is of domain " + shard + ", which nobody holds");
-    for (const auto& [ref, job] : jobs_) {
-        if (!shards_.count(job.shard))
-            damage(job.key, "is of domain \"" + job.shard + "\", which nobody holds: the job does not run");
-        for (const auto& [task, machine] : job.bound) {
-            auto at = machines_.find(machine);
-            if (at == machines_.end())
-                notice(job.key, fmt::format("task {} is bound to {}, which is in no block: it counts as gone",
-                                            task, machine));
-            else if (at->second.second != job.shard)
-                damage(job.key, fmt::format("task {} is bound to {} of domain {}, the job is of {}", task,
-                                            machine, at->second.second, job.shard));
+        if (!shard_holders_.count(shard))
+            add_damage(key, "belongs to domain " + shard + ", which has no holder");
+    for (const auto& [ref, job] : live_jobs_) {
+        if (!shard_holders_.count(job.shard))
+            add_damage(job.key,
+                       "belongs to domain \"" + job.shard + "\", which has no holder: the job does not run");
+        for (const auto& [task, machine] : job.machine_of_task) {
+            auto location = machine_locations_.find(machine);
+            if (location == machine_locations_.end())
+                add_notice(
+                    job.key,
+                    fmt::format("task {} is bound to {}, which is in no block: the machine counts as lost",
+                                task, machine));
+            else if (location->second.second != job.shard)
+                add_damage(job.key,
+                           fmt::format("task {} is bound to {} of domain {}, but the job belongs to {}", task,
+                                       machine, location->second.second, job.shard));
         }
     }
-    for (const auto& shard : shared_)
-        if (!shards_.count(shard)) damage(keys::share + shard, "is the share of a domain that nobody holds");
-    for (const auto& t : settings_.teams) {
-        auto compare = [&](Milli sum, Milli limit, const char* of) {
-            if (limit == kNoLimit || shared_.empty() || sum == limit) return;
-            const std::string what =
-                fmt::format("the shares of team {} add up to {} {}, its limit is {}", t.name,
-                            static_cast<double>(sum) / 1000.0, of, static_cast<double>(limit) / 1000.0);
-            // Every part shrinks in proportion, or the leader adds what is missing.
-            notice(keys::share + "...", what);
+    for (const auto& shard : shards_with_share_)
+        if (!shard_holders_.count(shard))
+            add_damage(keys::share + shard, "is the share of a domain that has no holder");
+    for (const auto& team : settings_.teams) {
+        auto compare = [&](Milli total, Milli limit, const char* unit) {
+            if (limit == kNoLimit || shards_with_share_.empty() || total == limit) return;
+            const std::string message =
+                fmt::format("the shares of team {} add up to {} {}, but its limit is {}", team.name,
+                            static_cast<double>(total) / 1000.0, unit, static_cast<double>(limit) / 1000.0);
+            // Only a notice: the shards reduce their shares in proportion, or the leader adds what is
+            // missing.
+            add_notice(keys::share + "...", message);
         };
-        const Resources sum = sums_.count(t.name) ? sums_.at(t.name) : Resources{};
-        compare(sum.cores, t.limit.cores, "cores");
-        compare(sum.gpus, t.limit.gpus, "cards");
+        const Resources total = share_totals_.count(team.name) ? share_totals_.at(team.name) : Resources{};
+        compare(total.cores, team.limit.cores, "cores");
+        compare(total.gpus, team.limit.gpus, "cards");
     }
-    for (const auto& [name, key] : chunk_of_)
-        if (!named_pieces_.count(name)) notice(key, "no record names it; dropped after a minute");
+    for (const auto& [name, key] : chunk_keys_)
+        if (!referenced_chunks_.count(name))
+            add_notice(key, "no record refers to it; deleted after a minute");
     std::stable_sort(findings_.begin(), findings_.end(),
                      [](const Finding& a, const Finding& b) { return a.severity > b.severity; });
     return findings_;
 }
 
 Json Verifier::summary() const {
-    Json v = Json::object();
-    for (const auto& [kind, n] : kinds_) v[kind] = n;
-    v["jobs done"] = done_;
-    v["jobs cancelled"] = cancelled_;
-    v["history apart"] = apart_;
-    v["formats"] = reads_;
-    return v;
+    Json counts = Json::object();
+    for (const auto& [kind, count] : record_counts_) counts[kind] = count;
+    counts["jobs done"] = done_jobs_;
+    counts["jobs cancelled"] = cancelled_jobs_;
+    counts["history apart"] = history_apart_;
+    counts["formats"] = read_formats_;
+    return counts;
 }
 
 }  // namespace cottonway::recovery
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -1,4 +1,5 @@
-// What `cottonway verify` finds in a store, and what controllers make of the same damage.
+// Checks that `cottonway verify` reports each kind of damage in a store, and that controllers which start
+// with the same damage still serve everything else.
 
 #include "verify/verify.hpp"
 
@@ -11,152 +12,163 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_RULES(simulator) \
+    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
 
 using recovery::Finding;
 
-std::vector<Finding> verify(Simulator& w) {
-    recovery::Verifier v(w.settings);
-    std::string since;
+std::vector<Finding> verify(Simulator& simulator) {
+    recovery::Verifier verifier(simulator.settings);
+    std::string last_key;
     for (;;) {
-        auto r = w.state().handle(
-            "GET", "/store?starts=c/" + (since.empty() ? "" : "&since=" + since) + "&page=500", {}, w.now());
-        for (const auto& p : r.body["pairs"]) {
-            since = p["k"];
-            v.add_record(since, p["data"], p["mark"]);
+        auto response = simulator.state().handle(
+            "GET", "/store?starts=c/" + (last_key.empty() ? "" : "&since=" + last_key) + "&page=500", {},
+            simulator.now());
+        for (const auto& record : response.body["pairs"]) {
+            last_key = record["k"];
+            verifier.add_record(last_key, record["data"], record["mark"]);
         }
-        if (!r.body["has_next"].get<bool>()) return v.finish();
+        if (!response.body["has_next"].get<bool>()) return verifier.finish();
     }
 }
 
-std::string text_of(const std::vector<Finding>& findings) {
-    std::string out;
-    for (const auto& f : findings)
-        out += std::string(f.severity == Finding::Severity::Damage ? "damage: " : "notice: ") + f.key + " " +
-               f.message + "\n";
-    return out;
+std::string to_text(const std::vector<Finding>& findings) {
+    std::string text;
+    for (const auto& finding : findings)
+        text += std::string(finding.severity == Finding::Severity::Damage ? "damage: " : "notice: ") +
+                finding.key + " " + finding.message + "\n";
+    return text;
 }
 
-void write(Simulator& w, const std::string& key, const Json& value) {
-    w.state().handle(
+void write_record(Simulator& simulator, const std::string& key, const Json& value) {
+    simulator.state().handle(
         "POST", "/commit",
         Json{{"when", Json::array()}, {"then", Json::array({Json{{"write", key}, {"data", value}}})}},
-        w.now());
+        simulator.now());
 }
 
-Json read(Simulator& w, const std::string& key) {
-    return w.state().handle("GET", "/store/" + key, {}, w.now()).body["data"];
+Json read_record(Simulator& simulator, const std::string& key) {
+    return simulator.state().handle("GET", "/store/" + key, {}, simulator.now()).body["data"];
 }
 
-std::unique_ptr<Simulator> busy(std::uint64_t seed) {
-    auto w = std::make_unique<Simulator>(seed);
-    for (int i = 0; i < 4; ++i) w->add_machine("small", i % 2 ? "b" : "a");
-    w->start_nodes();
-    w->run(6 * kSecond);
-    w->submit(w->job(1, JobKind::Service, 3), 0);
-    w->submit(w->job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
-    w->submit(w->job(3, JobKind::Array, 2), kSecond);
-    w->submit(w->job(4, JobKind::Service, 2), 0);
-    w->run(5 * kSecond);
-    w->cancel("req-000004");
-    w->run(4 * kSecond);
-    return w;
+std::unique_ptr<Simulator> busy_simulator(std::uint64_t seed) {
+    auto simulator = std::make_unique<Simulator>(seed);
+    for (int i = 0; i < 4; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
+    simulator->start_nodes();
+    simulator->run(6 * kSecond);
+    simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
+    simulator->submit(simulator->job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
+    simulator->submit(simulator->job(3, JobKind::Array, 2), kSecond);
+    simulator->submit(simulator->job(4, JobKind::Service, 2), 0);
+    simulator->run(5 * kSecond);
+    simulator->cancel("req-000004");
+    simulator->run(4 * kSecond);
+    return simulator;
 }
 
-TEST(Verify, FindsNothingInASoundStore) {
-    auto w = busy(1);
-    EXPECT_EQ(text_of(verify(*w)), "");
-    for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-    w->run(5 * kSecond);
-    EXPECT_EQ(text_of(verify(*w)), "");
+TEST(Verify, ReportsNothingForAnUndamagedStore) {
+    auto simulator = busy_simulator(1);
+    EXPECT_EQ(to_text(verify(*simulator)), "");
+    for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+    simulator->run(5 * kSecond);
+    EXPECT_EQ(to_text(verify(*simulator)), "");
 }
 
-TEST(Verify, EachDamageIsOneClearLineAndTheRestServes) {
-    struct Case {
-        const char* line;
+TEST(Verify, ReportsEachDamageAndControllersServeTheRest) {
+    struct DamageCase {
+        const char* expected_text;
         std::function<void(Simulator&)> damage;
-        bool runs_on = true;  // the service of job 1
+        bool service_keeps_running = true;  // req-000001
     };
-    auto block_key = [](Simulator& w) {
-        return w.state()
-            .handle("GET", "/store?starts=c/block/&page=1", {}, w.now())
+    auto block_key = [](Simulator& simulator) {
+        return simulator.state()
+            .handle("GET", "/store?starts=c/block/&page=1", {}, simulator.now())
             .body["pairs"][0]["k"]
             .get<std::string>();
     };
-    const std::vector<Case> cases{
-        {"its description is broken",
-         [](Simulator& w) {
-             Json v = read(w, "c/active/req-000002");
-             v["d"]["threads"] = "many";
-             write(w, "c/active/req-000002", v);
+    const std::vector<DamageCase> cases{
+        {"its description is invalid",
+         [](Simulator& simulator) {
+             Json value = read_record(simulator, "c/active/req-000002");
+             value["d"]["threads"] = "many";
+             write_record(simulator, "c/active/req-000002", value);
          }},
         {"has no description",
-         [](Simulator& w) {
-             write(w, "c/active/req-000002", {{"s", "queued"}, {"k", 3}});
+         [](Simulator& simulator) {
+             write_record(simulator, "c/active/req-000002", {{"s", "queued"}, {"k", 3}});
          }},
-        {"is no map", [](Simulator& w) { write(w, "c/active/req-000002", 7); }},
-        {"is not over, although history is apart",
-         [](Simulator& w) {
-             Json v = read(w, "c/active/req-000002");
-             v["d"]["ref"] = "req-000009";
-             write(w, "c/job/req-000009", v);
+        {"is not a map", [](Simulator& simulator) { write_record(simulator, "c/active/req-000002", 7); }},
+        {"is not over, although finished jobs are stored separately",
+         [](Simulator& simulator) {
+             Json value = read_record(simulator, "c/active/req-000002");
+             value["d"]["ref"] = "req-000009";
+             write_record(simulator, "c/job/req-000009", value);
          }},
         {"is bound twice",
-         [](Simulator& w) {
-             Json v = read(w, "c/active/req-000002");
-             v["b"].push_back(Json::array({v["b"][0][0], v["b"][0][1], v["b"][0][2]}));
-             write(w, "c/active/req-000002", v);
+         [](Simulator& simulator) {
+             Json value = read_record(simulator, "c/active/req-000002");
+             value["b"].push_back(Json::array({value["b"][0][0], value["b"][0][1], value["b"][0][2]}));
+             write_record(simulator, "c/active/req-000002", value);
          }},
-        {"is left of a job that is over",
-         [](Simulator& w) {
-             write(w, "c/part/req-000077/1", {{"n", 1}});
+        {"belongs to a job that is over",
+         [](Simulator& simulator) {
+             write_record(simulator, "c/part/req-000077/1", {{"n", 1}});
          }},
-        {"is broken; it is ignored",
-         [](Simulator& w) {
-             write(w, "c/block/9-1", {{"dom", 5}});
+        {"does not parse; the block and its machines are ignored",
+         [](Simulator& simulator) {
+             write_record(simulator, "c/block/9-1", {{"dom", 5}});
          }},
-        {"as well; the newer one counts",
-         [&](Simulator& w) { write(w, "c/block/9-1", read(w, block_key(w))); }},
-        {"which nobody holds",
-         [&](Simulator& w) {
-             Json v = read(w, block_key(w));
-             v["dom"] = "nowhere";
-             v["m"] = Json::array({Json::array({"n-009999", "10.9.9.9:9000"})});
-             write(w, "c/block/9-1", v);
+        {"; the newer block takes precedence",
+         [&](Simulator& simulator) {
+             write_record(simulator, "c/block/9-1", read_record(simulator, block_key(simulator)));
+         }},
+        {"which has no holder",
+         [&](Simulator& simulator) {
+             Json value = read_record(simulator, block_key(simulator));
+             value["dom"] = "nowhere";
+             value["m"] = Json::array({Json::array({"n-009999", "10.9.9.9:9000"})});
+             write_record(simulator, "c/block/9-1", value);
          }},
         {"add up to",
-         [](Simulator& w) {
-             Json v = read(w, "c/share/" + w.owner_at(w.holder())->shard());
-             v["red"][0] = 50'000;
-             write(w, "c/share/" + w.owner_at(w.holder())->shard(), v);
+         [](Simulator& simulator) {
+             Json value =
+                 read_record(simulator, "c/share/" + simulator.owner_at(simulator.holder())->shard());
+             value["red"][0] = 50'000;
+             write_record(simulator, "c/share/" + simulator.owner_at(simulator.holder())->shard(), value);
          }},
         {"newer than this program's",
-         [](Simulator& w) {
-             write(w, "c/format/loom-1", {{"reads", 99}});
+         [](Simulator& simulator) {
+             write_record(simulator, "c/format/loom-1", {{"reads", 99}});
          }},
-        {"of a kind that this program does not know",
-         [](Simulator& w) {
-             write(w, "c/zebra/1", {{"x", 1}});
+        {"is a record of an unknown kind",
+         [](Simulator& simulator) {
+             write_record(simulator, "c/zebra/1", {{"x", 1}});
          }},
-        {"pieces are missing",
-         [](Simulator& w) {
-             write(w, "c/active/req-000002", {{"s", "queued"}, {"x", Json::array({"feed", 3U})}});
+        {"chunks are missing",
+         [](Simulator& simulator) {
+             write_record(simulator, "c/active/req-000002",
+                          {{"s", "queued"}, {"x", Json::array({"feed", 3U})}});
          }},
     };
-    for (const auto& c : cases) {
-        auto w = busy(2);
-        c.damage(*w);
-        const auto found = verify(*w);
-        EXPECT_NE(text_of(found).find(c.line), std::string::npos) << c.line << ":\n" << text_of(found);
-        EXPECT_LE(found.size(), 4u) << "one thing, not an avalanche:\n" << text_of(found);
-        // Controllers that have to start with it set aside what is damaged, and nothing is overwritten.
-        for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
-        w->run(6 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 3) << c.line << "\n" << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 3) << c.line;
-        w->submit(w->job(8, JobKind::Array, 2), kSecond);
-        w->run(6 * kSecond);
-        EXPECT_EQ(w->told("req-000008"), "done") << c.line << "\n" << w->story();
+    for (const auto& damage_case : cases) {
+        auto simulator = busy_simulator(2);
+        damage_case.damage(*simulator);
+        const auto findings = verify(*simulator);
+        EXPECT_NE(to_text(findings).find(damage_case.expected_text), std::string::npos)
+            << damage_case.expected_text << ":\n"
+            << to_text(findings);
+        EXPECT_LE(findings.size(), 4u) << "one damage causes few findings:\n" << to_text(findings);
+        // Controllers that start with the damage ignore the damaged record without overwriting it, and serve
+        // the rest.
+        for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
+        simulator->run(6 * kSecond);
+        EXPECT_EQ(simulator->running("req-000001"), 3) << damage_case.expected_text << "\n"
+                                                       << simulator->story();
+        EXPECT_EQ(simulator->starts("req-000001"), 3) << damage_case.expected_text;
+        simulator->submit(simulator->job(8, JobKind::Array, 2), kSecond);
+        simulator->run(6 * kSecond);
+        EXPECT_EQ(simulator->told("req-000008"), "done") << damage_case.expected_text << "\n"
+                                                         << simulator->story();
     }
 }
 
