--- a/src/cli/verify.hpp
+++ b/src/cli/verify.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// `cottonway verify`: reads the store and reports what is damaged in it.
+// `cottonway verify`: reads the state service and reports damaged records.
 
 #include "config/settings.hpp"
 
 namespace cottonway::cli {
 
-/// Prints the findings, as JSON or as lines, on standard output. Takes a tenth of the store's requests.
-/// Returns the exit code: 0 nothing is damaged, 1 something is, 2 the store could not be read.
+/// Prints the findings as JSON or as lines on standard output. Uses a tenth of the configured request rate.
+/// Returns the exit code: 0 if nothing is damaged, 1 if something is, 2 if the state service cannot be read.
 int verify_store(Settings settings, bool json);
 
 }  // namespace cottonway::cli
--- a/tools/cottonway.cpp
+++ b/tools/cottonway.cpp
@@ -1,4 +1,4 @@
-// The program: runs a controller, checks its settings, or asks a running one.
+// The cottonway program: runs a controller, checks its settings, or sends commands to a running controller.
 
 #include <CLI/CLI.hpp>
 #include <cstdlib>
@@ -18,38 +18,41 @@
     app.set_version_flag("--version", std::string("cottonway ") + COTTONWAY_VERSION);
     std::string config, operators, node = "127.0.0.1:8080", ref, file;
     std::vector<std::string> refs;
-    bool check = false;
+    bool check_only = false;
     app.add_option("--config", config, "the platform's settings file (TOML); runs a controller");
     app.add_option("--operators", operators, "the operators' own settings (TOML)");
-    app.add_flag("--check", check, "check the settings and exit");
-    auto client = [&](const char* name, const char* help) {
-        auto* sub = app.add_subcommand(name, help);
-        sub->add_option("--node", node, "address of a controller")->capture_default_str();
-        return sub;
+    app.add_flag("--check", check_only, "check the settings and exit");
+    auto add_client_command = [&](const char* name, const char* help) {
+        auto* subcommand = app.add_subcommand(name, help);
+        subcommand->add_option("--node", node, "address of a controller")->capture_default_str();
+        return subcommand;
     };
-    auto* submit = client("submit", "submit the job in a JSON file, or a list of them in order");
+    auto* submit = add_client_command("submit", "submit the job in a JSON file, or a list of them in order");
     submit->add_option("file", file, "the job or jobs as JSON")->required()->check(CLI::ExistingFile);
-    auto* show = client("show", "show jobs, for example those of a pipeline");
+    auto* show = add_client_command("show", "show jobs, for example those of a pipeline");
     show->add_option("ref", refs, "the jobs' ids")->required();
-    auto* cancel = client("cancel", "cancel a job");
+    auto* cancel = add_client_command("cancel", "cancel a job");
     cancel->add_option("ref", ref, "the job's id")->required();
-    auto* status = client("status", "status and metrics of a controller (its cluster address)");
-    auto* explain = client("explain", "tell why a job waits (asks a controller's cluster address)");
+    auto* status =
+        add_client_command("status", "show status and metrics of a controller (uses its cluster address)");
+    auto* explain =
+        add_client_command("explain", "explain why a job waits (uses a controller's cluster address)");
     explain->add_option("ref", ref, "the job's id")->required();
-    auto* policies = app.add_subcommand("policy", "the operators' policy: check a file, or ask a controller");
-    policies->require_subcommand(1);
-    auto* policy_check = policies->add_subcommand("check", "check a file, and print it as it was understood");
+    auto* policy_command =
+        app.add_subcommand("policy", "the operators' policy: check a file, or query a controller");
+    policy_command->require_subcommand(1);
+    auto* policy_check = policy_command->add_subcommand("check", "check a file and print it in parsed form");
     policy_check->add_option("file", file, "the policy (TOML)")->required()->check(CLI::ExistingFile);
     policy_check->add_option("--config", config, "the platform's settings file, for its teams and zones");
-    auto* policy_show = policies->add_subcommand("show", "show the policy that a controller goes by");
-    auto* policy_diff = policies->add_subcommand(
-        "diff", "show what a file would change; exit code 0: nothing, 1: something, or no answer");
+    auto* policy_show = policy_command->add_subcommand("show", "show the policy that a controller applies");
+    auto* policy_diff = policy_command->add_subcommand(
+        "diff", "show what a file would change; exit code 0: nothing, 1: something, or no response");
     policy_diff->add_option("file", file, "the policy (TOML)")->required()->check(CLI::ExistingFile);
-    for (auto* sub : {policy_show, policy_diff})
-        sub->add_option("--node", node, "cluster address of a controller")->capture_default_str();
+    for (auto* subcommand : {policy_show, policy_diff})
+        subcommand->add_option("--node", node, "cluster address of a controller")->capture_default_str();
     bool json = false;
     auto* verify = app.add_subcommand(
-        "verify", "read the state service and report what is damaged; exit code 0: nothing, 1: something");
+        "verify", "read the state service and report damaged records; exit code 0: none, 1: some");
     verify->add_option("--config", config, "the platform's settings file (TOML)")->required();
     verify->add_flag("--json", json, "print the findings as JSON");
     app.require_subcommand(0, 1);
@@ -57,8 +60,8 @@
 
     try {
         if (submit->parsed()) {
-            std::ifstream in(file);
-            return cli::submit_jobs(parse_endpoint(node), Json::parse(in));
+            std::ifstream input(file);
+            return cli::submit_jobs(parse_endpoint(node), Json::parse(input));
         }
         if (show->parsed()) return cli::show_jobs(parse_endpoint(node), refs);
         if (cancel->parsed())
@@ -79,19 +82,19 @@
             return 2;
         }
         const Settings settings = load_settings(config, operators);
-        const char* level = std::getenv("LOG_LEVEL");
-        std::string wanted = level ? level : settings.ops.log_level;
-        if (!start_logging(settings.node, wanted)) {
-            std::cerr << "LOG_LEVEL: must be error, info or debug, not " << wanted << "\n";
+        const char* level_override = std::getenv("LOG_LEVEL");
+        std::string log_level = level_override ? level_override : settings.ops.log_level;
+        if (!start_logging(settings.node, log_level)) {
+            std::cerr << "LOG_LEVEL: must be error, info or debug, not " << log_level << "\n";
             return 2;
         }
-        if (check) {
+        if (check_only) {
             std::cout << "settings of " << settings.node << " are fine\n";
             return 0;
         }
         net::run_service(settings);
-    } catch (const std::exception& e) {
-        std::cerr << "cottonway: " << e.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "cottonway: " << error.what() << "\n";
         return 2;
     }
     return 0;
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -1,4 +1,4 @@
-// Plays experiments in a simulated world and prints what they show. Same seed, same run.
+// Runs experiments in the simulator and prints their results. The same seed gives the same run.
 
 #include <CLI/CLI.hpp>
 #include <fstream>
@@ -19,33 +19,33 @@
         ->required()
         ->check(CLI::ExistingFile);
     app.add_option("--seed", seed, "the first seed, instead of the experiment's own");
-    app.add_option("--seeds", seeds, "how many, instead of the experiment's own")
+    app.add_option("--seeds", seeds, "number of seeds, instead of the experiment's own")
         ->check(CLI::Range(1, 100'000));
-    app.add_option("--csv", csv, "write the figures to this file");
-    app.add_flag("--json", json, "print the figures as JSON");
-    app.add_option("--log", level, "error, info or debug: the controllers' own lines, on standard error")
+    app.add_option("--csv", csv, "write the results to this file");
+    app.add_flag("--json", json, "print the results as JSON");
+    app.add_option("--log", level, "error, info or debug: level of the controllers' log on standard error")
         ->capture_default_str();
     CLI11_PARSE(app, argc, argv);
     try {
-        simulation::Scenario e = simulation::Scenario::load(file);
-        if (seed >= 0) e.seed = static_cast<std::uint64_t>(seed);
-        if (seeds > 0) e.seeds = seeds;
+        simulation::Scenario scenario = simulation::Scenario::load(file);
+        if (seed >= 0) scenario.seed = static_cast<std::uint64_t>(seed);
+        if (seeds > 0) scenario.seeds = seeds;
         if (!start_logging("lab", level)) throw std::runtime_error("--log: must be error, info or debug");
         simulation::Results results;
-        for (int i = 0; i < e.seeds; ++i)
-            simulation::play(e, e.seed + static_cast<std::uint64_t>(i), results);
+        for (int i = 0; i < scenario.seeds; ++i)
+            simulation::play(scenario, scenario.seed + static_cast<std::uint64_t>(i), results);
         if (json)
             std::cout << results.value().dump(2) << "\n";
         else
-            std::cout << e.name << "\n" << results.table();
+            std::cout << scenario.name << "\n" << results.table();
         if (!csv.empty()) {
-            std::ofstream out(csv);
-            out << results.csv();
-            if (!out) throw std::runtime_error(csv + ": can't be written");
+            std::ofstream csv_file(csv);
+            csv_file << results.csv();
+            if (!csv_file) throw std::runtime_error(csv + ": cannot be written");
         }
         return results.fine() ? 0 : 1;
-    } catch (const std::exception& err) {
-        std::cerr << "cottonway-lab: " << err.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "cottonway-lab: " << error.what() << "\n";
         return 2;
     }
 }
