--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -1,5 +1,6 @@
-// What a pass of planning costs one owner, by machines and waiting tasks: with room for all of them, and with
-// none. The store and the workers never answer. See docs/measurements.md.
+// Measures the time of one planning pass of a shard owner by number of machines and waiting tasks: with
+// capacity for all tasks, and with none. The state service and the workers never answer. See
+// docs/measurements.md.
 
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
@@ -13,8 +14,8 @@
 
 namespace {
 
-/// A clock that is set by hand, and calls that nobody answers.
-class StillRuntime : public Runtime {
+/// A runtime whose clock is set by hand and whose calls are never answered.
+class ManualRuntime : public Runtime {
   public:
     Micros now() override { return now_; }
     Micros listened() override { return now_; }
@@ -22,16 +23,16 @@
     void call(Call, ReplyHandler) override {}
     void after(Micros, std::function<void()>) override {}
     std::mt19937_64& random() override { return random_; }
-    void pass(Micros span) { now_ += span; }
+    void advance(Micros span) { now_ += span; }
 
   private:
     Micros now_ = kSecond;
     std::mt19937_64 random_{7};
 };
 
-class Context : public ShardContext {
+class BenchContext : public ShardContext {
   public:
-    Context() : settings_(site()), store_(runtime_, settings_) {}
+    BenchContext() : settings_(make_settings()), store_(runtime_, settings_) {}
     Runtime& runtime() override { return runtime_; }
     StoreClient& store() override { return store_; }
     const Settings& settings() override { return settings_; }
@@ -48,23 +49,23 @@
     std::optional<Micros> peer_ended(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
                       std::function<void(bool)>) override {}
-    void pass(Micros span) { runtime_.pass(span); }
+    void advance(Micros span) { runtime_.advance(span); }
 
   private:
-    static Settings site() {
-        Settings s;
-        s.teams = {{"red", {kNoLimit, kNoLimit, 0}, {kNoLimit, kNoLimit, 0}}};
-        s.objectives = {{"wait", "push", 2 * kSecond}, {"finished", "push", 100 * kSecond}};
-        return s;
+    static Settings make_settings() {
+        Settings settings;
+        settings.teams = {{"red", {kNoLimit, kNoLimit, 0}, {kNoLimit, kNoLimit, 0}}};
+        settings.objectives = {{"wait", "push", 2 * kSecond}, {"finished", "push", 100 * kSecond}};
+        return settings;
     }
-    StillRuntime runtime_;
+    ManualRuntime runtime_;
     Settings settings_;
     StoreClient store_;
     MachineType type_{"small", {16'000, 0, 64'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
 };
 
-/// An owner whose machines are all up, each with an image of one of five.
-std::unique_ptr<ShardOwner> owner_of(Context& context, int machines) {
+/// Returns an owner whose machines have all reported.
+std::unique_ptr<ShardOwner> make_owner(BenchContext& context, int machines) {
     auto owner = std::make_unique<ShardOwner>(context, "d", 1, 0);
     for (int i = 0; i < machines; ++i) {
         Block block;
@@ -78,43 +79,43 @@
     }
     owner->activate();
     for (int i = 0; i < machines; ++i) {
-        Report r;
-        r.machine = fmt::format("m-{}", i);
-        r.type = "small";
-        r.zone = i % 2 ? "a" : "b";
-        r.session = r.seq = r.token = 1;
-        owner->on_report(r, true);
+        Report report;
+        report.machine = fmt::format("m-{}", i);
+        report.type = "small";
+        report.zone = i % 2 ? "a" : "b";
+        report.session = report.seq = report.token = 1;
+        owner->on_report(report, true);
     }
     return owner;
 }
 
-/// Arrays of fifty tasks, one core each unless `cores` says more.
-void add_jobs(ShardOwner& owner, int tasks, int cores, int first) {
+/// Adds array jobs of 50 tasks with `cores` cores each; the jobs use five different images.
+void add_jobs(ShardOwner& owner, int tasks, int cores, int first_job_number) {
     for (int i = 0; i < tasks / 50; ++i) {
-        JobSpec s;
-        s.ref = fmt::format("req-{}", first + i);
-        s.job_class = "push";
-        s.team = "red";
-        s.rank = PriorityClass::High;
-        s.tasks = 50;
-        s.request = {cores * 1000, 0, cores * 3000};
-        s.spot = true;
-        s.image = fmt::format("push-{}", i % 5);
-        s.image_gb = 500;
-        s.estimate = 30 * kSecond;
-        const Json record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(s)},
+        JobSpec spec;
+        spec.ref = fmt::format("req-{}", first_job_number + i);
+        spec.job_class = "push";
+        spec.team = "red";
+        spec.rank = PriorityClass::High;
+        spec.tasks = 50;
+        spec.request = {cores * 1000, 0, cores * 3000};
+        spec.spot = true;
+        spec.image = fmt::format("push-{}", i % 5);
+        spec.image_gb = 500;
+        spec.estimate = 30 * kSecond;
+        const Json record{{"s", "queued"}, {"k", 50},   {"dom", "d"}, {"d", wire::job_value(spec)},
                           {"at", 0},       {"ps", 100}, {"fd", 0},    {"fr", 0}};
-        owner.on_job(s.ref, RecordLocation::Active, record, 1);
+        owner.on_job(spec.ref, RecordLocation::Active, record, 1);
     }
 }
 
 void room_for_all(benchmark::State& state) {
     for (auto _ : state) {
         state.PauseTiming();
-        Context context;
-        auto owner = owner_of(context, static_cast<int>(state.range(0)));
+        BenchContext context;
+        auto owner = make_owner(context, static_cast<int>(state.range(0)));
         add_jobs(*owner, static_cast<int>(state.range(1)), 1, 100'000);
-        context.pass(kSecond);
+        context.advance(kSecond);
         state.ResumeTiming();
         owner->work();
         state.PauseTiming();
@@ -124,14 +125,14 @@
 }
 
 void no_room(benchmark::State& state) {
-    Context context;
-    auto owner = owner_of(context, static_cast<int>(state.range(0)));
+    BenchContext context;
+    auto owner = make_owner(context, static_cast<int>(state.range(0)));
     add_jobs(*owner, (static_cast<int>(state.range(0)) + 49) / 50 * 50, 16, 100'000);
-    context.pass(kSecond);
+    context.advance(kSecond);
     owner->work();
     add_jobs(*owner, static_cast<int>(state.range(1)), 1, 200'000);
     for (auto _ : state) {
-        context.pass(200 * kMillisecond);
+        context.advance(200 * kMillisecond);
         owner->tick();
     }
 }
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -1,5 +1,5 @@
-// cottonway-soak: real controllers over loopback under faults drawn from a seed, with every rule judged from
-// outside.
+// cottonway-soak: runs controller processes on loopback under faults drawn from a seed, and checks every rule
+// of the protocol from outside.
 
 #include <unistd.h>
 
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr int kExitBreach = 1;
-constexpr int kExitUnusable = 2;
+constexpr int kExitViolation = 1;
+constexpr int kExitCannotRun = 2;
 constexpr int kExitNotJudged = 3;
 constexpr int kExitInterrupted = 130;
 
@@ -55,24 +55,24 @@
     return "?";
 }
 
-void print(const Arguments& arguments, std::uint64_t seed, const soak::SoakVerdict& v,
-           const std::string& folder) {
-    std::cout << "seed " << seed << ": " << name_of(v.result) << ", " << v.accepted_jobs << " jobs accepted, "
-              << v.cancelled_jobs << " cancelled, " << v.task_starts << " starts, " << v.answers
-              << " answers, longest from cancellation to last task gone "
-              << v.longest_stop_time / kMillisecond << " ms, test late by " << v.max_lateness / kMillisecond
-              << " ms at most" << std::endl;
-    for (const auto& line : v.violations) std::cout << "  " << line << std::endl;
-    if (v.result == soak::SoakResult::Failed)
-        std::cout << "  again: cottonway-soak --seed " << seed << " --workers " << arguments.workers
+void print_verdict(const Arguments& arguments, std::uint64_t seed, const soak::SoakVerdict& verdict,
+                   const std::string& folder) {
+    std::cout << "seed " << seed << ": " << name_of(verdict.result) << ", " << verdict.accepted_jobs
+              << " jobs accepted, " << verdict.cancelled_jobs << " cancelled, " << verdict.task_starts
+              << " starts, " << verdict.answers
+              << " answers, longest time from cancellation to the last task's end "
+              << verdict.longest_stop_time / kMillisecond << " ms, test delayed by at most "
+              << verdict.max_lateness / kMillisecond << " ms" << std::endl;
+    for (const auto& line : verdict.violations) std::cout << "  " << line << std::endl;
+    if (verdict.result == soak::SoakResult::Failed)
+        std::cout << "  to repeat: cottonway-soak --seed " << seed << " --workers " << arguments.workers
                   << " --duration " << arguments.duration_s << " --keep-logs; logs, in one timeline: sort -m "
                   << folder << "/*.log" << std::endl;
 }
 
-/// Plays every `jobs`-th seed from its own block of ports.
-void play_every(const Arguments& arguments, int offset, Totals& totals, std::string& error,
-                std::mutex& lock) {
-    const int ports = soak::port_count(arguments.workers);
+/// Runs every `jobs`-th seed, starting with the one at `offset`, on a port range of its own.
+void run_seeds(const Arguments& arguments, int offset, Totals& totals, std::string& error, std::mutex& lock) {
+    const int ports_per_run = soak::port_count(arguments.workers);
     for (int i = offset; i < arguments.seeds && !interrupted; i += arguments.jobs) {
         soak::SoakOptions options;
         options.seed = arguments.seed + static_cast<std::uint64_t>(i);
@@ -80,43 +80,43 @@
         options.fault_duration = arguments.duration_s * kSecond;
         options.controller_binary = arguments.controller;
         options.folder = arguments.logs + "/seed-" + std::to_string(options.seed);
-        options.first_port = static_cast<std::uint16_t>(arguments.first_port + offset * ports);
+        options.first_port = static_cast<std::uint16_t>(arguments.first_port + offset * ports_per_run);
         try {
-            const soak::SoakVerdict v = soak::run_soak(options, interrupted);
+            const soak::SoakVerdict verdict = soak::run_soak(options, interrupted);
             const std::lock_guard<std::mutex> guard(lock);
-            print(arguments, options.seed, v, options.folder);
-            totals.passed += v.result == soak::SoakResult::Passed;
-            totals.failed += v.result == soak::SoakResult::Failed;
-            totals.not_judged += v.result == soak::SoakResult::NotJudged;
-            if (v.result == soak::SoakResult::Passed && !arguments.keep_logs)
+            print_verdict(arguments, options.seed, verdict, options.folder);
+            totals.passed += verdict.result == soak::SoakResult::Passed;
+            totals.failed += verdict.result == soak::SoakResult::Failed;
+            totals.not_judged += verdict.result == soak::SoakResult::NotJudged;
+            if (verdict.result == soak::SoakResult::Passed && !arguments.keep_logs)
                 std::filesystem::remove_all(options.folder);
-        } catch (const std::system_error& e) {
+        } catch (const std::system_error& system_error) {
             const std::lock_guard<std::mutex> guard(lock);
-            error = e.what();
+            error = system_error.what();
             return;
         }
     }
 }
 
-/// Below the ports that outgoing connections take.
-int chosen_port() {
-    constexpr int kFirst = 20'000, kBlock = 200, kBlocks = 60;
-    return kFirst + getpid() % kBlocks * kBlock;
+/// Returns a first port below the range that outgoing connections use.
+int choose_first_port() {
+    constexpr int kFirstPort = 20'000, kPortsPerProcess = 200, kPortRanges = 60;
+    return kFirstPort + getpid() % kPortRanges * kPortsPerProcess;
 }
 
-int check(const Arguments& arguments) {
-    const int ports = arguments.first_port + arguments.jobs * soak::port_count(arguments.workers);
-    if (ports > 65'535) {
+int check_arguments(const Arguments& arguments) {
+    const int last_port = arguments.first_port + arguments.jobs * soak::port_count(arguments.workers);
+    if (last_port > 65'535) {
         std::cerr << "cottonway-soak: " << arguments.jobs << " runs at once with " << arguments.workers
-                  << " workers need ports up to " << ports << "\n";
-        return kExitUnusable;
+                  << " workers need ports up to " << last_port << "\n";
+        return kExitCannotRun;
     }
-    std::error_code ignored;
-    const auto status = std::filesystem::status(arguments.controller, ignored);
-    const auto executable = std::filesystem::perms::owner_exec;
-    if (!std::filesystem::is_regular_file(status) || (status.permissions() & executable) != executable) {
+    std::error_code status_error;
+    const auto status = std::filesystem::status(arguments.controller, status_error);
+    const auto owner_exec = std::filesystem::perms::owner_exec;
+    if (!std::filesystem::is_regular_file(status) || (status.permissions() & owner_exec) != owner_exec) {
         std::cerr << "cottonway-soak: no program at " << arguments.controller << "\n";
-        return kExitUnusable;
+        return kExitCannotRun;
     }
     return 0;
 }
@@ -128,31 +128,34 @@
     arguments.controller = (std::filesystem::path(argv[0]).parent_path() / "cottonway").string();
     arguments.logs = (std::filesystem::temp_directory_path() / "cottonway-soak").string();
     CLI::App app{
-        "Real controllers over loopback under faults drawn from a seed; exit code 1 for a broken rule, 2 "
-        "for\n"
-        "what can't be played, 3 where the test itself was too late to judge."};
+        "Runs controller processes on loopback under faults drawn from a seed; exit code 1 if a rule was\n"
+        "violated, 2 if a run is impossible, 3 if the test itself was too late to judge."};
     app.add_option("--seed", arguments.seed, "the first seed")->capture_default_str();
-    app.add_option("--seeds", arguments.seeds, "how many, one after the other")
+    app.add_option("--seeds", arguments.seeds, "number of seeds")
         ->check(CLI::Range(1, 100'000))
         ->capture_default_str();
     app.add_option("--workers", arguments.workers)->check(CLI::Range(3, 1000))->capture_default_str();
-    app.add_option("--duration", arguments.duration_s, "of the faults, in seconds")
+    app.add_option("--duration", arguments.duration_s, "time during which faults occur, in seconds")
         ->check(CLI::Range(5, 3600))
         ->capture_default_str();
-    app.add_option("--jobs", arguments.jobs, "runs at once")->check(CLI::Range(1, 32))->capture_default_str();
-    app.add_option("--first-port", arguments.first_port, "0: chosen by the process id")
+    app.add_option("--jobs", arguments.jobs, "runs in parallel")
+        ->check(CLI::Range(1, 32))
+        ->capture_default_str();
+    app.add_option("--first-port", arguments.first_port,
+                   "first port of the runs; 0: chosen by the process id")
         ->check(CLI::Range(0, 65'000))
         ->capture_default_str();
-    app.add_option("--controller", arguments.controller, "the program that is tested")->capture_default_str();
+    app.add_option("--controller", arguments.controller, "the controller program under test")
+        ->capture_default_str();
     app.add_option("--logs", arguments.logs, "folder for the logs of failed runs")->capture_default_str();
-    app.add_flag("--keep-logs", arguments.keep_logs, "keep those of passed runs as well");
+    app.add_flag("--keep-logs", arguments.keep_logs, "keep the logs of passed runs as well");
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? 0 : kExitUnusable;
+    } catch (const CLI::ParseError& parse_error) {
+        return app.exit(parse_error) == 0 ? 0 : kExitCannotRun;
     }
-    if (arguments.first_port == 0) arguments.first_port = chosen_port();
-    if (const int unusable = check(arguments)) return unusable;
+    if (arguments.first_port == 0) arguments.first_port = choose_first_port();
+    if (const int exit_code = check_arguments(arguments)) return exit_code;
     std::signal(SIGINT, [](int) { interrupted = true; });
     std::signal(SIGTERM, [](int) { interrupted = true; });
     std::signal(SIGPIPE, SIG_IGN);
@@ -161,15 +164,15 @@
     std::mutex lock;
     std::vector<std::thread> threads;
     for (int i = 0; i < arguments.jobs; ++i)
-        threads.emplace_back([&, i] { play_every(arguments, i, totals, error, lock); });
+        threads.emplace_back([&, i] { run_seeds(arguments, i, totals, error, lock); });
     for (auto& thread : threads) thread.join();
     if (!error.empty()) {
         std::cerr << "cottonway-soak: " << error << "\n";
-        return kExitUnusable;
+        return kExitCannotRun;
     }
     std::cout << totals.passed << " passed, " << totals.failed << " failed, " << totals.not_judged
               << " not judged" << std::endl;
-    if (totals.failed > 0) return kExitBreach;
+    if (totals.failed > 0) return kExitViolation;
     if (interrupted) return kExitInterrupted;
     return totals.not_judged > 0 ? kExitNotJudged : 0;
 }
