--- a/src/soak/controller_process.cpp
+++ b/src/soak/controller_process.cpp
@@ -16,13 +16,13 @@
     if (is_running()) return;
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
-                                     0644);
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_file_.c_str(),
+                                     O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, STDERR_FILENO, STDOUT_FILENO);
-    // The sockets of the test are not its own.
+    // Keeps the process from inheriting the test's sockets.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     std::string config = "--config";
-    char* const arguments[] = {binary_.data(), config.data(), settings_.data(), nullptr};
+    char* const arguments[] = {binary_.data(), config.data(), settings_file_.data(), nullptr};
     const int error = posix_spawn(&pid_, binary_.c_str(), &actions, nullptr, arguments, environ);
     posix_spawn_file_actions_destroy(&actions);
     if (error == 0) return;
--- a/src/soak/controller_process.hpp
+++ b/src/soak/controller_process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One controller as a real process: started, killed, paused and resumed by its id.
+// A controller that runs as a child process.
 
 #include <sys/types.h>
 
@@ -7,29 +7,32 @@
 
 namespace cottonway::soak {
 
+/// Starts, kills, pauses and resumes the process.
 class ControllerProcess {
   public:
-    /// `log`: the file that its standard error is appended to.
-    ControllerProcess(std::string binary, std::string settings, std::string log)
-        : binary_(std::move(binary)), settings_(std::move(settings)), log_(std::move(log)) {}
+    /// `log_file`: file that the process's standard output and standard error are appended to.
+    ControllerProcess(std::string binary, std::string settings_file, std::string log_file)
+        : binary_(std::move(binary)),
+          settings_file_(std::move(settings_file)),
+          log_file_(std::move(log_file)) {}
     ~ControllerProcess() { kill(); }
     ControllerProcess(const ControllerProcess&) = delete;
     ControllerProcess& operator=(const ControllerProcess&) = delete;
 
-    /// Throws std::system_error where it can't be started.
+    /// Throws std::system_error if the process cannot be started.
     void start();
-    /// Ends it at once and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
     void pause();
     void resume();
     bool is_running() const { return pid_ > 0; }
-    /// Whether it has ended by itself since it was started; then it counts as not running.
+    /// Returns true if the process has ended by itself, and reaps it; it then counts as not running.
     bool reap_if_exited();
 
   private:
     std::string binary_;
-    std::string settings_;
-    std::string log_;
+    std::string settings_file_;
+    std::string log_file_;
     pid_t pid_ = -1;
 };
 
--- a/src/soak/fault_schedule.cpp
+++ b/src/soak/fault_schedule.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr Micros kShortestFault = kSecond;
-constexpr Micros kLongestFault = 8 * kSecond;
-constexpr Micros kLongestPauseBetweenGroups = 3 * kSecond;
-constexpr Micros kLongestOffsetInGroup = kSecond;
+constexpr Micros kMinFaultDuration = kSecond;
+constexpr Micros kMaxFaultDuration = 8 * kSecond;
+constexpr Micros kMaxGroupInterval = 3 * kSecond;
+constexpr Micros kMaxOffsetInGroup = kSecond;
 
 class Random {
   public:
     explicit Random(std::uint64_t seed) : engine_(seed) {}
-    Micros between(Micros least, Micros most) {
-        return least + static_cast<Micros>(engine_() % static_cast<std::uint64_t>(most - least + 1));
+    Micros between(Micros min, Micros max) {
+        return min + static_cast<Micros>(engine_() % static_cast<std::uint64_t>(max - min + 1));
     }
-    int below(int n) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(n)); }
+    int below(int limit) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(limit)); }
 
   private:
     std::mt19937_64 engine_;
@@ -61,22 +61,23 @@
 std::vector<Fault> generate_faults(std::uint64_t seed, int controllers, Micros from, Micros until) {
     Random random(seed);
     std::vector<Fault> faults;
-    Micros group = from;
-    while (group + kShortestFault < until) {
-        const int overlapping = 2 + random.below(2);
-        for (int i = 0; i < overlapping; ++i) {
+    Micros group_start = from;
+    while (group_start + kMinFaultDuration < until) {
+        const int faults_in_group = 2 + random.below(2);
+        for (int i = 0; i < faults_in_group; ++i) {
             Fault fault;
             fault.starts_at =
-                std::min(group + random.between(0, kLongestOffsetInGroup), until - kShortestFault);
-            fault.duration = std::min(random.between(kShortestFault, kLongestFault), until - fault.starts_at);
+                std::min(group_start + random.between(0, kMaxOffsetInGroup), until - kMinFaultDuration);
+            fault.duration =
+                std::min(random.between(kMinFaultDuration, kMaxFaultDuration), until - fault.starts_at);
             fault.kind = static_cast<FaultKind>(random.below(kFaultKindCount));
             fault.controller = random.below(controllers);
             faults.push_back(fault);
         }
-        // Cancellations meet every group of faults.
-        faults.push_back({std::min(group + random.between(0, 2 * kLongestOffsetInGroup), until), 0,
+        // Every group of faults includes cancellations.
+        faults.push_back({std::min(group_start + random.between(0, 2 * kMaxOffsetInGroup), until), 0,
                           FaultKind::CancelJobs, 0});
-        group += random.between(kShortestFault, kLongestPauseBetweenGroups) + kLongestOffsetInGroup;
+        group_start += random.between(kMinFaultDuration, kMaxGroupInterval) + kMaxOffsetInGroup;
     }
     std::stable_sort(faults.begin(), faults.end(),
                      [](const Fault& a, const Fault& b) { return a.starts_at < b.starts_at; });
--- a/src/soak/fault_schedule.hpp
+++ b/src/soak/fault_schedule.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The faults of one run of the soak test, drawn from its seed. Pure.
+// The faults of one run of the soak test. They depend on the run's seed only.
 
 #include <cstdint>
 #include <string>
@@ -17,11 +17,11 @@
     CutFromStore,
     CutFromPeers,
     CutFromWorkers,
-    LoseCommands,   // direct commands to workers get no answer and are not carried out
-    DelayCommands,  // they get no answer and are carried out late
-    LoseAnswers,    // answers to workers' heartbeats
-    LoseCommits,    // transactions are carried out, their answers are lost
-    DelayCommits,   // transactions get no answer and are carried out late
+    LoseCommands,   // direct commands to workers are neither carried out nor answered
+    DelayCommands,  // direct commands to workers are carried out late and not answered
+    LoseAnswers,    // answers to workers' heartbeats are lost
+    LoseCommits,    // transactions in the state service are carried out and not answered
+    DelayCommits,   // transactions are carried out late and not answered
     CancelJobs      // users cancel several running jobs at once
 };
 constexpr int kFaultKindCount = 13;
@@ -31,11 +31,13 @@
     Micros starts_at = 0;
     Micros duration = 0;
     FaultKind kind = FaultKind::KillController;
-    int controller = 0;  // what it happens to, where it happens to one
+    int controller = 0;  // affected controller, for faults that affect one
 };
 
-/// Ordered by time; all are over by `until`. Two or three overlap, and controllers end in series.
+/// Returns faults between `from` and `until`, ordered by start; all have ended by `until`. They come in
+/// groups of two or three that overlap, so that several controllers may fail one after another.
 std::vector<Fault> generate_faults(std::uint64_t seed, int controllers, Micros from, Micros until);
+/// Returns the log line of a fault that begins.
 std::string describe(const Fault& fault);
 
 }  // namespace cottonway::soak
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The protocol's rules, judged from outside: what workers run, and what users are told. No I/O; its owner
-// says what time it is. What users are told is judged by the simulator's ConsistencyChecker.
+// Checks the protocol's rules from outside, by the tasks that workers run and the answers that users get.
+// Does no I/O; its owner sets the time. The answers are checked by the simulator's ConsistencyChecker.
 
 #include <map>
 #include <set>
@@ -13,39 +13,47 @@
 
 namespace cottonway::soak {
 
+/// Records tasks and answers, and reports every violated rule.
 class RuleChecker : public fakes::TaskObserver {
   public:
-    /// The deployment that is played, which says who may use how much and how long a cancellation may take.
+    /// `deployment`: settings of the run; they hold the teams' limits and the time that a cancellation may
+    /// take.
     explicit RuleChecker(const Settings& deployment) : deployment_(deployment) {}
 
     void set_time(Micros now) { now_ = now; }
-    /// A user begins to submit a job; a task of it runs for `run`.
-    void submit(const JobSpec& spec, Micros run);
+    /// Records that a user is about to submit a job, each of whose tasks runs for `run_time`.
+    void submit(const JobSpec& spec, Micros run_time);
+    /// Records that a user is about to cancel the job.
     void record_cancellation_request(const std::string& job) { jobs_.at(job).cancellation_requested = true; }
-    /// To be called before a request is sent; what it returns goes into `told`.
-    std::uint64_t begin_request() { return answers_.begin(); }
-    void on_answer(simulation::Asked asked, const std::string& job, std::uint64_t begun, int status,
+    /// To be called before a request is sent. Returns the number of the request, to be passed to on_answer().
+    std::uint64_t begin_request() { return consistency_checker_.begin(); }
+    /// Checks an answer that a user got to a request.
+    void on_answer(simulation::Asked asked, const std::string& job, std::uint64_t request_number, int status,
                    const std::string& stage);
-    /// Rules that break by time alone.
+    /// Checks the rules that can be violated without any event, as time passes.
     void check_deadlines();
-    /// All faults are over: from now on users are due answers, and jobs that fit are due a start.
+    /// Records that all faults have ended: from now on users must get answers, and jobs for which there is
+    /// capacity must start.
     void on_faults_over() { faults_over_at_ = now_; }
-    /// The rules that are judged at the end: nothing is forgotten, and nothing is left waiting.
+    /// Checks the rules that apply at the end of a run: users got answers about every accepted job during the
+    /// last `answer_within`, and no job is left waiting.
     void check_final_state(Micros answer_within);
-    /// Whether all accepted jobs are over that are to end by themselves or were cancelled.
+    /// Returns true once every accepted job is done, is cancelled with no task left, or is a service with all
+    /// its replicas running.
     bool is_settled() const;
 
     const std::vector<std::string>& violations() const { return violations_; }
-    void report_violation(const std::string& rule, const std::string& what);
-    /// Accepted jobs that their users may still cancel, with tasks on machines.
+    void report_violation(const std::string& rule, const std::string& details);
+    /// Returns accepted, unfinished jobs that have tasks on machines and that no user has asked to cancel.
     std::vector<std::string> running_jobs() const;
     std::size_t accepted_jobs() const;
     std::size_t cancelled_jobs() const;
     std::size_t task_starts() const { return task_starts_; }
-    std::size_t answers() const { return answers_.heard(); }
-    /// The longest time from when a user was told of a cancellation until the last task was gone.
+    std::size_t answers() const { return consistency_checker_.heard(); }
+    /// Returns the longest time from the answer that confirmed a cancellation until the last task stopped.
     Micros longest_stop_time() const { return longest_stop_time_; }
     const JobSpec& spec(const std::string& job) const { return jobs_.at(job).info.spec; }
+    /// Returns true if a user was told that the job is done or cancelled.
     bool is_finished(const std::string& job) const;
 
     // TaskObserver.
@@ -62,13 +70,13 @@
     struct SubmittedJob {
         fakes::JobInfo info;
         bool cancellation_requested = false;
-        bool reported = false;  // as one that ran on
-        std::string told;       // "", "accepted", "done" or "cancelled"
-        Micros cancelled_at = 0;
-        Micros answered_at = 0;
-        std::set<int> done;
-        int on_machines = 0;
-        int starts = 0;
+        bool violation_reported = false;  // as running after its cancellation
+        std::string reported_state;       // "" before the first answer, "accepted", "done" or "cancelled"
+        Micros cancellation_confirmed_at = 0;
+        Micros last_answered_at = 0;
+        std::set<int> completed_tasks;
+        int tasks_on_machines = 0;
+        int task_starts = 0;
     };
 
     const Settings& deployment_;
@@ -77,10 +85,11 @@
     Micros longest_stop_time_ = 0;
     std::size_t task_starts_ = 0;
     std::map<std::string, SubmittedJob> jobs_;
-    std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> on_;
+    /// (job, task) -> machine -> attempt
+    std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> machines_of_task_;
     std::set<std::pair<std::string, std::int64_t>> finished_gangs_;
-    std::map<std::string, Resources> used_;  // by team
-    simulation::ConsistencyChecker answers_;
+    std::map<std::string, Resources> used_by_team_;
+    simulation::ConsistencyChecker consistency_checker_;
     std::vector<std::string> violations_;
 };
 
--- a/src/soak/soak_run.hpp
+++ b/src/soak/soak_run.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One run of the soak test: real controller processes over loopback, fakes for everything around them, faults
-// drawn from a seed, users that never stop, and the rules judged from outside.
+// One run of the soak test: controller processes on loopback, fakes of the systems around them, faults drawn
+// from a seed, users that send requests all the time, and a checker that judges the rules from outside.
 
 #include <atomic>
 #include <cstdint>
@@ -14,25 +14,26 @@
 struct SoakOptions {
     std::uint64_t seed = 1;
     int workers = 12;
-    Micros fault_duration = 30 * kSecond;  // of the faults; settling comes on top
-    std::string controller_binary;         // its binary
-    std::string folder;                    // for settings and logs; made if need be
+    Micros fault_duration =
+        30 * kSecond;               // of the period with faults; the run goes on until jobs have settled
+    std::string controller_binary;  // path of its program
+    std::string folder;             // for settings and logs; created if missing
     std::uint16_t first_port = 21'000;
 };
 
-/// Ports that a run takes, from its first one on.
+/// Returns the number of ports that a run uses, from its first port on.
 int port_count(int workers);
 
 enum class SoakResult : std::uint8_t {
     Passed,
     Failed,
-    NotJudged  // the test itself was late, or interrupted
+    NotJudged  // the test itself ran too late for its timing to be valid, or was interrupted
 };
 
 struct SoakVerdict {
     SoakResult result = SoakResult::Passed;
     std::vector<std::string> violations;
-    Micros max_lateness = 0;  // how late the test itself was at most
+    Micros max_lateness = 0;  // maximum delay of the test's own timer
     std::size_t accepted_jobs = 0;
     std::size_t cancelled_jobs = 0;
     std::size_t task_starts = 0;
@@ -40,7 +41,8 @@
     Micros longest_stop_time = 0;
 };
 
-/// Plays one run. Throws std::system_error for what makes it impossible: a port in use, no such binary.
+/// Executes one run. Throws std::system_error if the run is impossible, for example because a port is in use
+/// or the controller's program is missing.
 SoakVerdict run_soak(const SoakOptions& options, const std::atomic<bool>& interrupted);
 
 }  // namespace cottonway::soak
--- a/src/soak/tcp_proxy.cpp
+++ b/src/soak/tcp_proxy.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-tcp::endpoint endpoint_of(const Endpoint& e) {
-    return {asio::ip::make_address_v4(e.host), e.port};
+tcp::endpoint to_tcp_endpoint(const Endpoint& endpoint) {
+    return {asio::ip::make_address_v4(endpoint.host), endpoint.port};
 }
 
 }  // namespace
 
-/// A client's connection and the one to the target that belongs to it.
+/// A client's connection and the matching connection to the target.
 class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection> {
   public:
     ProxiedConnection(TcpProxy& proxy, tcp::socket client)
@@ -36,7 +36,7 @@
         });
     }
 
-    /// Sends what was held while the proxy was cut.
+    /// Sends the data that was held while the proxy was cut.
     void flush() {
         write(client_);
         write(target_);
@@ -60,12 +60,12 @@
 
     void read(Side& from, Side& to) {
         from.socket.async_read_some(asio::buffer(from.buffer), [self = shared_from_this(), &from, &to](
-                                                                   asio::error_code ec, std::size_t n) {
+                                                                   asio::error_code ec, std::size_t size) {
             if (ec) {
-                self->ended_ = true;
+                self->reached_end_ = true;
                 return self->close_if_drained();
             }
-            to.to_send.append(from.buffer.data(), n);
+            to.to_send.append(from.buffer.data(), size);
             self->write(to);
             self->read(from, to);
         });
@@ -85,23 +85,23 @@
     }
 
     void close_if_drained() {
-        const bool waits = client_.sending || target_.sending || !target_.to_send.empty();
-        if (ended_ && !proxy_.cut_ && !waits) close();
+        const bool has_data_to_send = client_.sending || target_.sending || !target_.to_send.empty();
+        if (reached_end_ && !proxy_.cut_ && !has_data_to_send) close();
     }
 
     TcpProxy& proxy_;
     Side client_;
     Side target_;
-    bool ended_ = false;
+    bool reached_end_ = false;
 };
 
 TcpProxy::TcpProxy(asio::io_context& io, const Endpoint& listen, Endpoint target)
-    : io_(io), listen_(endpoint_of(listen)), target_(endpoint_of(target)), acceptor_(io) {
+    : io_(io), listen_(to_tcp_endpoint(listen)), target_(to_tcp_endpoint(target)), acceptor_(io) {
     this->listen();
 }
 
 TcpProxy::~TcpProxy() {
-    for (const auto& c : std::set(connections_)) c->close();
+    for (const auto& connection : std::set(connections_)) connection->close();
 }
 
 void TcpProxy::listen() {
@@ -116,9 +116,9 @@
     acceptor_.async_accept([this](asio::error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted) return;
         if (!ec) {
-            auto c = std::make_shared<ProxiedConnection>(*this, std::move(socket));
-            connections_.insert(c);
-            c->start();
+            auto connection = std::make_shared<ProxiedConnection>(*this, std::move(socket));
+            connections_.insert(connection);
+            connection->start();
         }
         accept();
     });
@@ -133,7 +133,7 @@
 void TcpProxy::heal() {
     if (!std::exchange(cut_, false)) return;
     listen();
-    for (const auto& c : std::set(connections_)) c->flush();
+    for (const auto& connection : std::set(connections_)) connection->flush();
 }
 
 }  // namespace cottonway::soak
--- a/src/soak/tcp_proxy.hpp
+++ b/src/soak/tcp_proxy.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A TCP proxy on loopback that can be cut: what is sent meanwhile is held and delivered in order afterwards,
-// and new connections are refused.
+// A TCP proxy on loopback that can be cut. While it is cut, it holds data that is sent over its connections,
+// and refuses new connections; once healed, it delivers the held data in order.
 
 #include <asio.hpp>
 #include <memory>
@@ -14,7 +14,7 @@
 
 class TcpProxy {
   public:
-    /// Throws std::system_error where the port is in use.
+    /// Throws std::system_error if the port is in use.
     TcpProxy(asio::io_context& io, const Endpoint& listen, Endpoint target);
     ~TcpProxy();
     void cut();
