--- a/src/soak/soak_run.hpp
+++ b/src/soak/soak_run.hpp
@@ -14,10 +14,9 @@
 struct SoakOptions {
     std::uint64_t seed = 1;
     int workers = 12;
-    Micros fault_duration =
-        30 * kSecond;               // of the period with faults; the run goes on until jobs have settled
-    std::string controller_binary;  // path of its program
-    std::string folder;             // for settings and logs; created if missing
+    Micros fault_duration = 30 * kSecond;  // faults occur for this long; then jobs have time to settle
+    std::string controller_binary;         // path of its program
+    std::string folder;                    // for settings and logs; created if missing
     std::uint16_t first_port = 21'000;
 };
 
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the soak test: its faults, its proxy, and that its checker reports each breach.
+// Checks the parts of the soak test: the fault schedule, the TCP proxy, and that the rule checker reports
+// each violation.
 
 #include <gtest/gtest.h>
 
@@ -16,14 +17,14 @@
 
 constexpr int kControllers = 3;
 
-TEST(FaultSchedule, IsDrawnFromItsSeedAndOverInTime) {
+TEST(FaultSchedule, SameSeedGivesTheSameFaultsAndAllEndInTime) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         const auto faults = generate_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
-        const auto again = generate_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
-        ASSERT_EQ(faults.size(), again.size());
+        const auto repeated = generate_faults(seed, kControllers, 5 * kSecond, 35 * kSecond);
+        ASSERT_EQ(faults.size(), repeated.size());
         ASSERT_GE(faults.size(), 12u);
         for (std::size_t i = 0; i < faults.size(); ++i) {
-            EXPECT_EQ(describe(faults[i]), describe(again[i]));
+            EXPECT_EQ(describe(faults[i]), describe(repeated[i]));
             EXPECT_GE(faults[i].starts_at, 5 * kSecond);
             EXPECT_LE(faults[i].starts_at + faults[i].duration, 35 * kSecond);
             EXPECT_LT(faults[i].controller, kControllers);
@@ -32,7 +33,7 @@
     }
 }
 
-TEST(FaultSchedule, PlaysEveryKindWithinFiftySeedsAndLetsThemOverlap) {
+TEST(FaultSchedule, FiftySeedsCoverEveryKindWithOverlaps) {
     std::set<FaultKind> kinds;
     int overlaps = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
@@ -59,103 +60,104 @@
         spec.kind = kind;
         spec.tasks = tasks;
         spec.request = {1'000, 0, 1'000};
-        rules_.submit(spec, kSecond);
-        hear(Asked::Submission, ref, 201, "pending");
+        rule_checker_.submit(spec, kSecond);
+        report_answer(Asked::Submission, ref, 201, "pending");
     }
-    void hear(Asked asked, const std::string& ref, int status, const std::string& stage) {
-        rules_.on_answer(asked, ref, rules_.begin_request(), status, stage);
+    void report_answer(Asked asked, const std::string& ref, int status, const std::string& stage) {
+        rule_checker_.on_answer(asked, ref, rule_checker_.begin_request(), status, stage);
     }
     void cancel(const std::string& ref) {
-        rules_.record_cancellation_request(ref);
-        hear(Asked::Cancellation, ref, 200, "cancelled");
+        rule_checker_.record_cancellation_request(ref);
+        report_answer(Asked::Cancellation, ref, 200, "cancelled");
     }
-    /// The rules that were broken, without what happened.
-    std::vector<std::string> broken() const {
-        std::vector<std::string> rules;
-        for (const auto& line : rules_.violations()) rules.push_back(line.substr(0, line.find(':')));
-        return rules;
+    /// Returns the names of the violated rules, without details.
+    std::vector<std::string> violated_rules() const {
+        std::vector<std::string> names;
+        for (const auto& line : rule_checker_.violations()) names.push_back(line.substr(0, line.find(':')));
+        return names;
     }
 
-    using Rules = std::vector<std::string>;
+    using RuleNames = std::vector<std::string>;
     Settings deployment_;
-    RuleChecker rules_{deployment_};
+    RuleChecker rule_checker_{deployment_};
 };
 
-TEST_F(RuleCheckerTest, FindsNothingWhereNothingIsBroken) {
+TEST_F(RuleCheckerTest, ReportsNothingWhenNoRuleIsViolated) {
     submit("req-000001");
-    rules_.on_task_started("n-1", "req-000001", 0, 1);
+    rule_checker_.on_task_started("n-1", "req-000001", 0, 1);
     cancel("req-000001");
-    rules_.set_time(4 * kSecond);
-    rules_.on_task_stopped("n-1", "req-000001", 0, 1);
-    rules_.set_time(20 * kSecond);
-    rules_.check_deadlines();
-    rules_.on_faults_over();
-    hear(Asked::State, "req-000001", 200, "cancelled");
-    rules_.check_final_state(kSecond);
-    EXPECT_EQ(broken(), Rules{});
-    EXPECT_EQ(rules_.longest_stop_time(), 4 * kSecond);
-    EXPECT_TRUE(rules_.is_settled());
+    rule_checker_.set_time(4 * kSecond);
+    rule_checker_.on_task_stopped("n-1", "req-000001", 0, 1);
+    rule_checker_.set_time(20 * kSecond);
+    rule_checker_.check_deadlines();
+    rule_checker_.on_faults_over();
+    report_answer(Asked::State, "req-000001", 200, "cancelled");
+    rule_checker_.check_final_state(kSecond);
+    EXPECT_EQ(violated_rules(), RuleNames{});
+    EXPECT_EQ(rule_checker_.longest_stop_time(), 4 * kSecond);
+    EXPECT_TRUE(rule_checker_.is_settled());
 }
 
-TEST_F(RuleCheckerTest, ReportsACancelledTaskThatRunsOnOrStarts) {
+TEST_F(RuleCheckerTest, ReportsACancelledTaskThatKeepsRunningOrStarts) {
     submit("req-000001");
-    rules_.on_task_started("n-1", "req-000001", 0, 1);
+    rule_checker_.on_task_started("n-1", "req-000001", 0, 1);
     cancel("req-000001");
-    rules_.set_time(10 * kSecond);
-    rules_.check_deadlines();
-    EXPECT_EQ(broken(), Rules{});
-    rules_.set_time(10 * kSecond + 1);
-    rules_.check_deadlines();
-    rules_.check_deadlines();
-    EXPECT_EQ(broken(), Rules{"ran_cancelled"});
-    rules_.on_task_stopped("n-1", "req-000001", 0, 1);
-    rules_.on_task_started("n-1", "req-000001", 0, 2);
-    EXPECT_EQ(broken(), (Rules{"ran_cancelled", "ran_cancelled"}));
+    rule_checker_.set_time(10 * kSecond);
+    rule_checker_.check_deadlines();
+    EXPECT_EQ(violated_rules(), RuleNames{});
+    rule_checker_.set_time(10 * kSecond + 1);
+    rule_checker_.check_deadlines();
+    rule_checker_.check_deadlines();
+    EXPECT_EQ(violated_rules(), RuleNames{"ran_cancelled"});
+    rule_checker_.on_task_stopped("n-1", "req-000001", 0, 1);
+    rule_checker_.on_task_started("n-1", "req-000001", 0, 2);
+    EXPECT_EQ(violated_rules(), (RuleNames{"ran_cancelled", "ran_cancelled"}));
 }
 
 TEST_F(RuleCheckerTest, ReportsATaskThatRunsTwiceAndATeamAboveItsLimit) {
     submit("req-000001", JobKind::Service, 2);
-    rules_.on_task_started("n-1", "req-000001", 0, 1);
-    rules_.on_task_started("n-2", "req-000001", 0, 2);
-    EXPECT_EQ(broken(), Rules{"ran_twice"});
-    rules_.on_task_started("n-2", "req-000001", 1, 2);
-    EXPECT_EQ(broken(), (Rules{"ran_twice", "quota"}));
+    rule_checker_.on_task_started("n-1", "req-000001", 0, 1);
+    rule_checker_.on_task_started("n-2", "req-000001", 0, 2);
+    EXPECT_EQ(violated_rules(), RuleNames{"ran_twice"});
+    rule_checker_.on_task_started("n-2", "req-000001", 1, 2);
+    EXPECT_EQ(violated_rules(), (RuleNames{"ran_twice", "quota"}));
 }
 
-TEST_F(RuleCheckerTest, ReportsAnswersThatAreWrongOrGoBack) {
+TEST_F(RuleCheckerTest, ReportsWrongAnswersAndStatesThatGoBack) {
     submit("req-000001", JobKind::Array);
-    hear(Asked::State, "req-000001", 200, "done");
-    EXPECT_EQ(broken(), Rules{"not_done"});
+    report_answer(Asked::State, "req-000001", 200, "done");
+    EXPECT_EQ(violated_rules(), RuleNames{"not_done"});
     submit("req-000002");
     cancel("req-000002");
-    hear(Asked::State, "req-000002", 200, "running");
-    EXPECT_EQ(broken(), (Rules{"not_done", "went_back"}));
-    hear(Asked::State, "req-000002", 404, "");
-    EXPECT_EQ(broken(), (Rules{"not_done", "went_back", "forgotten"}));
+    report_answer(Asked::State, "req-000002", 200, "running");
+    EXPECT_EQ(violated_rules(), (RuleNames{"not_done", "went_back"}));
+    report_answer(Asked::State, "req-000002", 404, "");
+    EXPECT_EQ(violated_rules(), (RuleNames{"not_done", "went_back", "forgotten"}));
 }
 
-TEST_F(RuleCheckerTest, ReportsWhatIsForgottenOrLeftWaitingAtTheEnd) {
+TEST_F(RuleCheckerTest, ReportsForgottenAndWaitingJobsAtTheEnd) {
     submit("req-000001", JobKind::Array);
-    rules_.on_faults_over();
-    rules_.set_time(30 * kSecond);
-    rules_.check_final_state(15 * kSecond);
-    EXPECT_EQ(broken(), (Rules{"forgotten", "left_waiting"}));
-    EXPECT_FALSE(rules_.is_settled());
+    rule_checker_.on_faults_over();
+    rule_checker_.set_time(30 * kSecond);
+    rule_checker_.check_final_state(15 * kSecond);
+    EXPECT_EQ(violated_rules(), (RuleNames{"forgotten", "left_waiting"}));
+    EXPECT_FALSE(rule_checker_.is_settled());
 }
 
 class TcpProxyTest : public testing::Test {
   protected:
     using tcp = asio::ip::tcp;
     TcpProxyTest()
-        : target_(io_, {asio::ip::make_address_v4("127.0.0.1"), 0}), proxy_(io_, listen(), target()) {}
-    Endpoint target() { return {"127.0.0.1", target_.local_endpoint().port()}; }
-    /// A port that was free a moment ago.
-    Endpoint listen() {
-        tcp::acceptor free(io_, {asio::ip::make_address_v4("127.0.0.1"), 0});
-        listen_port_ = free.local_endpoint().port();
+        : target_acceptor_(io_, {asio::ip::make_address_v4("127.0.0.1"), 0}),
+          proxy_(io_, choose_listen_endpoint(), target_endpoint()) {}
+    Endpoint target_endpoint() { return {"127.0.0.1", target_acceptor_.local_endpoint().port()}; }
+    /// Returns an address with a port that was free just before.
+    Endpoint choose_listen_endpoint() {
+        tcp::acceptor free_port(io_, {asio::ip::make_address_v4("127.0.0.1"), 0});
+        listen_port_ = free_port.local_endpoint().port();
         return {"127.0.0.1", listen_port_};
     }
-    void run() {
+    void run_io() {
         io_.restart();
         io_.run_for(std::chrono::milliseconds(100));
     }
@@ -167,51 +169,51 @@
 
     asio::io_context io_;
     std::uint16_t listen_port_ = 0;
-    tcp::acceptor target_;
+    tcp::acceptor target_acceptor_;
     TcpProxy proxy_;
 };
 
-TEST_F(TcpProxyTest, HoldsWhatIsSentWhileItIsCutAndRefusesNewConnections) {
+TEST_F(TcpProxyTest, WhileCutHoldsSentDataAndRefusesNewConnections) {
     tcp::socket client(io_), server(io_);
     ASSERT_FALSE(connect(client));
-    run();
-    target_.accept(server);
-    run();
+    run_io();
+    target_acceptor_.accept(server);
+    run_io();
     server.non_blocking(true);
     std::array<char, 16> buffer{};
     asio::error_code ec;
     client.send(asio::buffer("one", 3));
-    run();
+    run_io();
     EXPECT_EQ(server.receive(asio::buffer(buffer), 0, ec), 3u);
 
     proxy_.cut();
     client.send(asio::buffer("two", 3));
-    run();
+    run_io();
     server.receive(asio::buffer(buffer), 0, ec);
     EXPECT_EQ(ec, asio::error::would_block);
     tcp::socket refused(io_);
     EXPECT_EQ(connect(refused), asio::error::connection_refused);
 
     proxy_.heal();
-    run();
+    run_io();
     EXPECT_EQ(server.receive(asio::buffer(buffer), 0, ec), 3u);
     EXPECT_EQ(std::string(buffer.data(), 3), "two");
     tcp::socket accepted(io_);
     EXPECT_FALSE(connect(accepted));
 }
 
-TEST_F(TcpProxyTest, DeliversLateWhatItsSenderHasGivenUp) {
+TEST_F(TcpProxyTest, WhenHealedDeliversDataOfAClosedConnection) {
     tcp::socket client(io_), server(io_);
     ASSERT_FALSE(connect(client));
-    run();
-    target_.accept(server);
-    run();
+    run_io();
+    target_acceptor_.accept(server);
+    run_io();
     proxy_.cut();
     client.send(asio::buffer("late", 4));
     client.close();
-    run();
+    run_io();
     proxy_.heal();
-    run();
+    run_io();
     std::array<char, 16> buffer{};
     asio::error_code ec;
     server.non_blocking(true);
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need, checks the format of the sources, the scripts and the includes, builds,
-# and passes all tests.
+# The CI checks: installs the dependencies of the build and the tests, checks source format, scripts and includes, builds,
+# and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 packages=$(sed -n 's/^packages = \[\(.*\)\]/\1/p' deploy/service.toml | tr -d '",')
@@ -20,7 +20,7 @@
 rm -f "$log"
 status=0
 ctest --test-dir target/tests --output-on-failure -j8 || status=$?
-# What is known to fail is in KNOWN-RED.txt, if there is one.
+# KNOWN-RED.txt, if it exists, lists the tests that are known to fail.
 if [ ! -f KNOWN-RED.txt ]; then exit $status; fi
 if [ $status -ne 0 ] && [ ! -s "$log" ]; then exit $status; fi
 ctest --test-dir target/tests -N >target/tests/names.txt
--- a/tools/check_includes.sh
+++ b/tools/check_includes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks that the folders of src/ include one another in one direction only: each may include those that stand
-# before it here. What is listed as an exception is left to be untangled.
+# Checks that the folders of src/ include one another in one direction only: a folder may include itself and those before
+# it in `order`. `exceptions` lists the includes in the other direction that remain to be removed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 order=(base protocol peer logging config policy kvstore cache scheduling shard cluster allocation api controller
@@ -19,7 +19,7 @@
         echo "$file: folder $folder or $target is not in the order"
         failed=1
     elif [ "${rank[$target]}" -gt "${rank[$folder]}" ] && ! grep -qxF "$file $include" <<<"$exceptions"; then
-        echo "$file: includes $include, which stands above it"
+        echo "$file: includes $include, whose folder comes later in the order"
         failed=1
     fi
 done < <(grep -roE '#include "[a-z_]+/[a-z_]+\.hpp"' src | sed -E 's/#include "([^"]+)"/\1/')
--- a/tools/check_renamed_tests.sh
+++ b/tools/check_renamed_tests.sh
@@ -1,6 +1,5 @@
 #!/usr/bin/env bash
-# Checks that every test that docs/renamed-tests.tsv says was renamed is there under its new name, and not under
-# its old one.
+# Checks that every renamed test in docs/renamed-tests.tsv exists under its new name and no longer under its old one.
 # usage: check_renamed_tests.sh BUILD_DIRECTORY
 set -euo pipefail
 build=${1:?usage: check_renamed_tests.sh BUILD_DIRECTORY}
--- a/tools/check_tidy.sh
+++ b/tools/check_tidy.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Passes clang-tidy (see .clang-tidy) over the files that are clean by it so far. New ones are added here.
+# Runs clang-tidy (see .clang-tidy) on the files that pass it so far. Add further files once they pass.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=(
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Installs what the build needs, builds, and plays a night on loopback: stand-ins for the outside systems, three
-# controllers, jobs, the end of all controllers and their return, and the answers afterwards. Ports from 21000
-# (PORT sets others). Everything it starts it also ends.
+# Installs the dependencies of the build, builds, and demonstrates recovery on loopback: starts stand-ins for the external
+# systems and three controllers, submits jobs, kills and restarts all controllers, and shows the jobs and the state
+# service afterwards. Uses ports from 21000 on (or from PORT on), and stops every process that it starts.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 port=${PORT:-21000}
@@ -44,7 +44,7 @@
         pids+=($!)
     done
 }
-# Answers of one node or another, until it is this.
+# until_stage JOB STAGE: polls the controllers until one of them reports the stage for the job; fails after 30 s.
 until_stage() {
     for _ in $(seq 150); do
         for i in 0 1 2; do
@@ -68,15 +68,15 @@
 for _ in $(seq 100); do target/cottonway submit --node "$(at 0)" examples/job.json >/dev/null 2>&1 && break; sleep 0.2; done
 target/cottonway submit --node "$(at 1)" examples/pipeline.json
 until_stage req-000001 running
-say "all controllers end at once, with tasks running"
+say "killing all controllers while tasks are running"
 kill -9 "${nodes[@]}"
 wait "${nodes[@]}" 2>/dev/null || true
 sleep 2
-say "they are back"
+say "restarting the controllers"
 start_controllers
 until_stage req-000001 "done"
 until_stage req-000103 "done"
-say "the answers afterwards, and the store"
+say "the jobs and the state service afterwards"
 target/cottonway show --node "$(at 2)" req-000001 req-000101 req-000102 req-000103
 target/cottonway verify --config "$dir/0.toml" --json
 starts=$(grep -c "starts on" "$dir/standins.log" || true)
