--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -12,8 +12,7 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(simulator) \
-    EXPECT_TRUE((simulator).broken.empty()) << (simulator).broken.front() << "\n" << (simulator).story()
+#define EXPECT_RULES(sim) EXPECT_TRUE((sim).broken.empty()) << (sim).broken.front() << "\n" << (sim).story()
 
 using recovery::Finding;
 
