--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -46,7 +46,7 @@
 constexpr std::size_t kMaxUserConnections = 400;
 
 /// Returns settings with times scaled down so that a run is short. The protocol's formulas for them still
-/// hold; they leave 5 s of lease validity.
+/// hold; they leave a controller lease of 5 s.
 Settings make_deployment(int workers) {
     Settings settings;
     settings.zones = {"a", "b"};
