--- a/src/soak/controller_process.cpp
+++ b/src/soak/controller_process.cpp
@@ -13,16 +13,16 @@
 namespace cottonway::soak {
 
 void ControllerProcess::start() {
-    if (running()) return;
+    if (is_running()) return;
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
-                                     0644);
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_file_.c_str(),
+                                     O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, STDERR_FILENO, STDOUT_FILENO);
-    // The sockets of the test are not its own.
+    // Keeps the process from inheriting the test's sockets.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     std::string config = "--config";
-    char* const arguments[] = {binary_.data(), config.data(), settings_.data(), nullptr};
+    char* const arguments[] = {binary_.data(), config.data(), settings_file_.data(), nullptr};
     const int error = posix_spawn(&pid_, binary_.c_str(), &actions, nullptr, arguments, environ);
     posix_spawn_file_actions_destroy(&actions);
     if (error == 0) return;
@@ -31,22 +31,22 @@
 }
 
 void ControllerProcess::kill() {
-    if (!running()) return;
+    if (!is_running()) return;
     ::kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     pid_ = -1;
 }
 
 void ControllerProcess::pause() {
-    if (running()) ::kill(pid_, SIGSTOP);
+    if (is_running()) ::kill(pid_, SIGSTOP);
 }
 
 void ControllerProcess::resume() {
-    if (running()) ::kill(pid_, SIGCONT);
+    if (is_running()) ::kill(pid_, SIGCONT);
 }
 
-bool ControllerProcess::ended_by_itself() {
-    if (!running() || waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
+bool ControllerProcess::reap_if_exited() {
+    if (!is_running() || waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
     pid_ = -1;
     return true;
 }
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -19,7 +19,7 @@
     for (const std::size_t length : {kMaxNameLength - 1, kMaxNameLength, kMaxNameLength + 1}) {
         SCOPED_TRACE(length);
         Simulator simulator(3);
-        simulator.cloud().name_prefix = std::string(length - kDigits, 'n');
+        simulator.cloud().machine_name_prefix = std::string(length - kDigits, 'n');
         for (int i = 0; i < 3; ++i) simulator.add_machine("small", "a");
         simulator.start_nodes();
         simulator.run(6 * kSecond);
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -13,7 +13,7 @@
 void return_newer_machines(Simulator& simulator, int count) {
     for (int i = 0; i < count; ++i) {
         const std::string name =
-            simulator.cloud().rent_one("small", "a", false, simulator.now(), 3'600 * kSecond);
+            simulator.cloud().rent_machine("small", "a", false, simulator.now(), 3'600 * kSecond);
         simulator.cloud().machines().at(name).info.state = CloudState::Failed;
     }
     const auto machine_count = [&] { return simulator.cloud().machines().size(); };
--- a/tests/stored_parts_test.cpp
+++ b/tests/stored_parts_test.cpp
@@ -33,7 +33,7 @@
 TEST(StoredParts, HoldTheBindingsOfAllTheirTasksOnMachinesWithLongNames) {
     const auto tasks_in_part = static_cast<int>(tasks_per_part());
     Simulator simulator(3);
-    simulator.cloud().name_prefix = "machine-with-a-long-name-";
+    simulator.cloud().machine_name_prefix = "machine-with-a-long-name-";
     for (int i = 0; i < 6; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes();
     simulator.run(6 * kSecond);
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -156,7 +156,7 @@
     const Micros boot_time =
         3 * simulator->cloud().types().front().boot_duration + 30 * kSecond + 4 * kSecond;
     const std::string late_machine =
-        simulator->cloud().rent_one("small", "b", false, simulator->now(), boot_time);
+        simulator->cloud().rent_machine("small", "b", false, simulator->now(), boot_time);
     simulator->submit(simulator->job(2, JobKind::Array, 8), 20 * kSecond);
     simulator->run(15 * kSecond);
     simulator->cut_off(old_leader, true);
@@ -181,7 +181,7 @@
     for (int i = 0; i < 20 && stuck == 0; ++i) {
         simulator->run(500 * kMillisecond);
         for (auto& [name, m] : simulator->cloud().machines())
-            if (!m.up) m.up_at = 3600 * kSecond, ++stuck;
+            if (!m.booted) m.boot_ends_at = 3600 * kSecond, ++stuck;
     }
     ASSERT_GT(stuck, 0u) << simulator->story();
     const Micros boot = small_types().front().boot_duration;
