--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -125,12 +125,12 @@
         f.commands = x.flag("commands");
     } else if (f.kind == "late_writes") {
         f.at_once = x.flag("at_once");
-        f.late = f.at_once ? 0 : Simulator::kLatestWrite;
+        f.late = f.at_once ? 0 : Simulator::kMaxWriteDelay;
     } else if (f.kind == "late_reports") {
         f.for_next = x.flag("for_next");
-        f.late = f.for_next ? 0 : Simulator::latest_report(e.settings.lease);
+        f.late = f.for_next ? 0 : Simulator::max_report_copy_delay(e.settings.lease);
     } else if (f.kind == "late_commands") {
-        f.late = Simulator::kLatestCommand;
+        f.late = Simulator::kMaxCommandDelay;
     } else if (f.kind == "slow_state") {
         f.late = x.seconds("late_s", 0.5);
     } else if (f.kind == "cancel_now") {
@@ -435,7 +435,9 @@
 
 /// The nodes that it hits: where nobody leads or holds a machine, one is drawn.
 std::vector<int> nodes_of(Simulator& w, const Fault& f) {
-    int one = f.who == Fault::Who::Leader ? w.leader() : f.who == Fault::Who::Busiest ? w.busiest() : f.node;
+    int one = f.who == Fault::Who::Leader    ? w.leader_node()
+              : f.who == Fault::Who::Busiest ? w.busiest_node()
+                                             : f.node;
     if (one < 0 && f.who != Fault::Who::Node)
         one = static_cast<int>(w.random() % static_cast<std::uint64_t>(w.node_count()));
     std::vector<int> nodes;
@@ -464,10 +466,10 @@
     auto host = [](int i) { return "loom-" + std::to_string(i); };
     auto set = [&](auto& what, auto to) {
         what = to;
-        w.at(w.now() + f.span, [&what] { what = {}; });
+        w.schedule_at(w.now() + f.span, [&what] { what = {}; });
     };
     if (f.kind == "end" || f.kind == "end_all") {
-        w.remember_running();
+        w.record_running_tasks();
         Micros back = f.span;
         for (int i : nodes) {
             w.crash(i, back);
@@ -483,7 +485,7 @@
             return n;
         };
         *before = requests();
-        w.at(all_back + 2 * kSecond, [&w, &into, before, requests] {
+        w.schedule_at(all_back + 2 * kSecond, [&w, &into, before, requests] {
             into.requests_of_starts += requests() - *before;
             ++into.starts_of_all;
             for (int i = 0; i < w.node_count(); ++i) {
@@ -495,74 +497,74 @@
         });
     } else if (f.kind == "state_down") {
         w.state().set_down(true, w.now());
-        w.at(w.now() + f.span, [&w] { w.state().set_down(false, w.now()); });
+        w.schedule_at(w.now() + f.span, [&w] { w.state().set_down(false, w.now()); });
     } else if (f.kind == "freeze") {
-        for (int i : nodes) w.freeze(i, f.span);
+        for (int i : nodes) w.freeze_process(i, f.span);
     } else if (f.kind == "refuse") {
         for (int i : nodes) {
-            w.refuse(i, true);
-            w.at(w.now() + f.span, [&w, i] { w.refuse(i, false); });
+            w.refuse_state_requests(i, true);
+            w.schedule_at(w.now() + f.span, [&w, i] { w.refuse_state_requests(i, false); });
         }
     } else if (f.kind == "cut_state" || f.kind == "cut_workers") {
         std::vector<std::string> others = f.kind == "cut_state" ? std::vector<std::string>{"state"} : names;
         for (int i : nodes)
             for (const auto& other : others) {
-                w.cut(host(i), other);
-                w.at(w.now() + f.span, [&w, n = host(i), other] { w.heal(n, other); });
+                w.cut_link(host(i), other);
+                w.schedule_at(w.now() + f.span, [&w, n = host(i), other] { w.heal_link(n, other); });
             }
     } else if (f.kind == "cut_peers") {
         for (int i : nodes)
             for (int j = 0; j < w.node_count(); ++j)
                 if (i != j) {
-                    w.cut(host(i), host(j));
-                    w.at(w.now() + f.span, [&w, a = host(i), b = host(j)] { w.heal(a, b); });
+                    w.cut_link(host(i), host(j));
+                    w.schedule_at(w.now() + f.span, [&w, a = host(i), b = host(j)] { w.heal_link(a, b); });
                 }
     } else if (f.kind == "repeat") {
-        set(w.repeats, f.part);
-        w.repeat_commands = f.commands;
-        w.repeat_late = std::max(f.late, kMillisecond);
+        set(w.duplicate_rate, f.part);
+        w.duplicate_commands = f.commands;
+        w.max_duplicate_delay = std::max(f.late, kMillisecond);
     } else if (f.kind == "late_writes") {
-        set(f.at_once ? w.unanswered_writes : w.late_writes, f.part);
+        set(f.at_once ? w.unanswered_write_rate : w.delayed_write_rate, f.part);
     } else if (f.kind == "late_reports") {
-        set(f.for_next ? w.reports_for_next : w.late_reports, f.part);
+        set(f.for_next ? w.replayed_report_rate : w.late_report_copy_rate, f.part);
     } else if (f.kind == "late_commands") {
-        set(w.late_commands, f.part);
+        set(w.delayed_command_rate, f.part);
     } else if (f.kind == "slow_state") {
-        set(w.slow_state, f.late);
+        set(w.max_state_answer_delay, f.late);
     } else if (f.kind == "cancel_now") {
-        w.cancel_now(f.count, f.span);
+        w.cancel_random_jobs(f.count, f.span);
     } else if (f.kind == "cancel_at_end") {
-        set(w.cancel_at_end, f.part);
+        set(w.cancel_on_completion_rate, f.part);
     } else if (f.kind == "close_looks") {
-        set(w.close_looks, true);
+        set(w.query_after_changes, true);
     } else if (f.kind == "odd_requests") {
-        set(w.odd_requests, true);
+        set(w.send_unusual_requests, true);
     } else if (f.kind == "cut_off") {
         for (int i : nodes) {
-            w.cut_off(i, true);
-            w.at(w.now() + f.span, [&w, i] { w.cut_off(i, false); });
+            w.isolate_controller(i, true);
+            w.schedule_at(w.now() + f.span, [&w, i] { w.isolate_controller(i, false); });
         }
     } else if (f.kind == "deaf") {
         for (const auto& m : names) {
-            w.deafen(m, true);
-            w.at(w.now() + f.span, [&w, m] { w.deafen(m, false); });
+            w.block_messages_to(m, true);
+            w.schedule_at(w.now() + f.span, [&w, m] { w.block_messages_to(m, false); });
         }
     } else if (f.kind == "mute") {
         for (const auto& m : names) {
-            w.mute(m, true);
-            w.at(w.now() + f.span, [&w, m] { w.mute(m, false); });
+            w.block_messages_from(m, true);
+            w.schedule_at(w.now() + f.span, [&w, m] { w.block_messages_from(m, false); });
         }
     } else if (f.kind == "zone_lost") {
-        w.lose_zone(f.zone, f.ends);
-        if (f.span > 0) w.at(w.now() + f.span, [&w, zone = f.zone] { w.zone_back(zone); });
+        w.fail_zone(f.zone, f.ends);
+        if (f.span > 0) w.schedule_at(w.now() + f.span, [&w, zone = f.zone] { w.restore_zone(zone); });
     } else if (f.kind == "zone_back") {
-        w.zone_back(f.zone);
+        w.restore_zone(f.zone);
     } else if (f.kind == "kill") {
         for (const auto& m : names) w.kill_machine(m);
     } else if (f.kind == "hang") {
         for (const auto& m : names) {
-            w.hang(m, true);
-            w.at(w.now() + f.span, [&w, m] { w.hang(m, false); });
+            w.set_hung(m, true);
+            w.schedule_at(w.now() + f.span, [&w, m] { w.set_hung(m, false); });
         }
     }
 }
@@ -575,9 +577,9 @@
     for (const auto& m : e.machines)
         for (int i = 0; i < m.count; ++i) w.add_machine(m.type, m.zone, m.spot);
     w.cloud().capacity = e.capacity;
-    w.poll_pause = e.poll_pause;
-    w.swift_boots = e.swift_boots;
-    w.slow_links = e.slow_links;
+    w.min_poll_interval = e.poll_pause;
+    w.fast_boot_rate = e.swift_boots;
+    w.max_extra_link_delay = e.slow_links;
     w.start_nodes(e.controllers);
     if (e.writes_bounded) w.state().limits.write_rps = e.settings.state_write_rps;
     Watcher watcher(w, into);
@@ -585,7 +587,7 @@
     int number = 1;
     auto submit = [&](const Load& l) {
         JobSpec s = l.job;
-        s.ref = w.job(number, s.kind, 1).ref;
+        s.ref = w.make_job(number, s.kind, 1).ref;
         s.image = s.job_class + "-" + std::to_string(number % l.images);
         s.tasks = l.draw_tasks(random);
         const double spread = std::uniform_real_distribution<double>(0.6, 1.4)(random);
@@ -594,46 +596,51 @@
         if (l.lasts == 0) return;
         const double rate = 1 / static_cast<double>(l.lasts);
         const auto lasts = static_cast<Micros>(std::exponential_distribution<double>(rate)(random));
-        w.at(w.now() + lasts, [&w, ref = s.ref] { w.cancel(ref); });
+        w.schedule_at(w.now() + lasts, [&w, ref = s.ref] { w.cancel(ref); });
     };
     for (const auto& l : e.loads) {
-        for (int i = 0; i < l.initial; ++i) w.at(2 * kSecond + i * 20 * kMillisecond, [&] { submit(l); });
-        for (const Micros t : l.arrivals(e.duration - 20 * kSecond, random)) w.at(t, [&] { submit(l); });
+        for (int i = 0; i < l.initial; ++i)
+            w.schedule_at(2 * kSecond + i * 20 * kMillisecond, [&] { submit(l); });
+        for (const Micros t : l.arrivals(e.duration - 20 * kSecond, random))
+            w.schedule_at(t, [&] { submit(l); });
     }
     for (const auto& f : e.faults)
         for (int n = 0; n < f.times; ++n)
-            w.at(f.at + n * f.every, [&w, &f, &watcher, &into] { begin_fault(w, f, watcher, into); });
-    w.at(e.faults_end(), [&w] { w.quiesce(); });
+            w.schedule_at(f.at + n * f.every,
+                          [&w, &f, &watcher, &into] { begin_fault(w, f, watcher, into); });
+    w.schedule_at(e.faults_end(), [&w] { w.mark_faults_over(); });
     std::set<std::pair<std::string, Revision>> collected;
-    for (Micros t = 0; t < e.duration; t += 20 * kMillisecond) w.at(t, [&] { watcher.look(); });
+    for (Micros t = 0; t < e.duration; t += 20 * kMillisecond) w.schedule_at(t, [&] { watcher.look(); });
     // Twelve seconds after each end, when starts have summed themselves up, and at the very end.
     for (const auto& f : e.faults)
         if (f.kind == "end" || f.kind == "end_all")
-            w.at(f.at + f.span + f.apart * e.controllers + 12 * kSecond, [&] { watcher.collect(collected); });
+            w.schedule_at(f.at + f.span + f.apart * e.controllers + 12 * kSecond,
+                          [&] { watcher.collect(collected); });
     w.run(e.duration);
     for (int i = 0; i < w.node_count(); ++i)
         if (w.node(i))
             for (const auto& [purpose, n] : w.node(i)->store().sent()) into.changes[purpose] += n;
     ++into.runs;
-    for (const auto& b : w.broken) into.broken.push_back(fmt::format("seed {}: {}", seed, b));
-    for (const auto& ref : w.refs()) {
+    for (const auto& b : w.violations) into.broken.push_back(fmt::format("seed {}: {}", seed, b));
+    for (const auto& ref : w.job_refs()) {
         ++into.jobs;
-        const std::string told = w.told(ref);
+        const std::string told = w.reported_stage(ref);
         into.accepted += !told.empty();
         into.over += told == "done" || told == "cancelled";
-        into.starts += static_cast<std::size_t>(w.starts(ref));
+        into.starts += static_cast<std::size_t>(w.task_starts(ref));
     }
-    into.started_again += w.started_again();
+    into.started_again += w.unnecessary_starts();
     if (e.acceptance)
-        into.acceptance.add(judge(w.fates(), w.settings.teams, w.now()), fmt::format("seed {}: ", seed));
-    for (const auto& [name, t] : w.waits()) {
+        into.acceptance.add(judge(w.job_outcomes(), w.settings.teams, w.now()),
+                            fmt::format("seed {}: ", seed));
+    for (const auto& [name, t] : w.task_start_delays()) {
         into.waits[name].add(t);
         const auto goals = e.settings.goals("wait", name);
         if (goals.empty()) continue;
         ++into.in_aim[name].due;
         into.in_aim[name].served += t <= goals.front();
     }
-    for (const auto& [name, t] : w.gaps()) into.gaps[name].add(t);
+    for (const auto& [name, t] : w.replica_downtimes()) into.gaps[name].add(t);
 }
 
 }  // namespace cottonway::simulation
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kNever = 1'000'000 * kSecond;
 }  // namespace
 
-Settings small_site() {
+Settings small_cluster_settings() {
     Settings s;
     s.node = "loom-0";
     s.zone = "a";
@@ -40,7 +40,7 @@
     return s;
 }
 
-std::vector<MachineType> small_types() {
+std::vector<MachineType> small_cluster_machine_types() {
     MachineType small{"small", {8'000, 0, 32'000}, 50'000, 1.0, 1.0, 0.4, 10 * kSecond, {"a", "b"}};
     MachineType large{"large", {16'000, 0, 64'000}, 50'000, 1.0, 2.0, 0.8, 10 * kSecond, {"a", "b"}};
     return {small, large};
@@ -62,8 +62,8 @@
     std::int64_t wall_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
-        simulator_.at(simulator_.now_ + std::max<Micros>(delay, 0),
-                      [self = shared_from_this(), run = std::move(run)] { self->take(run, true); });
+        simulator_.schedule_at(simulator_.now_ + std::max<Micros>(delay, 0),
+                               [self = shared_from_this(), run = std::move(run)] { self->take(run, true); });
     }
     /// Runs in this process, if it has not ended meanwhile.
     void take(std::function<void()> what, bool timer) {
@@ -107,10 +107,10 @@
         if (call.target == Target::Worker && no_socket) return finish_unsent(0, finish);
         // A connection first: one that does not come about in time has carried nothing.
         const bool refused = call.target == Target::Peer && !simulator_.node(std::stoi(to.substr(5)));
-        if (to.empty() || refused || simulator_.is_cut(name_, to)) {
+        if (to.empty() || refused || simulator_.is_link_cut(name_, to)) {
             return finish_unsent(refused ? kMillisecond : std::min(call.timeout, kSecond), finish);
         }
-        simulator_.at(simulator_.now_ + simulator_.delay(), send);
+        simulator_.schedule_at(simulator_.now_ + simulator_.delay(), send);
     }
     bool alive = true;
 
@@ -119,7 +119,7 @@
         bool over = false;
     };
     void finish_unsent(Micros after, const std::function<void(const Reply&)>& finish) {
-        simulator_.at(simulator_.now_ + after, [finish] { finish(Reply{kNotSent, {}}); });
+        simulator_.schedule_at(simulator_.now_ + after, [finish] { finish(Reply{kNotSent, {}}); });
     }
     /// Time-outs go by the time spent listening.
     void release_shard(Micros deadline, const std::shared_ptr<Pending>& pending,
@@ -144,7 +144,7 @@
             if (call.method != "GET")
                 w.repeat([&w, call, body] { w.state_.handle(call.method, call.path, body, w.now_); });
             if (const auto late = call.path == "/commit" ? w.lateness(body) : std::nullopt)
-                return w.at(w.now_ + *late, [&w, call, body] {
+                return w.schedule_at(w.now_ + *late, [&w, call, body] {
                     w.state_.handle(call.method, call.path, body, w.now_);
                     w.watch_leader();
                 });
@@ -172,13 +172,13 @@
             if (found == w.workers_.end() || !found->second.worker) return;
             back(found->second.worker->handle(call.method, call.path, body, w.now_));
         };
-        if (call.method != "GET" && w.repeat_commands)
+        if (call.method != "GET" && w.duplicate_commands)
             w.repeat([&w, to, call, body] {
                 if (Worker* x = w.worker(to); x && !w.workers_[to].hung)
                     x->handle(call.method, call.path, body, w.now_);
             });
-        if (call.method != "GET" && w.drawn(w.late_commands)) {
-            w.at(w.now_ + w.between(2 * kSecond, kLatestCommand), [&w, to, call, body] {
+        if (call.method != "GET" && w.drawn(w.delayed_command_rate)) {
+            w.schedule_at(w.now_ + w.between(2 * kSecond, kMaxCommandDelay), [&w, to, call, body] {
                 auto late = [&w, to, call, body] {
                     if (Worker* x = w.worker(to)) x->handle(call.method, call.path, body, w.now_);
                 };
@@ -197,9 +197,10 @@
         auto reply = refused ? std::nullopt : simulator_.state_.watch(path, simulator_.now_ >= until);
         if (reply) return back(*reply);
         if (simulator_.now_ > until + 60 * kSecond) return;
-        simulator_.at(simulator_.now_ + 10 * kMillisecond, [self = shared_from_this(), path, until, back] {
-            if (self->alive) self->wait_for_change(path, until, back);
-        });
+        simulator_.schedule_at(simulator_.now_ + 10 * kMillisecond,
+                               [self = shared_from_this(), path, until, back] {
+                                   if (self->alive) self->wait_for_change(path, until, back);
+                               });
     }
 
     Simulator& simulator_;
@@ -217,7 +218,7 @@
     spdlog::set_level(std::getenv("WORLD_LOG") ? spdlog::level::info : spdlog::level::off);
     cloud_.capacity = 0;
     cloud_.on_delete = [this](const std::string& name) { kill_machine(name); };
-    at(0, [this] { tick(); });
+    schedule_at(0, [this] { tick(); });
 }
 
 Simulator::~Simulator() {
@@ -229,7 +230,7 @@
     workers_.clear();  // they still tell what leaves them
 }
 
-void Simulator::at(Micros when, std::function<void()> what) {
+void Simulator::schedule_at(Micros when, std::function<void()> what) {
     events_[{std::max(when, now_), ++order_}] = std::move(what);
 }
 
@@ -244,12 +245,13 @@
 }
 
 Micros Simulator::delay() {
-    return 500 + static_cast<Micros>(random() % 4500) + (slow_links > 0 ? between(0, slow_links) : 0);
+    return 500 + static_cast<Micros>(random() % 4500) +
+           (max_extra_link_delay > 0 ? between(0, max_extra_link_delay) : 0);
 }
 
 void Simulator::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
     if (hold_next_.erase({from, to})) {
-        note("a message from " + from + " to " + to + " is kept back");
+        record_event("a message from " + from + " to " + to + " is kept back");
         kept_back_.push_back(std::move(deliver));
         return;
     }
@@ -258,9 +260,10 @@
         held_.emplace_back(from, to, std::move(deliver));
         return;
     }
-    if (drawn(loss) || (from == "state" && drawn(answers_lost))) return;
-    const Micros slow = from == "state" && slow_state > 0 ? between(0, slow_state) : 0;
-    at(now_ + delay() + slow, std::move(deliver));
+    if (drawn(message_loss_rate) || (from == "state" && drawn(state_answer_loss_rate))) return;
+    const Micros slow =
+        from == "state" && max_state_answer_delay > 0 ? between(0, max_state_answer_delay) : 0;
+    schedule_at(now_ + delay() + slow, std::move(deliver));
 }
 
 std::optional<Micros> Simulator::lateness(const Json& transaction) {
@@ -272,14 +275,14 @@
             return key && key->compare(0, prefix.size(), prefix) == 0;
         };
         if (std::none_of(then->begin(), then->end(), touches)) continue;
-        note("a transaction on " + prefix + " is carried out " + std::to_string(late / kMillisecond) +
-             " ms late");
+        record_event("a transaction on " + prefix + " is carried out " + std::to_string(late / kMillisecond) +
+                     " ms late");
         const Micros so_late = late;
         late_next_.erase(it);
         return so_late;
     }
-    if (drawn(unanswered_writes)) return 0;
-    if (drawn(late_writes)) return between(2 * kSecond, kLatestWrite);
+    if (drawn(unanswered_write_rate)) return 0;
+    if (drawn(delayed_write_rate)) return between(2 * kSecond, kMaxWriteDelay);
     return std::nullopt;
 }
 
@@ -291,7 +294,7 @@
     led_by_ = node;
     for (const auto& body : std::exchange(kept_reports_, {}))
         for (int i = 0; i < node_count(); ++i)
-            at(now_ + delay(), [this, i, body] {
+            schedule_at(now_ + delay(), [this, i, body] {
                 hand(i, [this, i, body] {
                     if (node_count() > i && this->node(i))
                         this->node(i)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
@@ -300,7 +303,7 @@
 }
 
 void Simulator::repeat(std::function<void()> again) {
-    if (drawn(repeats)) at(now_ + between(0, repeat_late), std::move(again));
+    if (drawn(duplicate_rate)) schedule_at(now_ + between(0, max_duplicate_delay), std::move(again));
 }
 
 void Simulator::hand(int i, std::function<void()> what, bool timer) {
@@ -309,39 +312,40 @@
     (timer ? n.due : n.unread).push_back(std::move(what));
 }
 
-void Simulator::freeze(int i, Micros span) {
+void Simulator::freeze_process(int i, Micros span) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     if (!n.controller || n.frozen) return;
-    note("loom-" + std::to_string(i) + " stands still for " + std::to_string(span / kMillisecond) + " ms");
+    record_event("loom-" + std::to_string(i) + " stands still for " + std::to_string(span / kMillisecond) +
+                 " ms");
     n.frozen = true;
-    at(now_ + span, [this, i] {
+    schedule_at(now_ + span, [this, i] {
         Node& x = nodes_[static_cast<std::size_t>(i)];
         if (!std::exchange(x.frozen, false)) return;
-        note("loom-" + std::to_string(i) + " goes on");
+        record_event("loom-" + std::to_string(i) + " goes on");
         // The worst order: every timer is due before anything is read.
         for (auto& run : std::exchange(x.due, {})) run();
         for (auto& run : std::exchange(x.unread, {})) run();
     });
 }
 
-void Simulator::cut_one_way(const std::string& from, const std::string& to) {
-    note("nothing passes from " + from + " to " + to);
+void Simulator::cut_link_one_way(const std::string& from, const std::string& to) {
+    record_event("nothing passes from " + from + " to " + to);
     one_way_.insert({from, to});
 }
 
-void Simulator::cut(const std::string& a, const std::string& b) {
-    note("cut between " + a + " and " + b);
+void Simulator::cut_link(const std::string& a, const std::string& b) {
+    record_event("cut between " + a + " and " + b);
     cuts_.insert(link(a, b));
 }
 
-void Simulator::heal(const std::string& a, const std::string& b) {
-    heal({{a, b}});
+void Simulator::heal_link(const std::string& a, const std::string& b) {
+    heal_link({{a, b}});
 }
 
-void Simulator::heal(const std::vector<std::pair<std::string, std::string>>& links) {
+void Simulator::heal_link(const std::vector<std::pair<std::string, std::string>>& links) {
     std::set<std::pair<std::string, std::string>> healed;
     for (const auto& [a, b] : links) {
-        note("healed between " + a + " and " + b);
+        record_event("healed between " + a + " and " + b);
         cuts_.erase(link(a, b));
         one_way_.erase({a, b});
         one_way_.erase({b, a});
@@ -350,15 +354,15 @@
     auto held = std::exchange(held_, {});
     for (auto& [from, to, deliver] : held) {
         if (healed.count(link(from, to)))
-            at(now_ + delay(), std::move(deliver));  // minutes late, but delivered
+            schedule_at(now_ + delay(), std::move(deliver));  // minutes late, but delivered
         else
             held_.emplace_back(from, to, std::move(deliver));
     }
 }
 
-void Simulator::lose_zone(const std::string& zone, bool ends) {
+void Simulator::fail_zone(const std::string& zone, bool ends) {
     if (lost_zones_.count(zone)) return;
-    note("zone " + zone + (ends ? " ends" : " is cut off"));
+    record_event("zone " + zone + (ends ? " ends" : " is cut off"));
     LostZone& lost = lost_zones_[zone];
     std::vector<std::string> inside, outside{"state", "cloud"};
     for (int i = 0; i < node_count(); ++i) {
@@ -383,60 +387,61 @@
             }
 }
 
-void Simulator::zone_back(const std::string& zone) {
+void Simulator::restore_zone(const std::string& zone) {
     auto lost = lost_zones_.extract(zone);
     if (!lost) return;
-    note("zone " + zone + " is back");
-    heal(lost.mapped().links);
+    record_event("zone " + zone + " is back");
+    heal_link(lost.mapped().links);
     for (const auto& [type, spot] : lost.mapped().machines) add_machine(type, zone, spot);
     for (int i = 0; i < node_count(); ++i)
         if (settings.zones[static_cast<std::size_t>(i) % settings.zones.size()] == zone && !node(i)) {
-            note("loom-" + std::to_string(i) + " is back");
+            record_event("loom-" + std::to_string(i) + " is back");
             start_node(i);
         }
 }
 
-void Simulator::heal_all() {
-    for (const auto& [a, b] : std::set(cuts_)) heal(a, b);
-    for (const auto& [a, b] : std::set(one_way_)) heal(a, b);
+void Simulator::heal_all_links() {
+    for (const auto& [a, b] : std::set(cuts_)) heal_link(a, b);
+    for (const auto& [a, b] : std::set(one_way_)) heal_link(a, b);
 }
 
-void Simulator::hold_next(const std::string& from, const std::string& to) {
+void Simulator::hold_next_message(const std::string& from, const std::string& to) {
     hold_next_.insert({from, to});
 }
 
-void Simulator::release() {
-    note("what was kept back arrives");
-    for (auto& deliver : std::exchange(kept_back_, {})) at(now_ + delay(), std::move(deliver));
+void Simulator::release_held_messages() {
+    record_event("what was kept back arrives");
+    for (auto& deliver : std::exchange(kept_back_, {})) schedule_at(now_ + delay(), std::move(deliver));
 }
 
-void Simulator::refuse(int i, bool on) {
-    note("state service " + std::string(on ? "refuses" : "serves") + " loom-" + std::to_string(i));
+void Simulator::refuse_state_requests(int i, bool on) {
+    record_event("state service " + std::string(on ? "refuses" : "serves") + " loom-" + std::to_string(i));
     nodes_[static_cast<std::size_t>(i)].refused = on;
 }
 
 void Simulator::exhaust_sockets(int i, bool on) {
-    note("loom-" + std::to_string(i) + (on ? " has no socket left for workers" : " has sockets again"));
+    record_event("loom-" + std::to_string(i) +
+                 (on ? " has no socket left for workers" : " has sockets again"));
     nodes_[static_cast<std::size_t>(i)].sockets_exhausted = on;
 }
 
-void Simulator::cut_off(int i, bool on) {
+void Simulator::isolate_controller(int i, bool on) {
     std::vector<std::pair<std::string, std::string>> links;
     const std::string host = "loom-" + std::to_string(i);
     links.emplace_back(host, "state");
     for (int peer = 0; peer < node_count(); ++peer)
         if (peer != i) links.emplace_back(host, "loom-" + std::to_string(peer));
-    if (!on) return heal(links);
-    for (const auto& [a, b] : links) cut(a, b);
+    if (!on) return heal_link(links);
+    for (const auto& [a, b] : links) cut_link(a, b);
 }
 
-void Simulator::deafen(const std::string& machine, bool on) {
-    note("machine " + machine + (on ? " is deaf" : " hears again"));
+void Simulator::block_messages_to(const std::string& machine, bool on) {
+    record_event("machine " + machine + (on ? " is deaf" : " hears again"));
     workers_[machine].deaf = on;
 }
 
-void Simulator::mute(const std::string& machine, bool on) {
-    note("machine " + machine + (on ? " reaches no controller" : " reaches controllers again"));
+void Simulator::block_messages_from(const std::string& machine, bool on) {
+    record_event("machine " + machine + (on ? " reaches no controller" : " reaches controllers again"));
     workers_[machine].mute = on;
 }
 
@@ -467,7 +472,7 @@
 }
 
 void Simulator::upgrade(int i, Micros back_after) {
-    note("loom-" + std::to_string(i) + " is brought up to date");
+    record_event("loom-" + std::to_string(i) + " is brought up to date");
     nodes_[static_cast<std::size_t>(i)].old = false;
     crash(i, back_after);
 }
@@ -475,33 +480,33 @@
 void Simulator::crash(int i, Micros back_after) {
     Node& n = nodes_[static_cast<std::size_t>(i)];
     if (!n.controller) return;
-    note("loom-" + std::to_string(i) + " ends");
+    record_event("loom-" + std::to_string(i) + " ends");
     if (led_by_ == "loom-" + std::to_string(i)) led_by_.clear();
     n.host->alive = false;
     n.controller.reset();
     n.frozen = false;
     n.due.clear();
     n.unread.clear();
-    at(now_ + back_after, [this, i] {
+    schedule_at(now_ + back_after, [this, i] {
         if (nodes_[static_cast<std::size_t>(i)].controller) return;
-        note("loom-" + std::to_string(i) + " is back");
+        record_event("loom-" + std::to_string(i) + " is back");
         start_node(i);
     });
 }
 
-int Simulator::leader() const {
+int Simulator::leader_node() const {
     for (int i = 0; i < node_count(); ++i)
         if (const auto& c = nodes_[static_cast<std::size_t>(i)].controller; c && c->leads()) return i;
     return -1;
 }
 
-int Simulator::holder() {
+int Simulator::owner_node() {
     for (int i = 0; i < node_count(); ++i)
         if (owner_at(i)) return i;
     return -1;
 }
 
-int Simulator::busiest() {
+int Simulator::busiest_node() {
     int found = -1;
     std::size_t most = 0;
     for (int i = 0; i < node_count(); ++i) {
@@ -521,7 +526,7 @@
     return nullptr;
 }
 
-bool Simulator::is_cut(const std::string& a, const std::string& b) const {
+bool Simulator::is_link_cut(const std::string& a, const std::string& b) const {
     return cuts_.count(link(a, b)) || one_way_.count({a, b}) || one_way_.count({b, a});
 }
 
@@ -534,7 +539,7 @@
 void Simulator::boot_machines() {
     for (auto& [name, m] : cloud_.machines()) {
         if (m.up) continue;
-        if (m.up_at > m.rented && seen_rented_.insert(name).second && drawn(swift_boots))
+        if (m.up_at > m.rented && seen_rented_.insert(name).second && drawn(fast_boot_rate))
             m.up_at = std::min(m.up_at, m.rented + between(200 * kMillisecond, 2 * kSecond));
         if (m.up_at > now_) continue;
         m.up = true;
@@ -566,19 +571,19 @@
 void Simulator::kill_machine(const std::string& name) {
     auto it = workers_.find(name);
     if (it == workers_.end() || !it->second.worker) return;
-    note("machine " + name + " is gone");
+    record_event("machine " + name + " is gone");
     it->second.worker.reset();
     // One that was not deleted is listed as running for a while yet, then as failed until it is.
-    at(now_ + kListedOn, [this, name] {
+    schedule_at(now_ + kListedOn, [this, name] {
         if (auto m = cloud_.machines().find(name); m != cloud_.machines().end())
             m->second.info.state = CloudState::Failed;
     });
 }
 
-void Simulator::hang(const std::string& name, bool on) {
+void Simulator::set_hung(const std::string& name, bool on) {
     auto& r = workers_[name];
     if (!r.worker || r.hung == on) return;
-    note("machine " + name + (on ? " hangs" : " goes on"));
+    record_event("machine " + name + (on ? " hangs" : " goes on"));
     r.hung = on;
     if (!on)
         for (auto& w : std::exchange(r.waiting, {})) w();
@@ -592,8 +597,8 @@
 }
 
 void Simulator::tick() {
-    at(now_ + kStep, [this] { tick(); });
-    if (odd_requests && drawn(0.2)) odd_request();
+    schedule_at(now_ + kStep, [this] { tick(); });
+    if (send_unusual_requests && drawn(0.2)) odd_request();
     boot_machines();
     state_.expire(now_);
     for (auto& [name, r] : workers_) {
@@ -613,7 +618,7 @@
     }
     for (auto& [ref, u] : users_) {
         if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel) continue;
-        if (running(ref) > 0) breach("ran_cancelled", ref + " is still on a machine");
+        if (running_tasks(ref) > 0) breach("ran_cancelled", ref + " is still on a machine");
     }
 }
 
@@ -643,18 +648,19 @@
             if (node(target)) node(target)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
         });
     };
-    if (keep_reports_.erase(name) || drawn(reports_for_next)) kept_reports_.push_back(body);
+    if (keep_reports_.erase(name) || drawn(replayed_report_rate)) kept_reports_.push_back(body);
     if (r.mute) {
-        at(now_ + 4 * kSecond,
-           [release_shard, next = (target + 1) % node_count()] { release_shard(next, kSecond); });
+        schedule_at(now_ + 4 * kSecond,
+                    [release_shard, next = (target + 1) % node_count()] { release_shard(next, kSecond); });
         return;
     }
     repeat(again);
-    if (drawn(late_reports)) at(now_ + between(2 * kSecond, latest_report(settings.lease)), again);
+    if (drawn(late_report_copy_rate))
+        schedule_at(now_ + between(2 * kSecond, max_report_copy_delay(settings.lease)), again);
     const int next = (target + 1) % node_count();
-    at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
+    schedule_at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
     if (!nodes_[static_cast<std::size_t>(target)].controller) {
-        at(now_ + delay(), [release_shard, next] { release_shard(next, kSecond); });
+        schedule_at(now_ + delay(), [release_shard, next] { release_shard(next, kSecond); });
         return;
     }
     send(name, host, [this, name, host, target, next, session, sent, generation, body, release_shard] {
@@ -684,7 +690,7 @@
 
 // ---------------------------------------------------------------- users
 
-JobSpec Simulator::job(int number, JobKind kind, int tasks, double cores) {
+JobSpec Simulator::make_job(int number, JobKind kind, int tasks, double cores) {
     JobSpec s;
     char ref[32];
     std::snprintf(ref, sizeof ref, "req-%06d", number);
@@ -711,25 +717,26 @@
     try_cancel(ref);
 }
 
-std::vector<std::string> Simulator::cancel_now(int count, Micros hang_for) {
+std::vector<std::string> Simulator::cancel_random_jobs(int count, Micros hang_for) {
     std::vector<std::string> chosen;
     for (const auto& [ref, u] : users_) {
         const bool long_to_go =
             u.info.spec.kind == JobKind::Service || (u.begun >= 0 && now_ - u.begun < u.info.run / 2);
-        if (u.told == "accepted" && !u.wants_cancel && long_to_go && running(ref) > 0) chosen.push_back(ref);
+        if (u.told == "accepted" && !u.wants_cancel && long_to_go && running_tasks(ref) > 0)
+            chosen.push_back(ref);
     }
     std::shuffle(chosen.begin(), chosen.end(), random);
     chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(count)));
     std::set<std::string> machines;
     for (const auto& ref : chosen) {
-        for (const auto& m : machines_of(ref))
+        for (const auto& m : machines_running(ref))
             if (machines.size() < 8) machines.insert(m);
-        at(now_ + between(0, 200 * kMillisecond), [this, ref] { cancel(ref); });
+        schedule_at(now_ + between(0, 200 * kMillisecond), [this, ref] { cancel(ref); });
     }
     if (hang_for == 0) return chosen;
     for (const auto& m : machines) {
-        hang(m, true);
-        at(now_ + hang_for, [this, m] { hang(m, false); });
+        set_hung(m, true);
+        schedule_at(now_ + hang_for, [this, m] { set_hung(m, false); });
     }
     return chosen;
 }
@@ -743,17 +750,18 @@
     auto finish = [over, done = std::move(done)](const ApiResponse& r) {
         if (!std::exchange(*over, true)) done(r);
     };
-    at(now_ + 5 * kSecond, [finish] { finish({0, Json(), 0}); });
+    schedule_at(now_ + 5 * kSecond, [finish] { finish({0, Json(), 0}); });
     if (up.empty()) return;
-    if (target < 0) target = users_at >= 0 && node(users_at) ? users_at : up[random() % up.size()];
-    if (is_cut("users", "loom-" + std::to_string(target))) return;
+    if (target < 0)
+        target = preferred_node >= 0 && node(preferred_node) ? preferred_node : up[random() % up.size()];
+    if (is_link_cut("users", "loom-" + std::to_string(target))) return;
     const std::string bytes = wire::encode(body);
-    at(now_ + delay(), [this, target, method, path, bytes, finish] {
+    schedule_at(now_ + delay(), [this, target, method, path, bytes, finish] {
         hand(target, [this, target, method, path, bytes, finish] {
             if (!node(target)) return;
             node(target)->handle({method, path, bytes, false}, [this, target, finish](const ApiResponse& r) {
                 answered(target, r);
-                at(now_ + delay(), [this, target, finish, r] {
+                schedule_at(now_ + delay(), [this, target, finish, r] {
                     if (node(target)) finish(r);
                 });
             });
@@ -779,8 +787,8 @@
                          static_cast<int>(u->second.done.size()) >= u->second.info.spec.tasks};
             const std::string stage = wire::text(r.body, "stage").value_or("");
             for (const auto& line : looks_.hear(ref, {what, begun, r.status, stage, right}, truth)) {
-                note("BROKEN " + line);
-                broken.push_back(line);
+                record_event("BROKEN " + line);
+                violations.push_back(line);
             }
             if (truth.submitted && (r.status == 200 || r.status == 201)) hear(ref, sent, r.body);
             done(r);
@@ -797,22 +805,24 @@
                      return poll(ref);
                  }
                  if (r.status == 400 || r.status == 422) return;
-                 at(now_ + kSecond, [this, ref] { try_submit(ref); });
+                 schedule_at(now_ + kSecond, [this, ref] { try_submit(ref); });
              });
 }
 
 void Simulator::try_cancel(const std::string& ref) {
     user_ask(Asked::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& r) {
         if (r.status == 200) return repeat([this, ref] { try_cancel(ref); });
-        at(now_ + kSecond, [this, ref] { try_cancel(ref); });
+        schedule_at(now_ + kSecond, [this, ref] { try_cancel(ref); });
     });
 }
 
 void Simulator::poll(const std::string& ref) {
     if (users_[ref].polling) return;
     users_[ref].polling = true;
-    const Micros pause = (poll_pause + static_cast<Micros>(random() % 2000) * poll_pause / 1000) / poll_rate;
-    at(now_ + pause, [this, ref] {
+    const Micros pause =
+        (min_poll_interval + static_cast<Micros>(random() % 2000) * min_poll_interval / 1000) /
+        poll_frequency_factor;
+    schedule_at(now_ + pause, [this, ref] {
         users_[ref].polling = false;
         user_ask(Asked::State, ref, Json::object(), [this, ref](const ApiResponse& r) {
             if (r.status == 200) {
@@ -825,7 +835,7 @@
     });
 }
 
-void Simulator::look_closely(const std::string& ref) {
+void Simulator::query_all_nodes(const std::string& ref) {
     const JobSpec& spec = users_.at(ref).info.spec;
     // Another job under the same name, which by itself may be refused.
     JobSpec other = spec;
@@ -833,20 +843,20 @@
     other.image = other.job_class = std::string(250, 'x');
     for (const Micros later : {1, 3, 10, 30, 100})
         for (int i = 0; i < node_count(); ++i)
-            at(now_ + later * kMillisecond, [this, ref, later, i, spec, other] {
+            schedule_at(now_ + later * kMillisecond, [this, ref, later, i, spec, other] {
                 if (!node(i)) return;
                 ask_about(ref, i);
                 if (later == 3 || later == 30) submit_again(ref, wire::job_value(spec), i);
                 if (later == 10) submit_again(ref, wire::job_value(other), i);
                 // One that nobody wanted can only be repeated once the job is over.
-                const bool over = told(ref) == "done" || told(ref) == "cancelled";
+                const bool over = reported_stage(ref) == "done" || reported_stage(ref) == "cancelled";
                 if (later == 10 && (over || cancel_wanted(ref)))
                     user_ask(
                         Asked::Cancellation, ref, Json::object(), [](const auto&) {}, i);
             });
 }
 
-void Simulator::look_at(const JobSpec& spec, int target) {
+void Simulator::query_and_resubmit(const JobSpec& spec, int target) {
     submit_again(spec.ref, wire::job_value(spec), target);
     ask_about(spec.ref, target);
 }
@@ -861,16 +871,16 @@
         Asked::Submission, ref, body, [](const auto&) {}, target);
 }
 
-void Simulator::submit_wrong(const Json& body, int target) {
+void Simulator::submit_invalid_job(const Json& body, int target) {
     if (target < 0)
-        for (int i = 1; i < node_count(); ++i) submit_wrong(body, i);
+        for (int i = 1; i < node_count(); ++i) submit_invalid_job(body, i);
     target = std::max(target, 0);
     const std::string ref = wire::text(body, "ref").value_or("");
     user_ask(
         Asked::Submission, ref, body,
         [this, body, target](const ApiResponse& r) {
             if (r.status != 400 && r.status != 422)
-                at(now_ + kSecond, [this, body, target] { submit_wrong(body, target); });
+                schedule_at(now_ + kSecond, [this, body, target] { submit_invalid_job(body, target); });
         },
         target);
     if (!ref.empty()) ask_about(ref, target);
@@ -885,7 +895,7 @@
             if (u.told == stage) all.push_back(&u.info.spec);
         return all.empty() ? nullptr : all[random() % all.size()];
     };
-    JobSpec fresh = job(900'000 + ++odd_jobs_, JobKind::Array, 1);
+    JobSpec fresh = make_job(900'000 + ++odd_jobs_, JobKind::Array, 1);
     Json body = wire::job_value(fresh);
     switch (random() % 5) {
         case 0:
@@ -902,13 +912,13 @@
             break;
         case 2:
             body["cores"] = 1e6;
-            submit_wrong(body, target);
+            submit_invalid_job(body, target);
             break;
         case 3: {
             auto field = body.begin();
             std::advance(field, static_cast<std::ptrdiff_t>(random() % body.size()));
             body.erase(field);
-            submit_wrong(body, target);
+            submit_invalid_job(body, target);
             break;
         }
         default:
@@ -926,13 +936,13 @@
     const std::string next = stage == "done" || stage == "cancelled" ? stage : "accepted";
     // An answer that was overtaken by a newer one tells nothing.
     if (u.told == next || u.told == "done" || u.told == "cancelled") return;
-    note("user is told: " + ref + " is " + next);
+    record_event("user is told: " + ref + " is " + next);
     if (u.told.empty()) u.accepted_at = now_;
     if (next == "cancelled") u.cancelled_at = now_;
     const bool accepted = u.told.empty() && next == "accepted";
     u.told = next;
-    if (!close_looks) return;
-    look_closely(ref);
+    if (!query_after_changes) return;
+    query_all_nodes(ref);
     if (accepted && !u.wants_cancel && drawn(0.1)) cancel(ref);
 }
 
@@ -940,8 +950,8 @@
     return quiesced_since_ < 0 ? 0 : now_ - std::max({quiesced_since_, u.answered, u.accepted_at});
 }
 
-void Simulator::quiesce() {
-    if (quiesced_since_ < 0) at(now_, [this] { watch_waiting(); });
+void Simulator::mark_faults_over() {
+    if (quiesced_since_ < 0) schedule_at(now_, [this] { watch_waiting(); });
     quiesced_since_ = now_;
 }
 
@@ -960,7 +970,7 @@
         }
         bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->notice;
         for (int i = 0; reached && !(cuts_.empty() && one_way_.empty()) && i < node_count(); ++i)
-            reached = !is_cut(name, "loom-" + std::to_string(i));
+            reached = !is_link_cut(name, "loom-" + std::to_string(i));
         if (reached) s.rooms[name] = std::move(room);
     }
     for (const auto& [ref, u] : users_) {
@@ -981,11 +991,11 @@
 }
 
 void Simulator::watch_waiting() {
-    at(now_ + kSecond, [this] { watch_waiting(); });
+    schedule_at(now_ + kSecond, [this] { watch_waiting(); });
     starvation_checker_.look(now_, sight());
 }
 
-std::vector<Fate> Simulator::fates() const {
+std::vector<Fate> Simulator::job_outcomes() const {
     std::vector<Fate> out;
     for (const auto& [ref, u] : users_) {
         if (u.told.empty()) continue;
@@ -997,19 +1007,19 @@
     return out;
 }
 
-void Simulator::remember_running() {
+void Simulator::record_running_tasks() {
     running_before_.clear();
     for (const auto& [key, where] : on_) running_before_.insert(key);
 }
 
-std::vector<std::string> Simulator::refs() const {
+std::vector<std::string> Simulator::job_refs() const {
     std::vector<std::string> out;
     for (const auto& [ref, u] : users_) out.push_back(ref);
     return out;
 }
 
-ApiResponse Simulator::ask_raw(int i, const std::string& method, const std::string& path,
-                               const std::string& body) {
+ApiResponse Simulator::request_raw(int i, const std::string& method, const std::string& path,
+                                   const std::string& body) {
     auto result = std::make_shared<std::optional<ApiResponse>>();
     node(i)->handle({method, path, body, false}, [result](const ApiResponse& r) {
         if (!*result) *result = r;
@@ -1018,23 +1028,23 @@
     return result->value_or(ApiResponse{0, Json(), 0});
 }
 
-ApiResponse Simulator::ask(int i, const std::string& method, const std::string& path, const Json& body) {
-    return ask_raw(i, method, path, wire::encode(body));
+ApiResponse Simulator::request(int i, const std::string& method, const std::string& path, const Json& body) {
+    return request_raw(i, method, path, wire::encode(body));
 }
 
-std::string Simulator::told(const std::string& ref) const {
+std::string Simulator::reported_stage(const std::string& ref) const {
     auto it = users_.find(ref);
     return it == users_.end() ? "" : it->second.told;
 }
 
-int Simulator::running(const std::string& ref) const {
+int Simulator::running_tasks(const std::string& ref) const {
     int n = 0;
     for (const auto& [key, where] : on_)
         if (key.first == ref) n += static_cast<int>(where.size());
     return n;
 }
 
-std::set<std::string> Simulator::machines_of(const std::string& ref) const {
+std::set<std::string> Simulator::machines_running(const std::string& ref) const {
     std::set<std::string> names;
     for (const auto& [key, where] : on_)
         if (key.first == ref)
@@ -1042,7 +1052,7 @@
     return names;
 }
 
-int Simulator::starts(const std::string& ref) const {
+int Simulator::task_starts(const std::string& ref) const {
     auto it = users_.find(ref);
     return it == users_.end() ? 0 : it->second.starts;
 }
@@ -1054,17 +1064,18 @@
 
 // ---------------------------------------------------------------- the rules
 
-void Simulator::note(const std::string& line) {
+void Simulator::record_event(const std::string& line) {
     char time[32];
     std::snprintf(time, sizeof time, "%9.3f ", static_cast<double>(now_) / 1e6);
-    trace.push_back(time + line);
-    spdlog::info("{}", trace.back());
+    event_history.push_back(time + line);
+    spdlog::info("{}", event_history.back());
 }
 
-std::string Simulator::story(std::size_t last) const {
+std::string Simulator::format_history(std::size_t last) const {
     std::string out;
-    for (std::size_t i = trace.size() > last ? trace.size() - last : 0; i < trace.size(); ++i)
-        out += trace[i] + "\n";
+    for (std::size_t i = event_history.size() > last ? event_history.size() - last : 0;
+         i < event_history.size(); ++i)
+        out += event_history[i] + "\n";
     return out;
 }
 
@@ -1083,8 +1094,8 @@
 }
 
 void Simulator::breach(const std::string& rule, const std::string& what) {
-    note("BROKEN " + rule + ": " + what);
-    broken.push_back(rule + ": " + what);
+    record_event("BROKEN " + rule + ": " + what);
+    violations.push_back(rule + ": " + what);
 }
 
 const JobInfo* Simulator::job(const std::string& ref) {
@@ -1097,7 +1108,8 @@
     User& u = users_.at(ref);
     const JobSpec& s = u.info.spec;
     ++u.starts;
-    note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " + machine);
+    record_event(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " +
+                 machine);
     for (const auto& need : s.needs)
         if (static_cast<int>(users_.at(need).done.size()) < users_.at(need).info.spec.tasks)
             breach("too_early", ref + " starts before " + need + " is done");
@@ -1129,7 +1141,8 @@
 
 void Simulator::off_machine(const std::string& machine, const std::string& ref, int task,
                             std::int64_t attempt) {
-    note(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " leaves " + machine);
+    record_event(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " leaves " +
+                 machine);
     auto it = on_.find({ref, task});
     if (it == on_.end() || it->second.erase(machine) == 0) return;
     User& u = users_.at(ref);
@@ -1149,9 +1162,9 @@
     }
     if (u.finished >= 0 || static_cast<int>(u.done.size()) < u.info.spec.tasks) return;
     u.finished = now_;
-    if (close_looks && !u.told.empty()) look_closely(ref);
-    if (!u.wants_cancel && drawn(cancel_at_end))
-        at(now_ + between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
+    if (query_after_changes && !u.told.empty()) query_all_nodes(ref);
+    if (!u.wants_cancel && drawn(cancel_on_completion_rate))
+        schedule_at(now_ + between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
 }
 
 bool Simulator::gang_complete(const std::string& ref, std::int64_t attempt) {
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -18,19 +18,19 @@
 
 namespace cottonway::simulation {
 
-Settings small_site();
-std::vector<MachineType> small_types();
+Settings small_cluster_settings();
+std::vector<MachineType> small_cluster_machine_types();
 
 class Simulator : public fakes::TaskObserver {
   public:
-    explicit Simulator(std::uint64_t seed, Settings settings = small_site(),
-                       std::vector<MachineType> types = small_types());
+    explicit Simulator(std::uint64_t seed, Settings settings = small_cluster_settings(),
+                       std::vector<MachineType> types = small_cluster_machine_types());
     ~Simulator() override;
 
     // Time.
     Micros now() const { return now_; }
     void run(Micros span);
-    void at(Micros when, std::function<void()> what);
+    void schedule_at(Micros when, std::function<void()> what);
 
     // What the world consists of.
     std::string add_machine(const std::string& type, const std::string& zone, bool spot = false);
@@ -41,139 +41,139 @@
     Controller* node(int i) { return nodes_[static_cast<std::size_t>(i)].controller.get(); }
     int node_count() const { return static_cast<int>(nodes_.size()); }
     /// Index of the node that leads, or -1.
-    int leader() const;
-    int holder();                    // index of a node that holds machines and is active, or -1
-    int busiest();                   // index of the node that holds the most machines, or -1
+    int leader_node() const;
+    int owner_node();                // index of a node that holds machines and is active, or -1
+    int busiest_node();              // index of the node that holds the most machines, or -1
     ShardOwner* owner_at(int node);  // of the machines that it holds
     fakes::Worker* worker(const std::string& name);
     fakes::StateService& state() { return state_; }
     fakes::Cloud& cloud() { return cloud_; }
     std::vector<std::string> machine_names() const;
     void kill_machine(const std::string& name);
-    void hang(const std::string& name, bool on);
+    void set_hung(const std::string& name, bool on);
     /// The process stands still while its clocks run on: what is sent to it waits, and its timers are all due
     /// afterwards.
-    void freeze(int node, Micros span);
+    void freeze_process(int node, Micros span);
 
     // The network. Hosts are "loom-0", "state", "cloud", machines' names and "users".
-    void cut(const std::string& a, const std::string& b);
-    void heal(const std::string& a, const std::string& b);
-    void heal_all();
-    bool is_cut(const std::string& a, const std::string& b) const;
+    void cut_link(const std::string& a, const std::string& b);
+    void heal_link(const std::string& a, const std::string& b);
+    void heal_all_links();
+    bool is_link_cut(const std::string& a, const std::string& b) const;
     /// Keeps back the next message from one host to another, whatever else passes between them.
-    void hold_next(const std::string& from, const std::string& to);
-    void release();
+    void hold_next_message(const std::string& from, const std::string& to);
+    void release_held_messages();
     /// Messages one way only are held; no new connection comes about either.
-    void cut_one_way(const std::string& from, const std::string& to);
+    void cut_link_one_way(const std::string& from, const std::string& to);
     /// 503 for this node alone.
-    void refuse(int node, bool on);
+    void refuse_state_requests(int node, bool on);
     /// The process has no socket left to call workers with: none of its commands is sent. Workers that have
     /// a connection to it go on reporting.
     void exhaust_sockets(int node, bool on);
     /// The controller loses the state service and the other controllers, not its workers or users.
-    void cut_off(int node, bool on);
+    void isolate_controller(int node, bool on);
     /// The machine's reports arrive; answers and direct commands to it are lost.
-    void deafen(const std::string& machine, bool on);
+    void block_messages_to(const std::string& machine, bool on);
     /// The machine reaches no controller, while direct commands reach it, and their answers whoever sent
     /// them.
-    void mute(const std::string& machine, bool on);
+    void block_messages_from(const std::string& machine, bool on);
     /// Part of the machines that are rented from now on and up within two seconds.
-    double swift_boots = 0;
-    Micros slow_links = 0;  // messages between all hosts take up to so much longer
-    double loss = 0;
-    double answers_lost = 0;  // of the state service
+    double fast_boot_rate = 0;
+    Micros max_extra_link_delay = 0;  // messages between all hosts take up to so much longer
+    double message_loss_rate = 0;
+    double state_answer_loss_rate = 0;  // of the state service
     /// Part of all reports, commands, changes, rental and users' requests that arrive once more, up to
     /// `repeat_late` later; nobody waits for the answers. What the protocol says of delayed messages holds.
-    double repeats = 0;
-    Micros repeat_late = 8 * kSecond;
+    double duplicate_rate = 0;
+    Micros max_duplicate_delay = 8 * kSecond;
     /// Part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones, if
     /// their conditions still hold.
-    double late_writes = 0;
-    static constexpr Micros kLatestWrite = 12 * kSecond;
+    double delayed_write_rate = 0;
+    static constexpr Micros kMaxWriteDelay = 12 * kSecond;
     /// The next transaction that writes or drops a key with this prefix gets no answer and is carried out so
     /// much later, if its conditions still hold. Several wait for one each.
-    void late_next(const std::string& prefix, Micros after) { late_next_.emplace_back(prefix, after); }
+    void delay_next_write(const std::string& prefix, Micros after) { late_next_.emplace_back(prefix, after); }
     /// Those that are still waited for.
-    std::size_t late_to_come() const { return late_next_.size(); }
+    std::size_t pending_write_delays() const { return late_next_.size(); }
     /// Part of the transactions that are carried out at once and whose answer alone is lost, while other
     /// controllers read what they wrote. `late_next` with 0 has it happen to the next of a kind.
-    double unanswered_writes = 0;
+    double unanswered_write_rate = 0;
     /// Answers of the state service are up to so much later.
-    Micros slow_state = 0;
+    Micros max_state_answer_delay = 0;
     /// Part of the direct commands that get no answer and are carried out once, 2 to 16 s later, if token and
     /// session still match.
-    double late_commands = 0;
-    static constexpr Micros kLatestCommand = 16 * kSecond;
+    double delayed_command_rate = 0;
+    static constexpr Micros kMaxCommandDelay = 16 * kSecond;
     /// Part of the workers' reports of which a copy arrives again at the same node, from 2 s to two and a
     /// half leases later.
-    double late_reports = 0;
-    static constexpr Micros latest_report(Micros lease) { return lease * 5 / 2; }
+    double late_report_copy_rate = 0;
+    static constexpr Micros max_report_copy_delay(Micros lease) { return lease * 5 / 2; }
     /// Part of the workers' reports of which a copy is kept until another controller leads, or the same one
     /// after an end, and reaches all controllers then.
-    double reports_for_next = 0;
+    double replayed_report_rate = 0;
     /// The same for the next report of a machine.
-    void keep_report(const std::string& machine) { keep_reports_.insert(machine); }
-    std::size_t reports_kept() const { return kept_reports_.size(); }
+    void replay_next_report(const std::string& machine) { keep_reports_.insert(machine); }
+    std::size_t pending_report_replays() const { return kept_reports_.size(); }
     /// Commands that were carried out as well. The protocol has one that must not be: a launch after a clear.
-    bool repeat_commands = false;
+    bool duplicate_commands = false;
     /// A zone is cut off, its controllers with it, or all in it ends; and it is back: its controllers at
     /// once, machines that ended as new ones.
-    void lose_zone(const std::string& zone, bool ends);
-    void zone_back(const std::string& zone);
+    void fail_zone(const std::string& zone, bool ends);
+    void restore_zone(const std::string& zone);
 
     // JobService.
-    JobSpec job(int number, JobKind kind, int tasks, double cores = 1);
+    JobSpec make_job(int number, JobKind kind, int tasks, double cores = 1);
     void submit(const JobSpec& spec, Micros run, Micros fetch = 200 * kMillisecond, bool mistaken = false);
-    int users_at = -1;            // the node that users go to while it is up; -1: any
-    int poll_rate = 1;            // how many times as often as usual users poll
-    Micros poll_pause = kSecond;  // at least, thrice as much at most
+    int preferred_node = -1;             // the node that users go to while it is up; -1: any
+    int poll_frequency_factor = 1;       // how many times as often as usual users poll
+    Micros min_poll_interval = kSecond;  // at least, thrice as much at most
     /// All troubles are over: from now on accepted jobs are due an answered poll and, where there is room, a
     /// start.
-    void quiesce();
+    void mark_faults_over();
     /// Of all accepted jobs.
-    std::vector<Fate> fates() const;
+    std::vector<Fate> job_outcomes() const;
     /// Requests of a node to the state service so far.
     std::uint64_t state_requests(int node) const {
         return nodes_[static_cast<std::size_t>(node)].state_requests;
     }
     /// Of each task: from the acceptance of its job to its first start.
-    const std::vector<std::pair<std::string, Micros>>& waits() const { return waits_; }
+    const std::vector<std::pair<std::string, Micros>>& task_start_delays() const { return waits_; }
     /// Of each replica that stopped and started again: the time without it.
-    const std::vector<std::pair<std::string, Micros>>& gaps() const { return gaps_; }
+    const std::vector<std::pair<std::string, Micros>>& replica_downtimes() const { return gaps_; }
     /// Starts of tasks that were on a machine when all controllers ended last, and had not to start again.
-    std::size_t started_again() const { return started_again_; }
+    std::size_t unnecessary_starts() const { return started_again_; }
     /// From now on a start of what runs now, or has completed, counts as one that need not be.
-    void remember_running();
-    std::vector<std::string> refs() const;
+    void record_running_tasks();
+    std::vector<std::string> job_refs() const;
     void cancel(const std::string& ref);
     /// JobService call off so many jobs that run and have long to go (services, and what has at least half of
     /// its run time left), within a fifth of a second; up to eight of their machines hang for so long. Those
     /// jobs.
-    std::vector<std::string> cancel_now(int count, Micros hang);
+    std::vector<std::string> cancel_random_jobs(int count, Micros hang);
     /// Part of the jobs that end which their users call off at that moment.
-    double cancel_at_end = 0;
+    double cancel_on_completion_rate = 0;
     /// Right after a job was accepted, ended or confirmed as cancelled, its user asks at all nodes, again and
     /// again within milliseconds, and repeats the submission, and a cancellation that it wanted; a tenth of
     /// the users cancel at once.
-    bool close_looks = false;
+    bool query_after_changes = false;
     /// That once, at any moment.
-    void look_closely(const std::string& ref);
+    void query_all_nodes(const std::string& ref);
     /// Asks about a job at one node, and submits it there again.
-    void look_at(const JobSpec& spec, int node);
+    void query_and_resubmit(const JobSpec& spec, int node);
     /// JobService repeat submissions of unfinished jobs, also with another body, cancel jobs that are done,
     /// ask about jobs that nobody submitted, and send jobs that fit no machine or lack a field.
-    bool odd_requests = false;
+    bool send_unusual_requests = false;
     /// A job that nobody may accept, sent to a node until it answers 400 or 422; -1: to each.
-    void submit_wrong(const Json& body, int node = -1);
+    void submit_invalid_job(const Json& body, int node = -1);
     /// What users were told, as it is judged.
-    const ConsistencyChecker& looks() const { return looks_; }
-    ApiResponse ask(int node, const std::string& method, const std::string& path, const Json& body);
-    ApiResponse ask_raw(int node, const std::string& method, const std::string& path,
-                        const std::string& body);
-    std::string told(const std::string& ref) const;  // "", "accepted", "done" or "cancelled"
-    int running(const std::string& ref) const;
-    std::set<std::string> machines_of(const std::string& ref) const;
-    int starts(const std::string& ref) const;
+    const ConsistencyChecker& consistency_checker() const { return looks_; }
+    ApiResponse request(int node, const std::string& method, const std::string& path, const Json& body);
+    ApiResponse request_raw(int node, const std::string& method, const std::string& path,
+                            const std::string& body);
+    std::string reported_stage(const std::string& ref) const;  // "", "accepted", "done" or "cancelled"
+    int running_tasks(const std::string& ref) const;
+    std::set<std::string> machines_running(const std::string& ref) const;
+    int task_starts(const std::string& ref) const;
     int completed_tasks(const std::string& ref) const;
 
     /// Told of every request that a controller sends (`who`: its name, `what`: method and path) and of every
@@ -183,10 +183,10 @@
     TrafficObserver on_traffic;
 
     // The verdict.
-    std::vector<std::string> broken;
-    std::vector<std::string> trace;
-    void note(const std::string& line);
-    std::string story(std::size_t last = 60) const;
+    std::vector<std::string> violations;
+    std::vector<std::string> event_history;
+    void record_event(const std::string& line);
+    std::string format_history(std::size_t last = 60) const;
 
     // TaskObserver.
     const fakes::JobInfo* job(const std::string& ref) override;
@@ -264,7 +264,7 @@
     Micros between(Micros least, Micros most) {
         return least + static_cast<Micros>(random() % static_cast<std::uint64_t>(most - least));
     }
-    void heal(const std::vector<std::pair<std::string, std::string>>& links);
+    void heal_link(const std::vector<std::pair<std::string, std::string>>& links);
     Micros unanswered(const User& u) const;
     void answered(int node, const ApiResponse& response) const;
     void tick();
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -97,13 +97,13 @@
     for (const bool deaf : {false, true}) {
         Simulator w(3);
         start(w);
-        w.submit(w.job(1, JobKind::Array, 2), 3 * kSecond);
+        w.submit(w.make_job(1, JobKind::Array, 2), 3 * kSecond);
         w.run(30 * kSecond);
-        ASSERT_EQ(w.told("req-000001"), "done");
-        w.quiesce();
-        if (deaf) w.cut("users", "loom-0");
+        ASSERT_EQ(w.reported_stage("req-000001"), "done");
+        w.mark_faults_over();
+        if (deaf) w.cut_link("users", "loom-0");
         w.run(80 * kSecond);
-        EXPECT_EQ(has(judge(w.fates(), w.settings.teams, w.now()), "forgotten"), deaf);
+        EXPECT_EQ(has(judge(w.job_outcomes(), w.settings.teams, w.now()), "forgotten"), deaf);
     }
 }
 
@@ -113,10 +113,10 @@
     w.run(5 * kSecond);
     w.cloud().down = true;
     for (const auto& m : w.machine_names()) w.kill_machine(m);
-    for (int i = 1; i <= 6; ++i) w.submit(w.job(i, JobKind::Array, 3), 3 * kSecond);
+    for (int i = 1; i <= 6; ++i) w.submit(w.make_job(i, JobKind::Array, 3), 3 * kSecond);
     w.run(250 * kSecond);
-    const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
-    EXPECT_TRUE(has(a, "half served: class class: 0 of 6")) << w.story();
+    const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
+    EXPECT_TRUE(has(a, "half served: class class: 0 of 6")) << w.format_history();
     EXPECT_TRUE(has(a, "half served: team red"));
     EXPECT_TRUE(has(a, "largest begin"));
     EXPECT_LT(a.unanswered, kAnsweredWithin);
@@ -173,20 +173,20 @@
         Simulator w(5);
         start(w);
         w.run(5 * kSecond);
-        w.submit(w.job(1, JobKind::Array, 24), 20 * kSecond);  // all there is
+        w.submit(w.make_job(1, JobKind::Array, 24), 20 * kSecond);  // all there is
         w.run(5 * kSecond);
-        JobSpec waits = w.job(2, JobKind::Array, 1);
+        JobSpec waits = w.make_job(2, JobKind::Array, 1);
         waits.team = "blue";
         w.submit(waits, 5 * kSecond);
         w.run(2 * kSecond);
-        ASSERT_EQ(w.told(waits.ref), "accepted");
-        ASSERT_EQ(w.running(waits.ref), 0);
+        ASSERT_EQ(w.reported_stage(waits.ref), "accepted");
+        ASSERT_EQ(w.running_tasks(waits.ref), 0);
         if (planted) w.state().limits.txn_ops = 0;
-        w.quiesce();
+        w.mark_faults_over();
         w.run(115 * kSecond);
-        const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
-        EXPECT_EQ(has(a, "left waiting: " + waits.ref), planted) << a.left_waiting << w.story();
-        EXPECT_EQ(w.told(waits.ref), planted ? "accepted" : "done");
+        const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
+        EXPECT_EQ(has(a, "left waiting: " + waits.ref), planted) << a.left_waiting << w.format_history();
+        EXPECT_EQ(w.reported_stage(waits.ref), planted ? "accepted" : "done");
     }
 }
 
@@ -196,38 +196,38 @@
     for (int i = 0; i < 8; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3);
     w.run(6 * kSecond);
-    w.submit(w.job(1, JobKind::Array, 150), 90 * kSecond);  // 24 at once
+    w.submit(w.make_job(1, JobKind::Array, 150), 90 * kSecond);  // 24 at once
     w.run(10 * kSecond);
-    JobSpec guests = w.job(2, JobKind::Array, 4);
+    JobSpec guests = w.make_job(2, JobKind::Array, 4);
     guests.team = "guests";
     guests.rank = PriorityClass::Low;
     w.submit(guests, 3 * kSecond);
     w.run(40 * kSecond);
-    EXPECT_EQ(w.told(guests.ref), "done") << w.story();
-    EXPECT_TRUE(w.broken.empty());
+    EXPECT_EQ(w.reported_stage(guests.ref), "done") << w.format_history();
+    EXPECT_TRUE(w.violations.empty());
 }
 
 /// Batch has come too lately to count on average, so most ordinary machines are being emptied: a service
 /// needs them, by its spread, and gets room there by stopping batch.
 TEST(Acceptance, WhatFindsNoRoomElsewhereStartsOnMachinesThatAreBeingEmptied) {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.ops.idle_return = 12 * kSecond;
     Simulator w(8, s);
     start(w);
     w.run(5 * kSecond);
-    w.submit(w.job(1, JobKind::Array, 24), 60 * kSecond);
+    w.submit(w.make_job(1, JobKind::Array, 24), 60 * kSecond);
     w.run(10 * kSecond);
     int emptied = 0;
     for (const auto& [name, m] : w.owner_at(0)->machines()) emptied += m->draining;
-    ASSERT_EQ(emptied, 2) << w.story();
-    JobSpec service = w.job(2, JobKind::Service, 4, 2);
+    ASSERT_EQ(emptied, 2) << w.format_history();
+    JobSpec service = w.make_job(2, JobKind::Service, 4, 2);
     service.rank = PriorityClass::Production;
     service.spread = true;
     service.team = "blue";
     w.submit(service, 0);
     w.run(3 * kSecond);
-    EXPECT_EQ(w.running(service.ref), 4) << w.story();
-    EXPECT_TRUE(w.broken.empty());
+    EXPECT_EQ(w.running_tasks(service.ref), 4) << w.format_history();
+    EXPECT_TRUE(w.violations.empty());
 }
 
 TEST(Acceptance, ExperimentsLeaveTimeAfterTheirLastFault) {
@@ -252,40 +252,40 @@
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes(3);
         w.run(10 * kSecond);
-        w.lose_zone("b", ends);
+        w.fail_zone("b", ends);
         EXPECT_EQ(w.machine_names().size(), ends ? 2u : 4u);
         EXPECT_EQ(w.node(1) == nullptr, ends);
-        EXPECT_EQ(w.is_cut("loom-1", "state"), !ends);
+        EXPECT_EQ(w.is_link_cut("loom-1", "state"), !ends);
         w.run(10 * kSecond);
-        w.zone_back("b");
+        w.restore_zone("b");
         EXPECT_EQ(w.machine_names().size(), 4u);
         EXPECT_NE(w.node(1), nullptr);
-        EXPECT_FALSE(w.is_cut("loom-1", "state"));
+        EXPECT_FALSE(w.is_link_cut("loom-1", "state"));
         w.run(20 * kSecond);
-        EXPECT_TRUE(w.broken.empty());
+        EXPECT_TRUE(w.violations.empty());
     }
 }
 
 TEST(LabWorld, CardsAreBookedAndImagesTakeTheirSize) {
     MachineType gpus{"cards", {16'000, 4'000, 64'000}, 30'000, 2.0, 1, 1, kSecond, {"a", "b"}};
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"red", {}, {kNoLimit, kNoLimit, 0}}};
     Simulator w(5, s, {gpus});
     w.add_machine("cards", "a");
     w.start_nodes(1);
     w.run(5 * kSecond);
-    JobSpec job = w.job(1, JobKind::Array, 3);
+    JobSpec job = w.make_job(1, JobKind::Array, 3);
     job.request = {1'000, 2'000, 1'000};
     job.image_gb = 20'000;  // ten seconds at 2 GB a second
     const Micros from = w.now();
     w.submit(job, 5 * kSecond, -1);
     w.run(60 * kSecond);
-    EXPECT_EQ(w.told("req-000001"), "done");
-    const Fate f = w.fates().front();
+    EXPECT_EQ(w.reported_stage("req-000001"), "done");
+    const Fate f = w.job_outcomes().front();
     EXPECT_GE(f.begun - from, 10 * kSecond);
     EXPECT_LE(f.begun - from, 12 * kSecond);
     EXPECT_GE(f.all_begun - f.begun, 5 * kSecond);  // only two at a time have GPUs
-    EXPECT_TRUE(w.broken.empty());
+    EXPECT_TRUE(w.violations.empty());
 }
 
 /// Two machines, one of which fails all that starts on it for a while, and every message arrives once more.
@@ -294,16 +294,16 @@
     for (const char* zone : {"a", "b"}) w.add_machine("small", zone);
     w.start_nodes(3);
     w.run(6 * kSecond);
-    w.repeats = 1;
-    w.repeat_commands = commands;
+    w.duplicate_rate = 1;
+    w.duplicate_commands = commands;
     fakes::Worker* faulty = w.worker(w.machine_names().front());
     faulty->faulty = true;
-    w.submit(w.job(1, JobKind::Array, 12), 12 * kSecond);
+    w.submit(w.make_job(1, JobKind::Array, 12), 12 * kSecond);
     w.run(2 * kSecond);
     faulty->faulty = false;
     w.run(40 * kSecond);
-    EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-    return w.broken;
+    EXPECT_EQ(w.reported_stage("req-000001"), "done") << w.format_history();
+    return w.violations;
 }
 
 TEST(LabWorld, MessagesThatArriveOnceMoreChangeNothing) {
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -13,7 +13,7 @@
 constexpr int kMachines = 6;
 
 Settings gpu_site() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
     s.cpu_share = 0.005;  // several shards
     return s;
@@ -34,7 +34,7 @@
 }
 
 JobSpec gpu_job(Simulator& w, int number, JobKind kind, int tasks, PriorityClass rank) {
-    JobSpec job = w.job(number, kind, tasks, 5);
+    JobSpec job = w.make_job(number, kind, tasks, 5);
     job.team = "captions";
     job.request = {5'000, 1'000, 38'000};
     job.rank = rank;
@@ -56,18 +56,18 @@
 }
 
 void expect_all_run(Simulator& w) {
-    EXPECT_EQ(w.running("req-000001"), 8) << w.story();
-    EXPECT_EQ(w.running("req-000002"), 8) << w.story();
-    EXPECT_EQ(w.told("req-000003"), "done") << w.story();
-    EXPECT_RULES(w);
+    EXPECT_EQ(w.running_tasks("req-000001"), 8) << w.format_history();
+    EXPECT_EQ(w.running_tasks("req-000002"), 8) << w.format_history();
+    EXPECT_EQ(w.reported_stage("req-000003"), "done") << w.format_history();
+    EXPECT_NO_VIOLATIONS(w);
 }
 
 TEST(Autoscaling, RentsForATeamWithoutGuaranteeAndLimitWhenGpusRunOut) {
     auto w = gpu_world(71, 40);
     submit_more_than_fits(*w);
     w->run(90 * kSecond);
-    EXPECT_GT(machines(*w), static_cast<std::size_t>(kMachines)) << w->story();
-    EXPECT_LT(machines(*w), 20U) << "bounded by what waits\n" << w->story();
+    EXPECT_GT(machines(*w), static_cast<std::size_t>(kMachines)) << w->format_history();
+    EXPECT_LT(machines(*w), 20U) << "bounded by what waits\n" << w->format_history();
     expect_all_run(*w);
 }
 
@@ -75,24 +75,24 @@
     auto w = gpu_world(72, 40);
     w->submit(gpu_job(*w, 1, JobKind::Array, 60, PriorityClass::Low), 20 * kSecond);
     w->run(60 * kSecond);
-    EXPECT_EQ(w->cloud().rentals().size(), 0U) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->cloud().rentals().size(), 0U) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(Autoscaling, GoesOnWhenTheLeaderEndsWhileMachinesBoot) {
     auto w = gpu_world(73, 40);
     submit_more_than_fits(*w);
     for (int i = 0; i < 100 && w->cloud().rentals().empty(); ++i) w->run(200 * kMillisecond);
-    ASSERT_FALSE(w->cloud().rentals().empty()) << w->story();
-    w->crash(w->leader(), 3 * kSecond);
+    ASSERT_FALSE(w->cloud().rentals().empty()) << w->format_history();
+    w->crash(w->leader_node(), 3 * kSecond);
     w->run(100 * kSecond);
-    EXPECT_LT(machines(*w), 24U) << "not rented once more\n" << w->story();
+    EXPECT_LT(machines(*w), 24U) << "not rented once more\n" << w->format_history();
     expect_all_run(*w);
 }
 
 TEST(Autoscaling, GoesOnWhileTheStateServiceIsSlow) {
     auto w = gpu_world(74, 40);
-    w->slow_state = 800 * kMillisecond;
+    w->max_state_answer_delay = 800 * kMillisecond;
     submit_more_than_fits(*w);
     w->run(120 * kSecond);
     expect_all_run(*w);
@@ -104,8 +104,8 @@
     for (int i = 1; i <= 8; ++i)
         w->submit(gpu_job(*w, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
     w->run(60 * kSecond);
-    EXPECT_EQ(machines(*w), static_cast<std::size_t>(kMachines)) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(machines(*w), static_cast<std::size_t>(kMachines)) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// Cores are left on machines whose GPUs are all taken: no other controller takes them for room.
@@ -119,8 +119,8 @@
         const auto& sent = w->node(i)->store().sent();
         if (auto it = sent.find("rehome"); it != sent.end()) moves += static_cast<int>(it->second);
     }
-    EXPECT_LE(moves, 24) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_LE(moves, 24) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 }  // namespace
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -28,7 +28,7 @@
 TEST_P(StopsWithoutDirectCalls, ReachWorkersInTheAnswersToTheirHeartbeats) {
     constexpr int kMachines = 16;
     constexpr int kReplicas = 4;
-    Settings site = small_site();
+    Settings site = small_cluster_settings();
     site.report_every = GetParam().report_every;
     site.lease = GetParam().lease;
     site.cancel = GetParam().cancel;
@@ -36,21 +36,22 @@
     for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes();
     w.run(2 * site.report_every + 6 * kSecond);
-    for (int job = 1; job <= 3; ++job) w.submit(w.job(job, JobKind::Service, kReplicas, 2), 0);
+    for (int job = 1; job <= 3; ++job) w.submit(w.make_job(job, JobKind::Service, kReplicas, 2), 0);
     w.run(2 * site.report_every);
-    ASSERT_EQ(w.running("req-000001") + w.running("req-000002") + w.running("req-000003"), 3 * kReplicas)
-        << w.story();
+    ASSERT_EQ(w.running_tasks("req-000001") + w.running_tasks("req-000002") + w.running_tasks("req-000003"),
+              3 * kReplicas)
+        << w.format_history();
     for (int node = 0; node < w.node_count(); ++node) w.exhaust_sockets(node, true);
     w.cancel("req-000001");
     w.run(kSecond);
-    ASSERT_EQ(w.told("req-000001"), "cancelled") << w.story();
+    ASSERT_EQ(w.reported_stage("req-000001"), "cancelled") << w.format_history();
     // An answer to each worker's next heartbeat is enough.
     w.run(site.report_every * 5 / 4 + kSecond);
-    EXPECT_EQ(w.running("req-000001"), 0) << w.story();
+    EXPECT_EQ(w.running_tasks("req-000001"), 0) << w.format_history();
     w.cancel("req-000002");
     w.run(site.cancel + 5 * kSecond);
-    EXPECT_EQ(w.running("req-000003"), kReplicas) << w.story();
-    EXPECT_RULES(w);
+    EXPECT_EQ(w.running_tasks("req-000003"), kReplicas) << w.format_history();
+    EXPECT_NO_VIOLATIONS(w);
 }
 
 INSTANTIATE_TEST_SUITE_P(Timings, StopsWithoutDirectCalls,
@@ -74,20 +75,20 @@
 TEST_P(CancelledJobWithSeveralParts, IsStoppedWholeByTheNextHolder) {
     constexpr int kTasks = 200;
     auto w = settled_simulator(3, 6);
-    w->submit(w->job(1, JobKind::Service, kTasks, 0.1), 0);
+    w->submit(w->make_job(1, JobKind::Service, kTasks, 0.1), 0);
     w->run(8 * kSecond);
-    const int holder = w->holder();
+    const int holder = w->owner_node();
     const std::size_t part_tasks = w->owner_at(holder)->jobs().at("req-000001")->part_tasks;
-    ASSERT_GT(static_cast<std::size_t>(w->running("req-000001")), part_tasks) << w->story();
+    ASSERT_GT(static_cast<std::size_t>(w->running_tasks("req-000001")), part_tasks) << w->format_history();
     // What the former holder sends after the cancellation does not arrive.
-    for (const auto& machine : w->machine_names()) w->cut(host(holder), machine);
-    w->at(w->now() + kSecond, [&w, holder] { w->crash(holder, 20 * kSecond); });
-    w->at(w->now() + kSecond + GetParam().cancelled_after_end, [&w] { w->cancel("req-000001"); });
+    for (const auto& machine : w->machine_names()) w->cut_link(host(holder), machine);
+    w->schedule_at(w->now() + kSecond, [&w, holder] { w->crash(holder, 20 * kSecond); });
+    w->schedule_at(w->now() + kSecond + GetParam().cancelled_after_end, [&w] { w->cancel("req-000001"); });
     w->run(10 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "cancelled") << w->story();
+    EXPECT_EQ(w->reported_stage("req-000001"), "cancelled") << w->format_history();
     w->run(w->settings.cancel + 5 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->running_tasks("req-000001"), 0) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 INSTANTIATE_TEST_SUITE_P(Takeovers, CancelledJobWithSeveralParts,
@@ -120,10 +121,10 @@
 
 /// Its user cancels through another controller until that has confirmed it.
 void cancel_beside(Simulator& w, int node, const std::string& ref) {
-    w.users_at = (node + 1) % w.node_count();
+    w.preferred_node = (node + 1) % w.node_count();
     w.cancel(ref);
-    for (int i = 0; i < 600 && w.told(ref) != "cancelled"; ++i) w.run(10 * kMillisecond);
-    ASSERT_EQ(w.told(ref), "cancelled") << w.story();
+    for (int i = 0; i < 600 && w.reported_stage(ref) != "cancelled"; ++i) w.run(10 * kMillisecond);
+    ASSERT_EQ(w.reported_stage(ref), "cancelled") << w.format_history();
 }
 
 /// How the controllers learn of many finished jobs.
@@ -142,25 +143,25 @@
         for (int i = 0; i < 2; ++i) w.add_machine("small", "a");
         w.start_nodes(3, old_nodes);
         w.run(6 * kSecond);
-        w.submit(w.job(1, JobKind::Service, 2), 0);
-        w.submit(w.job(2, JobKind::Service, 2), 0);
+        w.submit(w.make_job(1, JobKind::Service, 2), 0);
+        w.submit(w.make_job(2, JobKind::Service, 2), 0);
         w.run(30 * kSecond);  // a controller renews no lease for others before
-        holder = w.holder();
+        holder = w.owner_node();
     }
     /// The holder reaches the store only, and other controllers renew its workers' leases.
     void isolate_holder() {
-        for (const auto& machine : w.machine_names()) w.cut(host(holder), machine);
+        for (const auto& machine : w.machine_names()) w.cut_link(host(holder), machine);
         for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.cut(host(holder), host(i));
+            if (i != holder) w.cut_link(host(holder), host(i));
         w.run(10 * kSecond);
     }
     void mute(bool on) {
-        for (const auto& machine : w.machine_names()) w.mute(machine, on);
+        for (const auto& machine : w.machine_names()) w.block_messages_from(machine, on);
     }
     void cancel_before(const OtherJobs& other_jobs) {
         cancel_beside(w, holder, "req-000001");
         finish_other_jobs(w, other_jobs.as_news);
-        EXPECT_EQ(w.running("req-000001"), 2) << w.story();
+        EXPECT_EQ(w.running_tasks("req-000001"), 2) << w.format_history();
     }
 
     Simulator w;
@@ -179,11 +180,11 @@
             service.cancel_before(other_jobs);
             service.mute(false);
             w.run(w.settings.cancel);
-            EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-            EXPECT_EQ(w.running("req-000002"), 2) << w.story();
-            w.heal_all();
+            EXPECT_EQ(w.running_tasks("req-000001"), 0) << w.format_history();
+            EXPECT_EQ(w.running_tasks("req-000002"), 2) << w.format_history();
+            w.heal_all_links();
             w.run(20 * kSecond);
-            EXPECT_RULES(w);
+            EXPECT_NO_VIOLATIONS(w);
         }
 }
 
@@ -205,11 +206,12 @@
             finish_other_jobs(w, other_jobs.as_news);
             service.mute(false);
             w.run(w.settings.cancel);
-            EXPECT_EQ(w.running("req-000001"), 0) << w.story();
-            EXPECT_EQ(w.starts("req-000002"), 2) << "its tasks keep their leases\n" << w.story();
-            w.heal_all();
+            EXPECT_EQ(w.running_tasks("req-000001"), 0) << w.format_history();
+            EXPECT_EQ(w.task_starts("req-000002"), 2) << "its tasks keep their leases\n"
+                                                      << w.format_history();
+            w.heal_all_links();
             w.run(20 * kSecond);
-            EXPECT_RULES(w);
+            EXPECT_NO_VIOLATIONS(w);
         }
 }
 
@@ -220,7 +222,7 @@
         CancelledService service(seed, other_jobs.old_nodes);
         Simulator& w = service.w;
         const std::string shard = w.owner_at(service.holder)->shard();
-        w.refuse(service.holder, true);
+        w.refuse_state_requests(service.holder, true);
         service.cancel_before(other_jobs);
         const auto taken = [&] {
             for (int i = 0; i < w.node_count(); ++i)
@@ -229,16 +231,16 @@
             return false;
         };
         for (int i = 0; i < 10'000 && !taken(); ++i) w.run(kMillisecond);
-        ASSERT_TRUE(taken()) << w.story();
-        ASSERT_EQ(w.running("req-000001"), 2) << w.story();
+        ASSERT_TRUE(taken()) << w.format_history();
+        ASSERT_EQ(w.running_tasks("req-000001"), 2) << w.format_history();
         w.state().set_down(true, w.now());
         w.run(9 * kSecond);
-        EXPECT_EQ(w.running("req-000001"), 0) << w.story();
+        EXPECT_EQ(w.running_tasks("req-000001"), 0) << w.format_history();
         w.state().set_down(false, w.now());
-        w.refuse(service.holder, false);
-        w.heal_all();
+        w.refuse_state_requests(service.holder, false);
+        w.heal_all_links();
         w.run(10 * kSecond);
-        EXPECT_RULES(w);
+        EXPECT_NO_VIOLATIONS(w);
     }
 }
 
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -13,7 +13,7 @@
 constexpr Micros kMs = kMillisecond;
 
 Settings site(bool apart, double write_rps = 200) {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.ops.history_apart = apart;
     s.state_write_rps = write_rps;  // few: what a job's record was outlasts its end
     return s;
@@ -93,22 +93,23 @@
 const std::vector<Trouble> kTroubles{
     {"none", nothing, nothing},
     {"just started", [](Simulator& w, int i) { w.crash(i, 60 * kMs); }, nothing},
-    {"cut from the store", [](Simulator& w, int i) { w.cut(host(i), "state"); },
-     [](Simulator& w, int i) { w.heal(host(i), "state"); }},
-    {"stands still", [](Simulator& w, int i) { w.freeze(i, 700 * kMs); }, nothing},
-    {"refused", [](Simulator& w, int i) { w.refuse(i, true); },
-     [](Simulator& w, int i) { w.refuse(i, false); }},
-    {"answers lost", [](Simulator& w, int) { w.unanswered_writes = 0.4; },
-     [](Simulator& w, int) { w.unanswered_writes = 0; }},
-    {"late writes", [](Simulator& w, int) { w.late_writes = 0.3; },
-     [](Simulator& w, int) { w.late_writes = 0; }},
-    {"slow store", [](Simulator& w, int) { w.slow_state = 400 * kMs; },
-     [](Simulator& w, int) { w.slow_state = 0; }},
+    {"cut from the store", [](Simulator& w, int i) { w.cut_link(host(i), "state"); },
+     [](Simulator& w, int i) { w.heal_link(host(i), "state"); }},
+    {"stands still", [](Simulator& w, int i) { w.freeze_process(i, 700 * kMs); }, nothing},
+    {"refused", [](Simulator& w, int i) { w.refuse_state_requests(i, true); },
+     [](Simulator& w, int i) { w.refuse_state_requests(i, false); }},
+    {"answers lost", [](Simulator& w, int) { w.unanswered_write_rate = 0.4; },
+     [](Simulator& w, int) { w.unanswered_write_rate = 0; }},
+    {"late writes", [](Simulator& w, int) { w.delayed_write_rate = 0.3; },
+     [](Simulator& w, int) { w.delayed_write_rate = 0; }},
+    {"slow store", [](Simulator& w, int) { w.max_state_answer_delay = 400 * kMs; },
+     [](Simulator& w, int) { w.max_state_answer_delay = 0; }},
 };
 
 /// Once what it needs is accepted.
 void submit_once_accepted(Simulator& w, const JobSpec& s) {
-    if (w.told(s.needs[0]).empty()) return w.at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
+    if (w.reported_stage(s.needs[0]).empty())
+        return w.schedule_at(w.now() + 100 * kMs, [&w, s] { submit_once_accepted(w, s); });
     w.submit(s, 300 * kMs, 100 * kMs);
 }
 
@@ -120,39 +121,40 @@
     const bool scarce = index % 2 == apart;
     const Trouble& trouble = kTroubles[index];
     auto w = settled_simulator(100 + index, 6, site(apart, scarce ? 25 : 200));
-    w->close_looks = true;
+    w->query_after_changes = true;
     int number = 0, cancelled = 0;
     for (int admitter = 0; admitter < 3; ++admitter)
         for (int asked = 0; asked < 3; ++asked) {
             if ((admitter + asked) % 2 == apart) continue;  // the other half with the other form of history
-            w->users_at = admitter;
+            w->preferred_node = admitter;
             const int first = number + 1;
             // An array and a gang that end, two that are cancelled, and what needs the first and the third.
             for (const auto kind : {JobKind::Array, JobKind::Gang, JobKind::Array, JobKind::Service})
-                ++number, w->submit(w->job(number, kind, 1 + number % 2), 600 * kMs, 100 * kMs);
+                ++number, w->submit(w->make_job(number, kind, 1 + number % 2), 600 * kMs, 100 * kMs);
             trouble.begin(*w, asked);
             for (const int need : {first, first + 2}) {
-                JobSpec s = w->job(++number, JobKind::Array, 1);
-                s.needs = {w->job(need, JobKind::Array, 1).ref};
+                JobSpec s = w->make_job(++number, JobKind::Array, 1);
+                s.needs = {w->make_job(need, JobKind::Array, 1).ref};
                 submit_once_accepted(*w, s);
             }
             w->run(500 * kMs);
-            for (const int n : {first + 2, first + 3}) w->cancel(w->job(n, JobKind::Array, 1).ref);
+            for (const int n : {first + 2, first + 3}) w->cancel(w->make_job(n, JobKind::Array, 1).ref);
             w->run(2500 * kMs);
             trouble.end(*w, asked);
             w->run(500 * kMs);
         }
-    w->users_at = -1;
+    w->preferred_node = -1;
     w->run(25 * kSecond);
-    for (const auto& ref : w->refs()) {
-        EXPECT_TRUE(w->told(ref) == "done" || w->told(ref) == "cancelled") << ref << " is " << w->told(ref);
-        cancelled += w->told(ref) == "cancelled";
+    for (const auto& ref : w->job_refs()) {
+        EXPECT_TRUE(w->reported_stage(ref) == "done" || w->reported_stage(ref) == "cancelled")
+            << ref << " is " << w->reported_stage(ref);
+        cancelled += w->reported_stage(ref) == "cancelled";
     }
     EXPECT_GE(cancelled, 4);
     // 24 or 30 jobs, 5 questions and 3 repeats at each node after an acceptance and after an end.
-    EXPECT_GE(w->looks().after_acceptance(), 1000u);
-    EXPECT_GE(w->looks().after_end(), 700u);
-    EXPECT_RULES(*w);
+    EXPECT_GE(w->consistency_checker().after_acceptance(), 1000u);
+    EXPECT_GE(w->consistency_checker().after_end(), 700u);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 INSTANTIATE_TEST_SUITE_P(Troubles, CloseLooks,
@@ -162,46 +164,46 @@
 /// answer to that is there.
 TEST(ConsistencyChecker, WhatWasReadBeforeACancellationBringsNothingBack) {
     auto w = settled_simulator(7, 4, site(true));
-    w->users_at = 0;
+    w->preferred_node = 0;
     std::vector<std::string> refs;
     for (int n = 1; n < 120; n += 2) {
-        const JobSpec first = w->job(n, JobKind::Array, 1);
-        w->slow_state = 0;
+        const JobSpec first = w->make_job(n, JobKind::Array, 1);
+        w->max_state_answer_delay = 0;
         w->submit(first, 100 * kSecond);
         w->run(300 * kMs);
-        w->slow_state = 300 * kMs;
-        JobSpec next = w->job(n + 1, JobKind::Array, 1);
+        w->max_state_answer_delay = 300 * kMs;
+        JobSpec next = w->make_job(n + 1, JobKind::Array, 1);
         next.needs = {first.ref};
         refs.push_back(next.ref);
         w->submit(next, kSecond);
         for (int ms = 0; ms < 500; ++ms) {
             w->run(kMs);
-            if (ms == 15) w->look_at(next, 1), w->look_at(next, 2);
-            if (!w->told(next.ref).empty()) break;
+            if (ms == 15) w->query_and_resubmit(next, 1), w->query_and_resubmit(next, 2);
+            if (!w->reported_stage(next.ref).empty()) break;
         }
         // By itself, or with the job before it. Their final records, which tell the same, come late.
-        for (int i = 0; i < 2; ++i) w->late_next("c/job/", 2 * kSecond);
+        for (int i = 0; i < 2; ++i) w->delay_next_write("c/job/", 2 * kSecond);
         w->cancel(n % 4 == 1 ? next.ref : first.ref);
         w->run(900 * kMs);
-        for (int i = 0; i < 3; ++i) w->look_at(next, i);
+        for (int i = 0; i < 3; ++i) w->query_and_resubmit(next, i);
         w->run(900 * kMs);
         w->cancel(first.ref);
     }
-    w->slow_state = 0;
+    w->max_state_answer_delay = 0;
     w->run(5 * kSecond);
     for (const auto& ref : refs)
         for (int i = 0; i < 3; ++i)
-            EXPECT_EQ(wire::text(w->ask(i, "GET", "/v1/jobs/" + ref, Json::object()).body, "stage"),
+            EXPECT_EQ(wire::text(w->request(i, "GET", "/v1/jobs/" + ref, Json::object()).body, "stage"),
                       "cancelled")
                 << ref << " at " << i;
-    EXPECT_RULES(*w);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// It stands still while the state service carries out more changes than it keeps.
 void fall_behind(Simulator& w, int node) {
-    w.freeze(node, 1300 * kMs);
+    w.freeze_process(node, 1300 * kMs);
     for (int n = 0; n < 12'000; ++n)
-        w.at(w.now() + n * 100, [&w, n] {
+        w.schedule_at(w.now() + n * 100, [&w, n] {
             const Json then = Json::array({{{"write", "other"}, {"data", n}}});
             w.state().handle("POST", "/commit", Json{{"then", then}}, w.now());
         });
@@ -214,24 +216,24 @@
     int met = 0;
     for (std::uint64_t seed = 0; seed < 4; ++seed) {
         auto w = settled_simulator(seed, 4, site(true));
-        const int other = (w->leader() + 1) % 3, node = (w->leader() + 2) % 3;
-        w->submit(w->job(1, JobKind::Service, 1), 0);
+        const int other = (w->leader_node() + 1) % 3, node = (w->leader_node() + 2) % 3;
+        w->submit(w->make_job(1, JobKind::Service, 1), 0);
         w->run(3 * kSecond);
         fall_behind(*w, node);
-        w->loss = 0.5;  // the first list that it asks for may be lost
+        w->message_loss_rate = 0.5;  // the first list that it asks for may be lost
         w->run(60 * kMs);
-        w->loss = 0;
-        w->users_at = other;
-        w->submit(w->job(2, JobKind::Array, 1), 300 * kMs, 100 * kMs);
-        for (int ms = 0; ms < 900 && w->told("req-000002").empty(); ++ms) w->run(kMs);
-        if (w->told("req-000002").empty()) continue;
-        w->look_at(w->job(2, JobKind::Array, 1), node);
+        w->message_loss_rate = 0;
+        w->preferred_node = other;
+        w->submit(w->make_job(2, JobKind::Array, 1), 300 * kMs, 100 * kMs);
+        for (int ms = 0; ms < 900 && w->reported_stage("req-000002").empty(); ++ms) w->run(kMs);
+        if (w->reported_stage("req-000002").empty()) continue;
+        w->query_and_resubmit(w->make_job(2, JobKind::Array, 1), node);
         w->run(kSecond);
-        met += w->ask(node, "GET", "/v1/jobs/req-000001", {}).status == 503;
+        met += w->request(node, "GET", "/v1/jobs/req-000001", {}).status == 503;
         w->run(6 * kSecond);
-        w->look_at(w->job(2, JobKind::Array, 1), node);
+        w->query_and_resubmit(w->make_job(2, JobKind::Array, 1), node);
         w->run(kSecond);
-        EXPECT_RULES(*w);
+        EXPECT_NO_VIOLATIONS(*w);
     }
     EXPECT_GE(met, 1);
 }
@@ -240,51 +242,51 @@
 /// reads that they run.
 TEST(ConsistencyChecker, WhatEndedUnheardIsLookedFor) {
     auto w = settled_simulator(12, 6, site(true, 25));
-    const int node = (w->holder() + 1) % 3;
-    w->users_at = w->holder();
-    for (int n = 1; n <= 16; ++n) w->submit(w->job(n, JobKind::Array, 1), 800 * kMs, 0);
+    const int node = (w->owner_node() + 1) % 3;
+    w->preferred_node = w->owner_node();
+    for (int n = 1; n <= 16; ++n) w->submit(w->make_job(n, JobKind::Array, 1), 800 * kMs, 0);
     w->run(400 * kMs);
     fall_behind(*w, node);
     w->run(600 * kMs);
     for (int again = 0; again < 3; ++again) {
         for (int n = 1; n <= 16; ++n) {
-            for (int i = 0; i < 3; ++i) w->look_at(w->job(n, JobKind::Array, 1), i);
+            for (int i = 0; i < 3; ++i) w->query_and_resubmit(w->make_job(n, JobKind::Array, 1), i);
             w->run(20 * kMs);
         }
         w->run(500 * kMs);
     }
     w->run(10 * kSecond);
-    for (const auto& ref : w->refs()) EXPECT_EQ(w->told(ref), "done") << ref;
-    EXPECT_RULES(*w);
+    for (const auto& ref : w->job_refs()) EXPECT_EQ(w->reported_stage(ref), "done") << ref;
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// The job before it is over and out of the way, and only its own record, which waits for that one, is read
 /// by a node that starts.
 TEST(ConsistencyChecker, AJobIsNotAnsweredForBeforeItIsKnownWhatItNeeds) {
     auto w = settled_simulator(13, 4, site(true));
-    const int holder = w->holder(), node = (holder + 1) % 3;
-    w->users_at = holder;
-    const JobSpec first = w->job(1, JobKind::Service, 1);
-    JobSpec next = w->job(2, JobKind::Array, 1);
+    const int holder = w->owner_node(), node = (holder + 1) % 3;
+    w->preferred_node = holder;
+    const JobSpec first = w->make_job(1, JobKind::Service, 1);
+    JobSpec next = w->make_job(2, JobKind::Array, 1);
     next.needs = {first.ref};
     w->submit(first, 0);
     w->run(2 * kSecond);
     w->submit(next, kSecond);
     w->run(kSecond);
-    for (int tries = 0; tries < 2; ++tries) w->late_next("c/job/" + next.ref, 8 * kSecond);
+    for (int tries = 0; tries < 2; ++tries) w->delay_next_write("c/job/" + next.ref, 8 * kSecond);
     w->cancel(first.ref);
     w->run(2700 * kMs);
-    w->look_at(next, holder);
+    w->query_and_resubmit(next, holder);
     w->run(100 * kMs);
-    ASSERT_EQ(w->told(next.ref), "cancelled") << w->story();
-    ASSERT_EQ(w->late_to_come(), 0u);
+    ASSERT_EQ(w->reported_stage(next.ref), "cancelled") << w->format_history();
+    ASSERT_EQ(w->pending_write_delays(), 0u);
     w->crash(node, 20 * kMs);
     for (int n = 0; n < 60; ++n) {
         w->run(10 * kMs);
-        w->look_at(next, node);
+        w->query_and_resubmit(next, node);
     }
     w->run(8 * kSecond);
-    EXPECT_RULES(*w);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// A repeat with another body, at the holder that hasn't heard of the job yet: its own admission waits for
@@ -292,27 +294,27 @@
 TEST(ConsistencyChecker, ARepeatWithAnotherBodyNeverTakesTheJobsPlace) {
     for (const bool waits : {false, true}) {
         auto w = settled_simulator(11, 6, site(true, waits ? 25 : 200));
-        const int holder = w->holder(), other = (holder + 1) % 3;
+        const int holder = w->owner_node(), other = (holder + 1) % 3;
         for (int n = 1; n <= 6; ++n) {
-            w->users_at = holder;
+            w->preferred_node = holder;
             for (int i = 1; waits && i <= 30; ++i)
-                w->submit(w->job(100 * n + i, JobKind::Array, 1, 0.2), 100 * kMs, 0);
-            const JobSpec spec = w->job(n, JobKind::Array, 1);
+                w->submit(w->make_job(100 * n + i, JobKind::Array, 1, 0.2), 100 * kMs, 0);
+            const JobSpec spec = w->make_job(n, JobKind::Array, 1);
             JobSpec wider = spec;
             wider.tasks = 3;
-            w->users_at = other;
+            w->preferred_node = other;
             w->submit(spec, 500 * kMs, 100 * kMs);
-            for (int ms = 0; ms < 300 && w->told(spec.ref).empty(); ++ms) w->run(kMs);
-            if (!waits) w->late_next("c/active/" + spec.ref, 0);
-            w->look_at(wider, holder);
+            for (int ms = 0; ms < 300 && w->reported_stage(spec.ref).empty(); ++ms) w->run(kMs);
+            if (!waits) w->delay_next_write("c/active/" + spec.ref, 0);
+            w->query_and_resubmit(wider, holder);
             w->run(5 * kSecond);
         }
         w->run(30 * kSecond);
-        for (const auto& ref : w->refs()) {
-            EXPECT_EQ(w->told(ref), "done") << ref;
-            EXPECT_EQ(w->starts(ref), 1) << ref;
+        for (const auto& ref : w->job_refs()) {
+            EXPECT_EQ(w->reported_stage(ref), "done") << ref;
+            EXPECT_EQ(w->task_starts(ref), 1) << ref;
         }
-        EXPECT_RULES(*w);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
@@ -333,9 +335,9 @@
 
 /// Cancels it so long after its last task has completed; before, if `after` is negative.
 void cancel_about_the_end(Simulator& w, const std::string& ref, Micros after) {
-    const bool now = after < 0 ? w.starts(ref) > 0 : w.completed_tasks(ref) == w.job(ref)->spec.tasks;
-    if (now) return w.at(w.now() + (after < 0 ? kRun + after : after), [&w, ref] { w.cancel(ref); });
-    w.at(w.now() + 5 * kMs, [&w, ref, after] { cancel_about_the_end(w, ref, after); });
+    const bool now = after < 0 ? w.task_starts(ref) > 0 : w.completed_tasks(ref) == w.job(ref)->spec.tasks;
+    if (now) return w.schedule_at(w.now() + (after < 0 ? kRun + after : after), [&w, ref] { w.cancel(ref); });
+    w.schedule_at(w.now() + 5 * kMs, [&w, ref, after] { cancel_about_the_end(w, ref, after); });
 }
 
 class LastTasks : public testing::TestWithParam<std::tuple<bool, bool>> {};
@@ -348,8 +350,8 @@
     s.value_bytes = s.value_bytes_now = 1024;
     s.teams = {{"red", {48'000, 0, 0}, {96'000, 0, 0}}};
     auto w = settled_simulator(5, 12, s);
-    w->close_looks = true;
-    if (scarce) w->users_at = w->holder();  // where both changes may wait for the same transaction
+    w->query_after_changes = true;
+    if (scarce) w->preferred_node = w->owner_node();  // where both changes may wait for the same transaction
     int number = 0;
     std::vector<std::pair<std::string, std::string>> needed;
     std::vector<std::vector<std::string>> refs(kEndings.size());
@@ -357,12 +359,12 @@
     for (Micros after = -100 * kMs; after < kSecond; after += after < 300 * kMs ? 30 * kMs : 300 * kMs)
         for (std::size_t e = 0; e < kEndings.size(); ++e) {
             JobSpec spec =
-                w->job(++number, kEndings[e].kind, kEndings[e].tasks, kEndings[e].tasks > 10 ? 0.05 : 1);
+                w->make_job(++number, kEndings[e].kind, kEndings[e].tasks, kEndings[e].tasks > 10 ? 0.05 : 1);
             w->submit(spec, kRun, 0);
             cancel_about_the_end(*w, spec.ref, after);
             refs[e].push_back(spec.ref);
             if (kEndings[e].needed) {
-                JobSpec next = w->job(++number, JobKind::Array, 1);
+                JobSpec next = w->make_job(++number, JobKind::Array, 1);
                 next.needs = {spec.ref};
                 submit_once_accepted(*w, next);
                 needed.emplace_back(spec.ref, next.ref);
@@ -372,15 +374,16 @@
     w->run(15 * kSecond);
     for (std::size_t e = 0; e < kEndings.size(); ++e) {
         std::map<std::string, int> told;
-        for (const auto& ref : refs[e]) ++told[w->told(ref)];
+        for (const auto& ref : refs[e]) ++told[w->reported_stage(ref)];
         EXPECT_EQ(told["done"] + told["cancelled"], static_cast<int>(refs[e].size())) << kEndings[e].name;
         EXPECT_GE(told["done"], 3) << kEndings[e].name;
         EXPECT_GE(told["cancelled"], 3) << kEndings[e].name;
     }
     for (const auto& [ref, next] : needed)
-        EXPECT_TRUE(w->told(next) == "cancelled" || (w->told(next) == "done" && w->told(ref) == "done"))
-            << ref << " " << w->told(ref) << ", " << next << " " << w->told(next);
-    EXPECT_RULES(*w);
+        EXPECT_TRUE(w->reported_stage(next) == "cancelled" ||
+                    (w->reported_stage(next) == "done" && w->reported_stage(ref) == "done"))
+            << ref << " " << w->reported_stage(ref) << ", " << next << " " << w->reported_stage(next);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// A state service that answers at once.
@@ -418,7 +421,7 @@
 TEST(ConsistencyChecker, WhatTwoChangesUndoOfEachOtherIsNotOneTransaction) {
     for (const bool swapped : {false, true}) {
         AtOnce host;
-        const Settings s = small_site();
+        const Settings s = small_cluster_settings();
         StoreClient store(host, s);
         const Json first{{"then", Json::array({{{"write", "c/active/x"}, {"data", 1}}})}};
         const auto mod_revision = wire::count(host.state.handle("POST", "/commit", first, 0).body, "ledger");
@@ -441,20 +444,20 @@
 
 TEST(ConsistencyChecker, JobsAreCalledOffAtTheMomentOfTheirEnd) {
     auto w = settled_simulator(6, 12);
-    w->close_looks = true;
-    w->cancel_at_end = 0.7;
+    w->query_after_changes = true;
+    w->cancel_on_completion_rate = 0.7;
     for (int n = 1; n <= 40; ++n) {
-        w->submit(w->job(n, n % 3 ? JobKind::Array : JobKind::Gang, 1 + n % 2), 700 * kMs, 100 * kMs);
+        w->submit(w->make_job(n, n % 3 ? JobKind::Array : JobKind::Gang, 1 + n % 2), 700 * kMs, 100 * kMs);
         w->run(300 * kMs);
     }
     w->run(10 * kSecond);
     int cancelled = 0;
-    for (const auto& ref : w->refs()) {
-        EXPECT_TRUE(w->told(ref) == "done" || w->told(ref) == "cancelled") << ref;
-        cancelled += w->told(ref) == "cancelled";
+    for (const auto& ref : w->job_refs()) {
+        EXPECT_TRUE(w->reported_stage(ref) == "done" || w->reported_stage(ref) == "cancelled") << ref;
+        cancelled += w->reported_stage(ref) == "cancelled";
     }
     EXPECT_GE(cancelled, 10);
-    EXPECT_RULES(*w);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 INSTANTIATE_TEST_SUITE_P(Stores, LastTasks, testing::Combine(testing::Bool(), testing::Bool()));
@@ -470,9 +473,9 @@
 /// that is known already is answered with its state all the same.
 TEST(ConsistencyChecker, OddRequestsAreRefusedAtEveryNode) {
     auto w = settled_simulator(8, 4);
-    w->submit(w->job(1, JobKind::Service, 1), 0);
+    w->submit(w->make_job(1, JobKind::Service, 1), 0);
     w->run(2 * kSecond);
-    const Json good = wire::job_value(w->job(1, JobKind::Array, 1));
+    const Json good = wire::job_value(w->make_job(1, JobKind::Array, 1));
     std::vector<Odd> cases{{"threads", 0, 400},
                            {"threads", 1.5, 400},
                            {"threads", 100'001, 400},
@@ -502,7 +505,7 @@
     for (const auto& odd : cases)
         for (int i = 0; i < 3; ++i) {
             Json body = good;
-            const std::string fresh = w->job(++number, JobKind::Array, 1).ref;
+            const std::string fresh = w->make_job(++number, JobKind::Array, 1).ref;
             body["ref"] = fresh;
             const auto put = [&odd](Json& b) {
                 if (odd.value.is_null())
@@ -512,20 +515,20 @@
             };
             put(body);
             const std::string what = std::string(odd.key) + " " + odd.value.dump() + " at " + host(i);
-            EXPECT_EQ(w->ask(i, "POST", "/v1/jobs", body).status, odd.status) << what;
-            EXPECT_EQ(w->ask(i, "GET", "/v1/jobs/" + fresh, {}).status, 404) << what;
-            EXPECT_EQ(w->ask(i, "POST", "/v1/jobs/" + fresh + "/abort", {}).status, 404) << what;
+            EXPECT_EQ(w->request(i, "POST", "/v1/jobs", body).status, odd.status) << what;
+            EXPECT_EQ(w->request(i, "GET", "/v1/jobs/" + fresh, {}).status, 404) << what;
+            EXPECT_EQ(w->request(i, "POST", "/v1/jobs/" + fresh + "/abort", {}).status, 404) << what;
             if (std::string(odd.key) == "ref") continue;
             body["ref"] = "req-000001";
             put(body);
-            const ApiResponse again = w->ask(i, "POST", "/v1/jobs", body);
+            const ApiResponse again = w->request(i, "POST", "/v1/jobs", body);
             EXPECT_EQ(again.status, 200) << what;
             EXPECT_EQ(wire::text(again.body, "stage"), "running") << what;
         }
-    Json gang = wire::job_value(w->job(99, JobKind::Gang, 25));
+    Json gang = wire::job_value(w->make_job(99, JobKind::Gang, 25));
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(w->ask(i, "POST", "/v1/jobs", gang).status, 422) << "over its limit";
-    EXPECT_RULES(*w);
+        EXPECT_EQ(w->request(i, "POST", "/v1/jobs", gang).status, 422) << "over its limit";
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// While a node does not know the machine types it decides nothing that rests on them.
@@ -533,43 +536,45 @@
     Simulator w(9);
     w.cloud().down = true;
     w.start_nodes();
-    const Json fits = wire::job_value(w.job(1, JobKind::Array, 1));
-    Json never = wire::job_value(w.job(2, JobKind::Array, 1, 17));
-    Json wrong = wire::job_value(w.job(3, JobKind::Array, 1));
+    const Json fits = wire::job_value(w.make_job(1, JobKind::Array, 1));
+    Json never = wire::job_value(w.make_job(2, JobKind::Array, 1, 17));
+    Json wrong = wire::job_value(w.make_job(3, JobKind::Array, 1));
     wrong.erase("rank");
     for (int n = 0; n < 4; ++n)
         for (int i = 0; i < 3; ++i) {
-            EXPECT_EQ(w.ask(i, "POST", "/v1/jobs", fits).status, 503);
-            EXPECT_EQ(w.ask(i, "POST", "/v1/jobs", never).status, 503);
-            const int status = w.ask(i, "POST", "/v1/jobs", wrong).status;
+            EXPECT_EQ(w.request(i, "POST", "/v1/jobs", fits).status, 503);
+            EXPECT_EQ(w.request(i, "POST", "/v1/jobs", never).status, 503);
+            const int status = w.request(i, "POST", "/v1/jobs", wrong).status;
             EXPECT_TRUE(status == 400 || status == 503) << status;
             w.run(300 * kMs);
         }
     w.cloud().down = false;
     w.run(5 * kSecond);
-    EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", fits).status, 201);
-    EXPECT_EQ(w.ask(1, "POST", "/v1/jobs", never).status, 422);
+    EXPECT_EQ(w.request(0, "POST", "/v1/jobs", fits).status, 201);
+    EXPECT_EQ(w.request(1, "POST", "/v1/jobs", never).status, 422);
 }
 
 /// Odd requests and close looks while nodes end and start all the time, one by one and all.
 TEST(ConsistencyChecker, OddRequestsMeetNodesThatHaveJustStarted) {
     for (const bool apart : {false, true}) {
         auto w = settled_simulator(10, 6, site(apart));
-        w->close_looks = w->odd_requests = true;
+        w->query_after_changes = w->send_unusual_requests = true;
         for (int n = 1; n <= 30; ++n) {
-            w->submit(w->job(n, n % 4 ? JobKind::Array : JobKind::Service, 1 + n % 3), 800 * kMs, 100 * kMs);
+            w->submit(w->make_job(n, n % 4 ? JobKind::Array : JobKind::Service, 1 + n % 3), 800 * kMs,
+                      100 * kMs);
             w->crash(n % 3, (20 + 37 * n % 400) * kMs);
             if (n % 10 == 0) w->crash((n + 1) % 3, 100 * kMs);
-            Json wrong = wire::job_value(w->job(1000 + n, JobKind::Array, 1));
+            Json wrong = wire::job_value(w->make_job(1000 + n, JobKind::Array, 1));
             wrong["cores"] = 100.0;
             if (n % 2) wrong.erase("cards");
-            w->submit_wrong(wrong);
+            w->submit_invalid_job(wrong);
             w->run(700 * kMs);
-            if (n % 4 == 0) w->cancel(w->job(n, JobKind::Array, 1).ref);
+            if (n % 4 == 0) w->cancel(w->make_job(n, JobKind::Array, 1).ref);
         }
         w->run(20 * kSecond);
-        for (const auto& ref : w->refs()) EXPECT_TRUE(w->told(ref) == "done" || w->told(ref) == "cancelled");
-        EXPECT_RULES(*w);
+        for (const auto& ref : w->job_refs())
+            EXPECT_TRUE(w->reported_stage(ref) == "done" || w->reported_stage(ref) == "cancelled");
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -10,11 +10,12 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 /// Two shards that are used: the controllers may use too little processor time for one to hold all machines.
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, std::set<int> old = {}) {
-    Settings site = small_site();
+    Settings site = small_cluster_settings();
     site.cpu_share = 0.001;
     auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 8; ++i) w->add_machine("small", i % 2 ? "b" : "a");
@@ -24,7 +25,7 @@
 }
 
 JobSpec needing(Simulator& w, int number, std::vector<std::string> needs, int tasks = 2) {
-    JobSpec s = w.job(number, JobKind::Array, tasks);
+    JobSpec s = w.make_job(number, JobKind::Array, tasks);
     s.needs = std::move(needs);
     return s;
 }
@@ -40,38 +41,38 @@
 
 TEST(DependencyGraph, EachStepWaitsForTheOneBefore) {
     auto w = settled_simulator();
-    w->submit(w->job(1, JobKind::Array, 3), 3 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 3), 3 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 3, {"req-000002", "req-000001"}), 2 * kSecond);
     w->run(kSecond);
-    EXPECT_EQ(w->starts("req-000002"), 0);
-    EXPECT_EQ(wire::text(w->ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "pending");
+    EXPECT_EQ(w->task_starts("req-000002"), 0);
+    EXPECT_EQ(wire::text(w->request(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "pending");
     w->run(15 * kSecond);
     for (const char* ref : {"req-000001", "req-000002", "req-000003"})
-        EXPECT_EQ(w->told(ref), "done") << w->story();
-    EXPECT_RULES(*w);
+        EXPECT_EQ(w->reported_stage(ref), "done") << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, WhatWaitsHoldsNothing) {
     auto w = settled_simulator(2);
-    JobSpec first = w->job(1, JobKind::Service, 1);
+    JobSpec first = w->make_job(1, JobKind::Service, 1);
     w->submit(first, 0);
     w->run(kSecond);
     JobSpec wide = needing(*w, 2, {"req-000001"}, 16);  // all of its team's limit
     wide.team = "blue";
     w->submit(wide, kSecond);
     w->run(3 * kSecond);
-    JobSpec other = w->job(3, JobKind::Array, 16);
+    JobSpec other = w->make_job(3, JobKind::Array, 16);
     other.team = "blue";
     w->submit(other, 3 * kSecond);
     w->run(4 * kSecond);
-    EXPECT_EQ(w->starts("req-000003"), 16) << w->story();
+    EXPECT_EQ(w->task_starts("req-000003"), 16) << w->format_history();
     const ShardOwner* owner = w->node(holder_of(*w, "req-000002"))->owners().begin()->second.get();
     EXPECT_TRUE(owner->jobs().at("req-000002")->slots.empty()) << "nor memory";
     EXPECT_EQ(owner->jobs().at("req-000002")->waiting(), 0);
-    EXPECT_RULES(*w);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, AGateOpensWhereverItsHolderEnds) {
@@ -79,7 +80,7 @@
     // the first bind is committed.
     for (const Micros at : {3'000, 4'400, 4'500, 4'550, 4'600, 4'700, 4'900, 5'300}) {
         auto w = settled_simulator(3);
-        w->submit(w->job(1, JobKind::Array, 2), 4 * kSecond, 0);
+        w->submit(w->make_job(1, JobKind::Array, 2), 4 * kSecond, 0);
         w->run(300 * kMillisecond);
         w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond, 0);
         w->run(at * kMillisecond - 300 * kMillisecond);
@@ -87,15 +88,16 @@
         w->run(kSecond);
         if (const int i = holder_of(*w, "req-000001"); i >= 0) w->crash(i, 20 * kSecond);
         w->run(25 * kSecond);
-        EXPECT_EQ(w->told("req-000002"), "done") << "ended at " << at << "\n" << w->story();
-        EXPECT_EQ(w->starts("req-000002"), 2);
-        EXPECT_RULES(*w);
+        EXPECT_EQ(w->reported_stage("req-000002"), "done") << "ended at " << at << "\n"
+                                                           << w->format_history();
+        EXPECT_EQ(w->task_starts("req-000002"), 2);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
 TEST(DependencyGraph, CancelledIsInheritedByAll) {
     auto w = settled_simulator(4);
-    w->submit(w->job(1, JobKind::Array, 2), 20 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 2), 20 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
     w->run(kSecond);
@@ -107,16 +109,16 @@
     // Every node says so at once, whether or not the records do yet; also to a cancellation and a submission.
     for (int i = 0; i < 3; ++i)
         for (const char* ref : {"req-000002", "req-000003", "req-000004"})
-            EXPECT_EQ(wire::text(w->ask(i, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
+            EXPECT_EQ(wire::text(w->request(i, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
                       "cancelled");
-    EXPECT_EQ(wire::text(w->ask(1, "POST", "/v1/jobs/req-000003/abort", {}).body, "stage"), "cancelled");
-    auto again = w->ask(2, "POST", "/v1/jobs", wire::job_value(needing(*w, 4, {"req-000002"})));
+    EXPECT_EQ(wire::text(w->request(1, "POST", "/v1/jobs/req-000003/abort", {}).body, "stage"), "cancelled");
+    auto again = w->request(2, "POST", "/v1/jobs", wire::job_value(needing(*w, 4, {"req-000002"})));
     EXPECT_EQ(again.status, 200);
     EXPECT_EQ(wire::text(again.body, "stage"), "cancelled");
     // One that names a cancelled job is accepted, and cancelled.
-    auto late = w->ask(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 5, {"req-000003"})));
+    auto late = w->request(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 5, {"req-000003"})));
     EXPECT_EQ(late.status, 201);
-    EXPECT_EQ(wire::text(w->ask(1, "GET", "/v1/jobs/req-000005", {}).body, "stage"), "cancelled");
+    EXPECT_EQ(wire::text(w->request(1, "GET", "/v1/jobs/req-000005", {}).body, "stage"), "cancelled");
     w->run(10 * kSecond);
     // The records follow, and it stays so after a restart of all.
     for (const char* ref : {"req-000002", "req-000003", "req-000004"})
@@ -124,26 +126,26 @@
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(6 * kSecond);
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
-        EXPECT_EQ(wire::text(w->ask(2, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
+        EXPECT_EQ(wire::text(w->request(2, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
                   "cancelled");
-    EXPECT_EQ(w->starts("req-000002") + w->starts("req-000003") + w->starts("req-000004"), 0);
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->task_starts("req-000002") + w->task_starts("req-000003") + w->task_starts("req-000004"), 0);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, CancelledIsInheritedBeforeAndWhateverTheRecordSays) {
     auto w = settled_simulator(13);
-    w->submit(w->job(1, JobKind::Array, 2), 30 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 2), 30 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
     w->run(2 * kSecond);
     // The holder of its shard can't write, so the record stays as it is.
     const int holder = holder_of(*w, "req-000002");
-    w->refuse(holder, true);
+    w->refuse_state_requests(holder, true);
     auto stage = [&](int node) {
-        return wire::text(w->ask(node, "GET", "/v1/jobs/req-000002", {}).body, "stage").value_or("");
+        return wire::text(w->request(node, "GET", "/v1/jobs/req-000002", {}).body, "stage").value_or("");
     };
     const int one = (holder + 1) % 3, other = (holder + 2) % 3;
-    EXPECT_EQ(w->ask(one, "POST", "/v1/jobs/req-000001/abort", {}).status, 200);
+    EXPECT_EQ(w->request(one, "POST", "/v1/jobs/req-000001/abort", {}).status, 200);
     EXPECT_EQ(stage(other), "cancelled");
     EXPECT_EQ(stage(one), "cancelled");
     // A change of the record that was on its way, by a holder that has not heard of it.
@@ -162,7 +164,7 @@
 
 TEST(DependencyGraph, CancelledIsInheritedThroughDeathsBeforeAnyRecordFollows) {
     auto w = settled_simulator(5);
-    w->submit(w->job(1, JobKind::Array, 2), 20 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 2), 20 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
     w->run(2 * kSecond);
@@ -170,65 +172,66 @@
     w->run(60 * kMillisecond);
     for (int i = 0; i < 3; ++i) w->crash(i, 2 * kSecond);
     w->run(12 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "cancelled");
+    EXPECT_EQ(w->reported_stage("req-000001"), "cancelled");
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(wire::text(w->ask(i, "GET", "/v1/jobs/req-000002", {}).body, "stage"), "cancelled");
-    EXPECT_RULES(*w);
+        EXPECT_EQ(wire::text(w->request(i, "GET", "/v1/jobs/req-000002", {}).body, "stage"), "cancelled");
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, ACancellationAndTheLastTasksEndAgreeWithWhatFollows) {
     // One order wins in the store, and every answer agrees with it.
     for (const Micros at : {2'900, 3'000, 3'050, 3'100, 3'200, 3'300, 3'400, 3'500}) {
         auto w = settled_simulator(6);
-        w->submit(w->job(1, JobKind::Array, 2), 3 * kSecond, 0);
+        w->submit(w->make_job(1, JobKind::Array, 2), 3 * kSecond, 0);
         w->run(300 * kMillisecond);
         w->submit(needing(*w, 2, {"req-000001"}), 2 * kSecond, 0);
         w->run(at * kMillisecond - 300 * kMillisecond);
         w->cancel("req-000001");
         w->run(12 * kSecond);
-        EXPECT_EQ(w->told("req-000002"), w->told("req-000001")) << "cancelled at " << at << "\n"
-                                                                << w->story();
-        EXPECT_EQ(w->starts("req-000002"), w->told("req-000001") == "done" ? 2 : 0);
-        EXPECT_RULES(*w);
+        EXPECT_EQ(w->reported_stage("req-000002"), w->reported_stage("req-000001"))
+            << "cancelled at " << at << "\n"
+            << w->format_history();
+        EXPECT_EQ(w->task_starts("req-000002"), w->reported_stage("req-000001") == "done" ? 2 : 0);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
 TEST(DependencyGraph, AnOutageHidesNoCancellation) {
     auto w = settled_simulator(7);
-    w->submit(w->job(1, JobKind::Array, 2), 30 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 2), 30 * kSecond);
     w->run(kSecond);
     w->submit(needing(*w, 2, {"req-000001"}), kSecond);
     w->run(2 * kSecond);
-    w->hold_next("state", "loom-1");  // the news of it
+    w->hold_next_message("state", "loom-1");  // the news of it
     w->cancel("req-000001");
     w->run(500 * kMillisecond);
     w->state().set_down(true, w->now());
     w->run(3 * kSecond);
     // A node that has not heard of it says nothing rather than something old.
     for (int i = 0; i < 3; ++i) {
-        auto r = w->ask(i, "GET", "/v1/jobs/req-000002", {});
+        auto r = w->request(i, "GET", "/v1/jobs/req-000002", {});
         EXPECT_TRUE(r.status == 503 || wire::text(r.body, "stage") == "cancelled") << i << " " << r.status;
     }
     w->state().set_down(false, w->now());
     w->run(5 * kSecond);
-    EXPECT_EQ(w->told("req-000002"), "cancelled") << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->reported_stage("req-000002"), "cancelled") << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, OnlyWhatWasAcceptedCanBeNeeded) {
     auto w = settled_simulator(8);
     auto submit = [&](int node, const JobSpec& s) {
-        return w->ask(node, "POST", "/v1/jobs", wire::job_value(s)).status;
+        return w->request(node, "POST", "/v1/jobs", wire::job_value(s)).status;
     };
     EXPECT_EQ(submit(0, needing(*w, 2, {"req-000077"})), 422);
     EXPECT_EQ(submit(0, needing(*w, 2, {"req-000002"})), 422) << "its own name";
     // Accepted by another node, whose news has not come here yet.
-    const JobSpec first = w->job(1, JobKind::Array, 1);
+    const JobSpec first = w->make_job(1, JobKind::Array, 1);
     w->submit(first, 60 * kSecond);
-    w->hold_next("state", "loom-2");
+    w->hold_next_message("state", "loom-2");
     EXPECT_EQ(submit(1, first) / 100, 2);
     EXPECT_EQ(submit(2, needing(*w, 2, {"req-000001", "req-000001"})), 201);
-    w->release();
+    w->release_held_messages();
     w->run(kSecond);
     EXPECT_EQ(submit(2, needing(*w, 2, {"req-000001"})), 200);
     EXPECT_EQ(submit(2, needing(*w, 2, {"req-000099"})), 200) << "a known id comes before its needs";
@@ -238,12 +241,12 @@
 
 TEST(DependencyGraph, WhatIsLongForgottenIsReadFromTheStore) {
     auto w = settled_simulator(9);
-    for (int i = 1; i <= 2; ++i) w->submit(w->job(i, JobKind::Array, 1), kSecond);
+    for (int i = 1; i <= 2; ++i) w->submit(w->make_job(i, JobKind::Array, 1), kSecond);
     w->run(6 * kSecond);
     w->cancel("req-000003");
-    w->submit(w->job(3, JobKind::Array, 1), 60 * kSecond);
+    w->submit(w->make_job(3, JobKind::Array, 1), 60 * kSecond);
     w->run(3 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done");
+    EXPECT_EQ(w->reported_stage("req-000001"), "done");
     // A pure function of final facts: what the caches have lost is Unknown until it is read.
     DependencyGraph p;
     const auto sure = [](const std::string&) { return false; };
@@ -264,7 +267,7 @@
     DependencyGraph p;
     auto open = [](const std::string&) { return DependencyGraph::Known{DependencyGraph::Fate::Open, 0}; };
     Simulator w(1);
-    JobSpec first = w.job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
+    JobSpec first = w.make_job(1, JobKind::Array, 1), second = needing(w, 2, {"req-000001"}),
             last = needing(w, 3, {"req-000002"});
     first.rank = second.rank = PriorityClass::Low;
     second.estimate = 30 * kSecond;
@@ -290,7 +293,7 @@
 
 TEST(DependencyGraph, AGatesMomentSurvivesAnAdoption) {
     auto w = settled_simulator(10);
-    w->submit(w->job(1, JobKind::Array, 1), 5 * kSecond, 0);
+    w->submit(w->make_job(1, JobKind::Array, 1), 5 * kSecond, 0);
     w->run(300 * kMillisecond);
     JobSpec wide = needing(*w, 2, {"req-000001"}, 40);  // more than there is room for
     w->submit(wide, 30 * kSecond, 0);
@@ -312,14 +315,14 @@
         if (o && o->jobs().count("req-000002")) {
             EXPECT_EQ(o->jobs().at("req-000002")->since_ms, before);
         }
-    EXPECT_RULES(*w);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(DependencyGraph, AWideListOfNeedsIsStoredInPieces) {
     auto w = settled_simulator(11);
     std::vector<std::string> needs;
     for (int i = 1; i <= 300; ++i) {
-        JobSpec s = w->job(i, JobKind::Array, 1, 0.1);
+        JobSpec s = w->make_job(i, JobKind::Array, 1, 0.1);
         s.request.ram = 100;
         w->submit(s, kSecond);
         needs.push_back(s.ref);
@@ -330,37 +333,37 @@
     w->run(10 * kSecond);
     for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
     w->run(30 * kSecond);
-    EXPECT_EQ(w->told("req-000900"), "done") << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->reported_stage("req-000900"), "done") << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 // ---------------------------------------------------------------- the upgrade
 
 TEST(Upgrade, NothingNewIsWrittenWhileANodeMayBeOld) {
     auto w = settled_simulator(12, {2});
-    w->submit(w->job(1, JobKind::Array, 1), 2 * kSecond);
+    w->submit(w->make_job(1, JobKind::Array, 1), 2 * kSecond);
     w->run(2 * kSecond);
     const Json job = wire::job_value(needing(*w, 2, {"req-000001"}));
-    auto r = w->ask(0, "POST", "/v1/jobs", job);
+    auto r = w->request(0, "POST", "/v1/jobs", job);
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after, 0);
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 1, {"req-000044"}))).status, 200)
+    EXPECT_EQ(w->request(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 1, {"req-000044"}))).status, 200)
         << "a known id comes first";
     // Down is not the same as brought up to date: it may come back as it was.
     w->crash(2, 3 * kSecond);
     w->run(2 * kSecond);
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", job).status, 503);
+    EXPECT_EQ(w->request(0, "POST", "/v1/jobs", job).status, 503);
     w->run(6 * kSecond);
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", job).status, 503);
+    EXPECT_EQ(w->request(0, "POST", "/v1/jobs", job).status, 503);
     w->upgrade(2, kSecond);
     w->run(6 * kSecond);
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", job).status, 201);
+    EXPECT_EQ(w->request(0, "POST", "/v1/jobs", job).status, 201);
     // Proven once, for good: also while a node is down, and for one that starts now.
     w->crash(1, 30 * kSecond);
     w->crash(0, kSecond);
     w->run(6 * kSecond);
-    EXPECT_EQ(w->ask(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 3, {"req-000002"}))).status, 201);
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->request(0, "POST", "/v1/jobs", wire::job_value(needing(*w, 3, {"req-000002"}))).status, 201);
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 }  // namespace
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -14,7 +14,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 std::vector<Json> production_records() {
     std::vector<Json> out;
@@ -33,32 +34,32 @@
     for (int i = 0; i < 6; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i >= 4);
     w.start_nodes(3, std::move(old));
     w.run(6 * kSecond);
-    JobSpec service = w.job(1, JobKind::Service, 3);
+    JobSpec service = w.make_job(1, JobKind::Service, 3);
     service.spread = true;
     service.spot = false;
     w.submit(service, 0);
-    JobSpec gang = w.job(2, JobKind::Gang, 2);
+    JobSpec gang = w.make_job(2, JobKind::Gang, 2);
     gang.one_zone = true;
     gang.checkpoint = 3 * kSecond;
     gang.save = kSecond;
     w.submit(gang, 60 * kSecond);
-    JobSpec array = w.job(3, JobKind::Array, 6, 2);
+    JobSpec array = w.make_job(3, JobKind::Array, 6, 2);
     array.deadline = 90 * kSecond;
     array.types = {"small", "large"};
     array.zone = "a";
     w.submit(array, 3 * kSecond);
-    w.submit(w.job(4, JobKind::Array, 2), 2 * kSecond);
-    JobSpec broken = w.job(5, JobKind::Array, 3);
+    w.submit(w.make_job(4, JobKind::Array, 2), 2 * kSecond);
+    JobSpec broken = w.make_job(5, JobKind::Array, 3);
     broken.team = "blue";
     w.submit(broken, 0, 100 * kMillisecond, true);
-    JobSpec wide = w.job(6, JobKind::Array, 250);
+    JobSpec wide = w.make_job(6, JobKind::Array, 250);
     wide.team = "guests";
     wide.rank = PriorityClass::Low;
     w.submit(wide, 4 * kSecond);
-    w.submit(w.job(7, JobKind::Service, 2), 0);
+    w.submit(w.make_job(7, JobKind::Service, 2), 0);
     w.run(8 * kSecond);
     w.cancel("req-000007");
-    w.submit(w.job(8, JobKind::Service, 1), 0);
+    w.submit(w.make_job(8, JobKind::Service, 1), 0);
     w.run(30 * kSecond);
 }
 
@@ -112,7 +113,7 @@
     const ShardOwner* owner = nullptr;
     for (int i = 0; i < 3; ++i)
         if (const ShardOwner* o = w.node(i)->owner("loom-1"); o && o->active()) owner = o;
-    ASSERT_TRUE(owner) << w.story();
+    ASSERT_TRUE(owner) << w.format_history();
     EXPECT_EQ(owner->machines().size(), 5u);
     ASSERT_TRUE(owner->jobs().count("req-000006"));
     const Job& wide = *owner->jobs().at("req-000006");
@@ -122,8 +123,8 @@
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint, 3 * kSecond);
     EXPECT_EQ(w.node(0)->share("loom-1", "red").cores, 24'000);
-    EXPECT_EQ(wire::text(w.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
-    EXPECT_EQ(wire::text(w.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
+    EXPECT_EQ(wire::text(w.request(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
+    EXPECT_EQ(wire::text(w.request(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
 }
 
 std::string bytes_of(const std::string& hex) {
@@ -181,7 +182,7 @@
 
 /// A site whose limits fall while it has records of every kind at their largest.
 Settings falling() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.value_bytes_now = 4096;
     s.value_bytes = 1024;
     s.txn_ops = 4;
@@ -200,7 +201,7 @@
     for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3, {0, 1, 2});
     w.run(10 * kSecond);
-    JobSpec wide = w.job(1, JobKind::Array, 60, 4);
+    JobSpec wide = w.make_job(1, JobKind::Array, 60, 4);
     wide.team = std::string(48, 't');
     wide.request.cores = 1600;
     wide.request.ram = 20'000;  // one to a machine
@@ -213,7 +214,7 @@
     other.request.cores = 10;
     w.submit(other, 25 * kSecond, 0);
     w.run(4 * kSecond);
-    EXPECT_EQ(w.running("req-000001"), 60) << w.story();
+    EXPECT_EQ(w.running_tasks("req-000001"), 60) << w.format_history();
     // All are brought up to date, and the limits fall before anything else can be done.
     w.settings = falling();
     for (int i = 0; i < 3; ++i) w.upgrade(i, kSecond);
@@ -222,14 +223,14 @@
     w.run(kSecond);
     w.cancel("req-000002");
     w.run(8 * kSecond);
-    EXPECT_EQ(w.told("req-000002"), "cancelled") << w.story();
-    EXPECT_EQ(w.running("req-000002"), 0);
+    EXPECT_EQ(w.reported_stage("req-000002"), "cancelled") << w.format_history();
+    EXPECT_EQ(w.running_tasks("req-000002"), 0);
     for (int i = 0; i < 3; ++i) w.crash(i, kSecond);  // handed over as it is stored now
     w.run(60 * kSecond);
-    EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-    EXPECT_EQ(w.starts("req-000001"), 60);
+    EXPECT_EQ(w.reported_stage("req-000001"), "done") << w.format_history();
+    EXPECT_EQ(w.task_starts("req-000001"), 60);
     for (const auto& r : records_of(w)) EXPECT_LE(r["data"].dump().size(), 1024u) << r["k"];
-    EXPECT_RULES(w);
+    EXPECT_NO_VIOLATIONS(w);
 }
 
 TEST(Limits, ASplitBlockLosesNoTaskWhateverIsHeardOfItFirst) {
@@ -240,24 +241,24 @@
         for (int i = 0; i < 60; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes(3, {0, 1, 2});
         w.run(10 * kSecond);
-        JobSpec service = w.job(1, JobKind::Service, 60, 0.4);
+        JobSpec service = w.make_job(1, JobKind::Service, 60, 0.4);
         service.request.ram = 20'000;  // one to a machine
         w.submit(service, 0, 0);
         w.run(3 * kSecond);
-        EXPECT_EQ(w.running("req-000001"), 60) << w.story();
+        EXPECT_EQ(w.running_tasks("req-000001"), 60) << w.format_history();
         w.settings = falling();
         for (int i = 0; i < 3; ++i) w.upgrade(i, kSecond);
         w.run(2 * kSecond);
-        w.answers_lost = 0.4;  // those to the split among them
+        w.state_answer_loss_rate = 0.4;  // those to the split among them
         w.run(10 * kSecond);
-        w.answers_lost = 0;
+        w.state_answer_loss_rate = 0;
         w.run(10 * kSecond);
         std::size_t most = 0;
         for (const auto& r : records_of(w))
             if (r["data"].contains("m")) most = std::max(most, r["data"]["m"].size());
         EXPECT_LE(most, 15u) << "they have been split";
-        EXPECT_EQ(w.starts("req-000001"), 60) << "seed " << seed << "\n" << w.story();
-        EXPECT_RULES(w);
+        EXPECT_EQ(w.task_starts("req-000001"), 60) << "seed " << seed << "\n" << w.format_history();
+        EXPECT_NO_VIOLATIONS(w);
     }
 }
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(JobCache, StillStopsACancelledTaskAfterReadingManyFinishedJobs) {
     constexpr int kFinished = 20'001;
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site);
     JobSpec spec;
     spec.ref = "req-000001";
@@ -61,7 +61,7 @@
 
 // A job that nothing is known of counted as one that goes on.
 TEST(JobCache, TellsWhatIsUnknownFromWhatIsUnfinished) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site, kFewFinished);
     const JobSpec spec = one_task("req-000001");
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
@@ -79,7 +79,7 @@
 
 // A job whose record had gone counted as one that goes on until its outcome was read.
 TEST(JobCache, DoesNotKnowWhatBecameOfAJobWhoseRecordIsGone) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site);
     const JobSpec spec = one_task("req-000001");
     cache.take(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
@@ -94,7 +94,7 @@
 
 // A user who had heard that the job was cancelled with another one heard that it ran.
 TEST(JobCache, KeepsACancellationWithAnotherJobAfterManyFinishedJobs) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site, kFewFinished);
     const JobSpec first = one_task("req-000001"), second = one_task("req-000002", {first.ref});
     cache.take(first.ref, RecordLocation::Active, record(first, "queued"), 1, 0);
@@ -115,7 +115,7 @@
 
 // Older news of a live job were taken in once its view had been dropped.
 TEST(JobCache, TakesNoOlderNewsOfALiveJobAfterManyFinishedJobs) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site, kFewFinished);
     const JobSpec spec = one_task("req-000001");
     cache.take(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0);
@@ -127,7 +127,7 @@
 
 // A finished job came back to life with a record from before its end.
 TEST(JobCache, TakesNoRecordFromBeforeTheEndOfAForgottenJob) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     for (const std::size_t others : {kFewFinished - 1, kFewFinished, kFewFinished + 1}) {
         JobCache cache(site, kFewFinished);
         const JobSpec spec = one_task("req-000001");
@@ -148,7 +148,7 @@
 
 // What was read of a job before its record came in the news was lost with the record.
 TEST(JobCache, KeepsWhatWasReadOfAJobBeforeItsRecordIsHeardOf) {
-    const Settings site = simulation::small_site();
+    const Settings site = simulation::small_cluster_settings();
     JobCache cache(site);
     const JobSpec spec = one_task("req-000001");
     cache.remember(spec.ref, JobView::of(record(spec, "cancelled"), 5));
--- a/tests/large/large_fleet_test.cpp
+++ b/tests/large/large_fleet_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kLost = 1100;
 
 Settings large_site() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.report_every = 10 * kSecond;
     s.lease = 40 * kSecond;
     s.cancel = 90 * kSecond;
@@ -44,27 +44,28 @@
     for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
     w.start_nodes(3);
     w.run(45 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.story();
-    const int busiest = w.busiest();
-    ASSERT_GT(machines_at(w, busiest), kLost) << w.story();
-    w.submit(w.job(1, JobKind::Array, kMachines, 8), 60 * kSecond);
+    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.format_history();
+    const int busiest = w.busiest_node();
+    ASSERT_GT(machines_at(w, busiest), kLost) << w.format_history();
+    w.submit(w.make_job(1, JobKind::Array, kMachines, 8), 60 * kSecond);
     w.run(15 * kSecond);
 
     std::vector<std::string> cut;
     for (const auto& [name, machine] : w.owner_at(busiest)->machines())
         if (cut.size() < kLost) cut.push_back(name);
     for (const auto& name : cut)
-        for (int i = 0; i < w.node_count(); ++i) w.cut(name, host(i));
+        for (int i = 0; i < w.node_count(); ++i) w.cut_link(name, host(i));
     w.run(45 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << "none is given up\n" << w.story();
+    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << "none is given up\n"
+                                                                      << w.format_history();
 
     w.crash(busiest, 5 * kSecond);
     w.run(10 * kSecond);
-    w.heal_all();
+    w.heal_all_links();
     w.run(110 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.story();
-    EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-    EXPECT_RULES(w);
+    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.format_history();
+    EXPECT_EQ(w.reported_stage("req-000001"), "done") << w.format_history();
+    EXPECT_NO_VIOLATIONS(w);
 }
 
 }  // namespace
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -30,7 +30,7 @@
 }
 
 inline void cut_from_all(simulation::Simulator& w, const std::string& machine) {
-    for (int i = 0; i < w.node_count(); ++i) w.cut(host(i), machine);
+    for (int i = 0; i < w.node_count(); ++i) w.cut_link(host(i), machine);
 }
 
 /// A service of one task (job 1), whose machine hangs until the task is started elsewhere, and then goes on
@@ -40,21 +40,21 @@
     Json running;
 };
 inline Superseded supersede(simulation::Simulator& w) {
-    w.submit(w.job(1, JobKind::Service, 1), 0);
+    w.submit(w.make_job(1, JobKind::Service, 1), 0);
     w.run(3 * kSecond);
-    const std::string machine = *w.machines_of("req-000001").begin();
+    const std::string machine = *w.machines_running("req-000001").begin();
     const Json running = on_its_way(w, machine);
-    w.hang(machine, true);
+    w.set_hung(machine, true);
     w.run(25 * kSecond);
-    w.hang(machine, false);
+    w.set_hung(machine, false);
     w.run(5 * kSecond);
-    EXPECT_EQ(w.machines_of("req-000001").count(machine), 0u) << w.story();
+    EXPECT_EQ(w.machines_running("req-000001").count(machine), 0u) << w.format_history();
     return {machine, running};
 }
 
 /// Nothing is returned for being idle.
 inline Settings patient(double cpu_share = 1.0) {
-    Settings site = simulation::small_site();
+    Settings site = simulation::small_cluster_settings();
     site.ops.idle_return = 600 * kSecond;
     site.cpu_share = cpu_share;  // where there is little: several shards
     return site;
@@ -63,7 +63,7 @@
 /// Lines of the story that tell this, e.g. starts on a machine.
 inline int told_times(const simulation::Simulator& w, const std::string& what) {
     int n = 0;
-    for (const auto& line : w.trace) n += line.find(what) != std::string::npos;
+    for (const auto& line : w.event_history) n += line.find(what) != std::string::npos;
     return n;
 }
 
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -22,26 +22,26 @@
         for (int i = 0; i < 3; ++i) w.add_machine("small", "a");
         w.start_nodes();
         w.run(6 * kSecond);
-        w.submit(w.job(2, JobKind::Service, 3, 3), 0);  // one on each machine, so that none is returned
+        w.submit(w.make_job(2, JobKind::Service, 3, 3), 0);  // one on each machine, so that none is returned
         w.run(5 * kSecond);
-        w.submit(w.job(1, JobKind::Array, 1), 300 * kSecond);
+        w.submit(w.make_job(1, JobKind::Array, 1), 300 * kSecond);
         w.run(30 * kSecond);  // a controller renews no lease for others before
-        ASSERT_EQ(w.running("req-000001"), 1) << w.story();
-        const int holder = w.holder();
-        const std::string machine = *w.machines_of("req-000001").begin();
+        ASSERT_EQ(w.running_tasks("req-000001"), 1) << w.format_history();
+        const int holder = w.owner_node();
+        const std::string machine = *w.machines_running("req-000001").begin();
         ASSERT_EQ(machine.size(), length);
         // Another controller renews the lease on the holder's behalf.
-        w.cut(host(holder), machine);
+        w.cut_link(host(holder), machine);
         for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.cut(host(holder), host(i));
+            if (i != holder) w.cut_link(host(holder), host(i));
         w.run(2 * w.settings.lease);
-        ASSERT_EQ(w.starts("req-000001"), 1) << w.story();
+        ASSERT_EQ(w.task_starts("req-000001"), 1) << w.format_history();
         // From now on the machine is not heard, and the holder can ask whether its lease was renewed.
-        w.mute(machine, true);
+        w.block_messages_from(machine, true);
         for (int i = 0; i < w.node_count(); ++i)
-            if (i != holder) w.heal(host(holder), host(i));
+            if (i != holder) w.heal_link(host(holder), host(i));
         w.run(2 * w.settings.lease);
-        EXPECT_RULES(w);
+        EXPECT_NO_VIOLATIONS(w);
     }
 }
 
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -19,7 +19,7 @@
   public:
     ConsistencyChecker(Simulator& w, JobSpec spec, Micros span) : w_(w), spec_(std::move(spec)) {
         for (Micros t = 0; t < span; t += 100 * kMillisecond)
-            w.at(w.now() + t, [this] {
+            w.schedule_at(w.now() + t, [this] {
                 for (int i = 0; i < w_.node_count(); ++i) ask(i);
             });
     }
@@ -28,13 +28,14 @@
     void ask(int node) {
         if (!w_.node(node)) return;
         const auto judge = [this, node, told = told_](const ApiResponse& r) {
-            if (r.status == 400 || r.status == 422) w_.broken.push_back("forgotten: a repeat was refused");
+            if (r.status == 400 || r.status == 422)
+                w_.violations.push_back("forgotten: a repeat was refused");
             if (r.status != 200 && r.status != 201 && r.status != 404) return;
             const std::string stage = wire::text(r.body, "stage").value_or("");
             const int now = r.status == 404 ? 0 : stage == "done" || stage == "cancelled" ? 2 : 1;
             if (now < told)
-                w_.broken.push_back("went_back: " + spec_.ref + " is " + (now ? stage : "unknown") + " at " +
-                                    host(node));
+                w_.violations.push_back("went_back: " + spec_.ref + " is " + (now ? stage : "unknown") +
+                                        " at " + host(node));
             told_ = std::max(told_, now);
         };
         w_.node(node)->handle({"GET", "/v1/jobs/" + spec_.ref, "", false}, judge);
@@ -47,7 +48,7 @@
 };
 
 Settings narrow() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.cpu_share = 0.001;  // several shards
     s.value_bytes = 1024;
     s.txn_ops = 4;
@@ -70,7 +71,7 @@
 }
 
 JobSpec watched(Simulator& w, int tasks = 2, double cores = 1) {
-    return w.job(9, JobKind::Array, tasks, cores);
+    return w.make_job(9, JobKind::Array, tasks, cores);
 }
 void submit(Simulator& w) {
     w.submit(watched(w), 3 * kSecond);
@@ -78,7 +79,7 @@
 void nothing(Simulator&) {}
 /// All that runs for some seconds, and what is watched waits for room.
 void crowded(Simulator& w) {
-    for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
+    for (int i = 2; i <= 3; ++i) w.submit(w.make_job(i, JobKind::Array, 24), 6 * kSecond);
     w.run(kSecond);
     w.submit(watched(w, 20), 3 * kSecond);
     w.run(1500 * kMillisecond);
@@ -102,13 +103,13 @@
 const std::string kRecord = std::string("c/active/") + kRef;
 
 const std::vector<Row> kRows = {
-    {"admission", {kRecord}, false, [](Simulator& w) { w.cut("users", host(w.holder())); }, submit},
+    {"admission", {kRecord}, false, [](Simulator& w) { w.cut_link("users", host(w.owner_node())); }, submit},
     {"admission with its binds",
      {kRecord},
      false,
      [](Simulator& w) {
          for (int i = 0; i < 3; ++i)
-             if (i != w.holder()) w.cut("users", host(i));
+             if (i != w.owner_node()) w.cut_link("users", host(i));
      },
      submit},
     {"admission, cancelled beside it",
@@ -125,7 +126,7 @@
      {kRecord, kRecord, std::string("c/part/") + kRef, std::string("c/part/") + kRef},
      true,
      [](Simulator& w) {
-         for (int i = 2; i <= 3; ++i) w.submit(w.job(i, JobKind::Array, 24), 6 * kSecond);
+         for (int i = 2; i <= 3; ++i) w.submit(w.make_job(i, JobKind::Array, 24), 6 * kSecond);
          w.run(kSecond);
          w.submit(watched(w, 60, 0.2), 2 * kSecond);
          w.run(kSecond);
@@ -137,7 +138,7 @@
      {kRecord},
      false,
      [](Simulator& w) {
-         w.cancel_at_end = 1;
+         w.cancel_on_completion_rate = 1;
          running(w);
          for (int i = 0; i < 900 && w.completed_tasks(kRef) < 2; ++i) w.run(20 * kMillisecond);
      },
@@ -147,7 +148,7 @@
      {"c/block/"},
      false,
      [](Simulator& w) {
-         for (const auto& m : w.machine_names()) w.hold_next(host(w.holder()), m);
+         for (const auto& m : w.machine_names()) w.hold_next_message(host(w.owner_node()), m);
          submit(w);
          w.run(2 * kSecond);
      },
@@ -156,13 +157,17 @@
      {"c/block/", "c/block/"},
      false,
      nothing,
-     [](Simulator& w) { w.owner_at(w.holder())->retire(w.machine_names().back(), "a test"); }},
+     [](Simulator& w) { w.owner_at(w.owner_node())->retire(w.machine_names().back(), "a test"); }},
     {"leader and domain after an end",
      {"c/leader", "c/domain/"},
      false,
      running,
-     [](Simulator& w) { w.crash(w.holder(), 20 * kSecond); }},
-    {"live key", {"c/live/"}, false, running, [](Simulator& w) { w.crash(w.holder(), 200 * kMillisecond); }},
+     [](Simulator& w) { w.crash(w.owner_node(), 20 * kSecond); }},
+    {"live key",
+     {"c/live/"},
+     false,
+     running,
+     [](Simulator& w) { w.crash(w.owner_node(), 200 * kMillisecond); }},
     {"policy", {"c/policy"}, false, nothing, publish},
     {"pieces and what names them", {"c/0/", "c/policy"}, true, nothing, publish},
     {"machines that move",
@@ -180,13 +185,13 @@
      {kRecord},
      true,
      [](Simulator& w) {
-         w.submit(w.job(2, JobKind::Service, 6), 0);  // the rest of the machine
+         w.submit(w.make_job(2, JobKind::Service, 6), 0);  // the rest of the machine
          w.run(3 * kSecond);
          JobSpec s = watched(w, 60, 0.08);
          s.team = "blue";
          w.submit(s, 3 * kSecond);
          w.run(2 * kSecond);
-         w.at(w.now() + 25 * kSecond, [&w] { w.cancel("req-000002"); });
+         w.schedule_at(w.now() + 25 * kSecond, [&w] { w.cancel("req-000002"); });
      },
      [](Simulator& w) { w.add_machine("large", "a"); },
      1},
@@ -203,7 +208,7 @@
      {"c/domain/"},
      true,
      [](Simulator& w) {
-         w.crash(w.busiest(), 8 * kSecond);
+         w.crash(w.busiest_node(), 8 * kSecond);
          w.run(9 * kSecond);
      },
      nothing,
@@ -215,27 +220,27 @@
 TEST_P(LostAnswers, LeaveTheWriterNoWiserThanTheOthers) {
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto w = settled_simulator(seed, row.machines, row.several ? narrow() : small_site());
-        w->submit(w->job(1, JobKind::Service, 2), 0);
+        auto w = settled_simulator(seed, row.machines, row.several ? narrow() : small_cluster_settings());
+        w->submit(w->make_job(1, JobKind::Service, 2), 0);
         w->run(2 * kSecond);
         row.before(*w);
-        for (const auto& key : row.lost) w->late_next(key, 0);
+        for (const auto& key : row.lost) w->delay_next_write(key, 0);
         ConsistencyChecker looks(*w, watched(*w), 6 * kSecond);
         row.act(*w);
         w->run(12 * kSecond);
-        w->heal_all();
-        w->release();
+        w->heal_all_links();
+        w->release_held_messages();
         w->run(20 * kSecond);
-        EXPECT_EQ(w->late_to_come(), 0U) << "seed " << seed << "\n" << w->story();
+        EXPECT_EQ(w->pending_write_delays(), 0U) << "seed " << seed << "\n" << w->format_history();
         w->run(30 * kSecond);
-        EXPECT_RULES(*w);
-        EXPECT_EQ(w->running("req-000001"), 2);
-        for (const auto& ref : w->refs()) {
+        EXPECT_NO_VIOLATIONS(*w);
+        EXPECT_EQ(w->running_tasks("req-000001"), 2);
+        for (const auto& ref : w->job_refs()) {
             if (ref == "req-000001") continue;
-            EXPECT_TRUE(w->told(ref) == "done" || w->told(ref) == "cancelled")
-                << ref << " is " << w->told(ref) << "\n"
-                << w->story();
-            EXPECT_EQ(w->running(ref), 0) << ref;
+            EXPECT_TRUE(w->reported_stage(ref) == "done" || w->reported_stage(ref) == "cancelled")
+                << ref << " is " << w->reported_stage(ref) << "\n"
+                << w->format_history();
+            EXPECT_EQ(w->running_tasks(ref), 0) << ref;
         }
         expect_each_machine_leased_once(*w);
     }
@@ -251,13 +256,14 @@
 TEST(LostAnswer, AFirstReportIsAnsweredOnceItsMachineIsLeased) {
     auto w = settled_simulator(8);
     const std::string machine = w->add_machine("small", "a");
-    w->mute(machine,
-            true);  // its first report is made below; it answers the call that proves that it is there
-    w->late_next("c/block/", 0);
+    w->block_messages_from(
+        machine,
+        true);  // its first report is made below; it answers the call that proves that it is there
+    w->delay_next_write("c/block/", 0);
     const Micros asked = w->now();
     const auto report = w->worker(machine)->report(asked);
-    EXPECT_EQ(w->ask(w->leader(), "POST", "/v1/report", report).status, 200) << w->story();
-    EXPECT_EQ(w->late_to_come(), 0U);
+    EXPECT_EQ(w->request(w->leader_node(), "POST", "/v1/report", report).status, 200) << w->format_history();
+    EXPECT_EQ(w->pending_write_delays(), 0U);
     EXPECT_LT(w->now() - asked, kSecond) << "long before the leader knows by itself";
 }
 
@@ -266,17 +272,17 @@
     const std::vector<std::string> keys{"c/live/",   "c/leader", "c/domain/", "c/share/",
                                         "c/format/", "c/types",  "c/history", "c/block/"};
     for (std::size_t i = 0; i <= keys.size(); ++i) {
-        Simulator w(7, i % 2 ? narrow() : small_site());
+        Simulator w(7, i % 2 ? narrow() : small_cluster_settings());
         for (int m = 0; m < 4; ++m) w.add_machine("small", m % 2 ? "b" : "a");
         for (std::size_t k = 0; k < keys.size(); ++k)
-            if (i == k || i == keys.size()) w.late_next(keys[k], 0);
+            if (i == k || i == keys.size()) w.delay_next_write(keys[k], 0);
         w.start_nodes();
-        w.submit(w.job(1, JobKind::Array, 4), 2 * kSecond);
+        w.submit(w.make_job(1, JobKind::Array, 4), 2 * kSecond);
         w.run(60 * kSecond);
-        EXPECT_EQ(w.late_to_come(), 0U) << i;
-        EXPECT_EQ(w.told("req-000001"), "done") << w.story();
-        EXPECT_EQ(w.starts("req-000001"), 4) << w.story();
-        EXPECT_RULES(w);
+        EXPECT_EQ(w.pending_write_delays(), 0U) << i;
+        EXPECT_EQ(w.reported_stage("req-000001"), "done") << w.format_history();
+        EXPECT_EQ(w.task_starts("req-000001"), 4) << w.format_history();
+        EXPECT_NO_VIOLATIONS(w);
         expect_each_machine_leased_once(w);
     }
 }
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -39,7 +39,7 @@
 // ---------------------------------------------------------------- balance
 
 Settings balanced_site() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     policy::Policy p = asked();
     policy::ZoneRule rule;
     rule.scope.team = "red";
@@ -59,7 +59,7 @@
         for (int i = 0; i < 2; ++i) w.add_machine("small", "a");
         w.start_nodes();
         w.run(6 * kSecond);
-        JobSpec web = w.job(1, JobKind::Service, 4);
+        JobSpec web = w.make_job(1, JobKind::Service, 4);
         web.rank = PriorityClass::Production;
         w.submit(web, 0);
         w.run(4 * kSecond);
@@ -68,7 +68,7 @@
     void run(Micros span, Micros step = 50 * kMillisecond) {
         for (const Micros end = w.now() + span; w.now() < end;) {
             w.run(step);
-            least = std::min(least, w.running(kWeb));
+            least = std::min(least, w.running_tasks(kWeb));
         }
     }
     /// Runs until `there`, at most for that long.
@@ -78,18 +78,18 @@
     }
     int in_zone_b() {
         int n = 0;
-        const auto& machines = w.owner_at(w.holder())->machines();
-        for (const auto& m : w.machines_of(kWeb)) n += machines.at(m)->zone == "b";
+        const auto& machines = w.owner_at(w.owner_node())->machines();
+        for (const auto& m : w.machines_running(kWeb)) n += machines.at(m)->zone == "b";
         return n;
     }
     void expect_balanced(const std::string& what) {
-        const std::string story = what + "\n" + w.story();
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front() << "\n" << story;
-        EXPECT_EQ(w.running(kWeb), 4) << story;
+        const std::string story = what + "\n" + w.format_history();
+        EXPECT_TRUE(w.violations.empty()) << w.violations.front() << "\n" << story;
+        EXPECT_EQ(w.running_tasks(kWeb), 4) << story;
         EXPECT_GE(least, 3) << story;
-        EXPECT_EQ(w.starts(kWeb), 6) << "each of two moves once\n" << story;
+        EXPECT_EQ(w.task_starts(kWeb), 6) << "each of two moves once\n" << story;
         EXPECT_FALSE(record_stands(w)) << stored_plan(w).dump() << story;
-        const auto* plan = plan_at(w, w.holder());
+        const auto* plan = plan_at(w, w.owner_node());
         ASSERT_TRUE(plan) << story;
         EXPECT_TRUE(plan->empty()) << story;
         EXPECT_GE(in_zone_b(), 1) << story;
@@ -105,16 +105,16 @@
     static const std::vector<Step> all{
         {"before the record",
          [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
+             const auto* p = plan_at(b.w, b.w.owner_node());
              return p && !p->moves().empty() && !record_stands(b.w);
          }},
         {"after the record, before its answer", [](Balance& b) { return record_stands(b.w); }},
         {"after the stop",
          [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
+             const auto* p = plan_at(b.w, b.w.owner_node());
              if (!p || p->moves().empty()) return false;
              const auto& m = p->moves().front().move;
-             return b.w.owner_at(b.w.holder())
+             return b.w.owner_at(b.w.owner_node())
                  ->jobs()
                  .at(m.job)
                  ->slots[static_cast<std::size_t>(m.task)]
@@ -122,19 +122,19 @@
          }},
         {"after it is gone, before it starts",
          [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
-             return p && !p->moves().empty() && b.w.running(kWeb) == 3;
+             const auto* p = plan_at(b.w, b.w.owner_node());
+             return p && !p->moves().empty() && b.w.running_tasks(kWeb) == 3;
          }},
         {"after it is bound again",
          [](Balance& b) {
-             const auto* p = plan_at(b.w, b.w.holder());
+             const auto* p = plan_at(b.w, b.w.owner_node());
              if (!p || p->moves().empty()) return false;
              const auto& m = p->moves().front().move;
              const auto& slot =
-                 b.w.owner_at(b.w.holder())->jobs().at(m.job)->slots[static_cast<std::size_t>(m.task)];
+                 b.w.owner_at(b.w.owner_node())->jobs().at(m.job)->slots[static_cast<std::size_t>(m.task)];
              return slot.machine && slot.machine->name != m.from;
          }},
-        {"after it started", [](Balance& b) { return b.w.starts(kWeb) == 5; }},
+        {"after it started", [](Balance& b) { return b.w.task_starts(kWeb) == 5; }},
     };
     return all;
 }
@@ -147,9 +147,9 @@
 
 TEST(MovesInTheWorld, APlanWhoseAnswersAreLostIsCarriedOutOnce) {
     Balance b(2);
-    for (int i = 0; i < 3; ++i) b.w.late_next("c/plan/", 0);
+    for (int i = 0; i < 3; ++i) b.w.delay_next_write("c/plan/", 0);
     b.run(60 * kSecond);
-    EXPECT_EQ(b.w.late_to_come(), 0U) << b.w.story();
+    EXPECT_EQ(b.w.pending_write_delays(), 0U) << b.w.format_history();
     b.expect_balanced("answers lost");
 }
 
@@ -158,8 +158,8 @@
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             Balance b(seed);
             const std::string what = std::string(step.name) + ", seed " + std::to_string(seed);
-            ASSERT_TRUE(b.until([&] { return step.there(b); })) << what << "\n" << b.w.story();
-            b.w.crash(b.w.holder(), 20 * kSecond);
+            ASSERT_TRUE(b.until([&] { return step.there(b); })) << what << "\n" << b.w.format_history();
+            b.w.crash(b.w.owner_node(), 20 * kSecond);
             b.run(70 * kSecond);
             b.expect_balanced(what);
         }
@@ -192,12 +192,12 @@
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             Balance b(seed);
             ASSERT_TRUE(b.until([&] { return steps()[0].there(b); }));
-            const std::string node = "loom-" + std::to_string(b.w.holder());
-            b.w.hold_next(request ? node : "state", request ? "state" : node);
-            b.w.answers_lost = 0.3;
+            const std::string node = "loom-" + std::to_string(b.w.owner_node());
+            b.w.hold_next_message(request ? node : "state", request ? "state" : node);
+            b.w.state_answer_loss_rate = 0.3;
             b.run(8 * kSecond);
-            b.w.answers_lost = 0;
-            b.w.release();
+            b.w.state_answer_loss_rate = 0;
+            b.w.release_held_messages();
             b.run(60 * kSecond);
             b.expect_balanced(request ? "a request comes late" : "an answer comes late");
         }
@@ -206,10 +206,10 @@
 TEST(MovesInTheWorld, ADestinationDiesAndTheTaskStartsElsewhere) {
     Balance b(6);
     ASSERT_TRUE(b.until([&] { return steps()[2].there(b); }));
-    b.w.kill_machine(plan_at(b.w, b.w.holder())->moves().front().move.to);
+    b.w.kill_machine(plan_at(b.w, b.w.owner_node())->moves().front().move.to);
     b.run(70 * kSecond);
-    EXPECT_TRUE(b.w.broken.empty()) << b.w.broken.front() << b.w.story();
-    EXPECT_EQ(b.w.running(kWeb), 4) << b.w.story();
+    EXPECT_TRUE(b.w.violations.empty()) << b.w.violations.front() << b.w.format_history();
+    EXPECT_EQ(b.w.running_tasks(kWeb), 4) << b.w.format_history();
     EXPECT_GE(b.least, 3);
     EXPECT_FALSE(record_stands(b.w));
 }
@@ -220,8 +220,8 @@
         ASSERT_TRUE(b.until([&] { return step.there(b); })) << step.name;
         b.w.cancel(kWeb);
         b.w.run(20 * kSecond);
-        EXPECT_TRUE(b.w.broken.empty()) << b.w.broken.front() << b.w.story();
-        EXPECT_EQ(b.w.running(kWeb), 0) << step.name;
+        EXPECT_TRUE(b.w.violations.empty()) << b.w.violations.front() << b.w.format_history();
+        EXPECT_EQ(b.w.running_tasks(kWeb), 0) << step.name;
         EXPECT_FALSE(record_stands(b.w)) << step.name;
     }
 }
@@ -236,7 +236,7 @@
     Simulator w;
 
     static Settings site() {
-        Settings s = small_site();
+        Settings s = small_cluster_settings();
         s.teams[0].limit = {128'000, 64'000, 0};
         policy::Policy p = asked();
         p.gpus.make_room = true;
@@ -248,7 +248,7 @@
         return {{"g8", {32'000, 8'000, 128'000}, 200'000, 1.0, 4.0, 1.5, 10 * kSecond, {"a", "b"}}};
     }
     JobSpec with_gpus(int number, Milli gpus) {
-        JobSpec s = w.job(number, JobKind::Array, 1);
+        JobSpec s = w.make_job(number, JobKind::Array, 1);
         s.request = {gpus * 2, gpus, gpus * 8};
         s.estimate = 300 * kSecond;
         s.checkpoint = 10 * kSecond;
@@ -276,28 +276,30 @@
     }
     /// Exactly one of both was moved; a start more where the machine's end took it.
     void expect_at_rest(const std::string& what, int large_starts) {
-        const std::string story = what + "\n" + w.story();
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front() << "\n" << story;
-        EXPECT_EQ(w.starts(kLarge), large_starts) << story;
-        EXPECT_EQ(w.running("req-000001") + w.running("req-000003"), 2) << story;
-        EXPECT_LE(w.starts("req-000001") + w.starts("req-000003"), 3) << story;
+        const std::string story = what + "\n" + w.format_history();
+        EXPECT_TRUE(w.violations.empty()) << w.violations.front() << "\n" << story;
+        EXPECT_EQ(w.task_starts(kLarge), large_starts) << story;
+        EXPECT_EQ(w.running_tasks("req-000001") + w.running_tasks("req-000003"), 2) << story;
+        EXPECT_LE(w.task_starts("req-000001") + w.task_starts("req-000003"), 3) << story;
         EXPECT_FALSE(record_stands(w)) << stored_plan(w).dump() << story;
     }
 };
 
 const std::vector<std::pair<const char*, std::function<bool(Room&)>>>& room_steps() {
-    static const auto running = [](Room& r) { return r.w.running("req-000001") + r.w.running("req-000003"); };
+    static const auto running = [](Room& r) {
+        return r.w.running_tasks("req-000001") + r.w.running_tasks("req-000003");
+    };
     static const std::vector<std::pair<const char*, std::function<bool(Room&)>>> all{
         {"before the record",
          [](Room& r) {
-             const auto* p = plan_at(r.w, r.w.holder());
+             const auto* p = plan_at(r.w, r.w.owner_node());
              return p && !p->gathers().empty() && !record_stands(r.w);
          }},
         {"after the record", [](Room& r) { return record_stands(r.w); }},
         {"after the stop", [](Room& r) { return running(r) < 2; }},
         {"after the moved one started",
-         [](Room& r) { return r.w.starts("req-000001") + r.w.starts("req-000003") == 3; }},
-        {"after the large one started", [](Room& r) { return r.w.starts(kLarge) == 1; }},
+         [](Room& r) { return r.w.task_starts("req-000001") + r.w.task_starts("req-000003") == 3; }},
+        {"after the large one started", [](Room& r) { return r.w.task_starts(kLarge) == 1; }},
     };
     return all;
 }
@@ -307,8 +309,8 @@
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             Room r(seed);
             const std::string what = std::string(name) + ", seed " + std::to_string(seed);
-            ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << what << "\n" << r.w.story();
-            r.w.crash(r.w.holder(), 20 * kSecond);
+            ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << what << "\n" << r.w.format_history();
+            r.w.crash(r.w.owner_node(), 20 * kSecond);
             r.w.run(60 * kSecond);
             r.expect_at_rest(what, 1);
         }
@@ -317,7 +319,7 @@
 TEST(RoomInTheWorld, AllControllersEndAtEveryStepOfAGathering) {
     for (const auto& [name, there] : room_steps()) {
         Room r(4);
-        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.story();
+        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.format_history();
         for (int i = 0; i < 3; ++i) r.w.crash(i, 2 * kSecond + i * 300 * kMillisecond);
         r.w.run(60 * kSecond);
         r.expect_at_rest(std::string("all end ") + name, 1);
@@ -327,26 +329,26 @@
 TEST(RoomInTheWorld, RoomThatIsKeptIsNotTakenByWhatComesMeanwhile) {
     Room r(6);
     ASSERT_TRUE(r.until([&] {
-        const auto* p = plan_at(r.w, r.w.holder());
+        const auto* p = plan_at(r.w, r.w.owner_node());
         return p && !p->kept().empty();
     }));
     r.w.submit(r.with_gpus(4, 4'000), 300 * kSecond);
     r.w.run(10 * kSecond);
-    EXPECT_EQ(r.w.starts(kLarge), 1) << r.w.story();
-    EXPECT_EQ(r.w.starts("req-000004"), 0) << "it waits its turn\n" << r.w.story();
+    EXPECT_EQ(r.w.task_starts(kLarge), 1) << r.w.format_history();
+    EXPECT_EQ(r.w.task_starts("req-000004"), 0) << "it waits its turn\n" << r.w.format_history();
     r.w.run(30 * kSecond);
-    EXPECT_EQ(r.w.starts("req-000004"), 1) << r.w.story();
+    EXPECT_EQ(r.w.task_starts("req-000004"), 1) << r.w.format_history();
     r.expect_at_rest("with another one", 1);
 }
 
 TEST(RoomInTheWorld, TheLargeJobIsCancelledAtEveryStepAndNothingIsKept) {
     for (const auto& [name, there] : room_steps()) {
         Room r(5);
-        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.story();
+        ASSERT_TRUE(r.until([&, &at = there] { return at(r); })) << name << "\n" << r.w.format_history();
         r.w.cancel(kLarge);
         r.w.run(30 * kSecond);
-        r.expect_at_rest(std::string("cancelled ") + name, r.w.starts(kLarge));
-        EXPECT_LE(r.w.starts(kLarge), 1) << name;
+        r.expect_at_rest(std::string("cancelled ") + name, r.w.task_starts(kLarge));
+        EXPECT_LE(r.w.task_starts(kLarge), 1) << name;
     }
 }
 
@@ -358,10 +360,10 @@
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes();
         w.run(6 * kSecond);
-        w.submit(w.job(1, JobKind::Service, 4), 0);
-        w.submit(w.job(2, JobKind::Array, 3), 4 * kSecond);
+        w.submit(w.make_job(1, JobKind::Service, 4), 0);
+        w.submit(w.make_job(2, JobKind::Array, 3), 4 * kSecond);
         w.run(30 * kSecond);
-        EXPECT_EQ(w.running(kWeb), 4);
+        EXPECT_EQ(w.running_tasks(kWeb), 4);
         for (int i = 0; i < 3; ++i) EXPECT_FALSE(w.node(i)->status()["changes_sent"].contains("plan"));
     }
 }
--- a/tests/next_leader_test.cpp
+++ b/tests/next_leader_test.cpp
@@ -14,7 +14,7 @@
 
 /// The leader ends, which holds the machines, or part of them; or all do.
 void end(Simulator& w, bool all) {
-    const int leader = w.leader();
+    const int leader = w.leader_node();
     for (int i = 0; i < w.node_count(); ++i)
         if (all || i == leader) w.crash(i, all ? 300 * kMillisecond : 20 * kSecond);
 }
@@ -28,15 +28,15 @@
         for (int i = 0; i < 3; ++i)
             if (w->owner_at(i)) w->owner_at(i)->retire(machine, "the test wants it");
         w->run(6 * kSecond);
-        ASSERT_EQ(w->worker(machine), nullptr) << w->story();
+        ASSERT_EQ(w->worker(machine), nullptr) << w->format_history();
         end(*w, true);
         for (int n = 0; n < 100; ++n) {
             arrives_everywhere(*w, old);
             w->run(100 * kMillisecond);
-            ASSERT_FALSE(leased(*w, machine)) << w->story();
+            ASSERT_FALSE(leased(*w, machine)) << w->format_history();
         }
-        ASSERT_GE(w->leader(), 0);
-        EXPECT_RULES(*w);
+        ASSERT_GE(w->leader_node(), 0);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
@@ -50,19 +50,19 @@
     end(*w, false);
     w->run(w->settings.ops.live_ttl + authority(w->settings));  // what the former holder granted is over soon
     arrives_everywhere(*w, running);
-    w->kill_machine(*w->machines_of("req-000001").begin());
-    const Micros took = until(*w, 60 * kSecond, [&] { return w->running("req-000001") == 1; });
-    EXPECT_LE(took, with_drift(w->settings.lease) + 3 * kSecond) << w->story();
-    EXPECT_RULES(*w);
+    w->kill_machine(*w->machines_running("req-000001").begin());
+    const Micros took = until(*w, 60 * kSecond, [&] { return w->running_tasks("req-000001") == 1; });
+    EXPECT_LE(took, with_drift(w->settings.lease) + 3 * kSecond) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// A gang is done while its machines are cut off, and nobody hears of it before their leases are over: it
 /// waits to run again. The next holder then hears one of the reports of that time.
 TEST(NextLeader, OneOldResultOfAGangIsTheWholeGangs) {
     auto w = settled_simulator(43, 2, patient());
-    w->submit(w->job(1, JobKind::Gang, 2, 6), 6 * kSecond);
+    w->submit(w->make_job(1, JobKind::Gang, 2, 6), 6 * kSecond);
     w->run(3 * kSecond);
-    ASSERT_EQ(w->running("req-000001"), 2) << w->story();
+    ASSERT_EQ(w->running_tasks("req-000001"), 2) << w->format_history();
     const auto machines = w->machine_names();
     for (const auto& m : machines) cut_from_all(*w, m);
     until(*w, 20 * kSecond, [&] { return w->completed_tasks("req-000001") == 2; });
@@ -74,9 +74,9 @@
     for (const auto& m : machines) w->kill_machine(m);  // with all other results
     for (int i = 0; i < 2; ++i) w->add_machine("small", "a");
     w->run(30 * kSecond);
-    EXPECT_EQ(w->told("req-000001"), "done") << w->story();
-    EXPECT_LE(w->starts("req-000001"), 4) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->reported_stage("req-000001"), "done") << w->format_history();
+    EXPECT_LE(w->task_starts("req-000001"), 4) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// Every report of before is kept for the next leader, and part of the later ones arrives late as well, while
@@ -88,35 +88,35 @@
             for (const Micros late : {2, 13, 30}) {
                 auto w = settled_simulator(44 + static_cast<std::uint64_t>(late), 6, patient(share));
                 const auto story = [&] {
-                    return fmt::format("all {} share {} late {}\n", all, share, late) + w->story();
+                    return fmt::format("all {} share {} late {}\n", all, share, late) + w->format_history();
                 };
-                w->submit(w->job(1, JobKind::Service, 2), 0);
-                w->submit(w->job(2, JobKind::Service, 2), 0);
-                w->submit(w->job(3, JobKind::Array, 4), 8 * kSecond);
-                w->submit(w->job(4, JobKind::Gang, 2, 4), 60 * kSecond);
-                w->reports_for_next = 1;
-                w->late_reports = 0.3;
+                w->submit(w->make_job(1, JobKind::Service, 2), 0);
+                w->submit(w->make_job(2, JobKind::Service, 2), 0);
+                w->submit(w->make_job(3, JobKind::Array, 4), 8 * kSecond);
+                w->submit(w->make_job(4, JobKind::Gang, 2, 4), 60 * kSecond);
+                w->replayed_report_rate = 1;
+                w->late_report_copy_rate = 0.3;
                 w->run(4 * kSecond);
                 w->cancel("req-000002");
                 w->run(late * kSecond);
-                w->reports_for_next = 0;
-                w->remember_running();
-                const auto kept = w->reports_kept();
+                w->replayed_report_rate = 0;
+                w->record_running_tasks();
+                const auto kept = w->pending_report_replays();
                 end(*w, all);
-                until(*w, 10 * kSecond, [&] { return w->reports_kept() == 0; });
+                until(*w, 10 * kSecond, [&] { return w->pending_report_replays() == 0; });
                 ASSERT_GT(kept, 0u);
-                w->submit(w->job(5, JobKind::Array, 4), 3 * kSecond);
+                w->submit(w->make_job(5, JobKind::Array, 4), 3 * kSecond);
                 w->run(8 * kSecond);
-                EXPECT_EQ(w->reports_kept(), 0u) << story();
-                EXPECT_EQ(w->started_again(), 0u) << story();
-                EXPECT_EQ(w->running("req-000001"), 2) << story();
+                EXPECT_EQ(w->pending_report_replays(), 0u) << story();
+                EXPECT_EQ(w->unnecessary_starts(), 0u) << story();
+                EXPECT_EQ(w->running_tasks("req-000001"), 2) << story();
                 w->run(60 * kSecond);
                 for (const char* ref : {"req-000003", "req-000004", "req-000005"})
-                    EXPECT_EQ(w->told(ref), "done") << ref << story();
-                EXPECT_EQ(w->told("req-000002"), "cancelled");
-                EXPECT_EQ(w->running("req-000002"), 0);
-                EXPECT_EQ(w->starts("req-000003"), 4) << story();
-                EXPECT_RULES(*w);
+                    EXPECT_EQ(w->reported_stage(ref), "done") << ref << story();
+                EXPECT_EQ(w->reported_stage("req-000002"), "cancelled");
+                EXPECT_EQ(w->running_tasks("req-000002"), 0);
+                EXPECT_EQ(w->task_starts("req-000003"), 4) << story();
+                EXPECT_NO_VIOLATIONS(*w);
             }
 }
 
@@ -126,25 +126,25 @@
 TEST(NextLeader, DoubtEndsALeaseAfterTheLastCopy) {
     for (const Micros last : {2, 12, 24}) {
         auto w = settled_simulator(45, 4, patient());
-        w->submit(w->job(1, JobKind::Service, 1), 0);
+        w->submit(w->make_job(1, JobKind::Service, 1), 0);
         w->run(10 * kSecond);
-        const std::string machine = *w->machines_of("req-000001").begin();
+        const std::string machine = *w->machines_running("req-000001").begin();
         std::vector<Json> copies;
         for (int i = 0; i < 6; ++i) copies.push_back(on_its_way(*w, machine));
         cut_from_all(*w, machine);
         const Micros from = w->now();
         end(*w, false);
         for (std::size_t i = 0; i < copies.size(); ++i)
-            w->at(from + last * kSecond * static_cast<Micros>(i + 1) / 6,
-                  [&w, report = copies[i]] { arrives_everywhere(*w, report); });
-        until(*w, 90 * kSecond, [&] { return w->machines_of("req-000001").count(machine) == 0; });
+            w->schedule_at(from + last * kSecond * static_cast<Micros>(i + 1) / 6,
+                           [&w, report = copies[i]] { arrives_everywhere(*w, report); });
+        until(*w, 90 * kSecond, [&] { return w->machines_running("req-000001").count(machine) == 0; });
         const Micros took =
-            w->now() - from + until(*w, 90 * kSecond, [&] { return w->running("req-000001") == 1; });
+            w->now() - from + until(*w, 90 * kSecond, [&] { return w->running_tasks("req-000001") == 1; });
         const Micros former = w->settings.ops.live_ttl + kSecond + authority(w->settings);
         EXPECT_LE(took, std::max(former, last * kSecond) + with_drift(w->settings.lease) + 2 * kSecond)
-            << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 2) << w->story();
-        EXPECT_RULES(*w);
+            << w->format_history();
+        EXPECT_EQ(w->task_starts("req-000001"), 2) << w->format_history();
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
@@ -154,30 +154,32 @@
     for (const bool deaf : {false, true})
         for (const Micros span : {4, 50}) {
             auto w = settled_simulator(47, 4, patient());
-            const auto story = [&] { return fmt::format("deaf {} span {}\n", deaf, span) + w->story(); };
-            w->submit(w->job(1, JobKind::Array, 1, 4), 90 * kSecond);
-            w->submit(w->job(2, JobKind::Gang, 2, 4), 90 * kSecond);
+            const auto story = [&] {
+                return fmt::format("deaf {} span {}\n", deaf, span) + w->format_history();
+            };
+            w->submit(w->make_job(1, JobKind::Array, 1, 4), 90 * kSecond);
+            w->submit(w->make_job(2, JobKind::Gang, 2, 4), 90 * kSecond);
             w->run(3 * kSecond);
-            const std::string machine = *w->machines_of("req-000001").begin();
+            const std::string machine = *w->machines_running("req-000001").begin();
             if (deaf)
-                w->deafen(machine, true);
+                w->block_messages_to(machine, true);
             else
                 cut_from_all(*w, machine);
             w->run(kSecond);
             end(*w, false);
             w->run(span * kSecond);
-            EXPECT_EQ(w->running("req-000001"), 1) << story();
-            EXPECT_EQ(w->machines_of("req-000001").count(machine), span < 12 ? 1u : 0u) << story();
-            w->deafen(machine, false);
-            w->heal_all();
+            EXPECT_EQ(w->running_tasks("req-000001"), 1) << story();
+            EXPECT_EQ(w->machines_running("req-000001").count(machine), span < 12 ? 1u : 0u) << story();
+            w->block_messages_to(machine, false);
+            w->heal_all_links();
             w->run(120 * kSecond);
-            EXPECT_EQ(w->told("req-000001"), "done") << story();
-            EXPECT_EQ(w->told("req-000002"), "done") << story();
-            EXPECT_EQ(w->starts("req-000001"), span < 12 ? 1 : 2) << story();
-            w->submit(w->job(3, JobKind::Array, 4, 5), 2 * kSecond);  // one for each machine
+            EXPECT_EQ(w->reported_stage("req-000001"), "done") << story();
+            EXPECT_EQ(w->reported_stage("req-000002"), "done") << story();
+            EXPECT_EQ(w->task_starts("req-000001"), span < 12 ? 1 : 2) << story();
+            w->submit(w->make_job(3, JobKind::Array, 4, 5), 2 * kSecond);  // one for each machine
             w->run(8 * kSecond);
-            EXPECT_EQ(w->told("req-000003"), "done") << story();
-            EXPECT_RULES(*w);
+            EXPECT_EQ(w->reported_stage("req-000003"), "done") << story();
+            EXPECT_NO_VIOLATIONS(*w);
         }
 }
 
@@ -186,29 +188,29 @@
 TEST(NextLeader, WhatIsProvenGoneStaysProven) {
     auto w = settled_simulator(48, 1, patient());
     const std::string machine = w->machine_names().front();
-    w->submit(w->job(1, JobKind::Service, 1), 0);
+    w->submit(w->make_job(1, JobKind::Service, 1), 0);
     w->run(3 * kSecond);
     cut_from_all(*w, machine);
     w->run(40 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 0);
+    EXPECT_EQ(w->running_tasks("req-000001"), 0);
     end(*w, false);
     w->run(w->settings.ops.live_ttl + kSecond);
     w->add_machine("small", "b");
     w->run(8 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->running_tasks("req-000001"), 1) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// Machines that nobody hears are no reason to return idle ones, which are where their work has to go.
 TEST(NextLeader, RoomIsKeptForWhatIsInDoubt) {
     auto w = settled_simulator(45, 4);
-    w->submit(w->job(1, JobKind::Service, 1), 0);
+    w->submit(w->make_job(1, JobKind::Service, 1), 0);
     w->run(10 * kSecond);
-    cut_from_all(*w, *w->machines_of("req-000001").begin());
+    cut_from_all(*w, *w->machines_running("req-000001").begin());
     end(*w, false);
     w->run(w->settings.ops.live_ttl + authority(w->settings) + with_drift(w->settings.lease) + 5 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 1) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->running_tasks("req-000001"), 1) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 /// A lease that is renewed on a holder's behalf for a report that its worker gave up counts once, whatever
@@ -216,26 +218,27 @@
 TEST(NextLeader, CopiesAtOthersRenewADoubtOnce) {
     for (const Micros last : {6, 24}) {
         auto w = settled_simulator(46, 4, patient());
-        w->submit(w->job(1, JobKind::Service, 1), 0);
+        w->submit(w->make_job(1, JobKind::Service, 1), 0);
         w->run(30 * kSecond);
-        const std::string machine = *w->machines_of("req-000001").begin();
-        const int holder = w->holder();
+        const std::string machine = *w->machines_running("req-000001").begin();
+        const int holder = w->owner_node();
         const Json old = on_its_way(*w, machine);
         cut_from_all(*w, machine);
         const Micros from = w->now();
         for (int i = 0; i < 3; ++i)
-            if (i != holder) w->cut(host(holder), host(i));
+            if (i != holder) w->cut_link(host(holder), host(i));
         for (Micros at = 0; at < last; ++at) {
             for (int i = 0; i < 3; ++i) arrives(*w, i, old);
             w->run(kSecond);
         }
         for (int i = 0; i < 3; ++i)
-            if (i != holder) w->heal(host(holder), host(i));
-        until(*w, 90 * kSecond,
-              [&] { return w->running("req-000001") == 1 && !w->machines_of("req-000001").count(machine); });
+            if (i != holder) w->heal_link(host(holder), host(i));
+        until(*w, 90 * kSecond, [&] {
+            return w->running_tasks("req-000001") == 1 && !w->machines_running("req-000001").count(machine);
+        });
         EXPECT_LE(w->now() - from, std::max(last * kSecond, with_drift(w->settings.lease)) + 4 * kSecond)
-            << w->story();
-        EXPECT_RULES(*w);
+            << w->format_history();
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -28,7 +28,7 @@
 
 TEST_P(OneTaskJobs, AreAnsweredRunAndLeaveNoBacklog) {
     const auto [rate, ends] = GetParam();
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
     s.cpu_share = 0.02;  // several shards
     s.state_write_rps = s.next_write_rps = kWriteRps;
@@ -44,35 +44,35 @@
     std::vector<int> waiting;  // every ten seconds
     const int jobs = static_cast<int>(rate * 60);
     for (int i = 0; i < jobs; ++i)
-        w.at(start + static_cast<Micros>(i / rate * 1e6), [&, i] {
-            JobSpec job = w.job(i + 1, JobKind::Array, 1, 4);
+        w.schedule_at(start + static_cast<Micros>(i / rate * 1e6), [&, i] {
+            JobSpec job = w.make_job(i + 1, JobKind::Array, 1, 4);
             job.estimate = 8 * kSecond;
             sent[job.ref] = w.now();
             w.submit(job, 8 * kSecond);
             if (i % 4 == 0)
-                w.at(w.now() + static_cast<Micros>(w.random() % 8'000) * kMillisecond,
-                     [&w, ref = job.ref] { w.cancel(ref); });
+                w.schedule_at(w.now() + static_cast<Micros>(w.random() % 8'000) * kMillisecond,
+                              [&w, ref = job.ref] { w.cancel(ref); });
         });
-    if (ends) w.at(start + 25 * kSecond, [&w] { w.crash(w.busiest(), 3 * kSecond); });
+    if (ends) w.schedule_at(start + 25 * kSecond, [&w] { w.crash(w.busiest_node(), 3 * kSecond); });
     for (int i = 1; i <= 6; ++i)
-        w.at(start + i * 10 * kSecond, [&] {
-            const auto fates = w.fates();
+        w.schedule_at(start + i * 10 * kSecond, [&] {
+            const auto fates = w.job_outcomes();
             waiting.push_back(static_cast<int>(std::count_if(
                 fates.begin(), fates.end(), [](const Fate& f) { return f.begun < 0 && !f.left_out; })));
         });
     w.run(61 * kSecond);
     const double each = static_cast<double>(changes(w) - before) / jobs;
-    w.quiesce();
+    w.mark_faults_over();
     w.run(40 * kSecond);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
+    EXPECT_TRUE(w.violations.empty()) << w.violations.front() << w.format_history();
     Micros accept = 0, begin = 0;
-    for (const Fate& f : w.fates()) {
+    for (const Fate& f : w.job_outcomes()) {
         accept = std::max(accept, f.accepted - sent.at(f.spec.ref));
         if (f.left_out) continue;
         EXPECT_GE(f.done, 0) << f.spec.ref;
         begin = std::max(begin, f.begun - f.accepted);
     }
-    EXPECT_EQ(w.fates().size(), static_cast<std::size_t>(jobs));
+    EXPECT_EQ(w.job_outcomes().size(), static_cast<std::size_t>(jobs));
     EXPECT_LT(accept, 5 * kSecond);
     EXPECT_LT(begin, 9 * kSecond);
     EXPECT_LT(each * rate, kWriteRps);
@@ -94,12 +94,12 @@
 /// Half as much work again as there is room for, for two hundred seconds, urgent and not, of two teams, with
 /// messages that take up to 0.15 s and a leader that ends in between.
 TEST(MoreThanRoom, NobodyIsForgottenAndHalfOfEachIsServed) {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}}, {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
     s.cpu_share = 0.02;
     s.state_write_rps = s.next_write_rps = kWriteRps;
     Simulator w(3, s);
-    w.slow_links = 150 * kMillisecond;
+    w.max_extra_link_delay = 150 * kMillisecond;
     for (int i = 0; i < 8; ++i) w.add_machine("small", i % 2 ? "a" : "b");
     w.start_nodes(3);
     w.state().limits.write_rps = kWriteRps;
@@ -118,20 +118,20 @@
                           Kind{"large", PriorityClass::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
                           Kind{"idle", PriorityClass::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
         for (Micros t = 0; t < span; t += k.every)
-            w.at(start + t, [&w, k, n = ++number] {
-                JobSpec job = w.job(n, JobKind::Array, k.tasks, k.cores);
+            w.schedule_at(start + t, [&w, k, n = ++number] {
+                JobSpec job = w.make_job(n, JobKind::Array, k.tasks, k.cores);
                 job.job_class = k.name;
                 job.team = n % 2 ? "red" : "blue";
                 job.rank = k.rank;
                 job.estimate = k.run;
                 w.submit(job, k.run);
             });
-    w.at(start + 100 * kSecond, [&w] { w.crash(w.leader(), 2 * kSecond); });
+    w.schedule_at(start + 100 * kSecond, [&w] { w.crash(w.leader_node(), 2 * kSecond); });
     w.run(span);
-    w.quiesce();
+    w.mark_faults_over();
     w.run(270 * kSecond);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front() << w.story();
-    const Acceptance a = judge(w.fates(), w.settings.teams, w.now());
+    EXPECT_TRUE(w.violations.empty()) << w.violations.front() << w.format_history();
+    const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
     for (const auto& line : a.broken) ADD_FAILURE() << line;
     for (const char* name : {"urgent", "batch", "large", "idle"})
         std::printf("%s: %d of %d served, a largest waited %.1f s\n", name, a.classes.at(name).served,
