--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -59,34 +59,35 @@
     int draw_node(int before) {
         const int draw = pick(10);
         if (before >= 0 && draw < 4) return before;
-        const int chosen = draw < 6 ? w_.leader() : draw < 8 ? w_.busiest() : pick(3);
+        const int chosen = draw < 6 ? w_.leader_node() : draw < 8 ? w_.busiest_node() : pick(3);
         return chosen >= 0 ? chosen : pick(3);
     }
     void begin(const std::string& kind, int i, Micros span) {
         const std::string node = "loom-" + std::to_string(i);
         const auto names = w_.machine_names();
         auto machine = [&] { return names[static_cast<std::size_t>(pick(static_cast<int>(names.size())))]; };
-        w_.note("trouble: " + kind);
+        w_.record_event("trouble: " + kind);
         if (kind == "end of one") return w_.crash(i, span);
         if (kind == "end of all") {
             for (int n = 0; n < 3; ++n)
                 w_.crash(n, span + n * static_cast<Micros>(pick(1000)) * kMillisecond);
         } else if (kind == "swift ends") {
             for (Micros t = 0; t < span; t += static_cast<Micros>(500 + pick(3500)) * kMillisecond)
-                w_.at(w_.now() + t, [this, i] {
+                w_.schedule_at(w_.now() + t, [this, i] {
                     w_.crash(pick(2) ? i : pick(3), static_cast<Micros>(50 + pick(950)) * kMillisecond);
                 });
         } else if (kind == "outage") {
-            w_.note("state service is down");
+            w_.record_event("state service is down");
             w_.state().set_down(true, w_.now());
             until(span, "outage", [this] {
-                w_.note("state service is back");
+                w_.record_event("state service is back");
                 w_.state().set_down(false, w_.now());
             });
         } else if (kind == "refusal of one" || kind == "refusal of leader") {
-            const int whom = kind == "refusal of leader" && w_.leader() >= 0 ? w_.leader() : i;
-            w_.refuse(whom, true);
-            until(span, "refuse " + std::to_string(whom), [this, whom] { w_.refuse(whom, false); });
+            const int whom = kind == "refusal of leader" && w_.leader_node() >= 0 ? w_.leader_node() : i;
+            w_.refuse_state_requests(whom, true);
+            until(span, "refuse " + std::to_string(whom),
+                  [this, whom] { w_.refuse_state_requests(whom, false); });
         } else if (kind == "cut state") {
             cut(node, "state", span);
         } else if (kind == "cut off") {
@@ -110,69 +111,69 @@
         } else if (kind == "hang") {
             for (int n = 1 + pick(3); n > 0; --n) {
                 const std::string m = machine();
-                w_.hang(m, true);
-                until(span, "hang " + m, [this, m] { w_.hang(m, false); });
+                w_.set_hung(m, true);
+                until(span, "hang " + m, [this, m] { w_.set_hung(m, false); });
             }
         } else if (kind == "freeze") {
-            w_.freeze(i, span);
+            w_.freeze_process(i, span);
         } else if (kind == "kill") {
             for (int n = 1 + pick(2); n > 0; --n) w_.kill_machine(machine());
         } else if (kind == "answers lost") {
-            w_.answers_lost = 0.3;
-            until(span, kind, [this] { w_.answers_lost = 0; });
+            w_.state_answer_loss_rate = 0.3;
+            until(span, kind, [this] { w_.state_answer_loss_rate = 0; });
         } else if (kind == "one way") {
             const bool asks = pick(2);
-            w_.cut_one_way(asks ? node : "state", asks ? "state" : node);
-            until(span, link(node, "state"), [this, node] { w_.heal(node, "state"); });
+            w_.cut_link_one_way(asks ? node : "state", asks ? "state" : node);
+            until(span, link(node, "state"), [this, node] { w_.heal_link(node, "state"); });
         } else if (kind == "poll storm") {
-            w_.poll_rate = 8;
-            until(span, kind, [this] { w_.poll_rate = 1; });
+            w_.poll_frequency_factor = 8;
+            until(span, kind, [this] { w_.poll_frequency_factor = 1; });
         } else if (kind == "late writes") {
-            w_.late_writes = 0.2;
-            until(span, kind, [this] { w_.late_writes = 0; });
+            w_.delayed_write_rate = 0.2;
+            until(span, kind, [this] { w_.delayed_write_rate = 0; });
         } else if (kind == "late reports") {
-            w_.late_reports = 0.3;
-            until(span, kind, [this] { w_.late_reports = 0; });
+            w_.late_report_copy_rate = 0.3;
+            until(span, kind, [this] { w_.late_report_copy_rate = 0; });
         } else if (kind == "deaf") {
             for (const auto& m : names) {
                 if (pick(3) > 0) continue;
-                w_.deafen(m, true);
-                until(span, "deaf " + m, [this, m] { w_.deafen(m, false); });
+                w_.block_messages_to(m, true);
+                until(span, "deaf " + m, [this, m] { w_.block_messages_to(m, false); });
             }
         } else if (kind == "unanswered writes") {
-            w_.unanswered_writes = 0.3;
-            until(span, kind, [this] { w_.unanswered_writes = 0; });
+            w_.unanswered_write_rate = 0.3;
+            until(span, kind, [this] { w_.unanswered_write_rate = 0; });
         } else if (kind == "reports for next") {
-            w_.reports_for_next = 0.3;
-            until(span, kind, [this] { w_.reports_for_next = 0; });
+            w_.replayed_report_rate = 0.3;
+            until(span, kind, [this] { w_.replayed_report_rate = 0; });
         } else if (kind == "mute") {
             for (const auto& m : names) {
                 if (pick(3) > 0) continue;
-                w_.mute(m, true);
-                until(span, "mute " + m, [this, m] { w_.mute(m, false); });
+                w_.block_messages_from(m, true);
+                until(span, "mute " + m, [this, m] { w_.block_messages_from(m, false); });
             }
         } else if (kind == "cancel now" || kind == "cancel now, hang") {
-            w_.cancel_now(2 + pick(5), kind == "cancel now" ? 0 : span);
+            w_.cancel_random_jobs(2 + pick(5), kind == "cancel now" ? 0 : span);
         } else if (kind == "cancel at end") {
-            w_.cancel_at_end = 0.5;
-            until(span, kind, [this] { w_.cancel_at_end = 0; });
+            w_.cancel_on_completion_rate = 0.5;
+            until(span, kind, [this] { w_.cancel_on_completion_rate = 0; });
         } else if (kind == "late commands") {
-            w_.late_commands = 0.3;
-            until(span, kind, [this] { w_.late_commands = 0; });
+            w_.delayed_command_rate = 0.3;
+            until(span, kind, [this] { w_.delayed_command_rate = 0; });
         } else if (kind == "close looks") {
-            w_.close_looks = true;
-            until(span, kind, [this] { w_.close_looks = false; });
+            w_.query_after_changes = true;
+            until(span, kind, [this] { w_.query_after_changes = false; });
         } else if (kind == "odd requests") {
-            w_.odd_requests = true;
-            until(span, kind, [this] { w_.odd_requests = false; });
+            w_.send_unusual_requests = true;
+            until(span, kind, [this] { w_.send_unusual_requests = false; });
         } else if (kind == "slow state") {
-            w_.slow_state = static_cast<Micros>(100 + pick(1'500)) * kMillisecond;
-            until(span, kind, [this] { w_.slow_state = 0; });
+            w_.max_state_answer_delay = static_cast<Micros>(100 + pick(1'500)) * kMillisecond;
+            until(span, kind, [this] { w_.max_state_answer_delay = 0; });
         } else if (kind == "swift boots") {
             // Machines that are rented anew: some go, so that there is need of them.
-            w_.swift_boots = 0.8;
+            w_.fast_boot_rate = 0.8;
             for (int n = 2 + pick(3); n > 0; --n) w_.kill_machine(machine());
-            until(span, kind, [this] { w_.swift_boots = 0; });
+            until(span, kind, [this] { w_.fast_boot_rate = 0; });
         } else {
             FAIL() << "no such kind: " << kind;
         }
@@ -184,13 +185,13 @@
     }
     void until(Micros span, const std::string& what, std::function<void()> over) {
         ++lasting_[what];
-        w_.at(w_.now() + span, [this, what, over = std::move(over)] {
+        w_.schedule_at(w_.now() + span, [this, what, over = std::move(over)] {
             if (--lasting_[what] == 0) over();
         });
     }
     void cut(const std::string& a, const std::string& b, Micros span) {
-        w_.cut(a, b);
-        until(span, link(a, b), [this, a, b] { w_.heal(a, b); });
+        w_.cut_link(a, b);
+        until(span, link(a, b), [this, a, b] { w_.heal_link(a, b); });
     }
 
     Simulator& w_;
@@ -198,7 +199,7 @@
 };
 
 Settings site(std::mt19937_64& random) {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"red", {24'000, 0, 0}, {96'000, 0, 0}},
                {"blue", {16'000, 0, 0}, {56'000, 0, 0}},
                {"guests", {}, {kNoLimit, kNoLimit, 0}}};
@@ -216,10 +217,10 @@
     auto pick = [&w](int n) { return static_cast<int>(w.random() % static_cast<std::uint64_t>(n)); };
     auto ms = [pick](int from, int to) { return static_cast<Micros>(from + pick(to - from)) * kMillisecond; };
     const auto [one, other] = pair_of(seed);
-    w.note("pair: " + one + ", " + other);
+    w.record_event("pair: " + one + ", " + other);
     for (int i = 0; i < 18; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "a" : "b", i % 6 >= 4);
     w.cloud().capacity = 24;
-    w.loss = pick(3) == 0 ? 0.01 : 0;
+    w.message_loss_rate = pick(3) == 0 ? 0.01 : 0;
     w.start_nodes();
 
     // Shorter and longer than a key of a controller in the store, than a worker's lease and than cancel_s.
@@ -236,7 +237,7 @@
             const auto at = last - std::min(last, static_cast<std::size_t>(pick(8)));
             const std::string ref = cancelable[at];
             cancelable.erase(cancelable.begin() + static_cast<std::ptrdiff_t>(at));
-            if (w.told(ref) != "accepted") continue;
+            if (w.reported_stage(ref) != "accepted") continue;
             ++cancelled_between;
             w.cancel(ref);
         }
@@ -251,24 +252,24 @@
         const Micros gap = std::min(ms(200, 3'000), first * 3 / 4);
         const Micros both = std::min(first - gap, second);
         auto node = std::make_shared<int>(-1);
-        w.at(quiet, [&troubles, node, kind = swapped ? other : one, first] {
+        w.schedule_at(quiet, [&troubles, node, kind = swapped ? other : one, first] {
             *node = troubles.draw_node(-1);
             troubles.begin(kind, *node, first);
         });
-        w.at(quiet + gap, [&, node, kind = swapped ? one : other, second] {
-            for (const auto& ref : w.refs()) running_at_meetings += w.running(ref);
+        w.schedule_at(quiet + gap, [&, node, kind = swapped ? one : other, second] {
+            for (const auto& ref : w.job_refs()) running_at_meetings += w.running_tasks(ref);
             troubles.begin(kind, troubles.draw_node(*node), second);
         });
-        for (int i = 1; i <= 3; ++i) w.at(quiet + gap + both * i / 4, [&] { cancel_some(3); });
+        for (int i = 1; i <= 3; ++i) w.schedule_at(quiet + gap + both * i / 4, [&] { cancel_some(3); });
         quiet += std::max(first, gap + second) + ms(3'000, 12'000);
     }
     const Micros end = quiet;
     int number = 1;
     for (Micros t = 2 * kSecond; t < end; t += ms(300, 1'500)) {
-        w.at(t, [&] {
+        w.schedule_at(t, [&] {
             const int draw = pick(8);
             const JobKind kind = draw == 0 ? JobKind::Service : draw < 3 ? JobKind::Gang : JobKind::Array;
-            JobSpec s = w.job(number++, kind, 1 + pick(kind == JobKind::Array ? 6 : 3), 1 + pick(2));
+            JobSpec s = w.make_job(number++, kind, 1 + pick(kind == JobKind::Array ? 6 : 3), 1 + pick(2));
             s.team = pick(3) == 0 ? "blue" : "red";
             s.rank = static_cast<PriorityClass>(pick(4));
             // Some run across a trouble, whatever its length.
@@ -288,26 +289,27 @@
             const bool mistaken = pick(25) == 0;
             w.submit(s, run, ms(1, 1'500), mistaken);
             if (kind == JobKind::Service || mistaken || pick(6) == 0)
-                w.at(w.now() + ms(0, kind == JobKind::Service ? 40'000 : 15'000),
-                     [&w, ref = s.ref] { w.cancel(ref); });
+                w.schedule_at(w.now() + ms(0, kind == JobKind::Service ? 40'000 : 15'000),
+                              [&w, ref = s.ref] { w.cancel(ref); });
             else
                 cancelable.push_back(s.ref);
         });
     }
     w.run(end);
-    w.heal_all();
+    w.heal_all_links();
     // What still lasts is over by then: an end within a freeze, or copies and transactions that come late.
-    w.at(w.now() + Simulator::latest_report(w.settings.lease) + 2 * kSecond, [&w] { w.quiesce(); });
+    w.schedule_at(w.now() + Simulator::max_report_copy_delay(w.settings.lease) + 2 * kSecond,
+                  [&w] { w.mark_faults_over(); });
     w.run(260 * kSecond);
-    EXPECT_TRUE(w.broken.empty()) << "seed " << seed << ", " << one << " and " << other << ": "
-                                  << w.broken.front() << "\n"
-                                  << w.story(60);
-    const Acceptance acceptance = judge(w.fates(), w.settings.teams, w.now());
+    EXPECT_TRUE(w.violations.empty())
+        << "seed " << seed << ", " << one << " and " << other << ": " << w.violations.front() << "\n"
+        << w.format_history(60);
+    const Acceptance acceptance = judge(w.job_outcomes(), w.settings.teams, w.now());
     for (const auto& line : acceptance.broken)
         ADD_FAILURE() << "seed " << seed << ", " << one << " and " << other << ": NOT ACCEPTABLE " << line;
     // Why the holder lets a job wait that is not over by now, two minutes after the last can have ended.
-    for (const auto& f : w.fates())
-        if (!f.left_out && f.spec.kind != JobKind::Service && w.told(f.spec.ref) == "accepted")
+    for (const auto& f : w.job_outcomes())
+        if (!f.left_out && f.spec.kind != JobKind::Service && w.reported_stage(f.spec.ref) == "accepted")
             for (int i = 0; i < 3; ++i)
                 if (w.node(i) && w.owner_at(i))
                     ADD_FAILURE() << "seed " << seed << ", " << one << " and " << other << ": never over "
@@ -328,23 +330,24 @@
         for (int i = 0; i < 4; ++i) w.add_machine("small", i % 2 ? "b" : "a");
         w.start_nodes();
         w.run(6 * kSecond);
-        const int holder = w.holder();
+        const int holder = w.owner_node();
         ASSERT_GE(holder, 0);
         const std::string host = "loom-" + std::to_string(holder);
         for (int i = 1; i <= 8; ++i) {
-            const JobSpec job = w.job(i, JobKind::Array, 1);
-            w.cut_one_way("state", host);
+            const JobSpec job = w.make_job(i, JobKind::Array, 1);
+            w.cut_link_one_way("state", host);
             w.submit(job, kSecond);  // its user knows it, whichever node is asked
             for (int n : {(holder + 1) % 3, holder})
                 w.node(n)->handle({"POST", "/v1/jobs", wire::encode(wire::job_value(job)), false},
                                   [](const auto&) {});
             w.run(400 * kMillisecond);
-            w.heal("state", host);
+            w.heal_link("state", host);
             w.run(4 * kSecond);
         }
         w.run(10 * kSecond);
-        for (const auto& ref : w.refs()) EXPECT_EQ(w.told(ref), "done") << "seed " << seed << ": " << ref;
-        EXPECT_TRUE(w.broken.empty()) << w.story();
+        for (const auto& ref : w.job_refs())
+            EXPECT_EQ(w.reported_stage(ref), "done") << "seed " << seed << ": " << ref;
+        EXPECT_TRUE(w.violations.empty()) << w.format_history();
     }
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -18,7 +18,8 @@
 using policy::Tier;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 JobSpec job_of(const std::string& team, const std::string& job_class, PriorityClass rank, JobKind kind) {
     JobSpec j;
@@ -32,7 +33,7 @@
 // ---------------------------------------------------------------- what rules say
 
 TEST(PolicyRules, WithoutRulesTheTierFollowsFromKindAndRank) {
-    const Policy p = policy::default_policy(small_site());
+    const Policy p = policy::default_policy(small_cluster_settings());
     EXPECT_EQ(p.revision, 0u);
     EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Production, JobKind::Service)), Tier::Live);
     EXPECT_EQ(p.tier(job_of("red", "x", PriorityClass::Production, JobKind::Array)), Tier::Urgent);
@@ -80,7 +81,7 @@
 }
 
 std::string error_of(const std::string& text) {
-    const Settings site = small_site();
+    const Settings site = small_cluster_settings();
     try {
         policy::load(write(text), &site);
     } catch (const std::runtime_error& e) {
@@ -121,7 +122,7 @@
 }
 
 TEST(PolicyFile, TheExampleLoadsForTheTeamsAndZonesOfAnySite) {
-    const Settings site = small_site();
+    const Settings site = small_cluster_settings();
     const Policy p = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
     EXPECT_EQ(p.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
     EXPECT_EQ(p.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
@@ -237,7 +238,7 @@
             if (w.node(i) && !(w.node(i)->policy() == p))
                 return testing::AssertionFailure()
                        << "node " << i << " goes by revision " << w.node(i)->policy().revision << "\n"
-                       << w.story();
+                       << w.format_history();
         return testing::AssertionSuccess();
     }
     std::uint64_t written(int node) {
@@ -271,7 +272,7 @@
         EXPECT_EQ(s.w.node(0)->status()["policy"]["file"]["in_force"], true);
         EXPECT_EQ(s.w.node(2)->status()["policy"]["revision"], 7u);
         EXPECT_LE(s.written(0) + s.written(1), 2u);
-        EXPECT_RULES(s.w);
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
@@ -299,7 +300,7 @@
     Site s(4);
     s.w.start_nodes(3);
     s.w.run(8 * kSecond);
-    JobSpec wide = s.w.job(1, JobKind::Array, 40, 4);
+    JobSpec wide = s.w.make_job(1, JobKind::Array, 40, 4);
     s.w.submit(wide, 60 * kSecond);
     s.w.run(3 * kSecond);
     auto tier = [&] {
@@ -313,7 +314,7 @@
     s.w.run(2 * kSecond);
     EXPECT_EQ(tier(), "leftover");
     EXPECT_TRUE(s.all_have(revision(1, Tier::BestEffort)));
-    EXPECT_RULES(s.w);
+    EXPECT_NO_VIOLATIONS(s.w);
 }
 
 TEST(SharedPolicy, ItIsStoredThroughEndsAndOutagesAtAnyMoment) {
@@ -329,16 +330,16 @@
         s.w.run(static_cast<Micros>(s.w.random() % 60) * kMillisecond);
         if (seed % 2) {
             s.w.state().set_down(true, s.w.now());
-            s.w.at(s.w.now() + 3 * kSecond, [&] { s.w.state().set_down(false, s.w.now()); });
+            s.w.schedule_at(s.w.now() + 3 * kSecond, [&] { s.w.state().set_down(false, s.w.now()); });
         }
-        s.w.answers_lost = 0.3;
+        s.w.state_answer_loss_rate = 0.3;
         s.w.crash(writer, 300 * kMillisecond);  // comes back with the newer file
         s.w.crash((writer + 1) % 5, 2 * kSecond);
         s.w.run(6 * kSecond);
-        s.w.answers_lost = 0;
+        s.w.state_answer_loss_rate = 0;
         s.w.run(45 * kSecond);
         EXPECT_TRUE(s.all_have(revision(2, Tier::BestEffort))) << "seed " << seed;
-        EXPECT_RULES(s.w);
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
@@ -377,7 +378,7 @@
     s.w.node(0)->set_policy_file(revision(5));
     s.w.run(2 * kSecond);
     EXPECT_TRUE(s.all_have(revision(5)));
-    EXPECT_RULES(s.w);
+    EXPECT_NO_VIOLATIONS(s.w);
 }
 
 TEST(SharedPolicy, OneLargerThanAValueWaitsUntilAllReadPieces) {
@@ -396,7 +397,7 @@
     s.w.settings.ops.policy.reset();
     s.w.run(15 * kSecond);
     EXPECT_TRUE(s.all_have(large));
-    EXPECT_RULES(s.w);
+    EXPECT_NO_VIOLATIONS(s.w);
 }
 
 }  // namespace
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -11,7 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 using recovery::FailoverState;
 using recovery::Holding;
@@ -65,7 +66,7 @@
 
 /// Nine machines over the shards of three controllers, settled.
 std::unique_ptr<Simulator> spread(std::uint64_t seed) {
-    Settings site = small_site();
+    Settings site = small_cluster_settings();
     site.cpu_share = 0.001;
     auto w = std::make_unique<Simulator>(seed, site);
     for (int i = 0; i < 9; ++i) w->add_machine("small", i % 2 ? "b" : "a");
@@ -84,7 +85,7 @@
 TEST(AllWentDown, NobodyTakesWhatItsHolderComesBackFor) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         auto w = spread(seed);
-        w->submit(w->job(1, JobKind::Service, 6), 0);
+        w->submit(w->make_job(1, JobKind::Service, 6), 0);
         w->run(3 * kSecond);
         for (int i = 0; i < 3; ++i) w->crash(i, 3 * kSecond + i * 400 * kMillisecond);
         std::size_t most = 0;
@@ -92,10 +93,10 @@
             w->run(100 * kMillisecond);
             for (int n = 0; n < 3; ++n) most = std::max(most, held_at(*w, n));
         }
-        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->story();
+        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->format_history();
         for (int n = 0; n < 3; ++n) EXPECT_TRUE(w->owner_at(n)) << n;
-        EXPECT_EQ(w->starts("req-000001"), 6) << w->story();
-        EXPECT_RULES(*w);
+        EXPECT_EQ(w->task_starts("req-000001"), 6) << w->format_history();
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
@@ -115,54 +116,54 @@
             w->run(100 * kMillisecond);
             for (int n = 0; n < 3; ++n) most = std::max(most, held_at(*w, n));
         }
-        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->story();
+        EXPECT_EQ(most, 1u) << "seed " << seed << "\n" << w->format_history();
         for (int n = 0; n < 3; ++n) EXPECT_TRUE(w->owner_at(n)) << n;
-        EXPECT_RULES(*w);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
 TEST(AllWentDown, OneThatStaysDownIsReplacedAndGetsItsDomainBackSoon) {
     auto w = spread(5);
-    w->submit(w->job(1, JobKind::Service, 6), 0);
+    w->submit(w->make_job(1, JobKind::Service, 6), 0);
     w->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) w->crash(i, i == 2 ? 8 * kSecond : 3 * kSecond);
     w->run(6'500 * kMillisecond);  // 3.5 s after the first two are back
-    EXPECT_EQ(held_at(*w, 0) + held_at(*w, 1), 3u) << w->story();
+    EXPECT_EQ(held_at(*w, 0) + held_at(*w, 1), 3u) << w->format_history();
     w->run(3'500 * kMillisecond);  // 2 s after the third is
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(held_at(*w, n), 1u) << n << "\n" << w->story();
-    EXPECT_EQ(w->starts("req-000001"), 6) << w->story();
-    EXPECT_RULES(*w);
+    for (int n = 0; n < 3; ++n) EXPECT_EQ(held_at(*w, n), 1u) << n << "\n" << w->format_history();
+    EXPECT_EQ(w->task_starts("req-000001"), 6) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 // ---------------------------------------------------------------- hard cases
 
 /// Services and batch work on machines, a gang, a pipeline half done and a queue.
 void fill(Simulator& w) {
-    w.submit(w.job(1, JobKind::Service, 4), 0);
-    w.submit(w.job(2, JobKind::Array, 6), 12 * kSecond);
-    JobSpec gang = w.job(3, JobKind::Gang, 3, 2);
+    w.submit(w.make_job(1, JobKind::Service, 4), 0);
+    w.submit(w.make_job(2, JobKind::Array, 6), 12 * kSecond);
+    JobSpec gang = w.make_job(3, JobKind::Gang, 3, 2);
     gang.checkpoint = 3 * kSecond;
     gang.save = kSecond;
     w.submit(gang, 20 * kSecond);
-    w.submit(w.job(4, JobKind::Array, 2), 15 * kSecond);
+    w.submit(w.make_job(4, JobKind::Array, 2), 15 * kSecond);
     w.run(4 * kSecond);
-    JobSpec second = w.job(5, JobKind::Array, 2);
+    JobSpec second = w.make_job(5, JobKind::Array, 2);
     second.needs = {"req-000004"};
     w.submit(second, 2 * kSecond);
-    JobSpec mistaken = w.job(6, JobKind::Array, 8, 0.5);
+    JobSpec mistaken = w.make_job(6, JobKind::Array, 8, 0.5);
     w.submit(mistaken, kSecond, 0, true);
     w.run(kSecond);
 }
 
 void expect_unharmed(Simulator& w, const std::string& what) {
-    EXPECT_EQ(w.starts("req-000001"), 4) << what << "\n" << w.story();
-    EXPECT_EQ(w.starts("req-000002"), 6) << what;
-    EXPECT_EQ(w.starts("req-000003"), 3) << what;
-    EXPECT_EQ(w.starts("req-000004"), 2) << what;
-    EXPECT_EQ(w.running("req-000001"), 4) << what;
+    EXPECT_EQ(w.task_starts("req-000001"), 4) << what << "\n" << w.format_history();
+    EXPECT_EQ(w.task_starts("req-000002"), 6) << what;
+    EXPECT_EQ(w.task_starts("req-000003"), 3) << what;
+    EXPECT_EQ(w.task_starts("req-000004"), 2) << what;
+    EXPECT_EQ(w.running_tasks("req-000001"), 4) << what;
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
-        EXPECT_EQ(w.told(ref), "done") << what << " " << ref << "\n" << w.story();
-    EXPECT_RULES(w);
+        EXPECT_EQ(w.reported_stage(ref), "done") << what << " " << ref << "\n" << w.format_history();
+    EXPECT_NO_VIOLATIONS(w);
 }
 
 TEST(HardStarts, EndsAgainInTheMiddleOfEachStep) {
@@ -184,13 +185,13 @@
         fill(*w);
         for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
         if (kind == 0) w->state().set_down(true, w->now());
-        if (kind == 1) w->answers_lost = 0.5;
-        if (kind == 2) w->refuse(1, true);
+        if (kind == 1) w->state_answer_loss_rate = 0.5;
+        if (kind == 2) w->refuse_state_requests(1, true);
         w->run(4 * kSecond);
         w->state().set_down(false, w->now());
-        w->answers_lost = 0;
+        w->state_answer_loss_rate = 0;
         w->run(3 * kSecond);
-        w->refuse(1, false);
+        w->refuse_state_requests(1, false);
         w->run(35 * kSecond);
         expect_unharmed(*w, std::to_string(kind));
     }
@@ -203,57 +204,58 @@
     w->run(45 * kSecond);
     expect_unharmed(*w, "shorter");
     auto v = spread(31);
-    v->submit(v->job(1, JobKind::Service, 4), 0);
-    v->submit(v->job(2, JobKind::Array, 6), 25 * kSecond);
+    v->submit(v->make_job(1, JobKind::Service, 4), 0);
+    v->submit(v->make_job(2, JobKind::Array, 6), 25 * kSecond);
     v->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) v->crash(i, 16 * kSecond);
     v->run(15 * kSecond);
-    EXPECT_EQ(v->running("req-000001"), 0) << "their leases are over";
+    EXPECT_EQ(v->running_tasks("req-000001"), 0) << "their leases are over";
     v->run(45 * kSecond);
-    EXPECT_EQ(v->starts("req-000001"), 8) << v->story();
-    EXPECT_EQ(v->starts("req-000002"), 12);
-    EXPECT_EQ(v->told("req-000002"), "done");
-    EXPECT_RULES(*v);
+    EXPECT_EQ(v->task_starts("req-000001"), 8) << v->format_history();
+    EXPECT_EQ(v->task_starts("req-000002"), 12);
+    EXPECT_EQ(v->reported_stage("req-000002"), "done");
+    EXPECT_NO_VIOLATIONS(*v);
 }
 
 TEST(HardStarts, SomeMachinesDieAndSomeHangMeanwhile) {
     auto w = spread(40);
-    w->submit(w->job(1, JobKind::Service, 6), 0);
+    w->submit(w->make_job(1, JobKind::Service, 6), 0);
     w->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) w->crash(i, 2 * kSecond);
     const auto names = w->machine_names();
     w->kill_machine(names[0]);
     w->kill_machine(names[1]);
-    w->hang(names[2], true);
-    w->hang(names[3], true);
+    w->set_hung(names[2], true);
+    w->set_hung(names[3], true);
     w->run(4 * kSecond);
-    JobSpec next = w->job(2, JobKind::Array, 4);
+    JobSpec next = w->make_job(2, JobKind::Array, 4);
     w->submit(next, 2 * kSecond);
     w->run(5 * kSecond);
-    EXPECT_EQ(w->told("req-000002"), "done") << "those that are heard are used at once\n" << w->story();
-    w->hang(names[2], false);
-    w->hang(names[3], false);
+    EXPECT_EQ(w->reported_stage("req-000002"), "done") << "those that are heard are used at once\n"
+                                                       << w->format_history();
+    w->set_hung(names[2], false);
+    w->set_hung(names[3], false);
     w->run(40 * kSecond);
-    EXPECT_EQ(w->running("req-000001"), 6) << w->story();
-    EXPECT_RULES(*w);
+    EXPECT_EQ(w->running_tasks("req-000001"), 6) << w->format_history();
+    EXPECT_NO_VIOLATIONS(*w);
 }
 
 TEST(HardStarts, OneThatStoodStillComesBackLateAndWhatWasHeldBackArrives) {
     auto w = spread(50);
     fill(*w);
-    w->hold_next("loom-0", "state");  // a transaction, or a look
+    w->hold_next_message("loom-0", "state");  // a transaction, or a look
     const std::string machine = w->machine_names().front();
-    w->hold_next("loom-1", machine);  // a launch, or showing a token
-    w->submit(w->job(7, JobKind::Array, 4), 3 * kSecond, 0);
+    w->hold_next_message("loom-1", machine);  // a launch, or showing a token
+    w->submit(w->make_job(7, JobKind::Array, 4), 3 * kSecond, 0);
     w->run(100 * kMillisecond);
-    w->freeze(2, 12 * kSecond);  // while the others end and are back
+    w->freeze_process(2, 12 * kSecond);  // while the others end and are back
     w->crash(0, 2 * kSecond);
     w->crash(1, 2 * kSecond);
     w->run(10 * kSecond);
-    w->release();
+    w->release_held_messages();
     w->run(35 * kSecond);
-    EXPECT_EQ(w->told("req-000007"), "done") << w->story();
-    EXPECT_EQ(w->starts("req-000007"), 4);
+    EXPECT_EQ(w->reported_stage("req-000007"), "done") << w->format_history();
+    EXPECT_EQ(w->task_starts("req-000007"), 4);
     expect_unharmed(*w, "held back");
 }
 
@@ -262,13 +264,14 @@
         auto w = spread(60);
         fill(*w);
         w->cancel("req-000001");
-        for (int i = 0; i < 200 && w->told("req-000001") != "cancelled"; ++i) w->run(5 * kMillisecond);
+        for (int i = 0; i < 200 && w->reported_stage("req-000001") != "cancelled"; ++i)
+            w->run(5 * kMillisecond);
         w->run(ms * kMillisecond);
         for (int i = 0; i < 3; ++i) w->crash(i, 3 * kSecond);
         w->run(15 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 0) << ms << " ms after\n" << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 4);
-        EXPECT_RULES(*w);
+        EXPECT_EQ(w->running_tasks("req-000001"), 0) << ms << " ms after\n" << w->format_history();
+        EXPECT_EQ(w->task_starts("req-000001"), 4);
+        EXPECT_NO_VIOLATIONS(*w);
     }
 }
 
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -50,64 +50,65 @@
 TEST_P(RefusedLeader, EndsNoJobLateAndForgetsNone) {
     const Row& row = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        Settings site = small_site();
+        Settings site = small_cluster_settings();
         if (seed == 2) site.cpu_share = 0.001;  // several shards
         auto w = settled_simulator(seed, 5, site);
-        const int leader = w->leader();
-        w->poll_rate = 4;
-        w->submit(w->job(kLong, JobKind::Array, 4), 90 * kSecond);
-        w->submit(w->job(kService, JobKind::Service, 3), 0);
-        w->submit(w->job(kNeeded, JobKind::Array, 2), 60 * kSecond);
+        const int leader = w->leader_node();
+        w->poll_frequency_factor = 4;
+        w->submit(w->make_job(kLong, JobKind::Array, 4), 90 * kSecond);
+        w->submit(w->make_job(kService, JobKind::Service, 3), 0);
+        w->submit(w->make_job(kNeeded, JobKind::Array, 2), 60 * kSecond);
         w->run(kSecond);
-        JobSpec waits = w->job(kWaits, JobKind::Array, 2);
+        JobSpec waits = w->make_job(kWaits, JobKind::Array, 2);
         waits.needs = {ref(kNeeded)};
         w->submit(waits, 2 * kSecond);
         w->run(2 * kSecond);
         const Micros moment = w->now() + 4 * kSecond;
-        w->at(moment - 2 * kSecond, [&] { w->slow_state = row.slow; });
+        w->schedule_at(moment - 2 * kSecond, [&] { w->max_state_answer_delay = row.slow; });
         // Ends, starts and admissions on their way at that moment.
-        w->at(moment - 3 * kSecond,
-              [&] { w->submit(w->job(kEnds, JobKind::Array, 3), 2700 * kMillisecond, 0); });
-        w->at(moment - 300 * kMillisecond, [&] {
-            JobSpec gang = w->job(kGang, JobKind::Gang, 3, 2);
+        w->schedule_at(moment - 3 * kSecond,
+                       [&] { w->submit(w->make_job(kEnds, JobKind::Array, 3), 2700 * kMillisecond, 0); });
+        w->schedule_at(moment - 300 * kMillisecond, [&] {
+            JobSpec gang = w->make_job(kGang, JobKind::Gang, 3, 2);
             w->submit(gang, 60 * kSecond, kSecond);
         });
-        w->at(moment - 10 * kMillisecond,
-              [&] { w->submit(w->job(kAdmitted, JobKind::Array, 2), 5 * kSecond); });
-        w->at(moment, [&] { w->refuse(leader, true); });
-        w->at(moment + row.out, [&] { w->state().set_down(true, w->now()); });
-        w->at(moment + row.cancelled, [&] {
+        w->schedule_at(moment - 10 * kMillisecond,
+                       [&] { w->submit(w->make_job(kAdmitted, JobKind::Array, 2), 5 * kSecond); });
+        w->schedule_at(moment, [&] { w->refuse_state_requests(leader, true); });
+        w->schedule_at(moment + row.out, [&] { w->state().set_down(true, w->now()); });
+        w->schedule_at(moment + row.cancelled, [&] {
             for (int i = 0; row.to_leader && i < 3; ++i)
-                if (i != leader) w->cut("users", host(i));
+                if (i != leader) w->cut_link("users", host(i));
             int n = 0;
             for (const int job : {kLong, kService, kGang, kNeeded, kEnds, kAdmitted}) {
                 if (row.hang > 0)
-                    for (const auto& m : w->machines_of(ref(job))) {
+                    for (const auto& m : w->machines_running(ref(job))) {
                         if (++n % 2) continue;
-                        w->hang(m, true);
-                        w->at(w->now() + row.hang, [&, m] { w->hang(m, false); });
+                        w->set_hung(m, true);
+                        w->schedule_at(w->now() + row.hang, [&, m] { w->set_hung(m, false); });
                     }
                 w->cancel(ref(job));
             }
         });
         w->run(4 * kSecond + row.out + w->settings.cancel + 15 * kSecond);
         w->state().set_down(false, w->now());
-        w->refuse(leader, false);
-        w->heal_all();
-        w->slow_state = 0;
+        w->refuse_state_requests(leader, false);
+        w->heal_all_links();
+        w->max_state_answer_delay = 0;
         w->run(5 * kSecond);
-        w->submit(w->job(20, JobKind::Array, 8), 3 * kSecond);
+        w->submit(w->make_job(20, JobKind::Array, 8), 3 * kSecond);
         w->run(w->settings.cancel + 40 * kSecond);
-        EXPECT_RULES(*w);
-        for (const auto& job : w->refs()) {
-            EXPECT_TRUE(w->told(job) == "done" || w->told(job) == "cancelled")
-                << job << " is " << w->told(job) << ", seed " << seed << "\n"
-                << w->story();
-            EXPECT_EQ(w->running(job), 0) << job;
+        EXPECT_NO_VIOLATIONS(*w);
+        for (const auto& job : w->job_refs()) {
+            EXPECT_TRUE(w->reported_stage(job) == "done" || w->reported_stage(job) == "cancelled")
+                << job << " is " << w->reported_stage(job) << ", seed " << seed << "\n"
+                << w->format_history();
+            EXPECT_EQ(w->running_tasks(job), 0) << job;
         }
-        EXPECT_EQ(w->told(ref(kLong)), "cancelled");
-        EXPECT_EQ(w->told(ref(kWaits)), "cancelled") << "with what it needs";
-        EXPECT_EQ(w->told(ref(20)), "done") << "what is freed is used again\n" << w->story();
+        EXPECT_EQ(w->reported_stage(ref(kLong)), "cancelled");
+        EXPECT_EQ(w->reported_stage(ref(kWaits)), "cancelled") << "with what it needs";
+        EXPECT_EQ(w->reported_stage(ref(20)), "done") << "what is freed is used again\n"
+                                                      << w->format_history();
     }
 }
 
--- a/tests/settled_simulator.hpp
+++ b/tests/settled_simulator.hpp
@@ -10,7 +10,8 @@
 #include "kvstore/records.hpp"
 #include "simulation/simulator.hpp"
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 namespace cottonway::test {
 
@@ -20,12 +21,12 @@
 
 /// Some machines in two zones, three controllers, settled.
 inline std::unique_ptr<simulation::Simulator> settled_simulator(
-    std::uint64_t seed = 1, int machines = 4, const Settings& site = simulation::small_site()) {
+    std::uint64_t seed = 1, int machines = 4, const Settings& site = simulation::small_cluster_settings()) {
     auto w = std::make_unique<simulation::Simulator>(seed, site);
     for (int i = 0; i < machines; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
     w->run(6 * kSecond);
-    EXPECT_GE(w->holder(), 0);
+    EXPECT_GE(w->owner_node(), 0);
     return w;
 }
 
@@ -44,15 +45,15 @@
 inline void expect_each_machine_leased_once(simulation::Simulator& w, const char* when = "") {
     auto times = leased(w);
     for (const auto& name : w.machine_names())
-        EXPECT_EQ(times[name], 1) << name << " " << when << "\n" << w.story();
+        EXPECT_EQ(times[name], 1) << name << " " << when << "\n" << w.format_history();
     for (const auto& [name, n] : times)
-        EXPECT_TRUE(w.worker(name)) << name << " is gone, " << when << "\n" << w.story();
+        EXPECT_TRUE(w.worker(name)) << name << " is gone, " << when << "\n" << w.format_history();
 }
 
 /// What the holder's hand-over is, carried out though its answer is lost.
 inline void transfer_shards(simulation::Simulator& w, int from, int to) {
     const std::string key = "c/domain/" + w.owner_at(from)->shard();
-    w.note(host(from) + " hands over to " + host(to));
+    w.record_event(host(from) + " hands over to " + host(to));
     Json write{{"write", key}, {"data", {{"holder", host(to)}}}};
     Json change{{"when", Json::array({Json{{"k", key}, {"mark", w.owner_at(from)->mod_revision()}}})},
                 {"then", Json::array({write})}};
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -13,7 +13,8 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 const std::string kRef = "req-000001";
 
@@ -28,7 +29,7 @@
         w.run(8 * kSecond);
     }
     static Settings settings(const ZoneRule& rule) {
-        Settings s = small_site();
+        Settings s = small_cluster_settings();
         s.zones = {"a", "b", "c"};
         s.ops.idle_return = 600 * kSecond;  // what stands empty stays
         s.ops.policy.emplace();
@@ -37,12 +38,12 @@
         return s;
     }
     static std::vector<MachineType> types() {
-        auto types = small_types();
+        auto types = small_cluster_machine_types();
         for (auto& t : types) t.zones = {"a", "b", "c"};
         return types;
     }
     JobSpec service(int replicas) {
-        JobSpec s = w.job(1, JobKind::Service, replicas);
+        JobSpec s = w.make_job(1, JobKind::Service, replicas);
         s.rank = PriorityClass::Production;
         return s;
     }
@@ -60,7 +61,7 @@
             if (at != zone) continue;
             for (int n = 0; n < w.node_count(); ++n) {
                 const std::string node = "loom-" + std::to_string(n);
-                on ? w.cut(machine, node) : w.heal(machine, node);
+                on ? w.cut_link(machine, node) : w.heal_link(machine, node);
             }
         }
     }
@@ -76,9 +77,9 @@
         Site s(seed, rule);
         s.w.submit(s.service(9), 0);
         s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}})) << s.w.story();
-        EXPECT_EQ(s.w.machines_of(kRef).size(), 9u) << "no two on one machine";
-        EXPECT_RULES(s.w);
+        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}})) << s.w.format_history();
+        EXPECT_EQ(s.w.machines_running(kRef).size(), 9u) << "no two on one machine";
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
@@ -90,13 +91,13 @@
         Site s(seed, rule);
         s.w.submit(s.service(2), 0);
         s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"b", 1}, {"c", 1}})) << s.w.story();
-        JobSpec gang = s.w.job(2, JobKind::Gang, 3);
+        EXPECT_EQ(s.zones(), (Counts{{"b", 1}, {"c", 1}})) << s.w.format_history();
+        JobSpec gang = s.w.make_job(2, JobKind::Gang, 3);
         s.w.submit(gang, 20 * kSecond);
         s.w.run(5 * kSecond);
-        EXPECT_EQ(s.w.running(gang.ref), 3) << s.w.story();
-        for (const auto& m : s.w.machines_of(gang.ref)) EXPECT_NE(s.zone_of.at(m), "a");
-        EXPECT_RULES(s.w);
+        EXPECT_EQ(s.w.running_tasks(gang.ref), 3) << s.w.format_history();
+        for (const auto& m : s.w.machines_running(gang.ref)) EXPECT_NE(s.zone_of.at(m), "a");
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
@@ -107,15 +108,15 @@
         Site s(seed, rule);
         s.w.submit(s.service(6), 0);
         s.w.run(5 * kSecond);
-        ASSERT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.story();
+        ASSERT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.format_history();
         s.cut_zone("c", true);
         s.w.run(8 * kSecond);
         EXPECT_EQ(s.zones()["c"], 2) << "in doubt as long as the lease may last";
-        EXPECT_EQ(s.w.starts(kRef), 6);
+        EXPECT_EQ(s.w.task_starts(kRef), 6);
         s.w.run(12 * kSecond);
-        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}})) << s.w.story();
-        EXPECT_EQ(s.w.running(kRef), 6) << s.w.story();
-        EXPECT_RULES(s.w);
+        EXPECT_EQ(s.zones(), (Counts{{"a", 3}, {"b", 3}})) << s.w.format_history();
+        EXPECT_EQ(s.w.running_tasks(kRef), 6) << s.w.format_history();
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
@@ -128,11 +129,11 @@
     s.w.run(5 * kSecond);
     s.cut_zone("c", true);
     s.w.run(20 * kSecond);
-    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}})) << s.w.story();
+    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}})) << s.w.format_history();
     s.cut_zone("c", false);
     s.w.run(10 * kSecond);
-    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.story();
-    EXPECT_RULES(s.w);
+    EXPECT_EQ(s.zones(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << s.w.format_history();
+    EXPECT_NO_VIOLATIONS(s.w);
 }
 
 TEST(ZonePlacement, SpreadHoldsThoughARuleGivesWay) {
@@ -145,14 +146,14 @@
         job.spread = true;
         s.w.submit(job, 0);
         s.w.run(5 * kSecond);
-        EXPECT_EQ(s.zones()["a"], 2) << s.w.story();
+        EXPECT_EQ(s.zones()["a"], 2) << s.w.format_history();
         for (const char* zone : {"b", "c"}) s.cut_zone(zone, true);
         s.w.run(20 * kSecond);
         EXPECT_EQ(s.zones(), (Counts{{"a", 3}})) << "half of five, rounded up; the rest waits";
         for (const char* zone : {"b", "c"}) s.cut_zone(zone, false);
         s.w.run(10 * kSecond);
-        EXPECT_EQ(s.w.running(kRef), 5) << s.w.story();
-        EXPECT_RULES(s.w);
+        EXPECT_EQ(s.w.running_tasks(kRef), 5) << s.w.format_history();
+        EXPECT_NO_VIOLATIONS(s.w);
     }
 }
 
--- a/tests/traffic_digest_test.cpp
+++ b/tests/traffic_digest_test.cpp
@@ -43,31 +43,31 @@
 /// Jobs of every kind and priority class, of teams with and without a limit.
 void submit_jobs(Simulator& w, int count) {
     for (int i = 1; i <= count; ++i)
-        w.at((5 + i) * kSecond, [&w, i] {
+        w.schedule_at((5 + i) * kSecond, [&w, i] {
             const JobKind kind = i % 5 == 0 ? JobKind::Service : i % 4 == 0 ? JobKind::Gang : JobKind::Array;
-            JobSpec job = w.job(i, kind, 1 + i % 4, 1 + i % 3);
+            JobSpec job = w.make_job(i, kind, 1 + i % 4, 1 + i % 3);
             job.team = i % 6 == 0 ? "guests" : i % 3 == 0 ? "blue" : "red";
             job.rank = static_cast<PriorityClass>(i % 4);
             job.spot = kind != JobKind::Service;
             job.spread = kind == JobKind::Service;
             job.one_zone = kind == JobKind::Gang;
             if (i % 7 == 0) job.checkpoint = 3 * kSecond, job.save = kSecond;
-            if (i % 9 == 0) job.needs.push_back(w.job(i - 1, JobKind::Array, 1).ref);
+            if (i % 9 == 0) job.needs.push_back(w.make_job(i - 1, JobKind::Array, 1).ref);
             w.submit(job, (3 + i % 9) * kSecond, 500 * kMillisecond, i % 11 == 0);
-            if (i % 8 == 0) w.at(w.now() + 6 * kSecond, [&w, job] { w.cancel(job.ref); });
+            if (i % 8 == 0) w.schedule_at(w.now() + 6 * kSecond, [&w, job] { w.cancel(job.ref); });
         });
 }
 
 /// Ends of controllers and machines, cuts, an outage, and machines that hang.
 void schedule_faults(Simulator& w) {
-    w.at(20 * kSecond, [&w] { w.crash(w.leader(), 3 * kSecond); });
-    w.at(32 * kSecond, [&w] { w.hang(w.machine_names().front(), true); });
-    w.at(40 * kSecond, [&w] { w.cut("loom-1", "state"); });
-    w.at(48 * kSecond, [&w] { w.heal("loom-1", "state"); });
-    w.at(52 * kSecond, [&w] { w.kill_machine(w.machine_names().back()); });
-    w.at(60 * kSecond, [&w] { w.lose_zone("a", false); });
-    w.at(72 * kSecond, [&w] { w.zone_back("a"); });
-    w.at(80 * kSecond, [&w] {
+    w.schedule_at(20 * kSecond, [&w] { w.crash(w.leader_node(), 3 * kSecond); });
+    w.schedule_at(32 * kSecond, [&w] { w.set_hung(w.machine_names().front(), true); });
+    w.schedule_at(40 * kSecond, [&w] { w.cut_link("loom-1", "state"); });
+    w.schedule_at(48 * kSecond, [&w] { w.heal_link("loom-1", "state"); });
+    w.schedule_at(52 * kSecond, [&w] { w.kill_machine(w.machine_names().back()); });
+    w.schedule_at(60 * kSecond, [&w] { w.fail_zone("a", false); });
+    w.schedule_at(72 * kSecond, [&w] { w.restore_zone("a"); });
+    w.schedule_at(80 * kSecond, [&w] {
         for (int i = 0; i < w.node_count(); ++i) w.crash(i, (1 + i) * kSecond);
     });
 }
@@ -76,7 +76,7 @@
 
 TEST_P(Traffic, OfControllersIsAsPinned) {
     const auto [seed, expected] = GetParam();
-    Settings site = small_site();
+    Settings site = small_cluster_settings();
     if (seed % 2 == 0) site.cpu_share = 0.001;  // several shards
     Simulator w(static_cast<std::uint64_t>(seed), site);
     TrafficDigest digest;
@@ -87,12 +87,12 @@
     };
     for (int i = 0; i < 8; ++i) w.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i % 4 == 3);
     w.cloud().capacity = 6;
-    w.loss = 0.01;
+    w.message_loss_rate = 0.01;
     w.start_nodes();
     submit_jobs(w, 50);
     schedule_faults(w);
     w.run(120 * kSecond);
-    EXPECT_RULES(w);
+    EXPECT_NO_VIOLATIONS(w);
     EXPECT_GT(digest.lines(), 1000U);
     EXPECT_EQ(digest.hex(), expected) << "seed " << seed;
 }
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -11,7 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 using recovery::Finding;
 
@@ -53,10 +54,10 @@
     for (int i = 0; i < 4; ++i) w->add_machine("small", i % 2 ? "b" : "a");
     w->start_nodes();
     w->run(6 * kSecond);
-    w->submit(w->job(1, JobKind::Service, 3), 0);
-    w->submit(w->job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
-    w->submit(w->job(3, JobKind::Array, 2), kSecond);
-    w->submit(w->job(4, JobKind::Service, 2), 0);
+    w->submit(w->make_job(1, JobKind::Service, 3), 0);
+    w->submit(w->make_job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
+    w->submit(w->make_job(3, JobKind::Array, 2), kSecond);
+    w->submit(w->make_job(4, JobKind::Service, 2), 0);
     w->run(5 * kSecond);
     w->cancel("req-000004");
     w->run(4 * kSecond);
@@ -126,9 +127,9 @@
          }},
         {"add up to",
          [](Simulator& w) {
-             Json v = read(w, "c/share/" + w.owner_at(w.holder())->shard());
+             Json v = read(w, "c/share/" + w.owner_at(w.owner_node())->shard());
              v["red"][0] = 50'000;
-             write(w, "c/share/" + w.owner_at(w.holder())->shard(), v);
+             write(w, "c/share/" + w.owner_at(w.owner_node())->shard(), v);
          }},
         {"newer than this program's",
          [](Simulator& w) {
@@ -152,11 +153,11 @@
         // Controllers that have to start with it set aside what is damaged, and nothing is overwritten.
         for (int i = 0; i < 3; ++i) w->crash(i, kSecond);
         w->run(6 * kSecond);
-        EXPECT_EQ(w->running("req-000001"), 3) << c.line << "\n" << w->story();
-        EXPECT_EQ(w->starts("req-000001"), 3) << c.line;
-        w->submit(w->job(8, JobKind::Array, 2), kSecond);
+        EXPECT_EQ(w->running_tasks("req-000001"), 3) << c.line << "\n" << w->format_history();
+        EXPECT_EQ(w->task_starts("req-000001"), 3) << c.line;
+        w->submit(w->make_job(8, JobKind::Array, 2), kSecond);
         w->run(6 * kSecond);
-        EXPECT_EQ(w->told("req-000008"), "done") << c.line << "\n" << w->story();
+        EXPECT_EQ(w->reported_stage("req-000008"), "done") << c.line << "\n" << w->format_history();
     }
 }
 
