--- a/src/simulation/consistency_checker.hpp
+++ b/src/simulation/consistency_checker.hpp
@@ -9,35 +9,36 @@
 
 namespace cottonway::simulation {
 
-enum class Asked { State, Submission, Cancellation };
+enum class RequestKind { State, Submission, Cancellation };
 
 /// What is true of a job when an answer about it arrives, whatever the controllers say.
-struct Truth {
+struct ActualState {
     bool submitted = false;  // in a form in which it may be accepted
-    bool cancel_wanted = false;
+    bool cancel_requested = false;
     bool complete = false;  // all its tasks are
 };
 
 struct Answer {
-    Asked asked = Asked::State;
-    std::uint64_t begun = 0;  // the request: see ConsistencyChecker::begin
+    RequestKind request = RequestKind::State;
+    std::uint64_t request_moment = 0;  // the request: see ConsistencyChecker::begin
     int status = 0;
     std::string stage;
     /// Of a submission: whether what was sent may be accepted.
-    bool right = true;
+    bool acceptable = true;
 };
 
 class ConsistencyChecker {
   public:
     /// A moment later than all before, for a request that begins now.
-    std::uint64_t begin() { return ++moment_; }
+    std::uint64_t begin_request() { return ++moment_; }
     /// Remembers an answer that arrives now. A line "rule: what" for each rule that it breaks.
-    std::vector<std::string> hear(const std::string& ref, const Answer& answer, const Truth& truth);
+    std::vector<std::string> check_answer(const std::string& ref, const Answer& answer,
+                                          const ActualState& truth);
     /// Answers so far, to compare a run's number of them with what it should at least be; those about jobs
     /// that were known to be accepted, and to be over, when they were asked for.
-    std::size_t heard() const { return heard_; }
-    std::size_t after_acceptance() const { return after_acceptance_; }
-    std::size_t after_end() const { return after_end_; }
+    std::size_t answers() const { return heard_; }
+    std::size_t answers_after_acceptance() const { return after_acceptance_; }
+    std::size_t answers_after_end() const { return after_end_; }
 
   private:
     /// When it was first heard, 0: not yet.
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -769,24 +769,24 @@
     });
 }
 
-void Simulator::user_ask(Asked what, const std::string& ref, const Json& body,
+void Simulator::user_ask(RequestKind what, const std::string& ref, const Json& body,
                          std::function<void(const ApiResponse&)> done, int target) {
     const auto user = users_.find(ref);
     const bool right = user != users_.end() && wire::parse_job(body).spec;
-    const std::string path = "/v1/jobs" + (what == Asked::Submission     ? ""
-                                           : what == Asked::Cancellation ? "/" + ref + "/abort"
-                                                                         : "/" + ref);
+    const std::string path = "/v1/jobs" + (what == RequestKind::Submission     ? ""
+                                           : what == RequestKind::Cancellation ? "/" + ref + "/abort"
+                                                                               : "/" + ref);
     user_call(
-        what == Asked::State ? "GET" : "POST", path, body,
-        [this, what, ref, right, begun = looks_.begin(), sent = now_,
+        what == RequestKind::State ? "GET" : "POST", path, body,
+        [this, what, ref, right, begun = looks_.begin_request(), sent = now_,
          done = std::move(done)](const ApiResponse& r) {
             if (r.status == 0) return done(r);
-            Truth truth;
+            ActualState truth;
             if (auto u = users_.find(ref); u != users_.end())
                 truth = {true, cancel_wanted(ref),
                          static_cast<int>(u->second.done.size()) >= u->second.info.spec.tasks};
             const std::string stage = wire::text(r.body, "stage").value_or("");
-            for (const auto& line : looks_.hear(ref, {what, begun, r.status, stage, right}, truth)) {
+            for (const auto& line : looks_.check_answer(ref, {what, begun, r.status, stage, right}, truth)) {
                 record_event("BROKEN " + line);
                 violations.push_back(line);
             }
@@ -797,7 +797,7 @@
 }
 
 void Simulator::try_submit(const std::string& ref) {
-    user_ask(Asked::Submission, ref, wire::job_value(users_[ref].info.spec),
+    user_ask(RequestKind::Submission, ref, wire::job_value(users_[ref].info.spec),
              [this, ref](const ApiResponse& r) {
                  if (r.status == 200 || r.status == 201) {
                      // Asked again at any later time, it is answered with its state.
@@ -810,7 +810,7 @@
 }
 
 void Simulator::try_cancel(const std::string& ref) {
-    user_ask(Asked::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& r) {
+    user_ask(RequestKind::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& r) {
         if (r.status == 200) return repeat([this, ref] { try_cancel(ref); });
         schedule_at(now_ + kSecond, [this, ref] { try_cancel(ref); });
     });
@@ -824,7 +824,7 @@
         poll_frequency_factor;
     schedule_at(now_ + pause, [this, ref] {
         users_[ref].polling = false;
-        user_ask(Asked::State, ref, Json::object(), [this, ref](const ApiResponse& r) {
+        user_ask(RequestKind::State, ref, Json::object(), [this, ref](const ApiResponse& r) {
             if (r.status == 200) {
                 User& u = users_[ref];
                 u.unanswered = std::max(u.unanswered, unanswered(u));
@@ -852,7 +852,7 @@
                 const bool over = reported_stage(ref) == "done" || reported_stage(ref) == "cancelled";
                 if (later == 10 && (over || cancel_wanted(ref)))
                     user_ask(
-                        Asked::Cancellation, ref, Json::object(), [](const auto&) {}, i);
+                        RequestKind::Cancellation, ref, Json::object(), [](const auto&) {}, i);
             });
 }
 
@@ -863,12 +863,12 @@
 
 void Simulator::ask_about(const std::string& ref, int target) {
     user_ask(
-        Asked::State, ref, Json::object(), [](const auto&) {}, target);
+        RequestKind::State, ref, Json::object(), [](const auto&) {}, target);
 }
 
 void Simulator::submit_again(const std::string& ref, const Json& body, int target) {
     user_ask(
-        Asked::Submission, ref, body, [](const auto&) {}, target);
+        RequestKind::Submission, ref, body, [](const auto&) {}, target);
 }
 
 void Simulator::submit_invalid_job(const Json& body, int target) {
@@ -877,7 +877,7 @@
     target = std::max(target, 0);
     const std::string ref = wire::text(body, "ref").value_or("");
     user_ask(
-        Asked::Submission, ref, body,
+        RequestKind::Submission, ref, body,
         [this, body, target](const ApiResponse& r) {
             if (r.status != 400 && r.status != 422)
                 schedule_at(now_ + kSecond, [this, body, target] { submit_invalid_job(body, target); });
@@ -908,7 +908,7 @@
         case 1:
             if (const JobSpec* s = some("done"))
                 user_ask(
-                    Asked::Cancellation, s->ref, Json::object(), [](const auto&) {}, target);
+                    RequestKind::Cancellation, s->ref, Json::object(), [](const auto&) {}, target);
             break;
         case 2:
             body["cores"] = 1e6;
@@ -955,23 +955,23 @@
     quiesced_since_ = now_;
 }
 
-Sight Simulator::sight() {
-    Sight s;
-    for (const auto& t : settings.teams) s.left[t.name] = t.limit;
+ClusterSnapshot Simulator::sight() {
+    ClusterSnapshot s;
+    for (const auto& t : settings.teams) s.remaining_limits[t.name] = t.limit;
     std::map<std::pair<std::string, int>, std::string> held;  // tasks on machines, by their zones
     for (const auto& [name, r] : workers_) {
         if (!r.worker) continue;
-        Room room{r.worker->type().name, r.worker->zone(), r.worker->spot(), r.worker->type().size};
+        FreeCapacity room{r.worker->type().name, r.worker->zone(), r.worker->spot(), r.worker->type().size};
         for (const auto& [ref, task] : r.worker->held()) {
             const JobSpec& spec = users_.at(ref).info.spec;
             room.free -= spec.request;
-            s.left[spec.team] -= spec.request;
+            s.remaining_limits[spec.team] -= spec.request;
             held[{ref, task}] = room.zone;
         }
         bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->notice;
         for (int i = 0; reached && !(cuts_.empty() && one_way_.empty()) && i < node_count(); ++i)
             reached = !is_link_cut(name, "loom-" + std::to_string(i));
-        if (reached) s.rooms[name] = std::move(room);
+        if (reached) s.machines[name] = std::move(room);
     }
     for (const auto& [ref, u] : users_) {
         const JobSpec& spec = u.info.spec;
@@ -981,28 +981,28 @@
             continue;
         WaitingJob job{spec, spec.tasks - static_cast<int>(u.done.size()), {}, u.starts};
         for (auto it = held.lower_bound({ref, 0}); it != held.end() && it->first.first == ref; ++it) {
-            ++job.zones[it->second];
-            job.tasks -= !u.done.count(it->first.second);
+            ++job.running_by_zone[it->second];
+            job.waiting_tasks -= !u.done.count(it->first.second);
         }
-        const bool waits = spec.kind == JobKind::Gang ? job.zones.empty() : job.tasks > 0;
-        if (waits) s.jobs[ref] = std::move(job);
+        const bool waits = spec.kind == JobKind::Gang ? job.running_by_zone.empty() : job.waiting_tasks > 0;
+        if (waits) s.waiting_jobs[ref] = std::move(job);
     }
     return s;
 }
 
 void Simulator::watch_waiting() {
     schedule_at(now_ + kSecond, [this] { watch_waiting(); });
-    starvation_checker_.look(now_, sight());
+    starvation_checker_.observe(now_, sight());
 }
 
-std::vector<Fate> Simulator::job_outcomes() const {
-    std::vector<Fate> out;
+std::vector<JobOutcome> Simulator::job_outcomes() const {
+    std::vector<JobOutcome> out;
     for (const auto& [ref, u] : users_) {
         if (u.told.empty()) continue;
-        const bool left_out = u.info.broken || u.told == "cancelled" || cancel_wanted(ref);
+        const bool excluded = u.info.broken || u.told == "cancelled" || cancel_wanted(ref);
         const Micros fetch = std::max<Micros>(u.info.fetch, 0);
-        out.push_back({u.info.spec, u.info.run + fetch, u.accepted_at, u.begun, u.all_begun, u.finished,
-                       left_out, std::max(u.unanswered, unanswered(u)), starvation_checker_.of(ref)});
+        out.push_back({u.info.spec, u.info.run + fetch, u.accepted_at, u.begun, u.all_started_at, u.finished,
+                       excluded, std::max(u.unanswered, unanswered(u)), starvation_checker_.wait_of(ref)});
     }
     return out;
 }
@@ -1121,7 +1121,7 @@
         waits_.emplace_back(s.job_class, now_ - u.accepted_at);
     if (auto left = left_.extract({ref, task})) gaps_.emplace_back(s.job_class, now_ - left.mapped());
     if (u.begun < 0) u.begun = now_;
-    if (u.all_begun < 0 && static_cast<int>(u.started.size()) == s.tasks) u.all_begun = now_;
+    if (u.all_started_at < 0 && static_cast<int>(u.started.size()) == s.tasks) u.all_started_at = now_;
     started_again_ += running_before_.count({ref, task});
     if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel)
         breach("ran_cancelled", ref + " starts on " + machine);
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -131,7 +131,7 @@
     /// start.
     void mark_faults_over();
     /// Of all accepted jobs.
-    std::vector<Fate> job_outcomes() const;
+    std::vector<JobOutcome> job_outcomes() const;
     /// Requests of a node to the state service so far.
     std::uint64_t state_requests(int node) const {
         return nodes_[static_cast<std::size_t>(node)].state_requests;
@@ -239,7 +239,7 @@
         std::map<std::string, int> zones;  // its tasks on machines
         Micros accepted_at = 0;
         std::set<int> started;
-        Micros begun = -1, all_begun = -1, finished = -1;
+        Micros begun = -1, all_started_at = -1, finished = -1;
         Micros answered = 0;    // its last poll
         Micros unanswered = 0;  // longest time between two, since all troubles were over
     };
@@ -269,7 +269,7 @@
     void answered(int node, const ApiResponse& response) const;
     void tick();
     /// What there is, for StarvationChecker.
-    Sight sight();
+    ClusterSnapshot sight();
     void watch_waiting();
     void report(const std::string& machine);
     void start_node(int i);
@@ -281,7 +281,7 @@
     void user_call(const std::string& method, const std::string& path, const Json& body,
                    std::function<void(ApiResponse)> done, int node = -1);
     /// A request about a job, its answer judged and remembered before it is handed on.
-    void user_ask(Asked what, const std::string& ref, const Json& body,
+    void user_ask(RequestKind what, const std::string& ref, const Json& body,
                   std::function<void(const ApiResponse&)> done, int node = -1);
     void ask_about(const std::string& ref, int node);
     void submit_again(const std::string& ref, const Json& body, int node);
--- a/src/simulation/starvation_checker.cpp
+++ b/src/simulation/starvation_checker.cpp
@@ -22,10 +22,11 @@
 
 }  // namespace
 
-std::string could_start_on(const WaitingJob& job, const Rooms& rooms, const Resources& left) {
+std::string find_startable_machine(const WaitingJob& job, const FreeCapacities& rooms,
+                                   const Resources& left) {
     const JobSpec& s = job.spec;
     const bool gang = s.kind == JobKind::Gang;
-    const int wanted = gang ? job.tasks : 1;
+    const int wanted = gang ? job.waiting_tasks : 1;
     if (s.request.cores * wanted > left.cores || s.request.gpus * wanted > left.gpus) return "";
     struct Zone {
         int fit = 0;
@@ -34,10 +35,11 @@
     std::map<std::string, Zone> zones;
     for (const auto& [name, room] : rooms) {
         if (!scheduling::may_use(s, room.type, room.zone, room.spot)) continue;
-        if (s.one_zone && !job.zones.empty() && !job.zones.count(room.zone)) continue;
+        if (s.one_zone && !job.running_by_zone.empty() && !job.running_by_zone.count(room.zone)) continue;
         int most = wanted;
-        if (auto there = job.zones.find(room.zone); s.spread)
-            most = std::min(most, (s.tasks + 1) / 2 - (there == job.zones.end() ? 0 : there->second));
+        if (auto there = job.running_by_zone.find(room.zone); s.spread)
+            most =
+                std::min(most, (s.tasks + 1) / 2 - (there == job.running_by_zone.end() ? 0 : there->second));
         Zone& zone = zones[room.zone];
         const int fit = fitting(s.request, room.free, most - zone.fit);
         if (fit > 0 && zone.machine.empty()) zone.machine = name;
@@ -51,16 +53,18 @@
     return "";
 }
 
-void StarvationChecker::look(Micros now, Sight sight) {
-    const auto jobs = std::exchange(sight.jobs, {});
+void StarvationChecker::observe(Micros now, ClusterSnapshot sight) {
+    const auto jobs = std::exchange(sight.waiting_jobs, {});
     sights_.emplace_back(now, std::move(sight));
-    while (sights_.size() > 1 && sights_[1].first <= now - kSettled) sights_.pop_front();
-    const bool lasted = sights_.front().first <= now - kSettled;
-    Sight settled = sights_.front().second;
+    while (sights_.size() > 1 && sights_[1].first <= now - kRequiredDuration) sights_.pop_front();
+    const bool lasted = sights_.front().first <= now - kRequiredDuration;
+    ClusterSnapshot settled = sights_.front().second;
     for (const auto& [at, seen] : sights_) {
-        std::erase_if(settled.rooms, [&seen = seen](const auto& m) { return !seen.rooms.count(m.first); });
-        for (auto& [name, room] : settled.rooms) room.free = least(room.free, seen.rooms.at(name).free);
-        for (auto& [team, left] : settled.left) left = least(left, seen.left.at(team));
+        std::erase_if(settled.machines,
+                      [&seen = seen](const auto& m) { return !seen.machines.count(m.first); });
+        for (auto& [name, room] : settled.machines) room.free = least(room.free, seen.machines.at(name).free);
+        for (auto& [team, left] : settled.remaining_limits)
+            left = least(left, seen.remaining_limits.at(team));
     }
     for (const auto& [ref, job] : jobs) {
         auto [it, added] = jobs_.try_emplace(ref);
@@ -68,19 +72,20 @@
         if (added || k.waits_since < 0 || k.starts != job.starts)
             k.waits_since = now, k.could_since = -1, k.starts = job.starts;
         const std::string where =
-            lasted ? could_start_on(job, settled.rooms, settled.left[job.spec.team]) : "";
+            lasted ? find_startable_machine(job, settled.machines, settled.remaining_limits[job.spec.team])
+                   : "";
         if (where.empty()) {
             k.could_since = -1;
             continue;
         }
-        if (k.could_since < 0) k.could_since = std::max(now - kSettled, k.waits_since);
+        if (k.could_since < 0) k.could_since = std::max(now - kRequiredDuration, k.waits_since);
         if (now - k.could_since > k.wait.longest) k.wait = {now - k.could_since, where};
     }
     for (auto& [ref, k] : jobs_)
         if (!jobs.count(ref)) k.waits_since = k.could_since = -1;
 }
 
-StarvationChecker::Wait StarvationChecker::of(const std::string& ref) const {
+StarvationChecker::Wait StarvationChecker::wait_of(const std::string& ref) const {
     auto it = jobs_.find(ref);
     return it == jobs_.end() ? Wait{} : it->second.wait;
 }
--- a/src/simulation/starvation_checker.hpp
+++ b/src/simulation/starvation_checker.hpp
@@ -17,44 +17,45 @@
 
 /// Room and what is left of a limit count once they have lasted for so long: between an end and the next
 /// start lie a report, a pass and a change.
-constexpr Micros kSettled = 10 * kSecond;
+constexpr Micros kRequiredDuration = 10 * kSecond;
 
 /// What is free on a machine.
-struct Room {
+struct FreeCapacity {
     std::string type, zone;
     bool spot = false;
     Resources free;
 };
-using Rooms = std::map<std::string, Room>;  // by name
+using FreeCapacities = std::map<std::string, FreeCapacity>;  // by name
 
 /// A job some of whose tasks are on no machine and not done.
 struct WaitingJob {
     JobSpec spec;
-    int tasks = 0;                     // that wait
-    std::map<std::string, int> zones;  // its tasks on machines
-    int starts = 0;                    // so far
+    int waiting_tasks = 0;                       // that wait
+    std::map<std::string, int> running_by_zone;  // its tasks on machines
+    int starts = 0;                              // so far
 };
 
 /// A machine on which a task of the job, or one of a gang all of which has room, could start; "": none.
-std::string could_start_on(const WaitingJob& job, const Rooms& rooms, const Resources& left_of_limit);
+std::string find_startable_machine(const WaitingJob& job, const FreeCapacities& rooms,
+                                   const Resources& left_of_limit);
 
 /// What there is at one moment.
-struct Sight {
-    Rooms rooms;                            // of machines that are up, report and execute
-    std::map<std::string, Resources> left;  // of teams' limits
-    std::map<std::string, WaitingJob> jobs;
+struct ClusterSnapshot {
+    FreeCapacities machines;                            // of machines that are up, report and execute
+    std::map<std::string, Resources> remaining_limits;  // of teams' limits
+    std::map<std::string, WaitingJob> waiting_jobs;
 };
 
 /// Is told about once a second what there is.
 class StarvationChecker {
   public:
-    void look(Micros now, Sight sight);
+    void observe(Micros now, ClusterSnapshot sight);
     /// The longest that the job could have started and was left waiting, and where at last.
     struct Wait {
         Micros longest = 0;
         std::string machine;
     };
-    Wait of(const std::string& ref) const;
+    Wait wait_of(const std::string& ref) const;
 
   private:
     struct Kept {
@@ -63,7 +64,7 @@
         Micros could_since = -1;
         Wait wait;
     };
-    std::deque<std::pair<Micros, Sight>> sights_;  // of the last `kSettled`; without their jobs
+    std::deque<std::pair<Micros, ClusterSnapshot>> sights_;  // of the last `kSettled`; without their jobs
     std::map<std::string, Kept> jobs_;
 };
 
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -13,23 +13,23 @@
 
 const std::vector<Team> kTeams{{"red", {}, {8'000, kNoLimit, 0}}, {"guests", {}, {kNoLimit, kNoLimit, 0}}};
 
-Fate fate(const std::string& ref, int tasks, Micros accepted, Micros begun, Micros done) {
-    Fate f;
+JobOutcome fate(const std::string& ref, int tasks, Micros accepted, Micros begun, Micros done) {
+    JobOutcome f;
     f.spec.ref = ref;
     f.spec.job_class = "batch";
     f.spec.team = "red";
     f.spec.tasks = tasks;
     f.spec.request = {1'000, 0, 1'000};
-    f.run = 10 * kSecond;
-    f.accepted = accepted;
-    f.begun = begun;
-    f.all_begun = done;
-    f.done = done;
+    f.task_duration = 10 * kSecond;
+    f.accepted_at = accepted;
+    f.first_started_at = begun;
+    f.all_started_at = done;
+    f.completed_at = done;
     return f;
 }
 
-bool has(const Acceptance& a, const std::string& rule) {
-    return std::any_of(a.broken.begin(), a.broken.end(),
+bool has(const AcceptanceResult& a, const std::string& rule) {
+    return std::any_of(a.violations.begin(), a.violations.end(),
                        [&](const auto& line) { return line.compare(0, rule.size(), rule) == 0; });
 }
 
@@ -39,55 +39,55 @@
 }
 
 TEST(Acceptance, AJobWhosePollsAllFailIsForgottenHoweverOthersFare) {
-    std::vector<Fate> fates{fate("one", 1, 0, kSecond, 20 * kSecond),
-                            fate("two", 1, 0, kSecond, 20 * kSecond)};
-    EXPECT_TRUE(judge(fates, kTeams, 400 * kSecond).broken.empty());
-    fates[1].unanswered = kAnsweredWithin + kSecond;
-    const Acceptance a = judge(fates, kTeams, 400 * kSecond);
-    EXPECT_EQ(a.unanswered, kAnsweredWithin + kSecond);
+    std::vector<JobOutcome> fates{fate("one", 1, 0, kSecond, 20 * kSecond),
+                                  fate("two", 1, 0, kSecond, 20 * kSecond)};
+    EXPECT_TRUE(evaluate_acceptance(fates, kTeams, 400 * kSecond).violations.empty());
+    fates[1].longest_unanswered = kMaxPollGap + kSecond;
+    const AcceptanceResult a = evaluate_acceptance(fates, kTeams, 400 * kSecond);
+    EXPECT_EQ(a.longest_unanswered, kMaxPollGap + kSecond);
     EXPECT_TRUE(has(a, "forgotten: no answered poll for two"));
-    fates[1].left_out = true;  // its user cancelled it
-    EXPECT_TRUE(judge(fates, kTeams, 400 * kSecond).broken.empty());
+    fates[1].excluded = true;  // its user cancelled it
+    EXPECT_TRUE(evaluate_acceptance(fates, kTeams, 400 * kSecond).violations.empty());
 }
 
 TEST(Acceptance, LessThanHalfOfAClassOrATeamIsSeen) {
-    std::vector<Fate> fates;
+    std::vector<JobOutcome> fates;
     for (int i = 0; i < 10; ++i) fates.push_back(fate("j" + std::to_string(i), 1, 0, kSecond, 20 * kSecond));
-    for (int i = 0; i < 5; ++i) fates[static_cast<std::size_t>(i)].done = -1;
-    EXPECT_FALSE(has(judge(fates, kTeams, 400 * kSecond), "half served"));
-    fates[5].done = 251 * kSecond;  // a second too late
-    const Acceptance a = judge(fates, kTeams, 400 * kSecond);
+    for (int i = 0; i < 5; ++i) fates[static_cast<std::size_t>(i)].completed_at = -1;
+    EXPECT_FALSE(has(evaluate_acceptance(fates, kTeams, 400 * kSecond), "half served"));
+    fates[5].completed_at = 251 * kSecond;  // a second too late
+    const AcceptanceResult a = evaluate_acceptance(fates, kTeams, 400 * kSecond);
     EXPECT_TRUE(has(a, "half served: class batch: 4 of 10"));
     EXPECT_TRUE(has(a, "half served: team red: 4 of 10"));
     // Nobody is due yet.
-    EXPECT_TRUE(judge(fates, kTeams, 249 * kSecond).classes.empty());
+    EXPECT_TRUE(evaluate_acceptance(fates, kTeams, 249 * kSecond).served_by_class.empty());
 }
 
 TEST(Acceptance, ATeamsLimitAddsItsWavesAndAServiceIsServedWithAllReplicas) {
-    Fate wide = fate("wide", 20, 0, kSecond, 265 * kSecond);  // eight at once: three waves of 10 s
-    EXPECT_EQ(wide.bound(kTeams), 270 * kSecond);
-    EXPECT_TRUE(wide.served(kTeams));
+    JobOutcome wide = fate("wide", 20, 0, kSecond, 265 * kSecond);  // eight at once: three waves of 10 s
+    EXPECT_EQ(wide.allowed_time(kTeams), 270 * kSecond);
+    EXPECT_TRUE(wide.is_served(kTeams));
     wide.spec.team = "guests";
-    EXPECT_FALSE(wide.served(kTeams));
-    Fate service = fate("service", 2, 0, kSecond, -1);
+    EXPECT_FALSE(wide.is_served(kTeams));
+    JobOutcome service = fate("service", 2, 0, kSecond, -1);
     service.spec.kind = JobKind::Service;
-    EXPECT_FALSE(service.served(kTeams));
-    service.all_begun = 5 * kSecond;
-    EXPECT_TRUE(service.served(kTeams));
+    EXPECT_FALSE(service.is_served(kTeams));
+    service.all_started_at = 5 * kSecond;
+    EXPECT_TRUE(service.is_served(kTeams));
 }
 
 TEST(Acceptance, TheLargestAreCountedApart) {
-    std::vector<Fate> fates;
+    std::vector<JobOutcome> fates;
     for (int i = 0; i < 20; ++i) fates.push_back(fate("j" + std::to_string(i), 1, 0, kSecond, 20 * kSecond));
     fates.push_back(fate("huge", 8, 0, 239 * kSecond, 249 * kSecond));
     fates.push_back(fate("large", 6, 0, 10 * kSecond, 30 * kSecond));
     fates.push_back(fate("medium", 5, 0, -1, -1));
-    Acceptance a = judge(fates, kTeams, 300 * kSecond);
-    EXPECT_EQ(a.largest.at("batch").due, 2);
-    EXPECT_EQ(a.largest_wait.at("batch"), 239 * kSecond);
-    EXPECT_TRUE(a.broken.empty());
-    fates[20].begun = fates[20].done = fates[21].done = -1;
-    a = judge(fates, kTeams, 300 * kSecond);
+    AcceptanceResult a = evaluate_acceptance(fates, kTeams, 300 * kSecond);
+    EXPECT_EQ(a.served_of_largest.at("batch").due, 2);
+    EXPECT_EQ(a.longest_wait_of_largest.at("batch"), 239 * kSecond);
+    EXPECT_TRUE(a.violations.empty());
+    fates[20].first_started_at = fates[20].completed_at = fates[21].completed_at = -1;
+    a = evaluate_acceptance(fates, kTeams, 300 * kSecond);
     EXPECT_TRUE(has(a, "largest begin: huge of batch waited 300.0 s"));
     EXPECT_TRUE(has(a, "half served: largest of batch: 0 of 2"));
     EXPECT_FALSE(has(a, "half served: class"));
@@ -103,7 +103,7 @@
         w.mark_faults_over();
         if (deaf) w.cut_link("users", "loom-0");
         w.run(80 * kSecond);
-        EXPECT_EQ(has(judge(w.job_outcomes(), w.settings.teams, w.now()), "forgotten"), deaf);
+        EXPECT_EQ(has(evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now()), "forgotten"), deaf);
     }
 }
 
@@ -115,17 +115,17 @@
     for (const auto& m : w.machine_names()) w.kill_machine(m);
     for (int i = 1; i <= 6; ++i) w.submit(w.make_job(i, JobKind::Array, 3), 3 * kSecond);
     w.run(250 * kSecond);
-    const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
+    const AcceptanceResult a = evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now());
     EXPECT_TRUE(has(a, "half served: class class: 0 of 6")) << w.format_history();
     EXPECT_TRUE(has(a, "half served: team red"));
     EXPECT_TRUE(has(a, "largest begin"));
-    EXPECT_LT(a.unanswered, kAnsweredWithin);
+    EXPECT_LT(a.longest_unanswered, kMaxPollGap);
 }
 
 TEST(Acceptance, WhatCouldStartIsJudgedByAllThatTheJobAsksFor) {
-    const Rooms rooms{{"n-1", {"small", "a", false, {2'000, 0, 8'000}}},
-                      {"n-2", {"small", "b", true, {4'000, 0, 8'000}}},
-                      {"n-3", {"cards", "b", false, {1'000, 2'000, 8'000}}}};
+    const FreeCapacities rooms{{"n-1", {"small", "a", false, {2'000, 0, 8'000}}},
+                               {"n-2", {"small", "b", true, {4'000, 0, 8'000}}},
+                               {"n-3", {"cards", "b", false, {1'000, 2'000, 8'000}}}};
     const Resources plenty{kNoLimit, kNoLimit, 0};
     struct Case {
         const char* what;
@@ -147,9 +147,9 @@
          "n-3", plenty},
         {"its types", [](auto& j) { j.spec.types = {{"cards"}}; }, "", plenty},
         {"its zone", [](auto& j) { j.spec.zone = "b"; }, "", plenty},
-        {"one_zone", [](auto& j) { j.spec.one_zone = true, j.zones["b"] = 1; }, "", plenty},
-        {"spread", [](auto& j) { j.spec.spread = true, j.zones["a"] = 2; }, "", plenty},
-        {"spread, less", [](auto& j) { j.spec.spread = true, j.zones["a"] = 1; }, "n-1", plenty},
+        {"one_zone", [](auto& j) { j.spec.one_zone = true, j.running_by_zone["b"] = 1; }, "", plenty},
+        {"spread", [](auto& j) { j.spec.spread = true, j.running_by_zone["a"] = 2; }, "", plenty},
+        {"spread, less", [](auto& j) { j.spec.spread = true, j.running_by_zone["a"] = 1; }, "n-1", plenty},
         {"gang", [](auto& j) { j.spec.kind = JobKind::Gang; }, "", plenty},
         {"gang, on spot", [](auto& j) { j.spec.kind = JobKind::Gang, j.spec.spot = true; }, "n-2", plenty},
         {"gang in one zone",
@@ -160,10 +160,10 @@
          {5'000, kNoLimit, 0}}};
     for (const auto& c : cases) {
         WaitingJob job;
-        job.spec.tasks = job.tasks = 3;
+        job.spec.tasks = job.waiting_tasks = 3;
         job.spec.request = {2'000, 0, 1'000};
         c.ask(job);
-        EXPECT_EQ(could_start_on(job, rooms, c.left), c.on) << c.what;
+        EXPECT_EQ(find_startable_machine(job, rooms, c.left), c.on) << c.what;
     }
 }
 
@@ -184,8 +184,9 @@
         if (planted) w.state().limits.txn_ops = 0;
         w.mark_faults_over();
         w.run(115 * kSecond);
-        const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
-        EXPECT_EQ(has(a, "left waiting: " + waits.ref), planted) << a.left_waiting << w.format_history();
+        const AcceptanceResult a = evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now());
+        EXPECT_EQ(has(a, "left waiting: " + waits.ref), planted)
+            << a.longest_startable_wait << w.format_history();
         EXPECT_EQ(w.reported_stage(waits.ref), planted ? "accepted" : "done");
     }
 }
@@ -241,7 +242,7 @@
     write("duration_s = 100\nacceptance = false");
     EXPECT_EQ(Scenario::load(path).faults_end(), 40'300 * kMillisecond);
     write("duration_s = 130");
-    EXPECT_TRUE(Scenario::load(path).acceptance);
+    EXPECT_TRUE(Scenario::load(path).checks_acceptance);
 }
 
 // ---------------------------------------------------------------- what the simulator's world does
@@ -281,10 +282,10 @@
     w.submit(job, 5 * kSecond, -1);
     w.run(60 * kSecond);
     EXPECT_EQ(w.reported_stage("req-000001"), "done");
-    const Fate f = w.job_outcomes().front();
-    EXPECT_GE(f.begun - from, 10 * kSecond);
-    EXPECT_LE(f.begun - from, 12 * kSecond);
-    EXPECT_GE(f.all_begun - f.begun, 5 * kSecond);  // only two at a time have GPUs
+    const JobOutcome f = w.job_outcomes().front();
+    EXPECT_GE(f.first_started_at - from, 10 * kSecond);
+    EXPECT_LE(f.first_started_at - from, 12 * kSecond);
+    EXPECT_GE(f.all_started_at - f.first_started_at, 5 * kSecond);  // only two at a time have GPUs
     EXPECT_TRUE(w.violations.empty());
 }
 
@@ -318,11 +319,11 @@
 }
 
 TEST(LabWorld, ABurstBringsMoreAndIsOver) {
-    Load l;
+    Workload l;
     l.per_minute = 60;
-    l.burst = 4;
-    l.burst_at = 100 * kSecond;
-    l.burst_span = 100 * kSecond;
+    l.burst_factor = 4;
+    l.burst_start = 100 * kSecond;
+    l.burst_duration = 100 * kSecond;
     std::mt19937_64 random(1);
     int before = 0, within = 0, after = 0;
     for (const Micros t : l.arrivals(300 * kSecond, random))
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -22,19 +22,20 @@
 // ---------------------------------------------------------------- the judge
 
 struct Said {
-    Asked asked;
+    RequestKind asked;
     int status;
     const char* stage;
 };
-constexpr Truth kWanted{true, false, true}, kCancelled{true, true, false};
+constexpr ActualState kWanted{true, false, true}, kCancelled{true, true, false};
 
 TEST(ConsistencyChecker, WhatMayNotFollowWhat) {
     struct Case {
         Said first, then;
-        Truth truth;
+        ActualState truth;
         const char* rule;  // "": none
     };
-    const auto state = Asked::State, again = Asked::Submission, cancel = Asked::Cancellation;
+    const auto state = RequestKind::State, again = RequestKind::Submission,
+               cancel = RequestKind::Cancellation;
     const Said accepted{again, 201, "pending"}, done{state, 200, "done"}, gone{cancel, 200, "cancelled"};
     const std::vector<Case> cases{
         {accepted, {state, 200, "pending"}, kWanted, ""},
@@ -55,22 +56,23 @@
         {done, {cancel, 200, "done"}, kWanted, ""},
         {done, {state, 404, ""}, kWanted, "forgotten"},
         {gone, {state, 200, "pending"}, kCancelled, "went_back"},
-        {gone, {cancel, 200, "done"}, Truth{true, true, true}, "went_back"},
+        {gone, {cancel, 200, "done"}, ActualState{true, true, true}, "went_back"},
         {gone, {again, 200, "cancelled"}, kCancelled, ""},
         {{state, 404, ""}, {again, 201, "pending"}, kWanted, ""},
-        {{state, 404, ""}, {state, 200, "pending"}, Truth{}, "invented"},
-        {{again, 422, ""}, {again, 201, "pending"}, Truth{}, "accepted_wrong"},
+        {{state, 404, ""}, {state, 200, "pending"}, ActualState{}, "invented"},
+        {{again, 422, ""}, {again, 201, "pending"}, ActualState{}, "accepted_wrong"},
     };
     for (const auto& c : cases)
         for (const bool overtaken : {false, true}) {
             ConsistencyChecker looks;
-            const auto early = looks.begin();
+            const auto early = looks.begin_request();
             const bool right = c.truth.submitted;
-            looks.hear("req-000001", {c.first.asked, looks.begin(), c.first.status, c.first.stage, right},
-                       c.truth);
-            const auto begun = overtaken ? early : looks.begin();
-            const auto broken =
-                looks.hear("req-000001", {c.then.asked, begun, c.then.status, c.then.stage, right}, c.truth);
+            looks.check_answer("req-000001",
+                               {c.first.asked, looks.begin_request(), c.first.status, c.first.stage, right},
+                               c.truth);
+            const auto begun = overtaken ? early : looks.begin_request();
+            const auto broken = looks.check_answer(
+                "req-000001", {c.then.asked, begun, c.then.status, c.then.stage, right}, c.truth);
             const std::string rule = broken.empty() ? "" : broken[0].substr(0, broken[0].find(':'));
             // What only the order makes wrong is right for a question that was on its way already.
             const std::string name = c.rule;
@@ -152,8 +154,8 @@
     }
     EXPECT_GE(cancelled, 4);
     // 24 or 30 jobs, 5 questions and 3 repeats at each node after an acceptance and after an end.
-    EXPECT_GE(w->consistency_checker().after_acceptance(), 1000u);
-    EXPECT_GE(w->consistency_checker().after_end(), 700u);
+    EXPECT_GE(w->consistency_checker().answers_after_acceptance(), 1000u);
+    EXPECT_GE(w->consistency_checker().answers_after_end(), 700u);
     EXPECT_NO_VIOLATIONS(*w);
 }
 
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -57,8 +57,10 @@
     for (int i = 1; i <= 6; ++i)
         w.schedule_at(start + i * 10 * kSecond, [&] {
             const auto fates = w.job_outcomes();
-            waiting.push_back(static_cast<int>(std::count_if(
-                fates.begin(), fates.end(), [](const Fate& f) { return f.begun < 0 && !f.left_out; })));
+            waiting.push_back(
+                static_cast<int>(std::count_if(fates.begin(), fates.end(), [](const JobOutcome& f) {
+                    return f.first_started_at < 0 && !f.excluded;
+                })));
         });
     w.run(61 * kSecond);
     const double each = static_cast<double>(changes(w) - before) / jobs;
@@ -66,11 +68,11 @@
     w.run(40 * kSecond);
     EXPECT_TRUE(w.violations.empty()) << w.violations.front() << w.format_history();
     Micros accept = 0, begin = 0;
-    for (const Fate& f : w.job_outcomes()) {
-        accept = std::max(accept, f.accepted - sent.at(f.spec.ref));
-        if (f.left_out) continue;
-        EXPECT_GE(f.done, 0) << f.spec.ref;
-        begin = std::max(begin, f.begun - f.accepted);
+    for (const JobOutcome& f : w.job_outcomes()) {
+        accept = std::max(accept, f.accepted_at - sent.at(f.spec.ref));
+        if (f.excluded) continue;
+        EXPECT_GE(f.completed_at, 0) << f.spec.ref;
+        begin = std::max(begin, f.first_started_at - f.accepted_at);
     }
     EXPECT_EQ(w.job_outcomes().size(), static_cast<std::size_t>(jobs));
     EXPECT_LT(accept, 5 * kSecond);
@@ -131,11 +133,12 @@
     w.mark_faults_over();
     w.run(270 * kSecond);
     EXPECT_TRUE(w.violations.empty()) << w.violations.front() << w.format_history();
-    const Acceptance a = judge(w.job_outcomes(), w.settings.teams, w.now());
-    for (const auto& line : a.broken) ADD_FAILURE() << line;
+    const AcceptanceResult a = evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now());
+    for (const auto& line : a.violations) ADD_FAILURE() << line;
     for (const char* name : {"urgent", "batch", "large", "idle"})
-        std::printf("%s: %d of %d served, a largest waited %.1f s\n", name, a.classes.at(name).served,
-                    a.classes.at(name).due, static_cast<double>(a.largest_wait.at(name)) / 1e6);
+        std::printf("%s: %d of %d served, a largest waited %.1f s\n", name, a.served_by_class.at(name).served,
+                    a.served_by_class.at(name).due,
+                    static_cast<double>(a.longest_wait_of_largest.at(name)) / 1e6);
 }
 
 }  // namespace
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -304,12 +304,12 @@
     EXPECT_TRUE(w.violations.empty())
         << "seed " << seed << ", " << one << " and " << other << ": " << w.violations.front() << "\n"
         << w.format_history(60);
-    const Acceptance acceptance = judge(w.job_outcomes(), w.settings.teams, w.now());
-    for (const auto& line : acceptance.broken)
+    const AcceptanceResult acceptance = evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now());
+    for (const auto& line : acceptance.violations)
         ADD_FAILURE() << "seed " << seed << ", " << one << " and " << other << ": NOT ACCEPTABLE " << line;
     // Why the holder lets a job wait that is not over by now, two minutes after the last can have ended.
     for (const auto& f : w.job_outcomes())
-        if (!f.left_out && f.spec.kind != JobKind::Service && w.reported_stage(f.spec.ref) == "accepted")
+        if (!f.excluded && f.spec.kind != JobKind::Service && w.reported_stage(f.spec.ref) == "accepted")
             for (int i = 0; i < 3; ++i)
                 if (w.node(i) && w.owner_at(i))
                     ADD_FAILURE() << "seed " << seed << ", " << one << " and " << other << ": never over "
@@ -317,8 +317,9 @@
     // The world must have been busy, or nothing was tested.
     EXPECT_GT(running_at_meetings, 4 * kMeetings);
     EXPECT_GT(cancelled_between, kMeetings);
-    for (const char* name : {"gang", "lasting", "short"}) EXPECT_TRUE(acceptance.classes.count(name)) << name;
-    EXPECT_GT(acceptance.teams.at("red").due, 20);
+    for (const char* name : {"gang", "lasting", "short"})
+        EXPECT_TRUE(acceptance.served_by_class.count(name)) << name;
+    EXPECT_GT(acceptance.served_by_team.at("red").due, 20);
 }
 
 /// Found by seed 70 (an outage, while a controller stands still): a user asks two controllers at once, and
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -205,8 +205,8 @@
     w.schedule_at(w.now() + 20 * kSecond,
                   [&w] { w.mark_faults_over(); });  // whatever still lasts is over by then
     w.run(100 * kSecond);
-    const Acceptance acceptance = judge(w.job_outcomes(), w.settings.teams, w.now());
-    EXPECT_LT(acceptance.unanswered, kAnsweredWithin) << w.format_history(400);
+    const AcceptanceResult acceptance = evaluate_acceptance(w.job_outcomes(), w.settings.teams, w.now());
+    EXPECT_LT(acceptance.longest_unanswered, kMaxPollGap) << w.format_history(400);
     EXPECT_TRUE(w.violations.empty()) << "seed " << GetParam() << ": " << w.violations.front() << "\n"
                                       << w.format_history(400);
     int accepted = 0, over = 0, begun = 0;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -43,9 +43,9 @@
 }
 
 TEST(Scenario, WordsForNodesAreReadAndBadOnesNamed) {
-    EXPECT_EQ(with_fault("kind = \"refuse\"\nnode = \"leader\"").faults[0].who, Fault::Who::Leader);
-    EXPECT_EQ(with_fault("kind = \"cut_off\"\nnode = \"busiest\"").faults[0].who, Fault::Who::Busiest);
-    EXPECT_EQ(with_fault("kind = \"end\"\nany = true").faults[0].who, Fault::Who::Any);
+    EXPECT_EQ(with_fault("kind = \"refuse\"\nnode = \"leader\"").faults[0].target, Fault::Target::Leader);
+    EXPECT_EQ(with_fault("kind = \"cut_off\"\nnode = \"busiest\"").faults[0].target, Fault::Target::Busiest);
+    EXPECT_EQ(with_fault("kind = \"end\"\nany = true").faults[0].target, Fault::Target::Any);
     EXPECT_EQ(with_fault("kind = \"end\"\nnode = 2").faults[0].node, 2);
     EXPECT_EQ(error("kind = \"end\"\nnode = \"first\""),
               "fault[0].node: must be one of busiest, leader, not first");
@@ -67,10 +67,10 @@
           "kind = \"cancel_at_end\"\npart = 0.5", "kind = \"close_looks\"", "kind = \"odd_requests\"",
           "kind = \"late_commands\"\npart = 0.3", "kind = \"slow_state\"\nlate_s = 0.3",
           "kind = \"cut_off\"\nnode = \"leader\"", "kind = \"refuse\"\nnode = \"busiest\""}) {
-        Results results;
-        play(with_fault(fault), 1, results);
-        EXPECT_TRUE(results.fine()) << fault << ": " << results.broken.front();
-        EXPECT_GT(results.over, 10u) << fault;
+        ScenarioResults results;
+        run_scenario(with_fault(fault), 1, results);
+        EXPECT_TRUE(results.passed()) << fault << ": " << results.violations.front();
+        EXPECT_GT(results.jobs_finished, 10u) << fault;
     }
 }
 
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -31,11 +31,11 @@
         if (seed >= 0) e.seed = static_cast<std::uint64_t>(seed);
         if (seeds > 0) e.seeds = seeds;
         if (!start_logging("lab", level)) throw std::runtime_error("--log: must be error, info or debug");
-        simulation::Results results;
+        simulation::ScenarioResults results;
         for (int i = 0; i < e.seeds; ++i)
-            simulation::play(e, e.seed + static_cast<std::uint64_t>(i), results);
+            simulation::run_scenario(e, e.seed + static_cast<std::uint64_t>(i), results);
         if (json)
-            std::cout << results.value().dump(2) << "\n";
+            std::cout << results.to_json().dump(2) << "\n";
         else
             std::cout << e.name << "\n" << results.table();
         if (!csv.empty()) {
@@ -43,7 +43,7 @@
             out << results.csv();
             if (!out) throw std::runtime_error(csv + ": can't be written");
         }
-        return results.fine() ? 0 : 1;
+        return results.passed() ? 0 : 1;
     } catch (const std::exception& err) {
         std::cerr << "cottonway-lab: " << err.what() << "\n";
         return 2;
