--- a/tests/changing_hands_test.cpp
+++ b/tests/changing_hands_test.cpp
@@ -22,12 +22,12 @@
     void (*begin)(Simulator&, int holder);
 };
 const Change kChanges[] = {
-    {"given by its holder", false, 0, [](Simulator& w, int h) { transfer_shards(w, h, (h + 1) % 3); }},
+    {"given by its holder", false, 0, [](Simulator& w, int h) { commit_shard_transfer(w, h, (h + 1) % 3); }},
     {"given and back", false, 0,
      [](Simulator& w, int h) {
-         transfer_shards(w, h, (h + 1) % 3);
+         commit_shard_transfer(w, h, (h + 1) % 3);
          w.schedule_at(w.now() + 1500 * kMillisecond, [&w, h] {
-             if (w.owner_at((h + 1) % 3)) transfer_shards(w, (h + 1) % 3, h);
+             if (w.owner_at((h + 1) % 3)) commit_shard_transfer(w, (h + 1) % 3, h);
          });
      }},
     {"taken after an end", false, 2 * kSecond, [](Simulator& w, int h) { w.crash(h, 60 * kSecond); }},
--- a/tests/handing_over_test.cpp
+++ b/tests/handing_over_test.cpp
@@ -27,7 +27,7 @@
         for (const auto& m : w->machine_names())    // nor does a machine tell it
             for (int i = 0; i < 3; ++i)
                 if ((i == giver) != (m == machine)) w->cut_link(host(i), m);
-        transfer_shards(*w, giver, taker);
+        commit_shard_transfer(*w, giver, taker);
         w->run(400 * kMillisecond);
         if (ends) w->crash(taker, 100 * kMillisecond);
         w->run(45 * kSecond);
@@ -129,10 +129,10 @@
     w->hold_next_message(host(giver), machine);  // the /do with the launch
     w->submit(w->make_job(1, JobKind::Array, 1), kSecond, 0);
     w->run(600 * kMillisecond);
-    transfer_shards(*w, giver, taker);
+    commit_shard_transfer(*w, giver, taker);
     w->run(400 * kMillisecond);
     ASSERT_EQ(w->owner_node(), taker) << w->format_history();
-    transfer_shards(*w, taker, giver);
+    commit_shard_transfer(*w, taker, giver);
     w->run(400 * kMillisecond);
     ASSERT_EQ(w->owner_node(), giver) << w->format_history();
     w->run(10 * kSecond);
@@ -153,9 +153,9 @@
                 w->submit(w->make_job(2, JobKind::Array, 3), 15 * kSecond);
                 w->submit(w->make_job(3, JobKind::Gang, 2), 15 * kSecond);
                 w->run(3 * kSecond);
-                transfer_shards(*w, giver, taker);
+                commit_shard_transfer(*w, giver, taker);
                 w->run(gone);
-                if (w->owner_at(taker)) transfer_shards(*w, taker, giver);
+                if (w->owner_at(taker)) commit_shard_transfer(*w, taker, giver);
                 w->run(gone / 10);
                 for (int i = 0; i < 3; ++i) w->crash(i, i == one ? back : 40 * kSecond);
                 w->run(30 * kSecond);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -177,7 +177,7 @@
          w.submit(watched(w, 16), 10 * kSecond);
          w.run(2 * kSecond);
          w.add_machine("small", "a");
-         for (int i = 0; i < 500 && leased(w).size() < 2; ++i) w.run(10 * kMillisecond);
+         for (int i = 0; i < 500 && block_listings(w).size() < 2; ++i) w.run(10 * kMillisecond);
      },
      nothing,
      1},
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -33,16 +33,16 @@
         w->run(5 * kSecond);
         const std::string old = *w->machines_running("req-000001").begin();
         return_newer_machines(*w, newer);
-        ASSERT_EQ(leased(*w)[old], 1);
+        ASSERT_EQ(block_listings(*w)[old], 1);
         w->cloud().list_lag = kLag;
         w->run(2 * kLag);
         w->cancel("req-000001");  // so that it is idle
-        for (int i = 0; i < 600 && leased(*w)[old] > 0; ++i) w->run(100 * kMillisecond);
-        ASSERT_EQ(leased(*w)[old], 0) << w->format_history();
+        for (int i = 0; i < 600 && block_listings(*w)[old] > 0; ++i) w->run(100 * kMillisecond);
+        ASSERT_EQ(block_listings(*w)[old], 0) << w->format_history();
         for (Micros late = 0; late < 3 * kLag; late += 100 * kMillisecond) {
             w->run(100 * kMillisecond);
-            ASSERT_EQ(leased(*w)[old], 0) << newer << " newer ones were returned before\n"
-                                          << w->format_history();
+            ASSERT_EQ(block_listings(*w)[old], 0) << newer << " newer ones were returned before\n"
+                                                  << w->format_history();
         }
         EXPECT_NO_VIOLATIONS(*w);
     }
--- a/tests/settled_simulator.hpp
+++ b/tests/settled_simulator.hpp
@@ -31,7 +31,7 @@
 }
 
 /// How often each machine stands in the block records.
-inline std::map<std::string, int> leased(simulation::Simulator& w) {
+inline std::map<std::string, int> block_listings(simulation::Simulator& w) {
     std::map<std::string, int> times;
     const auto page = w.state().handle("GET", "/store?starts=c/block/&page=1000", Json(), w.now());
     for (const auto& p : page.body["pairs"]) {
@@ -43,7 +43,7 @@
 
 /// Every machine that there is stands in one block, once; and no block lists one that is gone.
 inline void expect_each_machine_leased_once(simulation::Simulator& w, const char* when = "") {
-    auto times = leased(w);
+    auto times = block_listings(w);
     for (const auto& name : w.machine_names())
         EXPECT_EQ(times[name], 1) << name << " " << when << "\n" << w.format_history();
     for (const auto& [name, n] : times)
@@ -51,7 +51,7 @@
 }
 
 /// What the holder's hand-over is, carried out though its answer is lost.
-inline void transfer_shards(simulation::Simulator& w, int from, int to) {
+inline void commit_shard_transfer(simulation::Simulator& w, int from, int to) {
     const std::string key = "c/domain/" + w.owner_at(from)->shard();
     w.record_event(host(from) + " hands over to " + host(to));
     Json write{{"write", key}, {"data", {{"holder", host(to)}}}};
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -66,7 +66,7 @@
                 case 1:
                     return w.machine_names().size() > 1;
                 case 2:
-                    return leased(w).size() > 1;
+                    return block_listings(w).size() > 1;
                 default: {
                     for (const auto& ref : w.job_refs())
                         for (const auto& m : w.machines_running(ref))
