--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -559,8 +559,8 @@
         }
     } else if (f.kind == "mute") {
         for (const auto& m : names) {
-            w.block_messages_from(m, true);
-            w.schedule_at(w.now() + f.duration, [&w, m] { w.block_messages_from(m, false); });
+            w.block_reports_from(m, true);
+            w.schedule_at(w.now() + f.duration, [&w, m] { w.block_reports_from(m, false); });
         }
     } else if (f.kind == "zone_lost") {
         w.fail_zone(f.zone, f.ends_zone);
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -12,32 +12,32 @@
 using fakes::Worker;
 
 namespace {
-std::pair<std::string, std::string> link(const std::string& a, const std::string& b) {
+std::pair<std::string, std::string> make_link(const std::string& a, const std::string& b) {
     return a < b ? std::pair(a, b) : std::pair(b, a);
 }
-constexpr Micros kStep = 50 * kMillisecond;
-constexpr Micros kListedOn = 30 * kSecond;  // as running, of a machine that died
+constexpr Micros kTickInterval = 50 * kMillisecond;
+constexpr Micros kDeadMachineListedTime = 30 * kSecond;  // the cloud lists it as running for so long
 constexpr Micros kNever = 1'000'000 * kSecond;
 }  // namespace
 
 Settings small_cluster_settings() {
-    Settings s;
-    s.node = "loom-0";
-    s.zone = "a";
-    s.zones = {"a", "b"};
-    s.teams = {{"red", {8'000, 0, 0}, {24'000, 0, 0}},
-               {"blue", {8'000, 0, 0}, {16'000, 0, 0}},
-               {"guests", {}, {kNoLimit, kNoLimit, 0}}};
-    s.ops.history_apart = true;
-    s.report_every = 2 * kSecond;
-    s.lease = 12 * kSecond;
-    s.gang_wait = 20 * kSecond;
-    s.gang_peer = 4 * kSecond;
-    s.cancel = 30 * kSecond;
-    s.state_rps = 500;
-    s.state_write_rps = 200;
-    s.cloud_rps = 5;
-    return s;
+    Settings settings;
+    settings.node = "loom-0";
+    settings.zone = "a";
+    settings.zones = {"a", "b"};
+    settings.teams = {{"red", {8'000, 0, 0}, {24'000, 0, 0}},
+                      {"blue", {8'000, 0, 0}, {16'000, 0, 0}},
+                      {"guests", {}, {kNoLimit, kNoLimit, 0}}};
+    settings.ops.history_apart = true;
+    settings.report_every = 2 * kSecond;
+    settings.lease = 12 * kSecond;
+    settings.gang_wait = 20 * kSecond;
+    settings.gang_peer = 4 * kSecond;
+    settings.cancel = 30 * kSecond;
+    settings.state_rps = 500;
+    settings.state_write_rps = 200;
+    settings.cloud_rps = 5;
+    return settings;
 }
 
 std::vector<MachineType> small_cluster_machine_types() {
@@ -46,7 +46,7 @@
     return {small, large};
 }
 
-/// A node's host: its clock drifts, and what it started dies with its process.
+/// The runtime of one controller's process. Its clock drifts, and its timers and calls end with the process.
 class Simulator::NodeRuntime : public Runtime, public std::enable_shared_from_this<NodeRuntime> {
   public:
     NodeRuntime(Simulator& simulator, int index, std::uint64_t seed)
@@ -62,18 +62,19 @@
     std::int64_t wall_ms() override { return 1'790'000'000'000 + simulator_.now_ / kMillisecond; }
     std::mt19937_64& random() override { return random_; }
     void after(Micros delay, std::function<void()> run) override {
-        simulator_.schedule_at(simulator_.now_ + std::max<Micros>(delay, 0),
-                               [self = shared_from_this(), run = std::move(run)] { self->take(run, true); });
+        simulator_.schedule_at(
+            simulator_.now_ + std::max<Micros>(delay, 0),
+            [self = shared_from_this(), run = std::move(run)] { self->run_in_process(run, true); });
     }
-    /// Runs in this process, if it has not ended meanwhile.
-    void take(std::function<void()> what, bool timer) {
+    /// Runs an action in this process, unless the process has ended meanwhile.
+    void run_in_process(std::function<void()> action, bool timer) {
         if (!alive) return;
-        simulator_.hand(
+        simulator_.run_on_node(
             index_,
-            [self = shared_from_this(), what = std::move(what)] {
+            [self = shared_from_this(), action = std::move(action)] {
                 if (!self->alive) return;
                 self->clock_.turn(self->now());
-                what();
+                action();
             },
             timer);
     }
@@ -82,124 +83,145 @@
             simulator_.on_traffic(name_, call.method + " " + call.path,
                                   call.body.is_null() ? call.bytes : wire::encode(call.body));
         auto pending = std::make_shared<Pending>();
-        auto finish = [self = shared_from_this(), pending, done = std::move(done)](const Reply& r) {
-            self->take(
-                [pending, done, r] {
-                    if (!std::exchange(pending->over, true)) done(r);
+        auto complete = [self = shared_from_this(), pending, done = std::move(done)](const Reply& reply) {
+            self->run_in_process(
+                [pending, done, reply] {
+                    if (!std::exchange(pending->is_completed, true)) done(reply);
                 },
                 false);
         };
-        release_shard(listened() + call.timeout, pending, finish);
-        std::string to = call.target == Target::State ? "state" : call.target == Target::Cloud ? "cloud" : "";
+        schedule_timeout(listened() + call.timeout, pending, complete);
+        std::string destination = call.target == Target::State   ? "state"
+                                  : call.target == Target::Cloud ? "cloud"
+                                                                 : "";
         if (call.target == Target::Worker)
-            if (auto at = simulator_.by_addr_.find(call.addr);
-                at != simulator_.by_addr_.end() && simulator_.worker(at->second))
-                to = at->second;
-        if (call.target == Target::Peer) to = "loom-" + std::to_string(std::stoi(call.addr.substr(7)) - 1);
-        auto back = [self = shared_from_this(), to, finish](Reply r) {
-            self->simulator_.send(to, self->name_, [finish, r = std::move(r)] { finish(r); });
+            if (auto found_address = simulator_.machine_by_address_.find(call.addr);
+                found_address != simulator_.machine_by_address_.end() &&
+                simulator_.worker(found_address->second))
+                destination = found_address->second;
+        if (call.target == Target::Peer)
+            destination = "loom-" + std::to_string(std::stoi(call.addr.substr(7)) - 1);
+        auto respond = [self = shared_from_this(), destination, complete](Reply reply) {
+            self->simulator_.send(destination, self->name_,
+                                  [complete, reply = std::move(reply)] { complete(reply); });
         };
-        auto send = [self = shared_from_this(), call, to, back] {
-            self->simulator_.send(self->name_, to, [self, call, to, back] { self->arrive(call, to, back); });
+        auto send = [self = shared_from_this(), call, destination, respond] {
+            self->simulator_.send(self->name_, destination, [self, call, destination, respond] {
+                self->execute_call(call, destination, respond);
+            });
         };
         if (call.target != Target::Worker && call.target != Target::Peer) return send();
         const bool no_socket = simulator_.nodes_[static_cast<std::size_t>(index_)].sockets_exhausted;
-        if (call.target == Target::Worker && no_socket) return finish_unsent(0, finish);
-        // A connection first: one that does not come about in time has carried nothing.
-        const bool refused = call.target == Target::Peer && !simulator_.node(std::stoi(to.substr(5)));
-        if (to.empty() || refused || simulator_.is_link_cut(name_, to)) {
-            return finish_unsent(refused ? kMillisecond : std::min(call.timeout, kSecond), finish);
+        if (call.target == Target::Worker && no_socket) return complete_unsent(0, complete);
+        // A connection comes first: if none is established in time, nothing was sent.
+        const bool refused =
+            call.target == Target::Peer && !simulator_.node(std::stoi(destination.substr(5)));
+        if (destination.empty() || refused || simulator_.is_link_cut(name_, destination)) {
+            return complete_unsent(refused ? kMillisecond : std::min(call.timeout, kSecond), complete);
         }
-        simulator_.schedule_at(simulator_.now_ + simulator_.delay(), send);
+        simulator_.schedule_at(simulator_.now_ + simulator_.draw_delay(), send);
     }
     bool alive = true;
 
   private:
     struct Pending {
-        bool over = false;
+        bool is_completed = false;
     };
-    void finish_unsent(Micros after, const std::function<void(const Reply&)>& finish) {
-        simulator_.schedule_at(simulator_.now_ + after, [finish] { finish(Reply{kNotSent, {}}); });
+    void complete_unsent(Micros after, const std::function<void(const Reply&)>& complete) {
+        simulator_.schedule_at(simulator_.now_ + after, [complete] { complete(Reply{kNotSent, {}}); });
     }
-    /// Time-outs go by the time spent listening.
-    void release_shard(Micros deadline, const std::shared_ptr<Pending>& pending,
-                       const std::function<void(const Reply&)>& finish) {
+    /// Times the call out. Only time in which the process was listening counts.
+    void schedule_timeout(Micros deadline, const std::shared_ptr<Pending>& pending,
+                          const std::function<void(const Reply&)>& complete) {
         after(std::max<Micros>(deadline - listened(), kMillisecond),
-              [self = shared_from_this(), deadline, pending, finish] {
-                  if (pending->over) return;
-                  if (self->listened() < deadline) return self->release_shard(deadline, pending, finish);
-                  finish(Reply{});
+              [self = shared_from_this(), deadline, pending, complete] {
+                  if (pending->is_completed) return;
+                  if (self->listened() < deadline) return self->schedule_timeout(deadline, pending, complete);
+                  complete(Reply{});
               });
     }
-    void arrive(const Call& call, const std::string& to, const std::function<void(Reply)>& back) {
-        Simulator& w = simulator_;
-        // Bodies go through the codec, as they would on the wire.
+    void execute_call(const Call& call, const std::string& destination,
+                      const std::function<void(Reply)>& respond) {
+        Simulator& simulator = simulator_;
+        // Bodies are encoded and decoded, as they would be on the wire.
         const Json body =
             call.body.is_null() ? Json() : wire::decode(wire::encode(call.body)).value_or(Json());
-        if (to == "state") {
-            ++w.nodes_[static_cast<std::size_t>(index_)].state_requests;
-            if (w.nodes_[static_cast<std::size_t>(index_)].refused) return back(Reply{503, Json::object()});
+        if (destination == "state") {
+            ++simulator.nodes_[static_cast<std::size_t>(index_)].state_requests;
+            if (simulator.nodes_[static_cast<std::size_t>(index_)].state_refused)
+                return respond(Reply{503, Json::object()});
             if (call.path.compare(0, 8, "/changes") == 0)
-                return wait_for_change(call.path, w.now_ + fakes::StateService::block_time(call.path), back);
+                return poll_changes(call.path, simulator.now_ + fakes::StateService::block_time(call.path),
+                                    respond);
             if (call.method != "GET")
-                w.repeat([&w, call, body] { w.state_.handle(call.method, call.path, body, w.now_); });
-            if (const auto late = call.path == "/commit" ? w.lateness(body) : std::nullopt)
-                return w.schedule_at(w.now_ + *late, [&w, call, body] {
-                    w.state_.handle(call.method, call.path, body, w.now_);
-                    w.watch_leader();
+                simulator.duplicate_at_random([&simulator, call, body] {
+                    simulator.state_.handle(call.method, call.path, body, simulator.now_);
+                });
+            if (const auto late = call.path == "/commit" ? simulator.draw_write_delay(body) : std::nullopt)
+                return simulator.schedule_at(simulator.now_ + *late, [&simulator, call, body] {
+                    simulator.state_.handle(call.method, call.path, body, simulator.now_);
+                    simulator.replay_reports_to_new_leader();
                 });
-            const Reply reply = w.state_.handle(call.method, call.path, body, w.now_);
-            if (call.path == "/commit") w.watch_leader();
-            return back(reply);
+            const Reply reply = simulator.state_.handle(call.method, call.path, body, simulator.now_);
+            if (call.path == "/commit") simulator.replay_reports_to_new_leader();
+            return respond(reply);
         }
-        if (to == "cloud" && call.method != "GET")
-            w.repeat([&w, call, body] { w.cloud_.handle(call.method, call.path, body, w.now_); });
-        if (to == "cloud") return back(w.cloud_.handle(call.method, call.path, body, w.now_));
+        if (destination == "cloud" && call.method != "GET")
+            simulator.duplicate_at_random([&simulator, call, body] {
+                simulator.cloud_.handle(call.method, call.path, body, simulator.now_);
+            });
+        if (destination == "cloud")
+            return respond(simulator.cloud_.handle(call.method, call.path, body, simulator.now_));
         if (call.target == Target::Peer) {
-            const int peer = std::stoi(to.substr(5));
-            return w.hand(peer, [&w, peer, bytes = call.bytes, back] {
-                if (!w.node(peer)) return;
-                w.node(peer)->handle_peer(bytes, [back](std::string answer) {
+            const int peer = std::stoi(destination.substr(5));
+            return simulator.run_on_node(peer, [&simulator, peer, bytes = call.bytes, respond] {
+                if (!simulator.node(peer)) return;
+                simulator.node(peer)->handle_peer(bytes, [respond](std::string answer) {
                     const int status = answer.empty() ? 400 : 200;
-                    back(Reply{status, {}, std::move(answer)});
+                    respond(Reply{status, {}, std::move(answer)});
                 });
             });
         }
-        auto it = w.workers_.find(to);
-        if (it == w.workers_.end() || !it->second.worker) return;
-        auto execute = [&w, to, call, body, back] {
-            auto found = w.workers_.find(to);
-            if (found == w.workers_.end() || !found->second.worker) return;
-            back(found->second.worker->handle(call.method, call.path, body, w.now_));
+        auto worker_state = simulator.workers_.find(destination);
+        if (worker_state == simulator.workers_.end() || !worker_state->second.worker) return;
+        auto execute = [&simulator, destination, call, body, respond] {
+            auto found = simulator.workers_.find(destination);
+            if (found == simulator.workers_.end() || !found->second.worker) return;
+            respond(found->second.worker->handle(call.method, call.path, body, simulator.now_));
         };
-        if (call.method != "GET" && w.duplicate_commands)
-            w.repeat([&w, to, call, body] {
-                if (Worker* x = w.worker(to); x && !w.workers_[to].hung)
-                    x->handle(call.method, call.path, body, w.now_);
-            });
-        if (call.method != "GET" && w.drawn(w.delayed_command_rate)) {
-            w.schedule_at(w.now_ + w.between(2 * kSecond, kMaxCommandDelay), [&w, to, call, body] {
-                auto late = [&w, to, call, body] {
-                    if (Worker* x = w.worker(to)) x->handle(call.method, call.path, body, w.now_);
-                };
-                if (w.workers_[to].hung) return w.workers_[to].waiting.push_back(late);
-                late();
+        if (call.method != "GET" && simulator.duplicate_commands)
+            simulator.duplicate_at_random([&simulator, destination, call, body] {
+                if (Worker* worker = simulator.worker(destination);
+                    worker && !simulator.workers_[destination].hung)
+                    worker->handle(call.method, call.path, body, simulator.now_);
             });
+        if (call.method != "GET" && simulator.happens(simulator.delayed_command_rate)) {
+            simulator.schedule_at(
+                simulator.now_ + simulator.random_between(2 * kSecond, kMaxCommandDelay),
+                [&simulator, destination, call, body] {
+                    auto late = [&simulator, destination, call, body] {
+                        if (Worker* worker = simulator.worker(destination))
+                            worker->handle(call.method, call.path, body, simulator.now_);
+                    };
+                    if (simulator.workers_[destination].hung)
+                        return simulator.workers_[destination].deferred_requests.push_back(late);
+                    late();
+                });
             return;
         }
-        if (it->second.hung)
-            it->second.waiting.push_back(execute);
+        if (worker_state->second.hung)
+            worker_state->second.deferred_requests.push_back(execute);
         else
             execute();
     }
-    void wait_for_change(const std::string& path, Micros until, const std::function<void(Reply)>& back) {
-        const bool refused = simulator_.nodes_[static_cast<std::size_t>(index_)].refused;
+    void poll_changes(const std::string& path, Micros until, const std::function<void(Reply)>& respond) {
+        const bool refused = simulator_.nodes_[static_cast<std::size_t>(index_)].state_refused;
         auto reply = refused ? std::nullopt : simulator_.state_.watch(path, simulator_.now_ >= until);
-        if (reply) return back(*reply);
+        if (reply) return respond(*reply);
         if (simulator_.now_ > until + 60 * kSecond) return;
         simulator_.schedule_at(simulator_.now_ + 10 * kMillisecond,
-                               [self = shared_from_this(), path, until, back] {
-                                   if (self->alive) self->wait_for_change(path, until, back);
+                               [self = shared_from_this(), path, until, respond] {
+                                   if (self->alive) self->poll_changes(path, until, respond);
                                });
     }
 
@@ -212,9 +234,9 @@
     ListeningClock clock_;
 };
 
-Simulator::Simulator(std::uint64_t seed, Settings s, std::vector<MachineType> types)
-    : settings(std::move(s)), random(seed), cloud_(std::move(types)) {
-    // WORLD_LOG=1 prints the trace and the controllers' own log lines as they come.
+Simulator::Simulator(std::uint64_t seed, Settings cluster_settings, std::vector<MachineType> types)
+    : settings(std::move(cluster_settings)), random(seed), cloud_(std::move(types)) {
+    // WORLD_LOG=1 prints the event history and the controllers' log lines as they come.
     spdlog::set_level(std::getenv("WORLD_LOG") ? spdlog::level::info : spdlog::level::off);
     cloud_.capacity = 0;
     cloud_.on_delete = [this](const std::string& name) { kill_machine(name); };
@@ -222,16 +244,16 @@
 }
 
 Simulator::~Simulator() {
-    for (auto& n : nodes_) {
-        if (n.host) n.host->alive = false;
-        n.controller.reset();
+    for (auto& node : nodes_) {
+        if (node.runtime) node.runtime->alive = false;
+        node.controller.reset();
     }
     events_.clear();
-    workers_.clear();  // they still tell what leaves them
+    workers_.clear();  // their destructors report the tasks that leave them
 }
 
-void Simulator::schedule_at(Micros when, std::function<void()> what) {
-    events_[{std::max(when, now_), ++order_}] = std::move(what);
+void Simulator::schedule_at(Micros when, std::function<void()> action) {
+    events_[{std::max(when, now_), ++last_event_number_}] = std::move(action);
 }
 
 void Simulator::run(Micros span) {
@@ -244,98 +266,98 @@
     now_ = end;
 }
 
-Micros Simulator::delay() {
+Micros Simulator::draw_delay() {
     return 500 + static_cast<Micros>(random() % 4500) +
-           (max_extra_link_delay > 0 ? between(0, max_extra_link_delay) : 0);
+           (max_extra_link_delay > 0 ? random_between(0, max_extra_link_delay) : 0);
 }
 
 void Simulator::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
-    if (hold_next_.erase({from, to})) {
-        record_event("a message from " + from + " to " + to + " is kept back");
-        kept_back_.push_back(std::move(deliver));
+    if (hold_requests_.erase({from, to})) {
+        record_event("a message from " + from + " to " + to + " is held back");
+        held_messages_.push_back(std::move(deliver));
         return;
     }
-    if (auto worker = workers_.find(to); worker != workers_.end() && worker->second.deaf) return;
-    if (cuts_.count(link(from, to)) || one_way_.count({from, to})) {
-        held_.emplace_back(from, to, std::move(deliver));
+    if (auto worker = workers_.find(to); worker != workers_.end() && worker->second.inbound_blocked) return;
+    if (cut_links_.count(make_link(from, to)) || one_way_cuts_.count({from, to})) {
+        held_by_cuts_.emplace_back(from, to, std::move(deliver));
         return;
     }
-    if (drawn(message_loss_rate) || (from == "state" && drawn(state_answer_loss_rate))) return;
+    if (happens(message_loss_rate) || (from == "state" && happens(state_answer_loss_rate))) return;
     const Micros slow =
-        from == "state" && max_state_answer_delay > 0 ? between(0, max_state_answer_delay) : 0;
-    schedule_at(now_ + delay() + slow, std::move(deliver));
+        from == "state" && max_state_answer_delay > 0 ? random_between(0, max_state_answer_delay) : 0;
+    schedule_at(now_ + draw_delay() + slow, std::move(deliver));
 }
 
-std::optional<Micros> Simulator::lateness(const Json& transaction) {
-    const Json* then = wire::find(transaction, "then");
-    for (auto it = late_next_.begin(); then && it != late_next_.end(); ++it) {
-        const auto& [prefix, late] = *it;
-        const auto touches = [&prefix = prefix](const Json& op) {
-            const auto key = wire::text(op, wire::find(op, "drop") ? "drop" : "write");
+std::optional<Micros> Simulator::draw_write_delay(const Json& transaction) {
+    const Json* operations = wire::find(transaction, "then");
+    for (auto it = write_delays_.begin(); operations && it != write_delays_.end(); ++it) {
+        const auto& [prefix, delay_of_next] = *it;
+        const auto writes_prefix = [&prefix = prefix](const Json& operation) {
+            const auto key = wire::text(operation, wire::find(operation, "drop") ? "drop" : "write");
             return key && key->compare(0, prefix.size(), prefix) == 0;
         };
-        if (std::none_of(then->begin(), then->end(), touches)) continue;
-        record_event("a transaction on " + prefix + " is carried out " + std::to_string(late / kMillisecond) +
-                     " ms late");
-        const Micros so_late = late;
-        late_next_.erase(it);
-        return so_late;
+        if (std::none_of(operations->begin(), operations->end(), writes_prefix)) continue;
+        record_event("a transaction on " + prefix + " is carried out " +
+                     std::to_string(delay_of_next / kMillisecond) + " ms late");
+        const Micros chosen_delay = delay_of_next;
+        write_delays_.erase(it);
+        return chosen_delay;
     }
-    if (drawn(unanswered_write_rate)) return 0;
-    if (drawn(delayed_write_rate)) return between(2 * kSecond, kMaxWriteDelay);
+    if (happens(unanswered_write_rate)) return 0;
+    if (happens(delayed_write_rate)) return random_between(2 * kSecond, kMaxWriteDelay);
     return std::nullopt;
 }
 
-void Simulator::watch_leader() {
-    const Reply r = state_.handle("GET", "/store/c/leader", Json(), now_);
-    const Json* data = r.status == 200 ? wire::find(r.body, "data") : nullptr;
+void Simulator::replay_reports_to_new_leader() {
+    const Reply reply = state_.handle("GET", "/store/c/leader", Json(), now_);
+    const Json* data = reply.status == 200 ? wire::find(reply.body, "data") : nullptr;
     const std::string node = data ? wire::text(*data, "node").value_or("") : "";
-    if (node.empty() || node == led_by_) return;
-    led_by_ = node;
-    for (const auto& body : std::exchange(kept_reports_, {}))
+    if (node.empty() || node == last_leader_) return;
+    last_leader_ = node;
+    for (const auto& body : std::exchange(reports_to_replay_, {}))
         for (int i = 0; i < node_count(); ++i)
-            schedule_at(now_ + delay(), [this, i, body] {
-                hand(i, [this, i, body] {
+            schedule_at(now_ + draw_delay(), [this, i, body] {
+                run_on_node(i, [this, i, body] {
                     if (node_count() > i && this->node(i))
                         this->node(i)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
                 });
             });
 }
 
-void Simulator::repeat(std::function<void()> again) {
-    if (drawn(duplicate_rate)) schedule_at(now_ + between(0, max_duplicate_delay), std::move(again));
+void Simulator::duplicate_at_random(std::function<void()> again) {
+    if (happens(duplicate_rate)) schedule_at(now_ + random_between(0, max_duplicate_delay), std::move(again));
 }
 
-void Simulator::hand(int i, std::function<void()> what, bool timer) {
-    Node& n = nodes_[static_cast<std::size_t>(i)];
-    if (!n.frozen) return what();
-    (timer ? n.due : n.unread).push_back(std::move(what));
+void Simulator::run_on_node(int node_index, std::function<void()> action, bool timer) {
+    Node& node = nodes_[static_cast<std::size_t>(node_index)];
+    if (!node.frozen) return action();
+    (timer ? node.deferred_timers : node.deferred_messages).push_back(std::move(action));
 }
 
-void Simulator::freeze_process(int i, Micros span) {
-    Node& n = nodes_[static_cast<std::size_t>(i)];
-    if (!n.controller || n.frozen) return;
-    record_event("loom-" + std::to_string(i) + " stands still for " + std::to_string(span / kMillisecond) +
-                 " ms");
-    n.frozen = true;
-    schedule_at(now_ + span, [this, i] {
-        Node& x = nodes_[static_cast<std::size_t>(i)];
-        if (!std::exchange(x.frozen, false)) return;
-        record_event("loom-" + std::to_string(i) + " goes on");
-        // The worst order: every timer is due before anything is read.
-        for (auto& run : std::exchange(x.due, {})) run();
-        for (auto& run : std::exchange(x.unread, {})) run();
+void Simulator::freeze_process(int node_index, Micros span) {
+    Node& node = nodes_[static_cast<std::size_t>(node_index)];
+    if (!node.controller || node.frozen) return;
+    record_event("loom-" + std::to_string(node_index) + " stands still for " +
+                 std::to_string(span / kMillisecond) + " ms");
+    node.frozen = true;
+    schedule_at(now_ + span, [this, node_index] {
+        Node& frozen_node = nodes_[static_cast<std::size_t>(node_index)];
+        if (!std::exchange(frozen_node.frozen, false)) return;
+        record_event("loom-" + std::to_string(node_index) + " goes on");
+        // The worst order: all timers run before any message is read.
+        for (auto& run : std::exchange(frozen_node.deferred_timers, {})) run();
+        for (auto& run : std::exchange(frozen_node.deferred_messages, {})) run();
     });
 }
 
 void Simulator::cut_link_one_way(const std::string& from, const std::string& to) {
-    record_event("nothing passes from " + from + " to " + to);
-    one_way_.insert({from, to});
+    record_event("cut one way from " + from + " to " + to);
+    one_way_cuts_.insert({from, to});
 }
 
 void Simulator::cut_link(const std::string& a, const std::string& b) {
     record_event("cut between " + a + " and " + b);
-    cuts_.insert(link(a, b));
+    cut_links_.insert(make_link(a, b));
 }
 
 void Simulator::heal_link(const std::string& a, const std::string& b) {
@@ -346,17 +368,17 @@
     std::set<std::pair<std::string, std::string>> healed;
     for (const auto& [a, b] : links) {
         record_event("healed between " + a + " and " + b);
-        cuts_.erase(link(a, b));
-        one_way_.erase({a, b});
-        one_way_.erase({b, a});
-        healed.insert(link(a, b));
+        cut_links_.erase(make_link(a, b));
+        one_way_cuts_.erase({a, b});
+        one_way_cuts_.erase({b, a});
+        healed.insert(make_link(a, b));
     }
-    auto held = std::exchange(held_, {});
+    auto held = std::exchange(held_by_cuts_, {});
     for (auto& [from, to, deliver] : held) {
-        if (healed.count(link(from, to)))
-            schedule_at(now_ + delay(), std::move(deliver));  // minutes late, but delivered
+        if (healed.count(make_link(from, to)))
+            schedule_at(now_ + draw_delay(), std::move(deliver));  // late by minutes, maybe, but delivered
         else
-            held_.emplace_back(from, to, std::move(deliver));
+            held_by_cuts_.emplace_back(from, to, std::move(deliver));
     }
 }
 
@@ -366,23 +388,23 @@
     LostZone& lost = lost_zones_[zone];
     std::vector<std::string> inside, outside{"state", "cloud"};
     for (int i = 0; i < node_count(); ++i) {
-        const bool in = settings.zones[static_cast<std::size_t>(i) % settings.zones.size()] == zone;
-        (in ? inside : outside).push_back("loom-" + std::to_string(i));
-        if (in && ends) crash(i, kNever);
+        const bool in_zone = settings.zones[static_cast<std::size_t>(i) % settings.zones.size()] == zone;
+        (in_zone ? inside : outside).push_back("loom-" + std::to_string(i));
+        if (in_zone && ends) crash(i, kNever);
     }
     for (const auto& name : machine_names()) {
-        const Worker& w = *worker(name);
-        (w.zone() == zone ? inside : outside).push_back(name);
-        if (w.zone() != zone || !ends) continue;
-        lost.machines.emplace_back(w.type().name, w.spot());
+        const Worker& worker_ref = *worker(name);
+        (worker_ref.zone() == zone ? inside : outside).push_back(name);
+        if (worker_ref.zone() != zone || !ends) continue;
+        lost.machines.emplace_back(worker_ref.type().name, worker_ref.spot());
         kill_machine(name);
     }
     if (ends) return;
-    auto speaks = [](const std::string& host) { return host.compare(0, 5, "loom-") == 0; };
+    auto is_controller = [](const std::string& host) { return host.compare(0, 5, "loom-") == 0; };
     for (const auto& a : inside)
         for (const auto& b : outside)
-            if (speaks(a) || speaks(b)) {
-                cuts_.insert(link(a, b));
+            if (is_controller(a) || is_controller(b)) {
+                cut_links_.insert(make_link(a, b));
                 lost.links.emplace_back(a, b);
             }
 }
@@ -401,96 +423,99 @@
 }
 
 void Simulator::heal_all_links() {
-    for (const auto& [a, b] : std::set(cuts_)) heal_link(a, b);
-    for (const auto& [a, b] : std::set(one_way_)) heal_link(a, b);
+    for (const auto& [a, b] : std::set(cut_links_)) heal_link(a, b);
+    for (const auto& [a, b] : std::set(one_way_cuts_)) heal_link(a, b);
 }
 
 void Simulator::hold_next_message(const std::string& from, const std::string& to) {
-    hold_next_.insert({from, to});
+    hold_requests_.insert({from, to});
 }
 
 void Simulator::release_held_messages() {
-    record_event("what was kept back arrives");
-    for (auto& deliver : std::exchange(kept_back_, {})) schedule_at(now_ + delay(), std::move(deliver));
+    record_event("messages that were held back arrive");
+    for (auto& deliver : std::exchange(held_messages_, {}))
+        schedule_at(now_ + draw_delay(), std::move(deliver));
 }
 
-void Simulator::refuse_state_requests(int i, bool on) {
-    record_event("state service " + std::string(on ? "refuses" : "serves") + " loom-" + std::to_string(i));
-    nodes_[static_cast<std::size_t>(i)].refused = on;
+void Simulator::refuse_state_requests(int node_index, bool on) {
+    record_event("state service " + std::string(on ? "refuses" : "serves") + " loom-" +
+                 std::to_string(node_index));
+    nodes_[static_cast<std::size_t>(node_index)].state_refused = on;
 }
 
-void Simulator::exhaust_sockets(int i, bool on) {
-    record_event("loom-" + std::to_string(i) +
+void Simulator::exhaust_sockets(int node_index, bool on) {
+    record_event("loom-" + std::to_string(node_index) +
                  (on ? " has no socket left for workers" : " has sockets again"));
-    nodes_[static_cast<std::size_t>(i)].sockets_exhausted = on;
+    nodes_[static_cast<std::size_t>(node_index)].sockets_exhausted = on;
 }
 
-void Simulator::isolate_controller(int i, bool on) {
+void Simulator::isolate_controller(int node_index, bool on) {
     std::vector<std::pair<std::string, std::string>> links;
-    const std::string host = "loom-" + std::to_string(i);
+    const std::string host = "loom-" + std::to_string(node_index);
     links.emplace_back(host, "state");
     for (int peer = 0; peer < node_count(); ++peer)
-        if (peer != i) links.emplace_back(host, "loom-" + std::to_string(peer));
+        if (peer != node_index) links.emplace_back(host, "loom-" + std::to_string(peer));
     if (!on) return heal_link(links);
     for (const auto& [a, b] : links) cut_link(a, b);
 }
 
 void Simulator::block_messages_to(const std::string& machine, bool on) {
-    record_event("machine " + machine + (on ? " is deaf" : " hears again"));
-    workers_[machine].deaf = on;
+    record_event("machine " + machine + (on ? " receives no messages" : " receives messages again"));
+    workers_[machine].inbound_blocked = on;
 }
 
-void Simulator::block_messages_from(const std::string& machine, bool on) {
+void Simulator::block_reports_from(const std::string& machine, bool on) {
     record_event("machine " + machine + (on ? " reaches no controller" : " reaches controllers again"));
-    workers_[machine].mute = on;
+    workers_[machine].reports_blocked = on;
 }
 
 // ---------------------------------------------------------------- nodes and machines
 
 void Simulator::start_nodes(int count, std::set<int> old) {
     nodes_.resize(static_cast<std::size_t>(count));
-    for (int i : old) nodes_[static_cast<std::size_t>(i)].old = true;
+    for (int i : old) nodes_[static_cast<std::size_t>(i)].runs_old_version = true;
     state_.limits = {settings.value_bytes_now, std::max<std::size_t>(settings.txn_ops, 8), 0};
     for (int i = 0; i < count; ++i) start_node(i);
 }
 
-void Simulator::start_node(int i) {
-    Node& n = nodes_[static_cast<std::size_t>(i)];
-    Settings s = settings;
-    s.node = "loom-" + std::to_string(i);
-    for (int p = 0; p < node_count(); ++p)
-        if (p != i)
-            s.peers.push_back({"loom-" + std::to_string(p),
-                               "",
-                               {"10.0.0." + std::to_string(p + 1), static_cast<std::uint16_t>(8081)}});
-    s.zone = settings.zones[static_cast<std::size_t>(i) % settings.zones.size()];
-    s.announces_format = !n.old;
-    n.violations = 0;
-    n.host = std::make_shared<NodeRuntime>(*this, i, random());
-    n.controller = std::make_unique<Controller>(*n.host, s);
-    n.controller->start();
-}
-
-void Simulator::upgrade(int i, Micros back_after) {
-    record_event("loom-" + std::to_string(i) + " is brought up to date");
-    nodes_[static_cast<std::size_t>(i)].old = false;
-    crash(i, back_after);
-}
-
-void Simulator::crash(int i, Micros back_after) {
-    Node& n = nodes_[static_cast<std::size_t>(i)];
-    if (!n.controller) return;
-    record_event("loom-" + std::to_string(i) + " ends");
-    if (led_by_ == "loom-" + std::to_string(i)) led_by_.clear();
-    n.host->alive = false;
-    n.controller.reset();
-    n.frozen = false;
-    n.due.clear();
-    n.unread.clear();
-    schedule_at(now_ + back_after, [this, i] {
-        if (nodes_[static_cast<std::size_t>(i)].controller) return;
-        record_event("loom-" + std::to_string(i) + " is back");
-        start_node(i);
+void Simulator::start_node(int node_index) {
+    Node& node = nodes_[static_cast<std::size_t>(node_index)];
+    Settings node_settings = settings;
+    node_settings.node = "loom-" + std::to_string(node_index);
+    for (int peer = 0; peer < node_count(); ++peer)
+        if (peer != node_index)
+            node_settings.peers.push_back(
+                {"loom-" + std::to_string(peer),
+                 "",
+                 {"10.0.0." + std::to_string(peer + 1), static_cast<std::uint16_t>(8081)}});
+    node_settings.zone = settings.zones[static_cast<std::size_t>(node_index) % settings.zones.size()];
+    node_settings.announces_format = !node.runs_old_version;
+    node.invariant_violations = 0;
+    node.runtime = std::make_shared<NodeRuntime>(*this, node_index, random());
+    node.controller = std::make_unique<Controller>(*node.runtime, node_settings);
+    node.controller->start();
+}
+
+void Simulator::upgrade(int node_index, Micros back_after) {
+    record_event("loom-" + std::to_string(node_index) + " is upgraded");
+    nodes_[static_cast<std::size_t>(node_index)].runs_old_version = false;
+    crash(node_index, back_after);
+}
+
+void Simulator::crash(int node_index, Micros back_after) {
+    Node& node = nodes_[static_cast<std::size_t>(node_index)];
+    if (!node.controller) return;
+    record_event("loom-" + std::to_string(node_index) + " ends");
+    if (last_leader_ == "loom-" + std::to_string(node_index)) last_leader_.clear();
+    node.runtime->alive = false;
+    node.controller.reset();
+    node.frozen = false;
+    node.deferred_timers.clear();
+    node.deferred_messages.clear();
+    schedule_at(now_ + back_after, [this, node_index] {
+        if (nodes_[static_cast<std::size_t>(node_index)].controller) return;
+        record_event("loom-" + std::to_string(node_index) + " is back");
+        start_node(node_index);
     });
 }
 
@@ -507,27 +532,27 @@
 }
 
 int Simulator::busiest_node() {
-    int found = -1;
-    std::size_t most = 0;
+    int busiest = -1;
+    std::size_t max_machines = 0;
     for (int i = 0; i < node_count(); ++i) {
-        std::size_t held = 0;
+        std::size_t machine_count = 0;
         if (node(i))
             for (const auto& [name, owner] : node(i)->owners())
-                if (owner) held += owner->machines().size();
-        if (held > most) most = held, found = i;
+                if (owner) machine_count += owner->machines().size();
+        if (machine_count > max_machines) max_machines = machine_count, busiest = i;
     }
-    return found;
+    return busiest;
 }
 
-ShardOwner* Simulator::owner_at(int i) {
-    if (!node(i)) return nullptr;
-    for (const auto& [name, owner] : node(i)->owners())
+ShardOwner* Simulator::owner_at(int node_index) {
+    if (!node(node_index)) return nullptr;
+    for (const auto& [name, owner] : node(node_index)->owners())
         if (owner && owner->active() && !owner->machines().empty()) return owner.get();
     return nullptr;
 }
 
 bool Simulator::is_link_cut(const std::string& a, const std::string& b) const {
-    return cuts_.count(link(a, b)) || one_way_.count({a, b}) || one_way_.count({b, a});
+    return cut_links_.count(make_link(a, b)) || one_way_cuts_.count({a, b}) || one_way_cuts_.count({b, a});
 }
 
 std::string Simulator::add_machine(const std::string& type, const std::string& zone, bool spot) {
@@ -537,22 +562,24 @@
 }
 
 void Simulator::boot_machines() {
-    for (auto& [name, m] : cloud_.machines()) {
-        if (m.up) continue;
-        if (m.up_at > m.rented && seen_rented_.insert(name).second && drawn(fast_boot_rate))
-            m.up_at = std::min(m.up_at, m.rented + between(200 * kMillisecond, 2 * kSecond));
-        if (m.up_at > now_) continue;
-        m.up = true;
-        m.info.state = CloudState::Running;
-        m.info.addr = "10.1." + std::to_string(workers_.size() / 250) + "." +
-                      std::to_string(workers_.size() % 250 + 1) + ":9000";
-        by_addr_[m.info.addr] = name;
-        zone_of_[name] = m.info.zone;
-        auto& r = workers_[name];
-        r.worker = std::make_unique<Worker>(name, m.info.addr, *cloud_.type(m.info.type), m.info.zone,
-                                            m.info.spot, settings.lease, settings.gang_wait, *this, now_);
-        r.node = static_cast<int>(random() % std::max<std::size_t>(nodes_.size(), 1));
-        r.next = now_ + delay();
+    for (auto& [name, machine] : cloud_.machines()) {
+        if (machine.up) continue;
+        if (machine.up_at > machine.rented && boot_time_drawn_.insert(name).second && happens(fast_boot_rate))
+            machine.up_at =
+                std::min(machine.up_at, machine.rented + random_between(200 * kMillisecond, 2 * kSecond));
+        if (machine.up_at > now_) continue;
+        machine.up = true;
+        machine.info.state = CloudState::Running;
+        machine.info.addr = "10.1." + std::to_string(workers_.size() / 250) + "." +
+                            std::to_string(workers_.size() % 250 + 1) + ":9000";
+        machine_by_address_[machine.info.addr] = name;
+        machine_zones_[name] = machine.info.zone;
+        auto& worker_state = workers_[name];
+        worker_state.worker = std::make_unique<Worker>(
+            name, machine.info.addr, *cloud_.type(machine.info.type), machine.info.zone, machine.info.spot,
+            settings.lease, settings.gang_wait, *this, now_);
+        worker_state.report_node = static_cast<int>(random() % std::max<std::size_t>(nodes_.size(), 1));
+        worker_state.next_report_at = now_ + draw_delay();
     }
 }
 
@@ -573,23 +600,24 @@
     if (it == workers_.end() || !it->second.worker) return;
     record_event("machine " + name + " is gone");
     it->second.worker.reset();
-    // One that was not deleted is listed as running for a while yet, then as failed until it is.
-    schedule_at(now_ + kListedOn, [this, name] {
-        if (auto m = cloud_.machines().find(name); m != cloud_.machines().end())
-            m->second.info.state = CloudState::Failed;
+    // A machine that wasn't deleted is still listed as running for a while, then as failed until it is
+    // deleted.
+    schedule_at(now_ + kDeadMachineListedTime, [this, name] {
+        if (auto machine = cloud_.machines().find(name); machine != cloud_.machines().end())
+            machine->second.info.state = CloudState::Failed;
     });
 }
 
 void Simulator::set_hung(const std::string& name, bool on) {
-    auto& r = workers_[name];
-    if (!r.worker || r.hung == on) return;
+    auto& worker_state = workers_[name];
+    if (!worker_state.worker || worker_state.hung == on) return;
     record_event("machine " + name + (on ? " hangs" : " goes on"));
-    r.hung = on;
+    worker_state.hung = on;
     if (!on)
-        for (auto& w : std::exchange(r.waiting, {})) w();
+        for (auto& request : std::exchange(worker_state.deferred_requests, {})) request();
 }
 
-void Simulator::answered(int node, const ApiResponse& response) const {
+void Simulator::observe_answer(int node, const ApiResponse& response) const {
     if (on_traffic)
         on_traffic("loom-" + std::to_string(node),
                    std::to_string(response.status) + " " + std::to_string(response.retry_after),
@@ -597,93 +625,101 @@
 }
 
 void Simulator::tick() {
-    schedule_at(now_ + kStep, [this] { tick(); });
-    if (send_unusual_requests && drawn(0.2)) odd_request();
+    schedule_at(now_ + kTickInterval, [this] { tick(); });
+    if (send_unusual_requests && happens(0.2)) send_unusual_request();
     boot_machines();
     state_.expire(now_);
-    for (auto& [name, r] : workers_) {
-        if (!r.worker) continue;
-        if (r.hung) {
-            r.worker->expire(now_);
+    for (auto& [name, worker_state] : workers_) {
+        if (!worker_state.worker) continue;
+        if (worker_state.hung) {
+            worker_state.worker->expire(now_);
             continue;
         }
-        r.worker->advance(now_);
-        const bool due = now_ >= r.next || (r.worker->changed && now_ - r.last >= 500 * kMillisecond);
-        if (!r.in_flight && due) report(name);
+        worker_state.worker->advance(now_);
+        const bool due =
+            now_ >= worker_state.next_report_at ||
+            (worker_state.worker->changed && now_ - worker_state.last_report_at >= 500 * kMillisecond);
+        if (!worker_state.report_in_flight && due) send_report(name);
     }
-    for (auto& n : nodes_) {
-        if (!n.controller || n.controller->decisions().violations() == n.violations) continue;
-        n.violations = n.controller->decisions().violations();
-        breach("invariant", "a lease was about to be renewed without a stop that was due");
+    for (auto& node : nodes_) {
+        if (!node.controller || node.controller->decisions().violations() == node.invariant_violations)
+            continue;
+        node.invariant_violations = node.controller->decisions().violations();
+        record_violation("invariant", "a lease was about to be renewed without a stop that was due");
     }
-    for (auto& [ref, u] : users_) {
-        if (u.told != "cancelled" || now_ <= u.cancelled_at + settings.cancel) continue;
-        if (running_tasks(ref) > 0) breach("ran_cancelled", ref + " is still on a machine");
+    for (auto& [ref, job_state] : jobs_) {
+        if (job_state.reported_stage != "cancelled" ||
+            now_ <= job_state.cancellation_reported_at + settings.cancel)
+            continue;
+        if (running_tasks(ref) > 0) record_violation("ran_cancelled", ref + " is still on a machine");
     }
 }
 
-void Simulator::report(const std::string& name) {
-    auto& r = workers_[name];
-    Worker& w = *r.worker;
-    const Micros sent = now_;
-    const auto session = w.session();
-    const auto generation = ++r.generation;
-    r.in_flight = true;
-    r.last = now_;
-    r.next = now_ + settings.report_every * 3 / 4 +
-             static_cast<Micros>(random() % 1000) * settings.report_every / 2000;
-    const std::string body = wire::encode(w.report(now_));
-    const int target = r.node;
+void Simulator::send_report(const std::string& name) {
+    auto& worker_state = workers_[name];
+    Worker& worker = *worker_state.worker;
+    const Micros sent_at = now_;
+    const auto session = worker.session();
+    const auto report_number = ++worker_state.report_number;
+    worker_state.report_in_flight = true;
+    worker_state.last_report_at = now_;
+    worker_state.next_report_at = now_ + settings.report_every * 3 / 4 +
+                                  static_cast<Micros>(random() % 1000) * settings.report_every / 2000;
+    const std::string body = wire::encode(worker.report(now_));
+    const int target = worker_state.report_node;
     const std::string host = "loom-" + std::to_string(target);
-    auto release_shard = [this, name, generation](int to, Micros wait) {
-        auto& x = workers_[name];
-        if (!x.worker || x.generation != generation || !x.in_flight) return;
-        x.in_flight = false;
-        x.node = to;
-        x.next = now_ + wait;
-        x.last = now_ + wait - 500 * kMillisecond;
+    auto retry_report = [this, name, report_number](int next_node, Micros wait) {
+        auto& current = workers_[name];
+        if (!current.worker || current.report_number != report_number || !current.report_in_flight) return;
+        current.report_in_flight = false;
+        current.report_node = next_node;
+        current.next_report_at = now_ + wait;
+        current.last_report_at = now_ + wait - 500 * kMillisecond;
     };
-    auto again = [this, target, body] {
-        hand(target, [this, target, body] {
+    auto send_copy = [this, target, body] {
+        run_on_node(target, [this, target, body] {
             if (node(target)) node(target)->handle({"POST", "/v1/report", body, false}, [](const auto&) {});
         });
     };
-    if (keep_reports_.erase(name) || drawn(replayed_report_rate)) kept_reports_.push_back(body);
-    if (r.mute) {
+    if (replay_requests_.erase(name) || happens(replayed_report_rate)) reports_to_replay_.push_back(body);
+    if (worker_state.reports_blocked) {
         schedule_at(now_ + 4 * kSecond,
-                    [release_shard, next = (target + 1) % node_count()] { release_shard(next, kSecond); });
+                    [retry_report, next = (target + 1) % node_count()] { retry_report(next, kSecond); });
         return;
     }
-    repeat(again);
-    if (drawn(late_report_copy_rate))
-        schedule_at(now_ + between(2 * kSecond, max_report_copy_delay(settings.lease)), again);
+    duplicate_at_random(send_copy);
+    if (happens(late_report_copy_rate))
+        schedule_at(now_ + random_between(2 * kSecond, max_report_copy_delay(settings.lease)), send_copy);
     const int next = (target + 1) % node_count();
-    schedule_at(now_ + 4 * kSecond, [release_shard, next] { release_shard(next, kSecond); });
+    schedule_at(now_ + 4 * kSecond, [retry_report, next] { retry_report(next, kSecond); });
     if (!nodes_[static_cast<std::size_t>(target)].controller) {
-        schedule_at(now_ + delay(), [release_shard, next] { release_shard(next, kSecond); });
+        schedule_at(now_ + draw_delay(), [retry_report, next] { retry_report(next, kSecond); });
         return;
     }
-    send(name, host, [this, name, host, target, next, session, sent, generation, body, release_shard] {
-        hand(target, [=, this] {
-            Node& n = nodes_[static_cast<std::size_t>(target)];
-            if (!n.controller) return;
-            n.controller->handle({"POST", "/v1/report", body, false}, [=, this](const ApiResponse& a) {
-                answered(target, a);
-                send(host, name, [=, this] {
-                    auto& x = workers_[name];
-                    if (!x.worker || x.hung || x.generation != generation || !x.in_flight) return;
-                    if (a.status == 200) {
-                        x.in_flight = false;
-                        x.worker->answered(a.body, session, sent, now_);
-                    } else if (a.status == 421 && wire::text(a.body, "overseer")) {
-                        const std::string to = *wire::text(a.body, "overseer");
-                        release_shard(std::atoi(to.c_str() + 5),
-                                      static_cast<Micros>(random() % 500) * kMillisecond);
-                    } else {
-                        release_shard(next, kSecond);
-                    }
+    send(name, host, [this, name, host, target, next, session, sent_at, report_number, body, retry_report] {
+        run_on_node(target, [=, this] {
+            Node& target_node = nodes_[static_cast<std::size_t>(target)];
+            if (!target_node.controller) return;
+            target_node.controller->handle(
+                {"POST", "/v1/report", body, false}, [=, this](const ApiResponse& response) {
+                    observe_answer(target, response);
+                    send(host, name, [=, this] {
+                        auto& current = workers_[name];
+                        if (!current.worker || current.hung || current.report_number != report_number ||
+                            !current.report_in_flight)
+                            return;
+                        if (response.status == 200) {
+                            current.report_in_flight = false;
+                            current.worker->answered(response.body, session, sent_at, now_);
+                        } else if (response.status == 421 && wire::text(response.body, "overseer")) {
+                            const std::string next_node = *wire::text(response.body, "overseer");
+                            retry_report(std::atoi(next_node.c_str() + 5),
+                                         static_cast<Micros>(random() % 500) * kMillisecond);
+                        } else {
+                            retry_report(next, kSecond);
+                        }
+                    });
                 });
-            });
         });
     });
 }
@@ -691,153 +727,161 @@
 // ---------------------------------------------------------------- users
 
 JobSpec Simulator::make_job(int number, JobKind kind, int tasks, double cores) {
-    JobSpec s;
+    JobSpec spec;
     char ref[32];
     std::snprintf(ref, sizeof ref, "req-%06d", number);
-    s.ref = ref;
-    s.job_class = "class";
-    s.team = "red";
-    s.kind = kind;
-    s.rank = PriorityClass::Normal;
-    s.tasks = tasks;
-    s.request = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
-    s.image = "img-" + std::to_string(number % 3);
-    s.image_gb = 500;
-    s.spot = true;
-    return s;
-}
-
-void Simulator::submit(const JobSpec& spec, Micros run, Micros fetch, bool mistaken) {
-    users_[spec.ref].info = {spec, run, fetch, mistaken};
+    spec.ref = ref;
+    spec.job_class = "class";
+    spec.team = "red";
+    spec.kind = kind;
+    spec.rank = PriorityClass::Normal;
+    spec.tasks = tasks;
+    spec.request = {static_cast<Milli>(cores * 1000), 0, static_cast<Milli>(cores * 2000)};
+    spec.image = "img-" + std::to_string(number % 3);
+    spec.image_gb = 500;
+    spec.spot = true;
+    return spec;
+}
+
+void Simulator::submit(const JobSpec& spec, Micros task_duration, Micros image_fetch_time,
+                       bool always_fails) {
+    jobs_[spec.ref].info = {spec, task_duration, image_fetch_time, always_fails};
     try_submit(spec.ref);
 }
 
 void Simulator::cancel(const std::string& ref) {
-    users_[ref].wants_cancel = true;
+    jobs_[ref].cancel_requested = true;
     try_cancel(ref);
 }
 
 std::vector<std::string> Simulator::cancel_random_jobs(int count, Micros hang_for) {
     std::vector<std::string> chosen;
-    for (const auto& [ref, u] : users_) {
+    for (const auto& [ref, job_state] : jobs_) {
         const bool long_to_go =
-            u.info.spec.kind == JobKind::Service || (u.begun >= 0 && now_ - u.begun < u.info.run / 2);
-        if (u.told == "accepted" && !u.wants_cancel && long_to_go && running_tasks(ref) > 0)
+            job_state.info.spec.kind == JobKind::Service ||
+            (job_state.first_started_at >= 0 && now_ - job_state.first_started_at < job_state.info.run / 2);
+        if (job_state.reported_stage == "accepted" && !job_state.cancel_requested && long_to_go &&
+            running_tasks(ref) > 0)
             chosen.push_back(ref);
     }
     std::shuffle(chosen.begin(), chosen.end(), random);
     chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(count)));
     std::set<std::string> machines;
     for (const auto& ref : chosen) {
-        for (const auto& m : machines_running(ref))
-            if (machines.size() < 8) machines.insert(m);
-        schedule_at(now_ + between(0, 200 * kMillisecond), [this, ref] { cancel(ref); });
+        for (const auto& machine : machines_running(ref))
+            if (machines.size() < 8) machines.insert(machine);
+        schedule_at(now_ + random_between(0, 200 * kMillisecond), [this, ref] { cancel(ref); });
     }
     if (hang_for == 0) return chosen;
-    for (const auto& m : machines) {
-        set_hung(m, true);
-        schedule_at(now_ + hang_for, [this, m] { set_hung(m, false); });
+    for (const auto& machine : machines) {
+        set_hung(machine, true);
+        schedule_at(now_ + hang_for, [this, machine] { set_hung(machine, false); });
     }
     return chosen;
 }
 
-void Simulator::user_call(const std::string& method, const std::string& path, const Json& body,
-                          std::function<void(ApiResponse)> done, int target) {
+void Simulator::call_as_user(const std::string& method, const std::string& path, const Json& body,
+                             std::function<void(ApiResponse)> done, int target) {
     std::vector<int> up;
     for (int i = 0; i < node_count(); ++i)
         if (node(i)) up.push_back(i);
-    auto over = std::make_shared<bool>(false);
-    auto finish = [over, done = std::move(done)](const ApiResponse& r) {
-        if (!std::exchange(*over, true)) done(r);
+    auto is_answered = std::make_shared<bool>(false);
+    auto answer_once = [is_answered, done = std::move(done)](const ApiResponse& response) {
+        if (!std::exchange(*is_answered, true)) done(response);
     };
-    schedule_at(now_ + 5 * kSecond, [finish] { finish({0, Json(), 0}); });
+    schedule_at(now_ + 5 * kSecond, [answer_once] { answer_once({0, Json(), 0}); });
     if (up.empty()) return;
     if (target < 0)
         target = preferred_node >= 0 && node(preferred_node) ? preferred_node : up[random() % up.size()];
     if (is_link_cut("users", "loom-" + std::to_string(target))) return;
     const std::string bytes = wire::encode(body);
-    schedule_at(now_ + delay(), [this, target, method, path, bytes, finish] {
-        hand(target, [this, target, method, path, bytes, finish] {
+    schedule_at(now_ + draw_delay(), [this, target, method, path, bytes, answer_once] {
+        run_on_node(target, [this, target, method, path, bytes, answer_once] {
             if (!node(target)) return;
-            node(target)->handle({method, path, bytes, false}, [this, target, finish](const ApiResponse& r) {
-                answered(target, r);
-                schedule_at(now_ + delay(), [this, target, finish, r] {
-                    if (node(target)) finish(r);
-                });
-            });
+            node(target)->handle({method, path, bytes, false},
+                                 [this, target, answer_once](const ApiResponse& response) {
+                                     observe_answer(target, response);
+                                     schedule_at(now_ + draw_delay(), [this, target, answer_once, response] {
+                                         if (node(target)) answer_once(response);
+                                     });
+                                 });
         });
     });
 }
 
-void Simulator::user_ask(RequestKind what, const std::string& ref, const Json& body,
-                         std::function<void(const ApiResponse&)> done, int target) {
-    const auto user = users_.find(ref);
-    const bool right = user != users_.end() && wire::parse_job(body).spec;
-    const std::string path = "/v1/jobs" + (what == RequestKind::Submission     ? ""
-                                           : what == RequestKind::Cancellation ? "/" + ref + "/abort"
+void Simulator::query_job(RequestKind kind, const std::string& ref, const Json& body,
+                          std::function<void(const ApiResponse&)> done, int target) {
+    const auto submitted_job = jobs_.find(ref);
+    const bool acceptable = submitted_job != jobs_.end() && wire::parse_job(body).spec;
+    const std::string path = "/v1/jobs" + (kind == RequestKind::Submission     ? ""
+                                           : kind == RequestKind::Cancellation ? "/" + ref + "/abort"
                                                                                : "/" + ref);
-    user_call(
-        what == RequestKind::State ? "GET" : "POST", path, body,
-        [this, what, ref, right, begun = looks_.begin_request(), sent = now_,
-         done = std::move(done)](const ApiResponse& r) {
-            if (r.status == 0) return done(r);
-            ActualState truth;
-            if (auto u = users_.find(ref); u != users_.end())
-                truth = {true, cancel_wanted(ref),
-                         static_cast<int>(u->second.done.size()) >= u->second.info.spec.tasks};
-            const std::string stage = wire::text(r.body, "stage").value_or("");
-            for (const auto& line : looks_.check_answer(ref, {what, begun, r.status, stage, right}, truth)) {
+    call_as_user(
+        kind == RequestKind::State ? "GET" : "POST", path, body,
+        [this, kind, ref, acceptable, request_moment = consistency_checker_.begin_request(), sent_at = now_,
+         done = std::move(done)](const ApiResponse& response) {
+            if (response.status == 0) return done(response);
+            ActualState actual;
+            if (auto known_job = jobs_.find(ref); known_job != jobs_.end())
+                actual = {true, is_cancel_requested(ref),
+                          static_cast<int>(known_job->second.completed_tasks.size()) >=
+                              known_job->second.info.spec.tasks};
+            const std::string stage = wire::text(response.body, "stage").value_or("");
+            for (const auto& line : consistency_checker_.check_answer(
+                     ref, {kind, request_moment, response.status, stage, acceptable}, actual)) {
                 record_event("BROKEN " + line);
                 violations.push_back(line);
             }
-            if (truth.submitted && (r.status == 200 || r.status == 201)) hear(ref, sent, r.body);
-            done(r);
+            if (actual.submitted && (response.status == 200 || response.status == 201))
+                record_answer(ref, sent_at, response.body);
+            done(response);
         },
         target);
 }
 
 void Simulator::try_submit(const std::string& ref) {
-    user_ask(RequestKind::Submission, ref, wire::job_value(users_[ref].info.spec),
-             [this, ref](const ApiResponse& r) {
-                 if (r.status == 200 || r.status == 201) {
-                     // Asked again at any later time, it is answered with its state.
-                     repeat([this, ref] { try_submit(ref); });
-                     return poll(ref);
-                 }
-                 if (r.status == 400 || r.status == 422) return;
-                 schedule_at(now_ + kSecond, [this, ref] { try_submit(ref); });
-             });
+    query_job(RequestKind::Submission, ref, wire::job_value(jobs_[ref].info.spec),
+              [this, ref](const ApiResponse& response) {
+                  if (response.status == 200 || response.status == 201) {
+                      // A repeated submission, however late, is answered with the job's state.
+                      duplicate_at_random([this, ref] { try_submit(ref); });
+                      return schedule_poll(ref);
+                  }
+                  if (response.status == 400 || response.status == 422) return;
+                  schedule_at(now_ + kSecond, [this, ref] { try_submit(ref); });
+              });
 }
 
 void Simulator::try_cancel(const std::string& ref) {
-    user_ask(RequestKind::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& r) {
-        if (r.status == 200) return repeat([this, ref] { try_cancel(ref); });
+    query_job(RequestKind::Cancellation, ref, Json::object(), [this, ref](const ApiResponse& response) {
+        if (response.status == 200) return duplicate_at_random([this, ref] { try_cancel(ref); });
         schedule_at(now_ + kSecond, [this, ref] { try_cancel(ref); });
     });
 }
 
-void Simulator::poll(const std::string& ref) {
-    if (users_[ref].polling) return;
-    users_[ref].polling = true;
+void Simulator::schedule_poll(const std::string& ref) {
+    if (jobs_[ref].poll_scheduled) return;
+    jobs_[ref].poll_scheduled = true;
     const Micros pause =
         (min_poll_interval + static_cast<Micros>(random() % 2000) * min_poll_interval / 1000) /
         poll_frequency_factor;
     schedule_at(now_ + pause, [this, ref] {
-        users_[ref].polling = false;
-        user_ask(RequestKind::State, ref, Json::object(), [this, ref](const ApiResponse& r) {
-            if (r.status == 200) {
-                User& u = users_[ref];
-                u.unanswered = std::max(u.unanswered, unanswered(u));
-                u.answered = now_;
+        jobs_[ref].poll_scheduled = false;
+        query_job(RequestKind::State, ref, Json::object(), [this, ref](const ApiResponse& response) {
+            if (response.status == 200) {
+                JobState& job_state = jobs_[ref];
+                job_state.longest_unanswered =
+                    std::max(job_state.longest_unanswered, time_unanswered(job_state));
+                job_state.last_answered_at = now_;
             }
-            poll(ref);
+            schedule_poll(ref);
         });
     });
 }
 
 void Simulator::query_all_nodes(const std::string& ref) {
-    const JobSpec& spec = users_.at(ref).info.spec;
-    // Another job under the same name, which by itself may be refused.
+    const JobSpec& spec = jobs_.at(ref).info.spec;
+    // Another job of the same name, which might be refused if the name were new.
     JobSpec other = spec;
     other.tasks = spec.tasks + 1;
     other.image = other.job_class = std::string(250, 'x');
@@ -845,29 +889,29 @@
         for (int i = 0; i < node_count(); ++i)
             schedule_at(now_ + later * kMillisecond, [this, ref, later, i, spec, other] {
                 if (!node(i)) return;
-                ask_about(ref, i);
-                if (later == 3 || later == 30) submit_again(ref, wire::job_value(spec), i);
-                if (later == 10) submit_again(ref, wire::job_value(other), i);
-                // One that nobody wanted can only be repeated once the job is over.
+                query_state(ref, i);
+                if (later == 3 || later == 30) resubmit(ref, wire::job_value(spec), i);
+                if (later == 10) resubmit(ref, wire::job_value(other), i);
+                // Without a request of the user, a job may be cancelled here only once it is over.
                 const bool over = reported_stage(ref) == "done" || reported_stage(ref) == "cancelled";
-                if (later == 10 && (over || cancel_wanted(ref)))
-                    user_ask(
+                if (later == 10 && (over || is_cancel_requested(ref)))
+                    query_job(
                         RequestKind::Cancellation, ref, Json::object(), [](const auto&) {}, i);
             });
 }
 
 void Simulator::query_and_resubmit(const JobSpec& spec, int target) {
-    submit_again(spec.ref, wire::job_value(spec), target);
-    ask_about(spec.ref, target);
+    resubmit(spec.ref, wire::job_value(spec), target);
+    query_state(spec.ref, target);
 }
 
-void Simulator::ask_about(const std::string& ref, int target) {
-    user_ask(
+void Simulator::query_state(const std::string& ref, int target) {
+    query_job(
         RequestKind::State, ref, Json::object(), [](const auto&) {}, target);
 }
 
-void Simulator::submit_again(const std::string& ref, const Json& body, int target) {
-    user_ask(
+void Simulator::resubmit(const std::string& ref, const Json& body, int target) {
+    query_job(
         RequestKind::Submission, ref, body, [](const auto&) {}, target);
 }
 
@@ -876,39 +920,39 @@
         for (int i = 1; i < node_count(); ++i) submit_invalid_job(body, i);
     target = std::max(target, 0);
     const std::string ref = wire::text(body, "ref").value_or("");
-    user_ask(
+    query_job(
         RequestKind::Submission, ref, body,
         [this, body, target](const ApiResponse& r) {
             if (r.status != 400 && r.status != 422)
                 schedule_at(now_ + kSecond, [this, body, target] { submit_invalid_job(body, target); });
         },
         target);
-    if (!ref.empty()) ask_about(ref, target);
+    if (!ref.empty()) query_state(ref, target);
 }
 
-void Simulator::odd_request() {
+void Simulator::send_unusual_request() {
     const int target = static_cast<int>(random() % nodes_.size());
     if (!node(target)) return;
-    const auto some = [this](const std::string& stage) -> const JobSpec* {
-        std::vector<const JobSpec*> all;
-        for (const auto& [ref, u] : users_)
-            if (u.told == stage) all.push_back(&u.info.spec);
-        return all.empty() ? nullptr : all[random() % all.size()];
+    const auto random_job_in_stage = [this](const std::string& stage) -> const JobSpec* {
+        std::vector<const JobSpec*> candidates;
+        for (const auto& [ref, job_state] : jobs_)
+            if (job_state.reported_stage == stage) candidates.push_back(&job_state.info.spec);
+        return candidates.empty() ? nullptr : candidates[random() % candidates.size()];
     };
-    JobSpec fresh = make_job(900'000 + ++odd_jobs_, JobKind::Array, 1);
-    Json body = wire::job_value(fresh);
+    JobSpec new_job = make_job(900'000 + ++unusual_jobs_sent_, JobKind::Array, 1);
+    Json body = wire::job_value(new_job);
     switch (random() % 5) {
         case 0:
-            if (const JobSpec* s = some("accepted")) {
-                body = wire::job_value(*s);
-                if (random() % 2) body.erase(body.begin());  // by name, so not its ref
-                submit_again(s->ref, body, target);
+            if (const JobSpec* spec = random_job_in_stage("accepted")) {
+                body = wire::job_value(*spec);
+                if (random() % 2) body.erase(body.begin());  // the first field by name, which isn't "ref"
+                resubmit(spec->ref, body, target);
             }
             break;
         case 1:
-            if (const JobSpec* s = some("done"))
-                user_ask(
-                    RequestKind::Cancellation, s->ref, Json::object(), [](const auto&) {}, target);
+            if (const JobSpec* spec = random_job_in_stage("done"))
+                query_job(
+                    RequestKind::Cancellation, spec->ref, Json::object(), [](const auto&) {}, target);
             break;
         case 2:
             body["cores"] = 1e6;
@@ -922,147 +966,164 @@
             break;
         }
         default:
-            ask_about(fresh.ref, target);
+            query_state(new_job.ref, target);
             break;
     }
 }
 
-void Simulator::hear(const std::string& ref, Micros sent, const Json& body) {
-    User& u = users_[ref];
+void Simulator::record_answer(const std::string& ref, Micros sent_at, const Json& body) {
+    JobState& job_state = jobs_[ref];
     const std::string stage = wire::text(body, "stage").value_or("");
-    if (const Micros told = cancel_told(ref);
-        stage != "cancelled" && stage != "done" && told > 0 && sent > told + settings.cancel)
-        breach("orphaned", ref + " is still called " + stage);
-    const std::string next = stage == "done" || stage == "cancelled" ? stage : "accepted";
-    // An answer that was overtaken by a newer one tells nothing.
-    if (u.told == next || u.told == "done" || u.told == "cancelled") return;
-    record_event("user is told: " + ref + " is " + next);
-    if (u.told.empty()) u.accepted_at = now_;
-    if (next == "cancelled") u.cancelled_at = now_;
-    const bool accepted = u.told.empty() && next == "accepted";
-    u.told = next;
+    if (const Micros cancelled_at = cancellation_report_time(ref); stage != "cancelled" && stage != "done" &&
+                                                                   cancelled_at > 0 &&
+                                                                   sent_at > cancelled_at + settings.cancel)
+        record_violation("orphaned", ref + " is still called " + stage);
+    const std::string new_stage = stage == "done" || stage == "cancelled" ? stage : "accepted";
+    // An answer that was overtaken by a newer one is ignored.
+    if (job_state.reported_stage == new_stage || job_state.reported_stage == "done" ||
+        job_state.reported_stage == "cancelled")
+        return;
+    record_event("user is told: " + ref + " is " + new_stage);
+    if (job_state.reported_stage.empty()) job_state.accepted_at = now_;
+    if (new_stage == "cancelled") job_state.cancellation_reported_at = now_;
+    const bool accepted = job_state.reported_stage.empty() && new_stage == "accepted";
+    job_state.reported_stage = new_stage;
     if (!query_after_changes) return;
     query_all_nodes(ref);
-    if (accepted && !u.wants_cancel && drawn(0.1)) cancel(ref);
+    if (accepted && !job_state.cancel_requested && happens(0.1)) cancel(ref);
 }
 
-Micros Simulator::unanswered(const User& u) const {
-    return quiesced_since_ < 0 ? 0 : now_ - std::max({quiesced_since_, u.answered, u.accepted_at});
+Micros Simulator::time_unanswered(const JobState& job_state) const {
+    return faults_over_since_ < 0
+               ? 0
+               : now_ - std::max({faults_over_since_, job_state.last_answered_at, job_state.accepted_at});
 }
 
 void Simulator::mark_faults_over() {
-    if (quiesced_since_ < 0) schedule_at(now_, [this] { watch_waiting(); });
-    quiesced_since_ = now_;
-}
-
-ClusterSnapshot Simulator::sight() {
-    ClusterSnapshot s;
-    for (const auto& t : settings.teams) s.remaining_limits[t.name] = t.limit;
-    std::map<std::pair<std::string, int>, std::string> held;  // tasks on machines, by their zones
-    for (const auto& [name, r] : workers_) {
-        if (!r.worker) continue;
-        FreeCapacity room{r.worker->type().name, r.worker->zone(), r.worker->spot(), r.worker->type().size};
-        for (const auto& [ref, task] : r.worker->held()) {
-            const JobSpec& spec = users_.at(ref).info.spec;
-            room.free -= spec.request;
-            s.remaining_limits[spec.team] -= spec.request;
-            held[{ref, task}] = room.zone;
+    if (faults_over_since_ < 0) schedule_at(now_, [this] { check_starvation(); });
+    faults_over_since_ = now_;
+}
+
+ClusterSnapshot Simulator::take_snapshot() {
+    ClusterSnapshot snapshot;
+    for (const auto& team : settings.teams) snapshot.remaining_limits[team.name] = team.limit;
+    std::map<std::pair<std::string, int>, std::string> zone_of_task;  // tasks on machines, by their zones
+    for (const auto& [name, worker_state] : workers_) {
+        if (!worker_state.worker) continue;
+        FreeCapacity capacity{worker_state.worker->type().name, worker_state.worker->zone(),
+                              worker_state.worker->spot(), worker_state.worker->type().size};
+        for (const auto& [ref, task] : worker_state.worker->held()) {
+            const JobSpec& spec = jobs_.at(ref).info.spec;
+            capacity.free -= spec.request;
+            snapshot.remaining_limits[spec.team] -= spec.request;
+            zone_of_task[{ref, task}] = capacity.zone;
         }
-        bool reached = !r.hung && !r.deaf && !r.mute && !r.worker->faulty && !r.worker->notice;
-        for (int i = 0; reached && !(cuts_.empty() && one_way_.empty()) && i < node_count(); ++i)
-            reached = !is_link_cut(name, "loom-" + std::to_string(i));
-        if (reached) s.machines[name] = std::move(room);
+        bool reachable = !worker_state.hung && !worker_state.inbound_blocked &&
+                         !worker_state.reports_blocked && !worker_state.worker->faulty &&
+                         !worker_state.worker->notice;
+        for (int i = 0; reachable && !(cut_links_.empty() && one_way_cuts_.empty()) && i < node_count(); ++i)
+            reachable = !is_link_cut(name, "loom-" + std::to_string(i));
+        if (reachable) snapshot.machines[name] = std::move(capacity);
     }
-    for (const auto& [ref, u] : users_) {
-        const JobSpec& spec = u.info.spec;
-        if (u.told != "accepted" || u.finished >= 0 || u.info.broken || cancel_wanted(ref)) continue;
+    for (const auto& [ref, job_state] : jobs_) {
+        const JobSpec& spec = job_state.info.spec;
+        if (job_state.reported_stage != "accepted" || job_state.completed_at >= 0 || job_state.info.broken ||
+            is_cancel_requested(ref))
+            continue;
         if (std::any_of(spec.needs.begin(), spec.needs.end(),
-                        [this](const auto& need) { return users_.at(need).finished < 0; }))
+                        [this](const auto& need) { return jobs_.at(need).completed_at < 0; }))
             continue;
-        WaitingJob job{spec, spec.tasks - static_cast<int>(u.done.size()), {}, u.starts};
-        for (auto it = held.lower_bound({ref, 0}); it != held.end() && it->first.first == ref; ++it) {
-            ++job.running_by_zone[it->second];
-            job.waiting_tasks -= !u.done.count(it->first.second);
+        WaitingJob waiting{
+            spec, spec.tasks - static_cast<int>(job_state.completed_tasks.size()), {}, job_state.task_starts};
+        for (auto it = zone_of_task.lower_bound({ref, 0}); it != zone_of_task.end() && it->first.first == ref;
+             ++it) {
+            ++waiting.running_by_zone[it->second];
+            waiting.waiting_tasks -= !job_state.completed_tasks.count(it->first.second);
         }
-        const bool waits = spec.kind == JobKind::Gang ? job.running_by_zone.empty() : job.waiting_tasks > 0;
-        if (waits) s.waiting_jobs[ref] = std::move(job);
+        const bool waits =
+            spec.kind == JobKind::Gang ? waiting.running_by_zone.empty() : waiting.waiting_tasks > 0;
+        if (waits) snapshot.waiting_jobs[ref] = std::move(waiting);
     }
-    return s;
+    return snapshot;
 }
 
-void Simulator::watch_waiting() {
-    schedule_at(now_ + kSecond, [this] { watch_waiting(); });
-    starvation_checker_.observe(now_, sight());
+void Simulator::check_starvation() {
+    schedule_at(now_ + kSecond, [this] { check_starvation(); });
+    starvation_checker_.observe(now_, take_snapshot());
 }
 
 std::vector<JobOutcome> Simulator::job_outcomes() const {
-    std::vector<JobOutcome> out;
-    for (const auto& [ref, u] : users_) {
-        if (u.told.empty()) continue;
-        const bool excluded = u.info.broken || u.told == "cancelled" || cancel_wanted(ref);
-        const Micros fetch = std::max<Micros>(u.info.fetch, 0);
-        out.push_back({u.info.spec, u.info.run + fetch, u.accepted_at, u.begun, u.all_started_at, u.finished,
-                       excluded, std::max(u.unanswered, unanswered(u)), starvation_checker_.wait_of(ref)});
+    std::vector<JobOutcome> outcomes;
+    for (const auto& [ref, job_state] : jobs_) {
+        if (job_state.reported_stage.empty()) continue;
+        const bool excluded =
+            job_state.info.broken || job_state.reported_stage == "cancelled" || is_cancel_requested(ref);
+        const Micros fetch = std::max<Micros>(job_state.info.fetch, 0);
+        outcomes.push_back({job_state.info.spec, job_state.info.run + fetch, job_state.accepted_at,
+                            job_state.first_started_at, job_state.all_started_at, job_state.completed_at,
+                            excluded, std::max(job_state.longest_unanswered, time_unanswered(job_state)),
+                            starvation_checker_.wait_of(ref)});
     }
-    return out;
+    return outcomes;
 }
 
 void Simulator::record_running_tasks() {
-    running_before_.clear();
-    for (const auto& [key, where] : on_) running_before_.insert(key);
+    running_before_restart_.clear();
+    for (const auto& [key, machines] : running_on_) running_before_restart_.insert(key);
 }
 
 std::vector<std::string> Simulator::job_refs() const {
-    std::vector<std::string> out;
-    for (const auto& [ref, u] : users_) out.push_back(ref);
-    return out;
+    std::vector<std::string> refs;
+    for (const auto& [ref, job_state] : jobs_) refs.push_back(ref);
+    return refs;
 }
 
-ApiResponse Simulator::request_raw(int i, const std::string& method, const std::string& path,
+ApiResponse Simulator::request_raw(int node_index, const std::string& method, const std::string& path,
                                    const std::string& body) {
     auto result = std::make_shared<std::optional<ApiResponse>>();
-    node(i)->handle({method, path, body, false}, [result](const ApiResponse& r) {
-        if (!*result) *result = r;
+    node(node_index)->handle({method, path, body, false}, [result](const ApiResponse& response) {
+        if (!*result) *result = response;
     });
-    for (int n = 0; n < 500 && !*result; ++n) run(10 * kMillisecond);
+    for (int attempt = 0; attempt < 500 && !*result; ++attempt) run(10 * kMillisecond);
     return result->value_or(ApiResponse{0, Json(), 0});
 }
 
-ApiResponse Simulator::request(int i, const std::string& method, const std::string& path, const Json& body) {
-    return request_raw(i, method, path, wire::encode(body));
+ApiResponse Simulator::request(int node_index, const std::string& method, const std::string& path,
+                               const Json& body) {
+    return request_raw(node_index, method, path, wire::encode(body));
 }
 
 std::string Simulator::reported_stage(const std::string& ref) const {
-    auto it = users_.find(ref);
-    return it == users_.end() ? "" : it->second.told;
+    auto it = jobs_.find(ref);
+    return it == jobs_.end() ? "" : it->second.reported_stage;
 }
 
 int Simulator::running_tasks(const std::string& ref) const {
-    int n = 0;
-    for (const auto& [key, where] : on_)
-        if (key.first == ref) n += static_cast<int>(where.size());
-    return n;
+    int count = 0;
+    for (const auto& [key, machines] : running_on_)
+        if (key.first == ref) count += static_cast<int>(machines.size());
+    return count;
 }
 
 std::set<std::string> Simulator::machines_running(const std::string& ref) const {
     std::set<std::string> names;
-    for (const auto& [key, where] : on_)
+    for (const auto& [key, machines] : running_on_)
         if (key.first == ref)
-            for (const auto& [machine, attempt] : where) names.insert(machine);
+            for (const auto& [machine, attempt] : machines) names.insert(machine);
     return names;
 }
 
 int Simulator::task_starts(const std::string& ref) const {
-    auto it = users_.find(ref);
-    return it == users_.end() ? 0 : it->second.starts;
+    auto it = jobs_.find(ref);
+    return it == jobs_.end() ? 0 : it->second.task_starts;
 }
 
 int Simulator::completed_tasks(const std::string& ref) const {
-    auto it = users_.find(ref);
-    return it == users_.end() ? 0 : static_cast<int>(it->second.done.size());
+    auto it = jobs_.find(ref);
+    return it == jobs_.end() ? 0 : static_cast<int>(it->second.completed_tasks.size());
 }
 
-// ---------------------------------------------------------------- the rules
+// ---------------------------------------------------------------- protocol rules
 
 void Simulator::record_event(const std::string& line) {
     char time[32];
@@ -1072,106 +1133,115 @@
 }
 
 std::string Simulator::format_history(std::size_t last) const {
-    std::string out;
+    std::string lines;
     for (std::size_t i = event_history.size() > last ? event_history.size() - last : 0;
          i < event_history.size(); ++i)
-        out += event_history[i] + "\n";
-    return out;
+        lines += event_history[i] + "\n";
+    return lines;
 }
 
-bool Simulator::cancel_wanted(const std::string& ref) const {
-    const User& u = users_.at(ref);
-    return u.wants_cancel || std::any_of(u.info.spec.needs.begin(), u.info.spec.needs.end(),
-                                         [this](const auto& need) { return cancel_wanted(need); });
+bool Simulator::is_cancel_requested(const std::string& ref) const {
+    const JobState& job_state = jobs_.at(ref);
+    return job_state.cancel_requested ||
+           std::any_of(job_state.info.spec.needs.begin(), job_state.info.spec.needs.end(),
+                       [this](const auto& need) { return is_cancel_requested(need); });
 }
 
-Micros Simulator::cancel_told(const std::string& ref) const {
-    const User& u = users_.at(ref);
-    if (u.told == "cancelled") return u.cancelled_at;
-    for (const auto& need : u.info.spec.needs)
-        if (const Micros told = cancel_told(need)) return told;
+Micros Simulator::cancellation_report_time(const std::string& ref) const {
+    const JobState& job_state = jobs_.at(ref);
+    if (job_state.reported_stage == "cancelled") return job_state.cancellation_reported_at;
+    for (const auto& need : job_state.info.spec.needs)
+        if (const Micros time = cancellation_report_time(need)) return time;
     return 0;
 }
 
-void Simulator::breach(const std::string& rule, const std::string& what) {
+void Simulator::record_violation(const std::string& rule, const std::string& what) {
     record_event("BROKEN " + rule + ": " + what);
     violations.push_back(rule + ": " + what);
 }
 
 const JobInfo* Simulator::job(const std::string& ref) {
-    auto it = users_.find(ref);
-    return it == users_.end() ? nullptr : &it->second.info;
+    auto it = jobs_.find(ref);
+    return it == jobs_.end() ? nullptr : &it->second.info;
 }
 
 void Simulator::on_machine(const std::string& machine, const std::string& ref, int task,
                            std::int64_t attempt) {
-    User& u = users_.at(ref);
-    const JobSpec& s = u.info.spec;
-    ++u.starts;
+    JobState& job_state = jobs_.at(ref);
+    const JobSpec& spec = job_state.info.spec;
+    ++job_state.task_starts;
     record_event(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " +
                  machine);
-    for (const auto& need : s.needs)
-        if (static_cast<int>(users_.at(need).done.size()) < users_.at(need).info.spec.tasks)
-            breach("too_early", ref + " starts before " + need + " is done");
-    auto& where = on_[{ref, task}];
-    if (!where.empty())
-        breach("ran_twice", ref + "/" + std::to_string(task) + " is on " + where.begin()->first);
-    where[machine] = attempt;
-    if (u.started.insert(task).second && u.accepted_at > 0)
-        waits_.emplace_back(s.job_class, now_ - u.accepted_at);
-    if (auto left = left_.extract({ref, task})) gaps_.emplace_back(s.job_class, now_ - left.mapped());
-    if (u.begun < 0) u.begun = now_;
-    if (u.all_started_at < 0 && static_cast<int>(u.started.size()) == s.tasks) u.all_started_at = now_;
-    started_again_ += running_before_.count({ref, task});
-    if (u.told == "cancelled" && now_ > u.cancelled_at + settings.cancel)
-        breach("ran_cancelled", ref + " starts on " + machine);
-    const Resources used = used_[s.team] += s.request;
-    auto& zones = u.zones;
+    for (const auto& need : spec.needs)
+        if (static_cast<int>(jobs_.at(need).completed_tasks.size()) < jobs_.at(need).info.spec.tasks)
+            record_violation("too_early", ref + " starts before " + need + " is done");
+    auto& machines = running_on_[{ref, task}];
+    if (!machines.empty())
+        record_violation("ran_twice", ref + "/" + std::to_string(task) + " is on " + machines.begin()->first);
+    machines[machine] = attempt;
+    if (job_state.started_tasks.insert(task).second && job_state.accepted_at > 0)
+        task_start_delays_.emplace_back(spec.job_class, now_ - job_state.accepted_at);
+    if (auto stopped = replica_stopped_at_.extract({ref, task}))
+        replica_downtimes_.emplace_back(spec.job_class, now_ - stopped.mapped());
+    if (job_state.first_started_at < 0) job_state.first_started_at = now_;
+    if (job_state.all_started_at < 0 && static_cast<int>(job_state.started_tasks.size()) == spec.tasks)
+        job_state.all_started_at = now_;
+    unnecessary_starts_ += running_before_restart_.count({ref, task});
+    if (job_state.reported_stage == "cancelled" &&
+        now_ > job_state.cancellation_reported_at + settings.cancel)
+        record_violation("ran_cancelled", ref + " starts on " + machine);
+    const Resources used = team_usage_[spec.team] += spec.request;
+    auto& zones = job_state.tasks_by_zone;
     ++zones[worker(machine)->zone()];
-    for (const auto& t : settings.teams)
-        if (t.name == s.team && (used.cores > t.limit.cores || used.gpus > t.limit.gpus))
-            breach("quota", fmt::format("{} uses {} and {} cards", s.team, used.cores, used.gpus));
-    const Worker& w = *worker(machine);
-    const bool type_ok =
-        !s.types || std::find(s.types->begin(), s.types->end(), w.type().name) != s.types->end();
-    if (!type_ok || (s.zone && *s.zone != w.zone()) || (w.spot() && !s.spot) ||
-        (s.one_zone && zones.size() > 1) || (s.spread && zones[w.zone()] > (s.tasks + 1) / 2))
-        breach("wrong_place", ref + " on " + machine);
+    for (const auto& team : settings.teams)
+        if (team.name == spec.team && (used.cores > team.limit.cores || used.gpus > team.limit.gpus))
+            record_violation("quota",
+                             fmt::format("{} uses {} and {} cards", spec.team, used.cores, used.gpus));
+    const Worker& host_worker = *worker(machine);
+    const bool type_ok = !spec.types || std::find(spec.types->begin(), spec.types->end(),
+                                                  host_worker.type().name) != spec.types->end();
+    if (!type_ok || (spec.zone && *spec.zone != host_worker.zone()) || (host_worker.spot() && !spec.spot) ||
+        (spec.one_zone && zones.size() > 1) ||
+        (spec.spread && zones[host_worker.zone()] > (spec.tasks + 1) / 2))
+        record_violation("wrong_place", ref + " on " + machine);
 }
 
 void Simulator::off_machine(const std::string& machine, const std::string& ref, int task,
                             std::int64_t attempt) {
     record_event(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " leaves " +
                  machine);
-    auto it = on_.find({ref, task});
-    if (it == on_.end() || it->second.erase(machine) == 0) return;
-    User& u = users_.at(ref);
-    used_[u.info.spec.team] -= u.info.spec.request;
-    auto zone = u.zones.find(cloud_zone(machine));
-    if (zone != u.zones.end() && --zone->second == 0) u.zones.erase(zone);
-    if (it->second.empty()) on_.erase(it);
-    if (u.info.spec.kind == JobKind::Service && !on_.count({ref, task})) left_[{ref, task}] = now_;
+    auto it = running_on_.find({ref, task});
+    if (it == running_on_.end() || it->second.erase(machine) == 0) return;
+    JobState& job_state = jobs_.at(ref);
+    team_usage_[job_state.info.spec.team] -= job_state.info.spec.request;
+    auto zone = job_state.tasks_by_zone.find(machine_zone(machine));
+    if (zone != job_state.tasks_by_zone.end() && --zone->second == 0) job_state.tasks_by_zone.erase(zone);
+    if (it->second.empty()) running_on_.erase(it);
+    if (job_state.info.spec.kind == JobKind::Service && !running_on_.count({ref, task}))
+        replica_stopped_at_[{ref, task}] = now_;
 }
 
 void Simulator::completed(const std::string& ref, int task, std::int64_t attempt) {
-    User& u = users_.at(ref);
-    u.done.insert(task);
-    if (u.info.spec.kind == JobKind::Gang) {
+    JobState& job_state = jobs_.at(ref);
+    job_state.completed_tasks.insert(task);
+    if (job_state.info.spec.kind == JobKind::Gang) {
         finished_gangs_.insert({ref, attempt});
-        for (int i = 0; i < u.info.spec.tasks; ++i) u.done.insert(i);
+        for (int i = 0; i < job_state.info.spec.tasks; ++i) job_state.completed_tasks.insert(i);
     }
-    if (u.finished >= 0 || static_cast<int>(u.done.size()) < u.info.spec.tasks) return;
-    u.finished = now_;
-    if (query_after_changes && !u.told.empty()) query_all_nodes(ref);
-    if (!u.wants_cancel && drawn(cancel_on_completion_rate))
-        schedule_at(now_ + between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
+    if (job_state.completed_at >= 0 ||
+        static_cast<int>(job_state.completed_tasks.size()) < job_state.info.spec.tasks)
+        return;
+    job_state.completed_at = now_;
+    if (query_after_changes && !job_state.reported_stage.empty()) query_all_nodes(ref);
+    if (!job_state.cancel_requested && happens(cancel_on_completion_rate))
+        schedule_at(now_ + random_between(0, 100 * kMillisecond), [this, ref] { cancel(ref); });
 }
 
 bool Simulator::gang_complete(const std::string& ref, std::int64_t attempt) {
-    const int tasks = users_.at(ref).info.spec.tasks;
+    const int tasks = jobs_.at(ref).info.spec.tasks;
     for (int i = 0; i < tasks; ++i) {
-        auto it = on_.find({ref, i});
-        if (it == on_.end() || it->second.begin()->second != attempt) return false;
+        auto it = running_on_.find({ref, i});
+        if (it == running_on_.end() || it->second.begin()->second != attempt) return false;
     }
     return true;
 }
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// A simulated world around real controllers: fakes for the outside systems, a network that delays, loses
-// and holds messages, and users who check every rule of the protocol as they go. Same seed, same run.
+// A deterministic simulation around real controllers: fakes of the external systems, a network that delays,
+// loses and holds back messages, and users. Every rule of the protocol is checked at each step. A seed
+// determines the whole run.
 
 #include <map>
 #include <memory>
@@ -27,165 +28,197 @@
                        std::vector<MachineType> types = small_cluster_machine_types());
     ~Simulator() override;
 
-    // Time.
+    // Simulated time.
     Micros now() const { return now_; }
     void run(Micros span);
-    void schedule_at(Micros when, std::function<void()> what);
+    void schedule_at(Micros when, std::function<void()> action);
 
-    // What the world consists of.
+    // The simulated cluster: controllers ("nodes"), machines and external systems.
     std::string add_machine(const std::string& type, const std::string& zone, bool spot = false);
-    /// `old`: nodes that run the version before, which does not say that it reads more, until `upgrade`.
+    /// Starts the controllers. Those in `old` run the previous version, which doesn't announce the newer
+    /// format that it can read, until `upgrade`.
     void start_nodes(int count = 3, std::set<int> old = {});
+    /// Restarts a controller with the current version.
     void upgrade(int node, Micros back_after);
+    /// Ends a controller's process, which starts again after `back_after`.
     void crash(int node, Micros back_after);
+    /// Returns nullptr while the process is down.
     Controller* node(int i) { return nodes_[static_cast<std::size_t>(i)].controller.get(); }
     int node_count() const { return static_cast<int>(nodes_.size()); }
-    /// Index of the node that leads, or -1.
+    /// Returns the index of the current leader, or -1.
     int leader_node() const;
-    int owner_node();                // index of a node that holds machines and is active, or -1
-    int busiest_node();              // index of the node that holds the most machines, or -1
-    ShardOwner* owner_at(int node);  // of the machines that it holds
+    /// Returns the index of a node that owns an active shard with machines, or -1.
+    int owner_node();
+    /// Returns the index of the node whose shards have the most machines, or -1.
+    int busiest_node();
+    /// Returns a node's active shard that has machines, or nullptr.
+    ShardOwner* owner_at(int node);
     fakes::Worker* worker(const std::string& name);
     fakes::StateService& state() { return state_; }
     fakes::Cloud& cloud() { return cloud_; }
     std::vector<std::string> machine_names() const;
     void kill_machine(const std::string& name);
     void set_hung(const std::string& name, bool on);
-    /// The process stands still while its clocks run on: what is sent to it waits, and its timers are all due
-    /// afterwards.
+    /// Pauses a controller's process while its clocks run on: messages to it wait, and all timers that came
+    /// due are run when it continues.
     void freeze_process(int node, Micros span);
 
-    // The network. Hosts are "loom-0", "state", "cloud", machines' names and "users".
+    // The network. Its hosts are "loom-0" and so on (controllers), "state", "cloud", the machines and
+    // "users".
+    /// Cuts the link between two hosts in both directions. Messages are held until it is healed.
     void cut_link(const std::string& a, const std::string& b);
+    /// Restores a link and delivers the messages that were held.
     void heal_link(const std::string& a, const std::string& b);
     void heal_all_links();
     bool is_link_cut(const std::string& a, const std::string& b) const;
-    /// Keeps back the next message from one host to another, whatever else passes between them.
+    /// Holds back the next message from one host to another; other messages between them pass.
     void hold_next_message(const std::string& from, const std::string& to);
+    /// Delivers all messages that `hold_next_message` held back.
     void release_held_messages();
-    /// Messages one way only are held; no new connection comes about either.
+    /// Holds messages in one direction. No new connection between the two can be opened either.
     void cut_link_one_way(const std::string& from, const std::string& to);
-    /// 503 for this node alone.
+    /// Has the state service answer this node alone with 503.
     void refuse_state_requests(int node, bool on);
-    /// The process has no socket left to call workers with: none of its commands is sent. Workers that have
-    /// a connection to it go on reporting.
+    /// Leaves the process without sockets for calls to workers, so that none of its commands is sent. Workers
+    /// that have a connection to it continue to report.
     void exhaust_sockets(int node, bool on);
-    /// The controller loses the state service and the other controllers, not its workers or users.
+    /// Cuts a controller off from the state service and the other controllers, but not from workers or users.
     void isolate_controller(int node, bool on);
-    /// The machine's reports arrive; answers and direct commands to it are lost.
+    /// Drops answers and direct commands to a machine. Its reports still arrive.
     void block_messages_to(const std::string& machine, bool on);
-    /// The machine reaches no controller, while direct commands reach it, and their answers whoever sent
-    /// them.
-    void block_messages_from(const std::string& machine, bool on);
-    /// Part of the machines that are rented from now on and up within two seconds.
+    /// Keeps a machine's reports from all controllers. Direct commands still reach it, and their answers
+    /// reach the controller that sent them.
+    void block_reports_from(const std::string& machine, bool on);
+    /// Fraction of the machines rented from now on that boot within two seconds.
     double fast_boot_rate = 0;
-    Micros max_extra_link_delay = 0;  // messages between all hosts take up to so much longer
+    Micros max_extra_link_delay = 0;  // added to the delay of messages between all hosts
     double message_loss_rate = 0;
-    double state_answer_loss_rate = 0;  // of the state service
-    /// Part of all reports, commands, changes, rental and users' requests that arrive once more, up to
-    /// `repeat_late` later; nobody waits for the answers. What the protocol says of delayed messages holds.
+    double state_answer_loss_rate = 0;
+    /// Fraction of all reports, commands, transactions, cloud requests and user requests that arrive a second
+    /// time, up to `max_duplicate_delay` later. Nobody waits for the answers to the copies. What the protocol
+    /// says of delayed messages applies to them.
     double duplicate_rate = 0;
     Micros max_duplicate_delay = 8 * kSecond;
-    /// Part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones, if
-    /// their conditions still hold.
+    /// Fraction of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones,
+    /// if their conditions still hold.
     double delayed_write_rate = 0;
     static constexpr Micros kMaxWriteDelay = 12 * kSecond;
-    /// The next transaction that writes or drops a key with this prefix gets no answer and is carried out so
-    /// much later, if its conditions still hold. Several wait for one each.
-    void delay_next_write(const std::string& prefix, Micros after) { late_next_.emplace_back(prefix, after); }
-    /// Those that are still waited for.
-    std::size_t pending_write_delays() const { return late_next_.size(); }
-    /// Part of the transactions that are carried out at once and whose answer alone is lost, while other
-    /// controllers read what they wrote. `late_next` with 0 has it happen to the next of a kind.
+    /// Delays the next transaction that writes or deletes a key with this prefix: it gets no answer and is
+    /// carried out `after` later, if its conditions still hold. Each call applies to one transaction.
+    void delay_next_write(const std::string& prefix, Micros after) {
+        write_delays_.emplace_back(prefix, after);
+    }
+    /// Returns the number of such delays that no transaction has matched yet.
+    std::size_t pending_write_delays() const { return write_delays_.size(); }
+    /// Fraction of the transactions that are carried out at once but whose answer is lost, while other
+    /// controllers read what they wrote. `delay_next_write` with 0 does this to the next transaction on a
+    /// key.
     double unanswered_write_rate = 0;
-    /// Answers of the state service are up to so much later.
+    /// Upper bound of a random extra delay of the state service's answers.
     Micros max_state_answer_delay = 0;
-    /// Part of the direct commands that get no answer and are carried out once, 2 to 16 s later, if token and
-    /// session still match.
+    /// Fraction of the direct commands that get no answer and are executed once, 2 to 16 s later, if token
+    /// and session still match.
     double delayed_command_rate = 0;
     static constexpr Micros kMaxCommandDelay = 16 * kSecond;
-    /// Part of the workers' reports of which a copy arrives again at the same node, from 2 s to two and a
-    /// half leases later.
+    /// Fraction of the workers' reports of which a copy arrives at the same node again, between 2 s and two
+    /// and a half leases later.
     double late_report_copy_rate = 0;
     static constexpr Micros max_report_copy_delay(Micros lease) { return lease * 5 / 2; }
-    /// Part of the workers' reports of which a copy is kept until another controller leads, or the same one
-    /// after an end, and reaches all controllers then.
+    /// Fraction of the workers' reports of which a copy is kept until another controller becomes the leader,
+    /// or the same one after a restart. The copy then reaches all controllers.
     double replayed_report_rate = 0;
-    /// The same for the next report of a machine.
-    void replay_next_report(const std::string& machine) { keep_reports_.insert(machine); }
-    std::size_t pending_report_replays() const { return kept_reports_.size(); }
-    /// Commands that were carried out as well. The protocol has one that must not be: a launch after a clear.
+    /// Keeps a copy of a machine's next report in the same way.
+    void replay_next_report(const std::string& machine) { replay_requests_.insert(machine); }
+    std::size_t pending_report_replays() const { return reports_to_replay_.size(); }
+    /// Duplicates also commands that were executed. The protocol has one that must not be executed again: a
+    /// launch whose attempt was cleared.
     bool duplicate_commands = false;
-    /// A zone is cut off, its controllers with it, or all in it ends; and it is back: its controllers at
-    /// once, machines that ended as new ones.
+    /// Cuts off a zone with its controllers or, if `ends`, ends every process and machine in it.
     void fail_zone(const std::string& zone, bool ends);
+    /// Brings a zone back: its controllers at once, and new machines in place of those that ended.
     void restore_zone(const std::string& zone);
 
-    // JobService.
+    // Users and their jobs.
+    /// Returns a small job of team "red" whose name is derived from the number.
     JobSpec make_job(int number, JobKind kind, int tasks, double cores = 1);
-    void submit(const JobSpec& spec, Micros run, Micros fetch = 200 * kMillisecond, bool mistaken = false);
-    int preferred_node = -1;             // the node that users go to while it is up; -1: any
-    int poll_frequency_factor = 1;       // how many times as often as usual users poll
-    Micros min_poll_interval = kSecond;  // at least, thrice as much at most
-    /// All troubles are over: from now on accepted jobs are due an answered poll and, where there is room, a
+    /// Submits a job until it is accepted or refused, then polls it. Its tasks take
+    /// `task_duration` each; their image takes `image_fetch_time` to load.
+    void submit(const JobSpec& spec, Micros task_duration, Micros image_fetch_time = 200 * kMillisecond,
+                bool always_fails = false);
+    int preferred_node = -1;             // that users ask while it is up; -1: a random one
+    int poll_frequency_factor = 1;       // users poll so many times as often
+    Micros min_poll_interval = kSecond;  // the maximum is three times as long
+    /// Declares all faults over: from now on accepted jobs must get answered polls and, where there is room,
     /// start.
     void mark_faults_over();
-    /// Of all accepted jobs.
+    /// Returns the outcome so far of every accepted job.
     std::vector<JobOutcome> job_outcomes() const;
-    /// Requests of a node to the state service so far.
+    /// Returns how many requests a node has sent to the state service.
     std::uint64_t state_requests(int node) const {
         return nodes_[static_cast<std::size_t>(node)].state_requests;
     }
-    /// Of each task: from the acceptance of its job to its first start.
-    const std::vector<std::pair<std::string, Micros>>& task_start_delays() const { return waits_; }
-    /// Of each replica that stopped and started again: the time without it.
-    const std::vector<std::pair<std::string, Micros>>& replica_downtimes() const { return gaps_; }
-    /// Starts of tasks that were on a machine when all controllers ended last, and had not to start again.
-    std::size_t unnecessary_starts() const { return started_again_; }
-    /// From now on a start of what runs now, or has completed, counts as one that need not be.
+    /// Returns, for each task with its job's class, the time from the acceptance of the job to the task's
+    /// first start.
+    const std::vector<std::pair<std::string, Micros>>& task_start_delays() const {
+        return task_start_delays_;
+    }
+    /// Returns, for each restart of a replica with its job's class, how long the replica was down.
+    const std::vector<std::pair<std::string, Micros>>& replica_downtimes() const {
+        return replica_downtimes_;
+    }
+    /// Returns the number of starts of tasks that `record_running_tasks` had recorded, which needn't have
+    /// started again.
+    std::size_t unnecessary_starts() const { return unnecessary_starts_; }
+    /// Records which tasks are on machines now; a later start of one of them counts as unnecessary.
     void record_running_tasks();
     std::vector<std::string> job_refs() const;
     void cancel(const std::string& ref);
-    /// JobService call off so many jobs that run and have long to go (services, and what has at least half of
-    /// its run time left), within a fifth of a second; up to eight of their machines hang for so long. Those
+    /// Has users cancel up to `count` running jobs within a fifth of a second: services, and jobs that have
+    /// at least half of their run time left. Up to eight of the jobs' machines hang for `hang`. Returns the
     /// jobs.
     std::vector<std::string> cancel_random_jobs(int count, Micros hang);
-    /// Part of the jobs that end which their users call off at that moment.
+    /// Fraction of the jobs that their users cancel within 100 ms of their completion.
     double cancel_on_completion_rate = 0;
-    /// Right after a job was accepted, ended or confirmed as cancelled, its user asks at all nodes, again and
-    /// again within milliseconds, and repeats the submission, and a cancellation that it wanted; a tenth of
-    /// the users cancel at once.
+    /// Runs `query_all_nodes` whenever a job was accepted, has ended or was reported cancelled. A tenth of
+    /// the users cancel their job as soon as it is accepted.
     bool query_after_changes = false;
-    /// That once, at any moment.
+    /// Has a job's user query all nodes, repeat the submission and any cancellation it wanted, several times
+    /// within 100 ms.
     void query_all_nodes(const std::string& ref);
-    /// Asks about a job at one node, and submits it there again.
+    /// Queries a job at one node and submits it there again.
     void query_and_resubmit(const JobSpec& spec, int node);
-    /// JobService repeat submissions of unfinished jobs, also with another body, cancel jobs that are done,
-    /// ask about jobs that nobody submitted, and send jobs that fit no machine or lack a field.
+    /// Has users repeat submissions of unfinished jobs, some with a changed body, cancel jobs that are done,
+    /// query jobs that nobody submitted, and submit jobs that fit no machine or lack a field.
     bool send_unusual_requests = false;
-    /// A job that nobody may accept, sent to a node until it answers 400 or 422; -1: to each.
+    /// Sends a job that must not be accepted to a node until the node answers 400 or 422; -1: to each node.
     void submit_invalid_job(const Json& body, int node = -1);
-    /// What users were told, as it is judged.
-    const ConsistencyChecker& consistency_checker() const { return looks_; }
+    /// Returns the checker of all answers to users.
+    const ConsistencyChecker& consistency_checker() const { return consistency_checker_; }
+    /// Sends a request to a node and runs the simulation until it is answered, for 5 s at most.
     ApiResponse request(int node, const std::string& method, const std::string& path, const Json& body);
     ApiResponse request_raw(int node, const std::string& method, const std::string& path,
                             const std::string& body);
+    /// Returns what the user of a job was last told.
     std::string reported_stage(const std::string& ref) const;  // "", "accepted", "done" or "cancelled"
+    /// Returns the number of task attempts on machines.
     int running_tasks(const std::string& ref) const;
     std::set<std::string> machines_running(const std::string& ref) const;
     int task_starts(const std::string& ref) const;
     int completed_tasks(const std::string& ref) const;
 
-    /// Told of every request that a controller sends (`who`: its name, `what`: method and path) and of every
-    /// answer that it gives to a worker or a user (`what`: the status), in order, with the encoded body.
+    /// Called, in order and with the encoded body, for every request that a controller sends (`who`: its
+    /// name, `what`: method and path) and for every answer that it gives to a worker or a user (`what`:
+    /// status and retry delay).
     using TrafficObserver =
         std::function<void(const std::string& who, const std::string& what, const std::string& body)>;
     TrafficObserver on_traffic;
 
-    // The verdict.
-    std::vector<std::string> violations;
+    // Results.
+    std::vector<std::string> violations;  // "rule: what happened"
     std::vector<std::string> event_history;
+    /// Adds a line with the simulated time to the event history.
     void record_event(const std::string& line);
+    /// Returns the last events, one a line.
     std::string format_history(std::size_t last = 60) const;
 
     // TaskObserver.
@@ -205,126 +238,130 @@
     class NodeRuntime;
     friend class NodeRuntime;
     struct Node {
-        std::shared_ptr<NodeRuntime> host;
+        std::shared_ptr<NodeRuntime> runtime;
         std::unique_ptr<Controller> controller;
-        bool refused = false;
+        bool state_refused = false;
         bool sockets_exhausted = false;
-        std::uint64_t violations = 0;  // of its run-time invariants, so far
+        std::uint64_t invariant_violations = 0;  // reported by its own run-time checks so far
         std::uint64_t state_requests = 0;
-        bool old = false;
+        bool runs_old_version = false;
         bool frozen = false;
-        std::vector<std::function<void()>> due;     // timers, while it stands still
-        std::vector<std::function<void()>> unread;  // what waits in its sockets
+        std::vector<std::function<void()>> deferred_timers;    // due while it is paused
+        std::vector<std::function<void()>> deferred_messages;  // received while it is paused
     };
-    struct Reporting {
+    struct WorkerState {
         std::unique_ptr<fakes::Worker> worker;
-        int node = 0;
-        bool in_flight = false;
+        int report_node = 0;
+        bool report_in_flight = false;
         bool hung = false;
-        bool deaf = false;
-        bool mute = false;
-        Micros next = 0;
-        Micros last = 0;
-        std::uint64_t generation = 0;
-        std::vector<std::function<void()>> waiting;  // what arrived while it hung
+        bool inbound_blocked = false;
+        bool reports_blocked = false;
+        Micros next_report_at = 0;
+        Micros last_report_at = 0;
+        std::uint64_t report_number = 0;
+        std::vector<std::function<void()>> deferred_requests;  // received while it hung
     };
-    struct User {
+    struct JobState {
         fakes::JobInfo info;
-        std::string told;
-        Micros cancelled_at = 0;
-        bool wants_cancel = false;
-        bool polling = false;
-        std::set<int> done;
-        int starts = 0;
-        std::map<std::string, int> zones;  // its tasks on machines
+        std::string reported_stage;
+        Micros cancellation_reported_at = 0;
+        bool cancel_requested = false;
+        bool poll_scheduled = false;
+        std::set<int> completed_tasks;
+        int task_starts = 0;
+        std::map<std::string, int> tasks_by_zone;  // that are on machines
         Micros accepted_at = 0;
-        std::set<int> started;
-        Micros begun = -1, all_started_at = -1, finished = -1;
-        Micros answered = 0;    // its last poll
-        Micros unanswered = 0;  // longest time between two, since all troubles were over
+        std::set<int> started_tasks;
+        Micros first_started_at = -1, all_started_at = -1, completed_at = -1;
+        Micros last_answered_at = 0;    // poll
+        Micros longest_unanswered = 0;  // between answered polls, since all faults were over
     };
     struct LostZone {
         std::vector<std::pair<std::string, std::string>> links;
-        std::vector<std::tuple<std::string, bool>> machines;  // type and kind of those that ended
+        std::vector<std::tuple<std::string, bool>> machines;  // type and spot flag of those that ended
     };
 
     void send(const std::string& from, const std::string& to, std::function<void()> deliver);
-    /// Hands something to a node's process, once it does not stand still.
-    void hand(int node, std::function<void()> what, bool timer = false);
-    /// How late a transaction is carried out without an answer, 0: at once.
-    std::optional<Micros> lateness(const Json& transaction);
-    /// The controller that leads by the state service, with the mark of its record, as that changes.
-    void watch_leader();
-    /// Has `again` happen a second time, now and then.
-    void repeat(std::function<void()> again);
-    bool drawn(double part) {
-        return part > 0 && std::uniform_real_distribution<double>(0, 1)(random) < part;
+    /// Runs an action in a node's process, after its pause if it is paused.
+    void run_on_node(int node, std::function<void()> action, bool timer = false);
+    /// Returns the delay of a transaction that is carried out without an answer (0: at once), or nullopt if
+    /// it is answered.
+    std::optional<Micros> draw_write_delay(const Json& transaction);
+    /// Delivers the reports kept for it to all controllers if the leader in the state service has changed.
+    void replay_reports_to_new_leader();
+    /// Schedules `again` as a duplicate, with the probability `duplicate_rate`.
+    void duplicate_at_random(std::function<void()> again);
+    /// Returns true with this probability, without drawing a number for 0.
+    bool happens(double probability) {
+        return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random) < probability;
     }
-    /// Somewhere between, evenly.
-    Micros between(Micros least, Micros most) {
+    /// Draws from a uniform distribution.
+    Micros random_between(Micros least, Micros most) {
         return least + static_cast<Micros>(random() % static_cast<std::uint64_t>(most - least));
     }
     void heal_link(const std::vector<std::pair<std::string, std::string>>& links);
-    Micros unanswered(const User& u) const;
-    void answered(int node, const ApiResponse& response) const;
+    /// Returns the time since a job's last answered poll, of the time since all faults were over.
+    Micros time_unanswered(const JobState& job_state) const;
+    void observe_answer(int node, const ApiResponse& response) const;
     void tick();
-    /// What there is, for StarvationChecker.
-    ClusterSnapshot sight();
-    void watch_waiting();
-    void report(const std::string& machine);
+    /// Returns free capacity, remaining limits and waiting jobs, for StarvationChecker.
+    ClusterSnapshot take_snapshot();
+    void check_starvation();
+    void send_report(const std::string& machine);
     void start_node(int i);
     void boot_machines();
     void try_submit(const std::string& ref);
     void try_cancel(const std::string& ref);
-    void poll(const std::string& ref);
-    /// A user's request to a node, or to some node that is up; calls back once, with status 0 after 5 s.
-    void user_call(const std::string& method, const std::string& path, const Json& body,
-                   std::function<void(ApiResponse)> done, int node = -1);
-    /// A request about a job, its answer judged and remembered before it is handed on.
-    void user_ask(RequestKind what, const std::string& ref, const Json& body,
-                  std::function<void(const ApiResponse&)> done, int node = -1);
-    void ask_about(const std::string& ref, int node);
-    void submit_again(const std::string& ref, const Json& body, int node);
-    void odd_request();
-    void hear(const std::string& ref, Micros sent, const Json& body);
-    void breach(const std::string& rule, const std::string& what);
-    /// A job before this one, or the job itself, whose cancellation its user asked for, or was told of.
-    const std::string& cloud_zone(const std::string& machine) { return zone_of_[machine]; }
-    bool cancel_wanted(const std::string& ref) const;
-    Micros cancel_told(const std::string& ref) const;
-    Micros delay();
+    void schedule_poll(const std::string& ref);
+    /// Sends a user's request to a node (-1: one that is up). Calls back once, with status 0 after 5 s.
+    void call_as_user(const std::string& method, const std::string& path, const Json& body,
+                      std::function<void(ApiResponse)> done, int node = -1);
+    /// Sends a request about a job. Its answer is checked and recorded before `done` gets it.
+    void query_job(RequestKind kind, const std::string& ref, const Json& body,
+                   std::function<void(const ApiResponse&)> done, int node = -1);
+    void query_state(const std::string& ref, int node);
+    void resubmit(const std::string& ref, const Json& body, int node);
+    void send_unusual_request();
+    void record_answer(const std::string& ref, Micros sent_at, const Json& body);
+    void record_violation(const std::string& rule, const std::string& what);
+    const std::string& machine_zone(const std::string& machine) { return machine_zones_[machine]; }
+    /// Returns true if the user of the job, or of one that it needs, requested its cancellation.
+    bool is_cancel_requested(const std::string& ref) const;
+    /// Returns when the cancellation of the job, or of one that it needs, was reported to its user; 0: never.
+    Micros cancellation_report_time(const std::string& ref) const;
+    Micros draw_delay();
 
     Micros now_ = 0;
-    std::uint64_t order_ = 0;
+    std::uint64_t last_event_number_ = 0;
     std::map<std::pair<Micros, std::uint64_t>, std::function<void()>> events_;
     fakes::StateService state_;
     fakes::Cloud cloud_;
     std::vector<Node> nodes_;
-    std::map<std::string, Reporting> workers_;
-    std::set<std::pair<std::string, std::string>> cuts_;
-    std::set<std::pair<std::string, std::string>> one_way_;
-    std::vector<std::tuple<std::string, std::string, std::function<void()>>> held_;
-    std::set<std::pair<std::string, std::string>> hold_next_;
-    std::vector<std::function<void()>> kept_back_;
-    std::set<std::string> keep_reports_;
-    std::vector<std::string> kept_reports_;  // bodies, for the next leader
-    std::string led_by_;
-    std::set<std::string> seen_rented_;                      // whose time to boot is drawn
-    std::vector<std::pair<std::string, Micros>> late_next_;  // prefix of a key, and how late
-    std::map<std::string, User> users_;
-    ConsistencyChecker looks_;
-    int odd_jobs_ = 0;  // sent so far, for their names
-    std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> on_;
-    std::map<std::string, Resources> used_;  // by team
-    std::map<std::string, std::string> by_addr_;
-    std::map<std::string, std::string> zone_of_;  // of machines, also of those that are gone
+    std::map<std::string, WorkerState> workers_;
+    std::set<std::pair<std::string, std::string>> cut_links_;
+    std::set<std::pair<std::string, std::string>> one_way_cuts_;
+    std::vector<std::tuple<std::string, std::string, std::function<void()>>> held_by_cuts_;
+    std::set<std::pair<std::string, std::string>> hold_requests_;
+    std::vector<std::function<void()>> held_messages_;
+    std::set<std::string> replay_requests_;
+    std::vector<std::string> reports_to_replay_;  // bodies, for the next leader
+    std::string last_leader_;
+    std::set<std::string> boot_time_drawn_;                     // rented machines
+    std::vector<std::pair<std::string, Micros>> write_delays_;  // key prefix and delay
+    std::map<std::string, JobState> jobs_;
+    ConsistencyChecker consistency_checker_;
+    int unusual_jobs_sent_ = 0;  // numbers their names
+    std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> running_on_;
+    std::map<std::string, Resources> team_usage_;
+    std::map<std::string, std::string> machine_by_address_;
+    std::map<std::string, std::string> machine_zones_;  // including machines that are gone
     std::set<std::pair<std::string, std::int64_t>> finished_gangs_;
-    std::vector<std::pair<std::string, Micros>> waits_;
-    std::vector<std::pair<std::string, Micros>> gaps_;
-    std::map<std::pair<std::string, int>, Micros> left_;  // replicas that are on no machine now
-    std::set<std::pair<std::string, int>> running_before_;
-    std::size_t started_again_ = 0;
-    Micros quiesced_since_ = -1;
+    std::vector<std::pair<std::string, Micros>> task_start_delays_;
+    std::vector<std::pair<std::string, Micros>> replica_downtimes_;
+    std::map<std::pair<std::string, int>, Micros> replica_stopped_at_;  // of replicas that are on no machine
+    std::set<std::pair<std::string, int>> running_before_restart_;
+    std::size_t unnecessary_starts_ = 0;
+    Micros faults_over_since_ = -1;
     StarvationChecker starvation_checker_;
     std::map<std::string, LostZone> lost_zones_;
 };
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -156,7 +156,7 @@
         w.run(10 * kSecond);
     }
     void mute(bool on) {
-        for (const auto& machine : w.machine_names()) w.block_messages_from(machine, on);
+        for (const auto& machine : w.machine_names()) w.block_reports_from(machine, on);
     }
     void cancel_before(const OtherJobs& other_jobs) {
         cancel_beside(w, holder, "req-000001");
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -60,7 +60,7 @@
         const std::string what = how.what;
         if (what == "hang") w.set_hung(m, on);
         if (what == "deaf") w.block_messages_to(m, on);
-        if (what == "mute") w.block_messages_from(m, on);
+        if (what == "mute") w.block_reports_from(m, on);
         for (int i = 0; what == "cut" && i < w.node_count(); ++i)
             on ? w.cut_link(host(i), m) : w.heal_link(host(i), m);
     }
--- a/tests/long_names_test.cpp
+++ b/tests/long_names_test.cpp
@@ -37,7 +37,7 @@
         w.run(2 * w.settings.lease);
         ASSERT_EQ(w.task_starts("req-000001"), 1) << w.format_history();
         // From now on the machine is not heard, and the holder can ask whether its lease was renewed.
-        w.block_messages_from(machine, true);
+        w.block_reports_from(machine, true);
         for (int i = 0; i < w.node_count(); ++i)
             if (i != holder) w.heal_link(host(holder), host(i));
         w.run(2 * w.settings.lease);
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -256,7 +256,7 @@
 TEST(LostAnswer, AFirstReportIsAnsweredOnceItsMachineIsLeased) {
     auto w = settled_simulator(8);
     const std::string machine = w->add_machine("small", "a");
-    w->block_messages_from(
+    w->block_reports_from(
         machine,
         true);  // its first report is made below; it answers the call that proves that it is there
     w->delay_next_write("c/block/", 0);
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -31,7 +31,7 @@
             w->run(3 * kSecond);
             const std::string machine = *w->machines_running("req-000001").begin();
             const auto before = starts_on(*w, machine);
-            w->block_messages_from(machine, true);
+            w->block_reports_from(machine, true);
             const Micros from = w->now();
             w->schedule_at(from + 2 * kSecond, [&] {
                 const int holder = w->owner_node();
@@ -50,7 +50,7 @@
                 // What was bound there before its silence was noticed, by each holder.
                 EXPECT_LE(starts_on(*w, machine) - before, 6) << story();
             }
-            w->block_messages_from(machine, false);
+            w->block_reports_from(machine, false);
             w->run(std::max<Micros>(75 - span, 40) * kSecond);
             for (int i = 0; i < 20; ++i)
                 EXPECT_EQ(w->reported_stage(w->make_job(10 + i, JobKind::Array, 1).ref), "done") << story();
@@ -66,7 +66,7 @@
 TEST(Mute, AnswersToCallsDoNotMakeItUsable) {
     auto w = settled_simulator(52, 3, patient());
     const std::string machine = w->machine_names().front();
-    w->block_messages_from(machine, true);
+    w->block_reports_from(machine, true);
     w->run(7 * kSecond);
     w->crash(w->owner_node(), 200 * kSecond);  // the next one calls it
     const auto before = starts_on(*w, machine);
@@ -87,7 +87,7 @@
 TEST(Mute, ANewMachineThatNeverReportsIsLeftAloneAndReturned) {
     auto w = settled_simulator(53, 2, patient());
     const std::string machine = w->add_machine("small", "a");
-    w->block_messages_from(machine, true);
+    w->block_reports_from(machine, true);
     for (int i = 0; i < 30; ++i) {
         w->submit(w->make_job(1 + i, JobKind::Service, 1, 0.5), 0);
         w->run(kSecond);
@@ -117,7 +117,7 @@
             if (deaf)
                 w->block_messages_to(machine, true);
             else
-                w->block_messages_from(machine, true);
+                w->block_reports_from(machine, true);
             // A task for it, so that somebody calls it.
             w->submit(w->make_job(2, JobKind::Array, 3, 5), 2 * kSecond);
             w->run(60 * kSecond);
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -149,8 +149,8 @@
         } else if (kind == "mute") {
             for (const auto& m : names) {
                 if (pick(3) > 0) continue;
-                w_.block_messages_from(m, true);
-                until(span, "mute " + m, [this, m] { w_.block_messages_from(m, false); });
+                w_.block_reports_from(m, true);
+                until(span, "mute " + m, [this, m] { w_.block_reports_from(m, false); });
             }
         } else if (kind == "cancel now" || kind == "cancel now, hang") {
             w_.cancel_random_jobs(2 + pick(5), kind == "cancel now" ? 0 : span);
