--- a/src/simulation/consistency_checker.cpp
+++ b/src/simulation/consistency_checker.cpp
@@ -4,48 +4,56 @@
 
 namespace cottonway::simulation {
 
-std::vector<std::string> ConsistencyChecker::check_answer(const std::string& ref, const Answer& a,
-                                                          const ActualState& truth) {
-    std::vector<std::string> broken;
-    auto breach = [&](const char* rule, const std::string& what) {
-        broken.push_back(fmt::format("{}: {} {}", rule, ref, what));
+std::vector<std::string> ConsistencyChecker::check_answer(const std::string& ref, const Answer& answer,
+                                                          const ActualState& actual) {
+    std::vector<std::string> violations;
+    auto add_violation = [&](const char* rule, const std::string& what) {
+        violations.push_back(fmt::format("{}: {} {}", rule, ref, what));
     };
     const std::uint64_t now = ++moment_;
     Job& job = jobs_[ref];
-    const auto before = [&](std::uint64_t moment) { return moment > 0 && moment < a.request_moment; };
-    const bool known = before(job.accepted);
-    const bool was_done = before(job.done), was_cancelled = before(job.cancelled);
-    ++heard_;
-    after_acceptance_ += known;
-    after_end_ += was_done || was_cancelled;
-    const bool refused = a.request == RequestKind::Submission && (a.status == 400 || a.status == 422);
-    // What was never told is nobody's to forget, but what can run must not be refused either.
-    if (refused && (known || a.acceptable)) breach("forgotten", fmt::format("was answered {}", a.status));
-    if (a.status == 404 && a.request != RequestKind::Submission && known)
-        breach("forgotten", "was answered 404");
-    if (a.status != 200 && a.status != 201) return broken;
+    const auto known_before_request = [&](std::uint64_t moment) {
+        return moment > 0 && moment < answer.request_moment;
+    };
+    const bool was_accepted = known_before_request(job.accepted);
+    const bool was_done = known_before_request(job.done), was_cancelled = known_before_request(job.cancelled);
+    ++answers_;
+    answers_after_acceptance_ += was_accepted;
+    answers_after_end_ += was_done || was_cancelled;
+    const bool refused =
+        answer.request == RequestKind::Submission && (answer.status == 400 || answer.status == 422);
+    // A job that no answer has mentioned can't be forgotten, but one that can run must not be refused either.
+    if (refused && (was_accepted || answer.acceptable))
+        add_violation("forgotten", fmt::format("was answered {}", answer.status));
+    if (answer.status == 404 && answer.request != RequestKind::Submission && was_accepted)
+        add_violation("forgotten", "was answered 404");
+    if (answer.status != 200 && answer.status != 201) return violations;
 
-    if (a.request == RequestKind::Submission && (a.status == 201 ? !a.acceptable : !truth.submitted))
-        breach("accepted_wrong", "can't run, or lacks a field, and was accepted");
-    else if (!truth.submitted)
-        breach("invented", "was submitted by nobody and is called " + a.stage);
-    if (a.status == 201 && (a.request != RequestKind::Submission || known))
-        breach("repeated", "was accepted before and is answered 201");
-    const bool over = a.stage == "done" || a.stage == "cancelled";
-    if (!over && (a.request == RequestKind::Cancellation || (a.stage != "pending" && a.stage != "running")))
-        breach("no_answer", "is called '" + a.stage + "'");
-    if (was_done && a.stage != "done") breach("went_back", "was done and is now called " + a.stage);
-    if (was_cancelled && a.stage != "cancelled")
-        breach("went_back", "was cancelled and is now called " + a.stage);
-    if (a.stage == "done" && !truth.complete) breach("not_done", "is called done");
-    if (a.stage == "cancelled" && !truth.cancel_requested) breach("went_back", "was cancelled by nobody");
-    const auto first = [now](std::uint64_t& moment) {
+    if (answer.request == RequestKind::Submission &&
+        (answer.status == 201 ? !answer.acceptable : !actual.submitted))
+        add_violation("accepted_wrong", "can't run, or lacks a field, and was accepted");
+    else if (!actual.submitted)
+        add_violation("invented", "was submitted by nobody and is called " + answer.stage);
+    if (answer.status == 201 && (answer.request != RequestKind::Submission || was_accepted))
+        add_violation("repeated", "was accepted before and is answered 201");
+    const bool is_over = answer.stage == "done" || answer.stage == "cancelled";
+    if (!is_over && (answer.request == RequestKind::Cancellation ||
+                     (answer.stage != "pending" && answer.stage != "running")))
+        add_violation("no_answer", "is called '" + answer.stage + "'");
+    if (was_done && answer.stage != "done")
+        add_violation("went_back", "was done and is now called " + answer.stage);
+    if (was_cancelled && answer.stage != "cancelled")
+        add_violation("went_back", "was cancelled and is now called " + answer.stage);
+    if (answer.stage == "done" && !actual.complete) add_violation("not_done", "is called done");
+    if (answer.stage == "cancelled" && !actual.cancel_requested)
+        add_violation("went_back", "was cancelled by nobody");
+    const auto set_if_first = [now](std::uint64_t& moment) {
         if (moment == 0) moment = now;
     };
-    first(job.accepted);
-    if (a.stage == "done") first(job.done);
-    if (a.stage == "cancelled") first(job.cancelled);
-    return broken;
+    set_if_first(job.accepted);
+    if (answer.stage == "done") set_if_first(job.done);
+    if (answer.stage == "cancelled") set_if_first(job.cancelled);
+    return violations;
 }
 
 }  // namespace cottonway::simulation
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// An experiment: a world as a TOML file describes it, played with one seed after another, every rule of the
-// protocol checked as it goes. The same seed gives the same run. All figures are of simulated machines and
-// systems; processor time is not charged.
+// A scenario: a simulated cluster as a TOML file describes it, run with one seed after another while every
+// rule of the protocol is checked. A seed determines the whole run. All figures are those of simulated
+// machines and systems; controllers' processor time takes no simulated time.
 
 #include <boost/histogram.hpp>
 #include <map>
@@ -13,20 +13,22 @@
 
 namespace cottonway::simulation {
 
-/// Jobs of a class, as they come.
+/// The arrivals of jobs of one class.
 struct Workload {
     JobSpec job;
     Micros task_duration = 0;
     Micros image_fetch_time = 0;
-    Micros mean_lifetime = 0;  // on average until its user cancels it; 0: never
+    Micros mean_lifetime = 0;  // until its user cancels it, exponentially distributed; 0: never cancelled
     double per_minute = 0;
-    Micros arrivals_end = 0;  // no more come, 0: to the end
+    Micros arrivals_end = 0;  // 0: at the end of the run
     int initial_jobs = 0;
-    int image_count = 5;               // that its jobs take turns with
-    int min_tasks = 1, max_tasks = 1;  // evenly, or
-    double tasks_median = 0;           // if it is set: lognormal, 95% below `tasks_p95`, within the two
+    int image_count = 5;               // the jobs use these in turn
+    int min_tasks = 1, max_tasks = 1;  // uniformly distributed
+    /// If `tasks_median` is set, the number of tasks is lognormal instead, with this median and 95th
+    /// percentile, clamped to the range above.
+    double tasks_median = 0;
     double tasks_p95 = 0;
-    /// From `burst_at`, for `burst_span`, arrivals come `burst` times as often.
+    /// From `burst_start`, for `burst_duration`, jobs arrive `burst_factor` times as often.
     double burst_factor = 1;
     Micros burst_start = 0, burst_duration = 0;
 
@@ -37,27 +39,27 @@
 struct Fault {
     Micros start = 0;
     std::string kind;            // see docs/lab.md
-    Micros duration = 0;         // how long it lasts, or until a process is back
-    Micros return_interval = 0;  // between the processes' returns
+    Micros duration = 0;         // or the time until a process is back
+    Micros return_interval = 0;  // between the returns of two processes
     int node = -1;               // -1: all
     enum class Target {
         Node,
         Any,
         Leader,
         Busiest
-    } target = Target::Node;  // the last three as of its beginning
+    } target = Target::Node;  // the last three are chosen when the fault begins
     int count = 0;
     int repetitions = 1;
-    Micros interval = 0;  // between two times
+    Micros interval = 0;  // between two repetitions
     std::string zone;
-    bool ends_zone = false;               // a lost zone ends, instead of being cut off
-    double fraction = 0;                  // of messages that are repeated or late, or of machines
-    Micros max_delay = 0;                 // how much later than its end the last of these messages may arrive
-    bool duplicates_commands = false;     // those that were carried out as well
-    bool only_answers_lost = false;       // transactions are carried out, and only their answers lost
-    bool replays_to_next_leader = false;  // copies of reports are kept for the next leader
-
-    /// When the last of it is over.
+    bool ends_zone = false;            // a lost zone's processes and machines end, instead of being cut off
+    double fraction = 0;               // of messages that are repeated or late, or of machines
+    Micros max_delay = 0;              // the last of its messages may arrive so long after its end
+    bool duplicates_commands = false;  // also commands that were executed
+    bool only_answers_lost = false;  // transactions are carried out at once, and only their answers are lost
+    bool replays_to_next_leader = false;  // copies of reports are kept until the leader changes
+
+    /// Returns when the effects of the last repetition are over.
     Micros end_time(int nodes) const;
 };
 
@@ -74,13 +76,13 @@
     int seeds = 1;
     Micros duration = 60 * kSecond;
     int controllers = 3;
-    int finished_jobs = 0;   // jobs that were finished before
-    int cloud_capacity = 0;  // machines that the cloud still has to give
+    int finished_jobs = 0;   // in the history at the start
+    int cloud_capacity = 0;  // machines that can still be rented
     Micros min_poll_interval = kSecond;
-    Micros max_extra_link_delay = 0;   // messages take up to so much longer
-    double fast_boot_rate = 0;         // part of the machines that are up within two seconds
-    bool limits_state_writes = false;  // the state service refuses what is beyond its rate
-    bool checks_acceptance = true;     // whether the rules of acceptance count
+    Micros max_extra_link_delay = 0;   // of messages
+    double fast_boot_rate = 0;         // fraction of the machines that boot within two seconds
+    bool limits_state_writes = false;  // the state service refuses writes beyond its rate
+    bool checks_acceptance = true;     // the acceptance criteria must hold
     Settings settings;
     std::vector<MachineType> machine_types;
     std::vector<MachineGroup> machine_groups;
@@ -89,18 +91,18 @@
 
     /// Throws std::runtime_error with one line that names the key and the reason.
     static Scenario load(const std::string& path);
-    /// When all troubles are over.
+    /// Returns when the effects of all faults are over.
     Micros faults_end() const;
 };
 
-/// Microseconds, from a millisecond to ten minutes, for percentiles.
+/// A histogram of durations from a millisecond to ten minutes, for percentiles.
 class DurationHistogram {
   public:
-    void add(Micros t);
+    void add(Micros duration);
     std::size_t count() const { return count_; }
-    /// Upper end of the bin that holds the share; 0 if there is nothing.
+    /// Returns the upper end of the bin that holds the quantile; 0 if the histogram is empty.
     Micros quantile(double share) const;
-    Micros max() const { return worst_; }
+    Micros max() const { return max_; }
     void merge(const DurationHistogram& other);
 
   private:
@@ -108,39 +110,37 @@
     decltype(boost::histogram::make_histogram(Axis())) bins_ =
         boost::histogram::make_histogram(Axis(400, 1e3, 600e6));
     std::size_t count_ = 0;
-    Micros worst_ = 0;
+    Micros max_ = 0;
 };
 
-/// What runs have shown, added up over seeds.
+/// The results of runs, added up over their seeds.
 struct ScenarioResults {
     int runs = 0;
-    std::vector<std::string> violations;  // rules, with the seed
+    std::vector<std::string> violations;  // with the seed
     std::size_t jobs_submitted = 0, jobs_accepted = 0, jobs_finished = 0, task_starts = 0,
                 unnecessary_starts = 0;
     std::map<std::string, DurationHistogram>
-        start_delays;  // by class: from acceptance to each task's first start
-    std::map<std::string, ServedShare>
-        within_wait_objective;  // by class: tasks that started within its wait aim
-    std::map<std::string, DurationHistogram>
-        replica_downtimes;             // by class: time without a replica that started again
-    DurationHistogram time_to_active;  // of shards: from the return of their process, or the end of another
-    DurationHistogram time_to_first_bind;  // from active
-    std::size_t max_shards_per_node = 0;   // shards with machines at one node, 2 s after all were back
-    std::size_t launches = 0, stops = 0, repeated_orders = 0;  // in the first ten seconds of shards
-    std::size_t state_requests_after_restarts =
-        0;  // to the store, of all nodes in the 2 s after all were back
-    std::size_t restarts_of_all = 0;
-    std::map<std::string, std::uint64_t> changes_by_purpose;  // by purpose
+        start_delays;  // by class: from a job's acceptance to each task's first start
+    std::map<std::string, ServedShare> within_wait_objective;    // by class: tasks that started in time
+    std::map<std::string, DurationHistogram> replica_downtimes;  // by class: of replicas that started again
+    DurationHistogram time_to_active;      // of shards, from the return of their node's process
+    DurationHistogram time_to_first_bind;  // of shards, from active
+    std::size_t max_shards_per_node = 0;   // with machines, 2 s after all processes were back
+    std::size_t launches = 0, stops = 0, repeated_orders = 0;  // of shards in their first ten seconds
+    /// Requests of all nodes to the state service, from the restart of all until 2 s after all were back.
+    std::size_t state_requests_after_restarts = 0;
+    std::size_t restarts_of_all = 0;  // times that all processes were restarted
+    std::map<std::string, std::uint64_t> changes_by_purpose;
     AcceptanceResult acceptance;
 
-    /// Whether no rule was broken, of the protocol or of acceptance.
+    /// Returns true if no rule of the protocol and no acceptance criterion was violated.
     bool passed() const { return violations.empty() && acceptance.violations.empty(); }
     Json to_json() const;
     std::string table() const;
     std::string csv() const;
 };
 
-/// Plays one seed and adds what it shows.
-void run_scenario(const Scenario& e, std::uint64_t seed, ScenarioResults& into);
+/// Runs a scenario with one seed and adds its figures to `results`.
+void run_scenario(const Scenario& scenario, std::uint64_t seed, ScenarioResults& results);
 
 }  // namespace cottonway::simulation
--- a/src/simulation/starvation_checker.hpp
+++ b/src/simulation/starvation_checker.hpp
@@ -1,11 +1,12 @@
 #pragma once
-// Jobs that are left waiting though they could start, judged from the outside: by what workers say is on
-// machines and by the teams' limits, not by any controller's books.
+// Finds jobs that are left waiting though they could start, judged from outside: by what workers report to be
+// on machines and by the teams' limits, not by any controller's records.
 //
 // A job is left waiting while a task of it is on no machine and not done, none of its tasks starts, and for
-// the last ten seconds one machine has had the cores, GPUs and RAM that a task needs (a gang: machines
-// enough for all of it) where its types, zone, kind, one_zone and spread allow it, and its team that much of
-// its limit. Neither what waits beside it nor what room or limit is kept for excuses that.
+// the last ten seconds one machine that its types, zone, kind, one_zone and spread allow has had the cores,
+// GPUs and RAM that a task needs (for a gang: machines enough for all of its tasks), and its team has had as
+// much of its limit left. Other waiting jobs, and capacity or limit that is reserved for them, don't justify
+// the wait.
 
 #include <deque>
 #include <map>
@@ -15,11 +16,11 @@
 
 namespace cottonway::simulation {
 
-/// Room and what is left of a limit count once they have lasted for so long: between an end and the next
-/// start lie a report, a pass and a change.
-constexpr Micros kRequiredDuration = 10 * kSecond;
+/// Free capacity and remaining limits count once they have lasted for so long: between the end of a task and
+/// the next start there are a report, a scheduling pass and a transaction.
+constexpr Micros kMinAvailableDuration = 10 * kSecond;
 
-/// What is free on a machine.
+/// The free capacity of a machine.
 struct FreeCapacity {
     std::string type, zone;
     bool spot = false;
@@ -27,30 +28,31 @@
 };
 using FreeCapacities = std::map<std::string, FreeCapacity>;  // by name
 
-/// A job some of whose tasks are on no machine and not done.
+/// A job that has tasks which are on no machine and not done.
 struct WaitingJob {
     JobSpec spec;
-    int waiting_tasks = 0;                       // that wait
-    std::map<std::string, int> running_by_zone;  // its tasks on machines
+    int waiting_tasks = 0;
+    std::map<std::string, int> running_by_zone;  // tasks on machines
     int starts = 0;                              // so far
 };
 
-/// A machine on which a task of the job, or one of a gang all of which has room, could start; "": none.
-std::string find_startable_machine(const WaitingJob& job, const FreeCapacities& rooms,
-                                   const Resources& left_of_limit);
+/// Returns a machine on which a task of the job could start, for a gang only if all of its tasks could start;
+/// "": none.
+std::string find_startable_machine(const WaitingJob& job, const FreeCapacities& machines,
+                                   const Resources& remaining_limit);
 
-/// What there is at one moment.
+/// What the checker needs to know of the cluster at one moment.
 struct ClusterSnapshot {
-    FreeCapacities machines;                            // of machines that are up, report and execute
-    std::map<std::string, Resources> remaining_limits;  // of teams' limits
+    FreeCapacities machines;                            // those that are up, report and execute
+    std::map<std::string, Resources> remaining_limits;  // by team
     std::map<std::string, WaitingJob> waiting_jobs;
 };
 
-/// Is told about once a second what there is.
+/// Observes a snapshot about once a second.
 class StarvationChecker {
   public:
-    void observe(Micros now, ClusterSnapshot sight);
-    /// The longest that the job could have started and was left waiting, and where at last.
+    void observe(Micros now, ClusterSnapshot snapshot);
+    /// The longest time for which a job could have started but didn't, and on which machine it last could.
     struct Wait {
         Micros longest = 0;
         std::string machine;
@@ -58,14 +60,15 @@
     Wait wait_of(const std::string& ref) const;
 
   private:
-    struct Kept {
-        Micros waits_since = 0;  // with no start
+    struct JobHistory {
+        Micros waiting_since = 0;  // since its last start
         int starts = 0;
-        Micros could_since = -1;
+        Micros startable_since = -1;
         Wait wait;
     };
-    std::deque<std::pair<Micros, ClusterSnapshot>> sights_;  // of the last `kSettled`; without their jobs
-    std::map<std::string, Kept> jobs_;
+    std::deque<std::pair<Micros, ClusterSnapshot>>
+        snapshots_;  // of the last kMinAvailableDuration, without their jobs
+    std::map<std::string, JobHistory> jobs_;
 };
 
 }  // namespace cottonway::simulation
