--- a/tests/large/large_fleet_test.cpp
+++ b/tests/large/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// 4,000 machines: all are registered, more than a thousand of one controller's are lost at once, controllers
-// fail over, and every machine is usable again.
+// 4,000 machines: all of them register, more than a thousand machines of one controller are cut off at once,
+// the controller fails over, and every machine is usable again.
 
 #include <gtest/gtest.h>
 
@@ -11,61 +11,65 @@
 using namespace simulation;
 namespace {
 
-constexpr int kMachines = 4000;
-constexpr std::size_t kLost = 1100;
+constexpr int kMachineCount = 4000;
+constexpr std::size_t kCutMachines = 1100;
 
-Settings large_site() {
-    Settings s = small_cluster_settings();
-    s.report_every = 10 * kSecond;
-    s.lease = 40 * kSecond;
-    s.cancel = 90 * kSecond;
-    s.teams = {{"red", {kMachines * 8'000, 0, 0}, {kMachines * 8'000, 0, 0}}};
-    s.ops.idle_return = 3600 * kSecond;
-    s.cpu_share = 0.2;  // several shards
-    return s;
+Settings large_cluster_settings() {
+    Settings settings = small_cluster_settings();
+    settings.report_every = 10 * kSecond;
+    settings.lease = 40 * kSecond;
+    settings.cancel = 90 * kSecond;
+    settings.teams = {{"red", {kMachineCount * 8'000, 0, 0}, {kMachineCount * 8'000, 0, 0}}};
+    settings.ops.idle_return = 3600 * kSecond;
+    settings.cpu_share = 0.2;  // several shards
+    return settings;
 }
 
-std::size_t machines_at(Simulator& w, int node) {
-    std::size_t n = 0;
-    if (w.node(node))
-        for (const auto& [shard, owner] : w.node(node)->owners()) n += owner ? owner->machines().size() : 0;
-    return n;
+std::size_t machines_at(Simulator& simulator, int node) {
+    std::size_t count = 0;
+    if (simulator.node(node))
+        for (const auto& [shard, owner] : simulator.node(node)->owners())
+            count += owner ? owner->machines().size() : 0;
+    return count;
 }
 
-std::size_t machines_known(Simulator& w) {
-    std::size_t n = 0;
-    for (int i = 0; i < w.node_count(); ++i) n += machines_at(w, i);
-    return n;
+std::size_t total_machines(Simulator& simulator) {
+    std::size_t count = 0;
+    for (int i = 0; i < simulator.node_count(); ++i) count += machines_at(simulator, i);
+    return count;
 }
 
 TEST(LargeFleet, RegistersLosesAndRecoversMoreMachinesThanOneMessageHolds) {
-    static_assert(kLost > peer::kMaxMachines);
-    Simulator w(81, large_site());
-    for (int i = 0; i < kMachines; ++i) w.add_machine("small", i % 2 ? "b" : "a");
-    w.start_nodes(3);
-    w.run(45 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.format_history();
-    const int busiest = w.busiest_node();
-    ASSERT_GT(machines_at(w, busiest), kLost) << w.format_history();
-    w.submit(w.make_job(1, JobKind::Array, kMachines, 8), 60 * kSecond);
-    w.run(15 * kSecond);
+    static_assert(kCutMachines > peer::kMaxMachines);
+    Simulator simulator(81, large_cluster_settings());
+    for (int i = 0; i < kMachineCount; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
+    simulator.start_nodes(3);
+    simulator.run(45 * kSecond);
+    EXPECT_EQ(total_machines(simulator), static_cast<std::size_t>(kMachineCount))
+        << simulator.format_history();
+    const int busiest = simulator.busiest_node();
+    ASSERT_GT(machines_at(simulator, busiest), kCutMachines) << simulator.format_history();
+    simulator.submit(simulator.make_job(1, JobKind::Array, kMachineCount, 8), 60 * kSecond);
+    simulator.run(15 * kSecond);
 
-    std::vector<std::string> cut;
-    for (const auto& [name, machine] : w.owner_at(busiest)->machines())
-        if (cut.size() < kLost) cut.push_back(name);
-    for (const auto& name : cut)
-        for (int i = 0; i < w.node_count(); ++i) w.cut_link(name, host(i));
-    w.run(45 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << "none is given up\n"
-                                                                      << w.format_history();
+    std::vector<std::string> cut_machines;
+    for (const auto& [name, machine] : simulator.owner_at(busiest)->machines())
+        if (cut_machines.size() < kCutMachines) cut_machines.push_back(name);
+    for (const auto& name : cut_machines)
+        for (int i = 0; i < simulator.node_count(); ++i) simulator.cut_link(name, host(i));
+    simulator.run(45 * kSecond);
+    EXPECT_EQ(total_machines(simulator), static_cast<std::size_t>(kMachineCount))
+        << "no machine was given up\n"
+        << simulator.format_history();
 
-    w.crash(busiest, 5 * kSecond);
-    w.run(10 * kSecond);
-    w.heal_all_links();
-    w.run(110 * kSecond);
-    EXPECT_EQ(machines_known(w), static_cast<std::size_t>(kMachines)) << w.format_history();
-    EXPECT_EQ(w.reported_stage("req-000001"), "done") << w.format_history();
-    EXPECT_NO_VIOLATIONS(w);
+    simulator.crash(busiest, 5 * kSecond);
+    simulator.run(10 * kSecond);
+    simulator.heal_all_links();
+    simulator.run(110 * kSecond);
+    EXPECT_EQ(total_machines(simulator), static_cast<std::size_t>(kMachineCount))
+        << simulator.format_history();
+    EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 }  // namespace
