--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -66,8 +66,8 @@
 }
 
 TEST(Acceptance, TeamLimitExtendsAllowedTimeAndServiceNeedsAllReplicas) {
-    JobOutcome wide = make_outcome("wide", 20, 0, kSecond,
-                                   265 * kSecond);  // the limit allows eight at once: three waves of 10 s
+    // The limit allows eight tasks at once: three waves of 10 s.
+    JobOutcome wide = make_outcome("wide", 20, 0, kSecond, 265 * kSecond);
     EXPECT_EQ(wide.allowed_time(kTeams), 270 * kSecond);
     EXPECT_TRUE(wide.is_served(kTeams));
     wide.spec.team = "guests";
@@ -119,7 +119,7 @@
     start_small_cluster(simulator);
     simulator.run(5 * kSecond);
     simulator.cloud().down = true;
-    for (const auto& m : simulator.machine_names()) simulator.kill_machine(m);
+    for (const auto& machine : simulator.machine_names()) simulator.kill_machine(machine);
     for (int i = 1; i <= 6; ++i) simulator.submit(simulator.make_job(i, JobKind::Array, 3), 3 * kSecond);
     simulator.run(250 * kSecond);
     const AcceptanceResult result =
@@ -144,27 +144,31 @@
     const std::vector<Case> cases{
         {"any", [](auto&) {}, "n-1", unlimited},
         {"its limit", [](auto&) {}, "", {1'999, kNoLimit, 0}},
-        {"no card left of its limit", [](auto& j) { j.spec.request.gpus = 500; }, "", {9'000, 0, 0}},
-        {"wide", [](auto& j) { j.spec.request.cores = 3'000; }, "", unlimited},
-        {"wide, on spot", [](auto& j) { j.spec.request.cores = 3'000, j.spec.spot = true; }, "n-2",
+        {"no card left of its limit", [](auto& job) { job.spec.request.gpus = 500; }, "", {9'000, 0, 0}},
+        {"wide", [](auto& job) { job.spec.request.cores = 3'000; }, "", unlimited},
+        {"wide, on spot", [](auto& job) { job.spec.request.cores = 3'000, job.spec.spot = true; }, "n-2",
          unlimited},
-        {"RAM", [](auto& j) { j.spec.request.ram = 8'001; }, "", unlimited},
+        {"RAM", [](auto& job) { job.spec.request.ram = 8'001; }, "", unlimited},
         {"cards",
-         [](auto& j) {
-             j.spec.request = {1'000, 1'000, 0};
+         [](auto& job) {
+             job.spec.request = {1'000, 1'000, 0};
          },
          "n-3", unlimited},
-        {"its types", [](auto& j) { j.spec.types = {{"cards"}}; }, "", unlimited},
-        {"its zone", [](auto& j) { j.spec.zone = "b"; }, "", unlimited},
-        {"one_zone", [](auto& j) { j.spec.one_zone = true, j.running_by_zone["b"] = 1; }, "", unlimited},
-        {"spread", [](auto& j) { j.spec.spread = true, j.running_by_zone["a"] = 2; }, "", unlimited},
-        {"spread, less", [](auto& j) { j.spec.spread = true, j.running_by_zone["a"] = 1; }, "n-1", unlimited},
-        {"gang", [](auto& j) { j.spec.kind = JobKind::Gang; }, "", unlimited},
-        {"gang, on spot", [](auto& j) { j.spec.kind = JobKind::Gang, j.spec.spot = true; }, "n-2", unlimited},
+        {"its types", [](auto& job) { job.spec.types = {{"cards"}}; }, "", unlimited},
+        {"its zone", [](auto& job) { job.spec.zone = "b"; }, "", unlimited},
+        {"one_zone", [](auto& job) { job.spec.one_zone = true, job.running_by_zone["b"] = 1; }, "",
+         unlimited},
+        {"spread", [](auto& job) { job.spec.spread = true, job.running_by_zone["a"] = 2; }, "", unlimited},
+        {"spread, less", [](auto& job) { job.spec.spread = true, job.running_by_zone["a"] = 1; }, "n-1",
+         unlimited},
+        {"gang", [](auto& job) { job.spec.kind = JobKind::Gang; }, "", unlimited},
+        {"gang, on spot", [](auto& job) { job.spec.kind = JobKind::Gang, job.spec.spot = true; }, "n-2",
+         unlimited},
         {"gang in one zone",
-         [](auto& j) { j.spec.kind = JobKind::Gang, j.spec.spot = j.spec.one_zone = true; }, "", unlimited},
+         [](auto& job) { job.spec.kind = JobKind::Gang, job.spec.spot = job.spec.one_zone = true; }, "",
+         unlimited},
         {"gang, its limit",
-         [](auto& j) { j.spec.kind = JobKind::Gang, j.spec.spot = true; },
+         [](auto& job) { job.spec.kind = JobKind::Gang, job.spec.spot = true; },
          "",
          {5'000, kNoLimit, 0}}};
     for (const auto& test_case : cases) {
@@ -232,7 +236,7 @@
     simulator.submit(simulator.make_job(1, JobKind::Array, 24), 60 * kSecond);
     simulator.run(10 * kSecond);
     int draining = 0;
-    for (const auto& [name, m] : simulator.owner_at(0)->machines()) draining += m->draining;
+    for (const auto& [name, machine] : simulator.owner_at(0)->machines()) draining += machine->draining;
     ASSERT_EQ(draining, 2) << simulator.format_history();
     JobSpec service = simulator.make_job(2, JobKind::Service, 4, 2);
     service.rank = PriorityClass::Production;
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -397,7 +397,7 @@
     other.types = {"huge"};
     EXPECT_EQ(submit(other), 422) << "fits no allowed type";
     other = simulator->make_job(2, JobKind::Gang, 5, 5);
-    EXPECT_EQ(submit(other), 422) << "a gang needs its team'spec limit for all tasks";
+    EXPECT_EQ(submit(other), 422) << "a gang needs its team's limit for all tasks";
     other.kind = JobKind::Array;
     EXPECT_EQ(submit(other), 201) << "an array needs it for one task";
     Json invalid = wire::job_value(spec);
