--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway::soak {
 
-using simulation::Asked;
+using simulation::RequestKind;
 
 void RuleChecker::breach(const std::string& rule, const std::string& what) {
     breaches_.push_back(rule + ": " + what);
@@ -16,12 +16,12 @@
     jobs_.emplace(spec.ref, std::move(submitted));
 }
 
-void RuleChecker::told(Asked asked, const std::string& ref, std::uint64_t begun, int status,
+void RuleChecker::told(RequestKind asked, const std::string& ref, std::uint64_t begun, int status,
                        const std::string& stage) {
     SubmittedJob& job = jobs_.at(ref);
     const bool complete = static_cast<int>(job.done.size()) >= job.info.spec.tasks;
     for (const auto& line :
-         answers_.hear(ref, {asked, begun, status, stage, true}, {true, job.cancel_wanted, complete}))
+         answers_.check_answer(ref, {asked, begun, status, stage, true}, {true, job.cancel_wanted, complete}))
         breaches_.push_back(line);
     if (status != 200 && status != 201) return;
     job.answered_at = now_;
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -23,8 +23,8 @@
     void submit(const JobSpec& spec, Micros run);
     void want_cancel(const std::string& job) { jobs_.at(job).cancel_wanted = true; }
     /// To be called before a request is sent; what it returns goes into `told`.
-    std::uint64_t begin() { return answers_.begin(); }
-    void told(simulation::Asked asked, const std::string& job, std::uint64_t begun, int status,
+    std::uint64_t begin() { return answers_.begin_request(); }
+    void told(simulation::RequestKind asked, const std::string& job, std::uint64_t begun, int status,
               const std::string& stage);
     /// Rules that break by time alone.
     void tick();
@@ -42,7 +42,7 @@
     std::size_t accepted() const;
     std::size_t cancelled() const;
     std::size_t starts() const { return starts_; }
-    std::size_t answers() const { return answers_.heard(); }
+    std::size_t answers() const { return answers_.answers(); }
     /// The longest time from when a user was told of a cancellation until the last task was gone.
     Micros longest_to_stop() const { return longest_to_stop_; }
     const JobSpec& spec(const std::string& job) const { return jobs_.at(job).info.spec; }
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using fakes::Delivery;
-using simulation::Asked;
+using simulation::RequestKind;
 
 constexpr int kControllers = 3;
 constexpr Micros kTick = 20 * kMillisecond;
@@ -450,14 +450,15 @@
         return s;
     }
 
-    void ask(Asked asked, const std::string& ref, std::function<void(int status)> done, int controller = -1) {
+    void ask(RequestKind asked, const std::string& ref, std::function<void(int status)> done,
+             int controller = -1) {
         const int target = controller >= 0 ? controller : below(kControllers);
-        const bool state = asked == Asked::State;
+        const bool state = asked == RequestKind::State;
         std::string path = "/v1/jobs";
-        if (asked != Asked::Submission) path += "/" + ref;
-        if (asked == Asked::Cancellation) path += "/abort";
+        if (asked != RequestKind::Submission) path += "/" + ref;
+        if (asked == RequestKind::Cancellation) path += "/abort";
         const std::string body =
-            asked == Asked::Submission ? wire::encode(wire::job_value(rules_.spec(ref))) : "";
+            asked == RequestKind::Submission ? wire::encode(wire::job_value(rules_.spec(ref))) : "";
         users_.call(
             ports_.client(target), state ? "GET" : "POST", path, body, state ? 2 * kSecond : kUserPatience,
             [this, asked, ref, begun = rules_.begin(), done = std::move(done)](const net::ClientReply& r) {
@@ -470,7 +471,7 @@
     }
 
     void submit(const std::string& ref) {
-        ask(Asked::Submission, ref, [this, ref](int status) {
+        ask(RequestKind::Submission, ref, [this, ref](int status) {
             if (status == 200 || status == 201) return poll(ref);
             after(kRetryEvery, [this, ref] { submit(ref); });
         });
@@ -481,17 +482,17 @@
         const Micros pause = rules_.over(ref) ? 4 * kPollEvery : kPollEvery;
         after(pause / 2 + static_cast<Micros>(random_() % static_cast<std::uint64_t>(pause)), [this, ref] {
             const bool repeats = drawn(0.1);
-            ask(repeats ? Asked::Submission : Asked::State, ref, [this, ref](int) { poll(ref); });
+            ask(repeats ? RequestKind::Submission : RequestKind::State, ref, [this, ref](int) { poll(ref); });
         });
     }
 
     void cancel(const std::string& ref) {
         rules_.want_cancel(ref);
-        ask(Asked::Cancellation, ref, [this, ref](int status) {
+        ask(RequestKind::Cancellation, ref, [this, ref](int status) {
             if (status != 200) return after(kRetryEvery, [this, ref] { cancel(ref); });
             for (int i = 0; i < kControllers; ++i)
                 ask(
-                    Asked::State, ref, [](int) {}, i);
+                    RequestKind::State, ref, [](int) {}, i);
             if (drawn(0.2)) after(kRetryEvery, [this, ref] { cancel(ref); });
         });
     }
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -11,7 +11,7 @@
 namespace cottonway::test {
 
 using namespace soak;
-using simulation::Asked;
+using simulation::RequestKind;
 namespace {
 
 constexpr int kControllers = 3;
@@ -60,14 +60,14 @@
         spec.tasks = tasks;
         spec.request = {1'000, 0, 1'000};
         rules_.submit(spec, kSecond);
-        hear(Asked::Submission, ref, 201, "pending");
+        hear(RequestKind::Submission, ref, 201, "pending");
     }
-    void hear(Asked asked, const std::string& ref, int status, const std::string& stage) {
+    void hear(RequestKind asked, const std::string& ref, int status, const std::string& stage) {
         rules_.told(asked, ref, rules_.begin(), status, stage);
     }
     void cancel(const std::string& ref) {
         rules_.want_cancel(ref);
-        hear(Asked::Cancellation, ref, 200, "cancelled");
+        hear(RequestKind::Cancellation, ref, 200, "cancelled");
     }
     /// The rules that were broken, without what happened.
     std::vector<std::string> broken() const {
@@ -90,7 +90,7 @@
     rules_.set_time(20 * kSecond);
     rules_.tick();
     rules_.quiesce();
-    hear(Asked::State, "req-000001", 200, "cancelled");
+    hear(RequestKind::State, "req-000001", 200, "cancelled");
     rules_.finish(kSecond);
     EXPECT_EQ(broken(), Rules{});
     EXPECT_EQ(rules_.longest_to_stop(), 4 * kSecond);
@@ -124,13 +124,13 @@
 
 TEST_F(RuleCheckerTest, ReportsAnswersThatAreWrongOrGoBack) {
     submit("req-000001", JobKind::Array);
-    hear(Asked::State, "req-000001", 200, "done");
+    hear(RequestKind::State, "req-000001", 200, "done");
     EXPECT_EQ(broken(), Rules{"not_done"});
     submit("req-000002");
     cancel("req-000002");
-    hear(Asked::State, "req-000002", 200, "running");
+    hear(RequestKind::State, "req-000002", 200, "running");
     EXPECT_EQ(broken(), (Rules{"not_done", "went_back"}));
-    hear(Asked::State, "req-000002", 404, "");
+    hear(RequestKind::State, "req-000002", 404, "");
     EXPECT_EQ(broken(), (Rules{"not_done", "went_back", "forgotten"}));
 }
 
