--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -4,7 +4,7 @@
 
 namespace cottonway::soak {
 
-using simulation::Asked;
+using simulation::RequestKind;
 
 void RuleChecker::report_violation(const std::string& rule, const std::string& details) {
     violations_.push_back(rule + ": " + details);
@@ -16,13 +16,13 @@
     jobs_.emplace(spec.ref, std::move(submitted));
 }
 
-void RuleChecker::on_answer(Asked asked, const std::string& ref, std::uint64_t request_number, int status,
-                            const std::string& stage) {
+void RuleChecker::on_answer(RequestKind asked, const std::string& ref, std::uint64_t request_number,
+                            int status, const std::string& stage) {
     SubmittedJob& job = jobs_.at(ref);
     const bool all_tasks_completed = static_cast<int>(job.completed_tasks.size()) >= job.info.spec.tasks;
     for (const auto& line :
-         consistency_checker_.hear(ref, {asked, request_number, status, stage, true},
-                                   {true, job.cancellation_requested, all_tasks_completed}))
+         consistency_checker_.check_answer(ref, {asked, request_number, status, stage, true},
+                                           {true, job.cancellation_requested, all_tasks_completed}))
         violations_.push_back(line);
     if (status != 200 && status != 201) return;
     job.last_answered_at = now_;
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -26,10 +26,10 @@
     /// Records that a user is about to cancel the job.
     void record_cancellation_request(const std::string& job) { jobs_.at(job).cancellation_requested = true; }
     /// To be called before a request is sent. Returns the number of the request, to be passed to on_answer().
-    std::uint64_t begin_request() { return consistency_checker_.begin(); }
+    std::uint64_t begin_request() { return consistency_checker_.begin_request(); }
     /// Checks an answer that a user got to a request.
-    void on_answer(simulation::Asked asked, const std::string& job, std::uint64_t request_number, int status,
-                   const std::string& stage);
+    void on_answer(simulation::RequestKind asked, const std::string& job, std::uint64_t request_number,
+                   int status, const std::string& stage);
     /// Checks the rules that can be violated without any event, as time passes.
     void check_deadlines();
     /// Records that all faults have ended: from now on users must get answers, and jobs for which there is
@@ -49,7 +49,7 @@
     std::size_t accepted_jobs() const;
     std::size_t cancelled_jobs() const;
     std::size_t task_starts() const { return task_starts_; }
-    std::size_t answers() const { return consistency_checker_.heard(); }
+    std::size_t answers() const { return consistency_checker_.answers(); }
     /// Returns the longest time from the answer that confirmed a cancellation until the last task stopped.
     Micros longest_stop_time() const { return longest_stop_time_; }
     const JobSpec& spec(const std::string& job) const { return jobs_.at(job).info.spec; }
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using fakes::Delivery;
-using simulation::Asked;
+using simulation::RequestKind;
 
 constexpr int kControllers = 3;
 constexpr Micros kTickInterval = 20 * kMillisecond;
@@ -461,15 +461,15 @@
         return spec;
     }
 
-    void send_user_request(Asked asked, const std::string& ref, std::function<void(int status)> on_reply,
-                           int controller = -1) {
+    void send_user_request(RequestKind asked, const std::string& ref,
+                           std::function<void(int status)> on_reply, int controller = -1) {
         const int target = controller >= 0 ? controller : draw_below(kControllers);
-        const bool is_state_query = asked == Asked::State;
+        const bool is_state_query = asked == RequestKind::State;
         std::string path = "/v1/jobs";
-        if (asked != Asked::Submission) path += "/" + ref;
-        if (asked == Asked::Cancellation) path += "/abort";
+        if (asked != RequestKind::Submission) path += "/" + ref;
+        if (asked == RequestKind::Cancellation) path += "/abort";
         const std::string body =
-            asked == Asked::Submission ? wire::encode(wire::job_value(rule_checker_.spec(ref))) : "";
+            asked == RequestKind::Submission ? wire::encode(wire::job_value(rule_checker_.spec(ref))) : "";
         user_client_.call(ports_.client(target), is_state_query ? "GET" : "POST", path, body,
                           is_state_query ? 2 * kSecond : kUserRequestTimeout,
                           [this, asked, ref, request_number = rule_checker_.begin_request(),
@@ -484,7 +484,7 @@
     }
 
     void submit(const std::string& ref) {
-        send_user_request(Asked::Submission, ref, [this, ref](int status) {
+        send_user_request(RequestKind::Submission, ref, [this, ref](int status) {
             if (status == 200 || status == 201) return poll(ref);
             run_after(kRetryInterval, [this, ref] { submit(ref); });
         });
@@ -497,18 +497,18 @@
         run_after(pause / 2 + static_cast<Micros>(random_() % static_cast<std::uint64_t>(pause)),
                   [this, ref] {
                       const bool repeats_submission = draw_bool(0.1);
-                      send_user_request(repeats_submission ? Asked::Submission : Asked::State, ref,
-                                        [this, ref](int) { poll(ref); });
+                      send_user_request(repeats_submission ? RequestKind::Submission : RequestKind::State,
+                                        ref, [this, ref](int) { poll(ref); });
                   });
     }
 
     void cancel(const std::string& ref) {
         rule_checker_.record_cancellation_request(ref);
-        send_user_request(Asked::Cancellation, ref, [this, ref](int status) {
+        send_user_request(RequestKind::Cancellation, ref, [this, ref](int status) {
             if (status != 200) return run_after(kRetryInterval, [this, ref] { cancel(ref); });
             for (int i = 0; i < kControllers; ++i)
                 send_user_request(
-                    Asked::State, ref, [](int) {}, i);
+                    RequestKind::State, ref, [](int) {}, i);
             if (draw_bool(0.2)) run_after(kRetryInterval, [this, ref] { cancel(ref); });
         });
     }
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -13,7 +13,7 @@
 constexpr int kMachines = 6;
 
 Settings gpu_site() {
-    Settings s = small_site();
+    Settings s = small_cluster_settings();
     s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
     s.cpu_cores = 0.005;  // spreads the machines over several shards
     return s;
@@ -35,7 +35,7 @@
 }
 
 JobSpec gpu_job(Simulator& simulator, int number, JobKind kind, int tasks, PriorityClass rank) {
-    JobSpec job = simulator.job(number, kind, tasks, 5);
+    JobSpec job = simulator.make_job(number, kind, tasks, 5);
     job.team = "captions";
     job.request = {5'000, 1'000, 38'000};
     job.priority_class = rank;
@@ -58,19 +58,19 @@
 }
 
 void expect_all_jobs_run(Simulator& simulator) {
-    EXPECT_EQ(simulator.running("req-000001"), 8) << simulator.story();
-    EXPECT_EQ(simulator.running("req-000002"), 8) << simulator.story();
-    EXPECT_EQ(simulator.told("req-000003"), "done") << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 8) << simulator.format_history();
+    EXPECT_EQ(simulator.running_tasks("req-000002"), 8) << simulator.format_history();
+    EXPECT_EQ(simulator.reported_stage("req-000003"), "done") << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 TEST(Autoscaling, RentsForATeamWithoutGuaranteeAndLimitWhenGpusRunOut) {
     auto simulator = gpu_simulator(71, 40);
     submit_more_than_fits(*simulator);
     simulator->run(90 * kSecond);
-    EXPECT_GT(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->story();
+    EXPECT_GT(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->format_history();
     EXPECT_LT(machine_count(*simulator), 20U) << "rents more than the waiting tasks need\n"
-                                              << simulator->story();
+                                              << simulator->format_history();
     expect_all_jobs_run(*simulator);
 }
 
@@ -78,25 +78,25 @@
     auto simulator = gpu_simulator(72, 40);
     simulator->submit(gpu_job(*simulator, 1, JobKind::Array, 60, PriorityClass::Low), 20 * kSecond);
     simulator->run(60 * kSecond);
-    EXPECT_EQ(simulator->cloud().rentals().size(), 0U) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->cloud().rentals().size(), 0U) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(Autoscaling, RentsNoMachineTwiceWhenTheLeaderFailsWhileMachinesBoot) {
     auto simulator = gpu_simulator(73, 40);
     submit_more_than_fits(*simulator);
     for (int i = 0; i < 100 && simulator->cloud().rentals().empty(); ++i) simulator->run(200 * kMillisecond);
-    ASSERT_FALSE(simulator->cloud().rentals().empty()) << simulator->story();
-    simulator->crash(simulator->leader(), 3 * kSecond);
+    ASSERT_FALSE(simulator->cloud().rentals().empty()) << simulator->format_history();
+    simulator->crash(simulator->leader_node(), 3 * kSecond);
     simulator->run(100 * kSecond);
     EXPECT_LT(machine_count(*simulator), 24U) << "the new leader rented machines that were rented already\n"
-                                              << simulator->story();
+                                              << simulator->format_history();
     expect_all_jobs_run(*simulator);
 }
 
 TEST(Autoscaling, RunsAllJobsWhileTheStateServiceIsSlow) {
     auto simulator = gpu_simulator(74, 40);
-    simulator->slow_state = 800 * kMillisecond;
+    simulator->max_state_answer_delay = 800 * kMillisecond;
     submit_more_than_fits(*simulator);
     simulator->run(120 * kSecond);
     expect_all_jobs_run(*simulator);
@@ -108,8 +108,8 @@
     for (int i = 1; i <= 8; ++i)
         simulator->submit(gpu_job(*simulator, i, JobKind::Array, 12, PriorityClass::Normal), 15 * kSecond);
     simulator->run(60 * kSecond);
-    EXPECT_EQ(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(machine_count(*simulator), static_cast<std::size_t>(kMachines)) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 /// Machines whose GPUs are all taken have free cores left, which must not count as free capacity for jobs
@@ -124,8 +124,8 @@
         const auto& sent = simulator->node(i)->store().sent_writes();
         if (auto it = sent.find("rehome"); it != sent.end()) job_transfers += static_cast<int>(it->second);
     }
-    EXPECT_LE(job_transfers, 24) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_LE(job_transfers, 24) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 }  // namespace
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -28,7 +28,7 @@
 TEST_P(StopsWithoutDirectCalls, ArriveInAnswersToHeartbeats) {
     constexpr int kMachines = 16;
     constexpr int kReplicas = 4;
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.report_interval = GetParam().report_every;
     settings.worker_lease = GetParam().lease;
     settings.cancel_deadline = GetParam().cancel;
@@ -37,23 +37,23 @@
     simulator.start_nodes();
     simulator.run(2 * settings.report_interval + 6 * kSecond);
     for (int job = 1; job <= 3; ++job)
-        simulator.submit(simulator.job(job, JobKind::Service, kReplicas, 2), 0);
+        simulator.submit(simulator.make_job(job, JobKind::Service, kReplicas, 2), 0);
     simulator.run(2 * settings.report_interval);
-    ASSERT_EQ(
-        simulator.running("req-000001") + simulator.running("req-000002") + simulator.running("req-000003"),
-        3 * kReplicas)
-        << simulator.story();
+    ASSERT_EQ(simulator.running_tasks("req-000001") + simulator.running_tasks("req-000002") +
+                  simulator.running_tasks("req-000003"),
+              3 * kReplicas)
+        << simulator.format_history();
     for (int node = 0; node < simulator.node_count(); ++node) simulator.exhaust_sockets(node, true);
     simulator.cancel("req-000001");
     simulator.run(kSecond);
-    ASSERT_EQ(simulator.told("req-000001"), "cancelled") << simulator.story();
+    ASSERT_EQ(simulator.reported_stage("req-000001"), "cancelled") << simulator.format_history();
     // The answer to each worker's next heartbeat must be enough.
     simulator.run(settings.report_interval * 5 / 4 + kSecond);
-    EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
     simulator.cancel("req-000002");
     simulator.run(settings.cancel_deadline + 5 * kSecond);
-    EXPECT_EQ(simulator.running("req-000003"), kReplicas) << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.running_tasks("req-000003"), kReplicas) << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 INSTANTIATE_TEST_SUITE_P(Timings, StopsWithoutDirectCalls,
@@ -77,23 +77,23 @@
 TEST_P(CancelledJobWithSeveralParts, IsStoppedCompletelyByTheNextHolder) {
     constexpr int kTasks = 200;
     auto simulator = settled_simulator(3, 6);
-    simulator->submit(simulator->job(1, JobKind::Service, kTasks, 0.1), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, kTasks, 0.1), 0);
     simulator->run(8 * kSecond);
-    const int holder = simulator->holder();
+    const int holder = simulator->owner_node();
     const std::size_t tasks_per_part = simulator->owner_at(holder)->jobs().at("req-000001")->tasks_per_part;
-    ASSERT_GT(static_cast<std::size_t>(simulator->running("req-000001")), tasks_per_part)
-        << simulator->story();
+    ASSERT_GT(static_cast<std::size_t>(simulator->running_tasks("req-000001")), tasks_per_part)
+        << simulator->format_history();
     // Messages that the former holder sends to workers after the cancellation do not arrive.
-    for (const auto& machine : simulator->machine_names()) simulator->cut(host(holder), machine);
-    simulator->at(simulator->now() + kSecond,
-                  [&simulator, holder] { simulator->crash(holder, 20 * kSecond); });
-    simulator->at(simulator->now() + kSecond + GetParam().cancelled_after_crash,
-                  [&simulator] { simulator->cancel("req-000001"); });
+    for (const auto& machine : simulator->machine_names()) simulator->cut_link(host(holder), machine);
+    simulator->schedule_at(simulator->now() + kSecond,
+                           [&simulator, holder] { simulator->crash(holder, 20 * kSecond); });
+    simulator->schedule_at(simulator->now() + kSecond + GetParam().cancelled_after_crash,
+                           [&simulator] { simulator->cancel("req-000001"); });
     simulator->run(10 * kSecond);
-    EXPECT_EQ(simulator->told("req-000001"), "cancelled") << simulator->story();
+    EXPECT_EQ(simulator->reported_stage("req-000001"), "cancelled") << simulator->format_history();
     simulator->run(simulator->settings.cancel_deadline + 5 * kSecond);
-    EXPECT_EQ(simulator->running("req-000001"), 0) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->running_tasks("req-000001"), 0) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 INSTANTIATE_TEST_SUITE_P(Takeovers, CancelledJobWithSeveralParts,
@@ -126,10 +126,11 @@
 
 /// Cancels a job through a controller other than `node` and waits until that controller has confirmed it.
 void cancel_through_other_node(Simulator& simulator, int node, const std::string& ref) {
-    simulator.users_at = (node + 1) % simulator.node_count();
+    simulator.preferred_node = (node + 1) % simulator.node_count();
     simulator.cancel(ref);
-    for (int i = 0; i < 600 && simulator.told(ref) != "cancelled"; ++i) simulator.run(10 * kMillisecond);
-    ASSERT_EQ(simulator.told(ref), "cancelled") << simulator.story();
+    for (int i = 0; i < 600 && simulator.reported_stage(ref) != "cancelled"; ++i)
+        simulator.run(10 * kMillisecond);
+    ASSERT_EQ(simulator.reported_stage(ref), "cancelled") << simulator.format_history();
 }
 
 /// How the controllers receive the records of many finished jobs.
@@ -149,26 +150,26 @@
         for (int i = 0; i < 2; ++i) simulator.add_machine("small", "a");
         simulator.start_nodes(3, old_nodes);
         simulator.run(6 * kSecond);
-        simulator.submit(simulator.job(1, JobKind::Service, 2), 0);
-        simulator.submit(simulator.job(2, JobKind::Service, 2), 0);
+        simulator.submit(simulator.make_job(1, JobKind::Service, 2), 0);
+        simulator.submit(simulator.make_job(2, JobKind::Service, 2), 0);
         simulator.run(30 * kSecond);  // a controller renews no lease on behalf of others before that
-        holder = simulator.holder();
+        holder = simulator.owner_node();
     }
     /// Cuts the holder off from everything but the store, so that other controllers renew its workers'
     /// leases.
     void isolate_holder() {
-        for (const auto& machine : simulator.machine_names()) simulator.cut(host(holder), machine);
+        for (const auto& machine : simulator.machine_names()) simulator.cut_link(host(holder), machine);
         for (int i = 0; i < simulator.node_count(); ++i)
-            if (i != holder) simulator.cut(host(holder), host(i));
+            if (i != holder) simulator.cut_link(host(holder), host(i));
         simulator.run(10 * kSecond);
     }
     void mute_workers(bool on) {
-        for (const auto& machine : simulator.machine_names()) simulator.mute(machine, on);
+        for (const auto& machine : simulator.machine_names()) simulator.block_reports_from(machine, on);
     }
     void cancel_before(const OtherJobs& other_jobs) {
         cancel_through_other_node(simulator, holder, "req-000001");
         finish_other_jobs(simulator, other_jobs.through_feed);
-        EXPECT_EQ(simulator.running("req-000001"), 2) << simulator.story();
+        EXPECT_EQ(simulator.running_tasks("req-000001"), 2) << simulator.format_history();
     }
 
     Simulator simulator;
@@ -188,11 +189,11 @@
             service.cancel_before(other_jobs);
             service.mute_workers(false);
             simulator.run(simulator.settings.cancel_deadline);
-            EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
-            EXPECT_EQ(simulator.running("req-000002"), 2) << simulator.story();
-            simulator.heal_all();
+            EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
+            EXPECT_EQ(simulator.running_tasks("req-000002"), 2) << simulator.format_history();
+            simulator.heal_all_links();
             simulator.run(20 * kSecond);
-            EXPECT_RULES(simulator);
+            EXPECT_NO_VIOLATIONS(simulator);
         }
 }
 
@@ -215,13 +216,13 @@
             finish_other_jobs(simulator, other_jobs.through_feed);
             service.mute_workers(false);
             simulator.run(simulator.settings.cancel_deadline);
-            EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
-            EXPECT_EQ(simulator.starts("req-000002"), 2)
+            EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
+            EXPECT_EQ(simulator.task_starts("req-000002"), 2)
                 << "the tasks of the other service keep their leases\n"
-                << simulator.story();
-            simulator.heal_all();
+                << simulator.format_history();
+            simulator.heal_all_links();
             simulator.run(20 * kSecond);
-            EXPECT_RULES(simulator);
+            EXPECT_NO_VIOLATIONS(simulator);
         }
 }
 
@@ -233,7 +234,7 @@
         CancelledService service(seed, other_jobs.old_nodes);
         Simulator& simulator = service.simulator;
         const std::string shard = simulator.owner_at(service.holder)->shard();
-        simulator.refuse(service.holder, true);
+        simulator.refuse_state_requests(service.holder, true);
         service.cancel_before(other_jobs);
         const auto next_holder_is_loading = [&] {
             for (int i = 0; i < simulator.node_count(); ++i)
@@ -243,16 +244,16 @@
             return false;
         };
         for (int i = 0; i < 10'000 && !next_holder_is_loading(); ++i) simulator.run(kMillisecond);
-        ASSERT_TRUE(next_holder_is_loading()) << simulator.story();
-        ASSERT_EQ(simulator.running("req-000001"), 2) << simulator.story();
+        ASSERT_TRUE(next_holder_is_loading()) << simulator.format_history();
+        ASSERT_EQ(simulator.running_tasks("req-000001"), 2) << simulator.format_history();
         simulator.state().set_down(true, simulator.now());
         simulator.run(9 * kSecond);
-        EXPECT_EQ(simulator.running("req-000001"), 0) << simulator.story();
+        EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
         simulator.state().set_down(false, simulator.now());
-        simulator.refuse(service.holder, false);
-        simulator.heal_all();
+        simulator.refuse_state_requests(service.holder, false);
+        simulator.heal_all_links();
         simulator.run(10 * kSecond);
-        EXPECT_RULES(simulator);
+        EXPECT_NO_VIOLATIONS(simulator);
     }
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -11,12 +11,13 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 /// Returns a settled simulator with two shards in use: cpu_share is too small for one shard to hold all
 /// machines.
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, std::set<int> old_nodes = {}) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;
     auto simulator = std::make_unique<Simulator>(seed, settings);
     for (int i = 0; i < 8; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
@@ -27,7 +28,7 @@
 
 JobSpec job_with_dependencies(Simulator& simulator, int number, std::vector<std::string> dependencies,
                               int tasks = 2) {
-    JobSpec spec = simulator.job(number, JobKind::Array, tasks);
+    JobSpec spec = simulator.make_job(number, JobKind::Array, tasks);
     spec.dependencies = std::move(dependencies);
     return spec;
 }
@@ -43,39 +44,39 @@
 
 TEST(DependencyGraph, EachJobWaitsForItsDependencies) {
     auto simulator = settled_simulator();
-    simulator->submit(simulator->job(1, JobKind::Array, 3), 3 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 3), 3 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), 2 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 3, {"req-000002", "req-000001"}), 2 * kSecond);
     simulator->run(kSecond);
-    EXPECT_EQ(simulator->starts("req-000002"), 0);
-    EXPECT_EQ(wire::text(simulator->ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "pending");
+    EXPECT_EQ(simulator->task_starts("req-000002"), 0);
+    EXPECT_EQ(wire::text(simulator->request(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "pending");
     simulator->run(15 * kSecond);
     for (const char* ref : {"req-000001", "req-000002", "req-000003"})
-        EXPECT_EQ(simulator->told(ref), "done") << simulator->story();
-    EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->reported_stage(ref), "done") << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, WaitingJobHoldsNoResources) {
     auto simulator = settled_simulator(2);
-    JobSpec first = simulator->job(1, JobKind::Service, 1);
+    JobSpec first = simulator->make_job(1, JobKind::Service, 1);
     simulator->submit(first, 0);
     simulator->run(kSecond);
     JobSpec wide = job_with_dependencies(*simulator, 2, {"req-000001"}, 16);  // its team's whole limit
     wide.team = "blue";
     simulator->submit(wide, kSecond);
     simulator->run(3 * kSecond);
-    JobSpec other = simulator->job(3, JobKind::Array, 16);
+    JobSpec other = simulator->make_job(3, JobKind::Array, 16);
     other.team = "blue";
     simulator->submit(other, 3 * kSecond);
     simulator->run(4 * kSecond);
-    EXPECT_EQ(simulator->starts("req-000003"), 16) << simulator->story();
+    EXPECT_EQ(simulator->task_starts("req-000003"), 16) << simulator->format_history();
     const ShardOwner* owner =
         simulator->node(holder_of(*simulator, "req-000002"))->owners().begin()->second.get();
     EXPECT_TRUE(owner->jobs().at("req-000002")->slots.empty()) << "no memory either";
     EXPECT_EQ(owner->jobs().at("req-000002")->waiting_tasks(), 0);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, DependentStartsThoughHoldersCrashAroundTheEndOfItsDependency) {
@@ -83,7 +84,7 @@
     // when the dependent becomes eligible, and when its first bind is committed.
     for (const Micros crash_ms : {3'000, 4'400, 4'500, 4'550, 4'600, 4'700, 4'900, 5'300}) {
         auto simulator = settled_simulator(3);
-        simulator->submit(simulator->job(1, JobKind::Array, 2), 4 * kSecond, 0);
+        simulator->submit(simulator->make_job(1, JobKind::Array, 2), 4 * kSecond, 0);
         simulator->run(300 * kMillisecond);
         simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), 2 * kSecond, 0);
         simulator->run(crash_ms * kMillisecond - 300 * kMillisecond);
@@ -91,16 +92,16 @@
         simulator->run(kSecond);
         if (const int i = holder_of(*simulator, "req-000001"); i >= 0) simulator->crash(i, 20 * kSecond);
         simulator->run(25 * kSecond);
-        EXPECT_EQ(simulator->told("req-000002"), "done") << "crash at " << crash_ms << "\n"
-                                                         << simulator->story();
-        EXPECT_EQ(simulator->starts("req-000002"), 2);
-        EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "crash at " << crash_ms << "\n"
+                                                                   << simulator->format_history();
+        EXPECT_EQ(simulator->task_starts("req-000002"), 2);
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
 TEST(DependencyGraph, CancellationPropagatesToAllDependents) {
     auto simulator = settled_simulator(4);
-    simulator->submit(simulator->job(1, JobKind::Array, 2), 20 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 2), 20 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), kSecond);
     simulator->run(kSecond);
@@ -113,19 +114,20 @@
     // cancellation and a repeated submission.
     for (int i = 0; i < 3; ++i)
         for (const char* ref : {"req-000002", "req-000003", "req-000004"})
-            EXPECT_EQ(wire::text(simulator->ask(i, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
-                      "cancelled");
-    EXPECT_EQ(wire::text(simulator->ask(1, "POST", "/v1/jobs/req-000003/abort", {}).body, "stage"),
+            EXPECT_EQ(
+                wire::text(simulator->request(i, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
+                "cancelled");
+    EXPECT_EQ(wire::text(simulator->request(1, "POST", "/v1/jobs/req-000003/abort", {}).body, "stage"),
               "cancelled");
-    auto again = simulator->ask(2, "POST", "/v1/jobs",
-                                wire::job_value(job_with_dependencies(*simulator, 4, {"req-000002"})));
+    auto again = simulator->request(2, "POST", "/v1/jobs",
+                                    wire::job_value(job_with_dependencies(*simulator, 4, {"req-000002"})));
     EXPECT_EQ(again.status, 200);
     EXPECT_EQ(wire::text(again.body, "stage"), "cancelled");
     // A new job that depends on a cancelled job is accepted and is cancelled.
-    auto late = simulator->ask(0, "POST", "/v1/jobs",
-                               wire::job_value(job_with_dependencies(*simulator, 5, {"req-000003"})));
+    auto late = simulator->request(0, "POST", "/v1/jobs",
+                                   wire::job_value(job_with_dependencies(*simulator, 5, {"req-000003"})));
     EXPECT_EQ(late.status, 201);
-    EXPECT_EQ(wire::text(simulator->ask(1, "GET", "/v1/jobs/req-000005", {}).body, "stage"), "cancelled");
+    EXPECT_EQ(wire::text(simulator->request(1, "GET", "/v1/jobs/req-000005", {}).body, "stage"), "cancelled");
     simulator->run(10 * kSecond);
     // The records are updated, and the answers stay the same after a restart of all nodes.
     for (const char* ref : {"req-000002", "req-000003", "req-000004"})
@@ -133,28 +135,29 @@
     for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
     simulator->run(6 * kSecond);
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
-        EXPECT_EQ(wire::text(simulator->ask(2, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
+        EXPECT_EQ(wire::text(simulator->request(2, "GET", "/v1/jobs/" + std::string(ref), {}).body, "stage"),
                   "cancelled");
-    EXPECT_EQ(
-        simulator->starts("req-000002") + simulator->starts("req-000003") + simulator->starts("req-000004"),
-        0);
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->task_starts("req-000002") + simulator->task_starts("req-000003") +
+                  simulator->task_starts("req-000004"),
+              0);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, DependentIsShownAsCancelledWhateverItsRecordSays) {
     auto simulator = settled_simulator(13);
-    simulator->submit(simulator->job(1, JobKind::Array, 2), 30 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 2), 30 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), kSecond);
     simulator->run(2 * kSecond);
     // The holder of its shard can't write, so the record is not updated.
     const int holder = holder_of(*simulator, "req-000002");
-    simulator->refuse(holder, true);
+    simulator->refuse_state_requests(holder, true);
     auto stage = [&](int node) {
-        return wire::text(simulator->ask(node, "GET", "/v1/jobs/req-000002", {}).body, "stage").value_or("");
+        return wire::text(simulator->request(node, "GET", "/v1/jobs/req-000002", {}).body, "stage")
+            .value_or("");
     };
     const int one = (holder + 1) % 3, other = (holder + 2) % 3;
-    EXPECT_EQ(simulator->ask(one, "POST", "/v1/jobs/req-000001/abort", {}).status, 200);
+    EXPECT_EQ(simulator->request(one, "POST", "/v1/jobs/req-000001/abort", {}).status, 200);
     EXPECT_EQ(stage(other), "cancelled");
     EXPECT_EQ(stage(one), "cancelled");
     // A late write of the record by a holder that does not know of the cancellation.
@@ -175,7 +178,7 @@
 
 TEST(DependencyGraph, CancellationPropagatesThoughAllNodesCrashBeforeTheRecordsAreUpdated) {
     auto simulator = settled_simulator(5);
-    simulator->submit(simulator->job(1, JobKind::Array, 2), 20 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 2), 20 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), kSecond);
     simulator->run(2 * kSecond);
@@ -183,67 +186,69 @@
     simulator->run(60 * kMillisecond);
     for (int i = 0; i < 3; ++i) simulator->crash(i, 2 * kSecond);
     simulator->run(12 * kSecond);
-    EXPECT_EQ(simulator->told("req-000001"), "cancelled");
+    EXPECT_EQ(simulator->reported_stage("req-000001"), "cancelled");
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(wire::text(simulator->ask(i, "GET", "/v1/jobs/req-000002", {}).body, "stage"), "cancelled");
-    EXPECT_RULES(*simulator);
+        EXPECT_EQ(wire::text(simulator->request(i, "GET", "/v1/jobs/req-000002", {}).body, "stage"),
+                  "cancelled");
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, DependentsAgreeWithTheOutcomeOfACancellationNearTheLastTasksEnd) {
     // The store orders the cancellation and the end of the job, and every answer agrees with that order.
     for (const Micros cancel_ms : {2'900, 3'000, 3'050, 3'100, 3'200, 3'300, 3'400, 3'500}) {
         auto simulator = settled_simulator(6);
-        simulator->submit(simulator->job(1, JobKind::Array, 2), 3 * kSecond, 0);
+        simulator->submit(simulator->make_job(1, JobKind::Array, 2), 3 * kSecond, 0);
         simulator->run(300 * kMillisecond);
         simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), 2 * kSecond, 0);
         simulator->run(cancel_ms * kMillisecond - 300 * kMillisecond);
         simulator->cancel("req-000001");
         simulator->run(12 * kSecond);
-        EXPECT_EQ(simulator->told("req-000002"), simulator->told("req-000001"))
+        EXPECT_EQ(simulator->reported_stage("req-000002"), simulator->reported_stage("req-000001"))
             << "cancelled at " << cancel_ms << "\n"
-            << simulator->story();
-        EXPECT_EQ(simulator->starts("req-000002"), simulator->told("req-000001") == "done" ? 2 : 0);
-        EXPECT_RULES(*simulator);
+            << simulator->format_history();
+        EXPECT_EQ(simulator->task_starts("req-000002"),
+                  simulator->reported_stage("req-000001") == "done" ? 2 : 0);
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
 TEST(DependencyGraph, StoreOutageHidesNoCancellation) {
     auto simulator = settled_simulator(7);
-    simulator->submit(simulator->job(1, JobKind::Array, 2), 30 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 2), 30 * kSecond);
     simulator->run(kSecond);
     simulator->submit(job_with_dependencies(*simulator, 2, {"req-000001"}), kSecond);
     simulator->run(2 * kSecond);
-    simulator->hold_next("state", "loom-1");  // the update of the cancellation
+    simulator->hold_next_message("state", "loom-1");  // the update of the cancellation
     simulator->cancel("req-000001");
     simulator->run(500 * kMillisecond);
     simulator->state().set_down(true, simulator->now());
     simulator->run(3 * kSecond);
     // A node that has not received the cancellation answers 503 instead of an outdated state.
     for (int i = 0; i < 3; ++i) {
-        auto response = simulator->ask(i, "GET", "/v1/jobs/req-000002", {});
+        auto response = simulator->request(i, "GET", "/v1/jobs/req-000002", {});
         EXPECT_TRUE(response.status == 503 || wire::text(response.body, "stage") == "cancelled")
             << i << " " << response.status;
     }
     simulator->state().set_down(false, simulator->now());
     simulator->run(5 * kSecond);
-    EXPECT_EQ(simulator->told("req-000002"), "cancelled") << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->reported_stage("req-000002"), "cancelled") << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, DependencyMustHaveBeenAccepted) {
     auto simulator = settled_simulator(8);
     auto submit = [&](int node, const JobSpec& spec) {
-        return simulator->ask(node, "POST", "/v1/jobs", wire::job_value(spec)).status;
+        return simulator->request(node, "POST", "/v1/jobs", wire::job_value(spec)).status;
     };
     EXPECT_EQ(submit(0, job_with_dependencies(*simulator, 2, {"req-000077"})), 422);
     EXPECT_EQ(submit(0, job_with_dependencies(*simulator, 2, {"req-000002"})), 422) << "depends on itself";
     // Accepted by another node; the update has not arrived here yet.
-    const JobSpec first = simulator->job(1, JobKind::Array, 1);
+    const JobSpec first = simulator->make_job(1, JobKind::Array, 1);
     simulator->submit(first, 60 * kSecond);
-    simulator->hold_next("state", "loom-2");
+    simulator->hold_next_message("state", "loom-2");
     EXPECT_EQ(submit(1, first) / 100, 2);
     EXPECT_EQ(submit(2, job_with_dependencies(*simulator, 2, {"req-000001", "req-000001"})), 201);
-    simulator->release();
+    simulator->release_held_messages();
     simulator->run(kSecond);
     EXPECT_EQ(submit(2, job_with_dependencies(*simulator, 2, {"req-000001"})), 200);
     EXPECT_EQ(submit(2, job_with_dependencies(*simulator, 2, {"req-000099"})), 200)
@@ -255,12 +260,12 @@
 
 TEST(DependencyGraph, UnknownDependenciesKeepTheJobWaiting) {
     auto simulator = settled_simulator(9);
-    for (int i = 1; i <= 2; ++i) simulator->submit(simulator->job(i, JobKind::Array, 1), kSecond);
+    for (int i = 1; i <= 2; ++i) simulator->submit(simulator->make_job(i, JobKind::Array, 1), kSecond);
     simulator->run(6 * kSecond);
     simulator->cancel("req-000003");
-    simulator->submit(simulator->job(3, JobKind::Array, 1), 60 * kSecond);
+    simulator->submit(simulator->make_job(3, JobKind::Array, 1), 60 * kSecond);
     simulator->run(3 * kSecond);
-    EXPECT_EQ(simulator->told("req-000001"), "done");
+    EXPECT_EQ(simulator->reported_stage("req-000001"), "done");
     // The outcome of a dependency that is in no cache is Unknown until its record is read.
     DependencyGraph graph;
     const auto none_uncertain = [](const std::string&) { return false; };
@@ -283,7 +288,7 @@
         return DependencyGraph::KnownOutcome{DependencyGraph::Outcome::Unfinished, 0};
     };
     Simulator simulator(1);
-    JobSpec first = simulator.job(1, JobKind::Array, 1),
+    JobSpec first = simulator.make_job(1, JobKind::Array, 1),
             second = job_with_dependencies(simulator, 2, {"req-000001"}),
             last = job_with_dependencies(simulator, 3, {"req-000002"});
     first.priority_class = second.priority_class = PriorityClass::Low;
@@ -311,7 +316,7 @@
 
 TEST(DependencyGraph, EligibleTimeSurvivesAShardTakeover) {
     auto simulator = settled_simulator(10);
-    simulator->submit(simulator->job(1, JobKind::Array, 1), 5 * kSecond, 0);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 1), 5 * kSecond, 0);
     simulator->run(300 * kMillisecond);
     JobSpec wide =
         job_with_dependencies(*simulator, 2, {"req-000001"}, 40);  // more tasks than there is room for
@@ -334,14 +339,14 @@
         if (owner && owner->jobs().count("req-000002")) {
             EXPECT_EQ(owner->jobs().at("req-000002")->eligible_since_ms, before);
         }
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(DependencyGraph, ManyDependenciesAreStoredInChunks) {
     auto simulator = settled_simulator(11);
     std::vector<std::string> dependencies;
     for (int i = 1; i <= 300; ++i) {
-        JobSpec spec = simulator->job(i, JobKind::Array, 1, 0.1);
+        JobSpec spec = simulator->make_job(i, JobKind::Array, 1, 0.1);
         spec.request.ram = 100;
         simulator->submit(spec, kSecond);
         dependencies.push_back(spec.ref);
@@ -352,45 +357,45 @@
     simulator->run(10 * kSecond);
     for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
     simulator->run(30 * kSecond);
-    EXPECT_EQ(simulator->told("req-000900"), "done") << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->reported_stage("req-000900"), "done") << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 // ---------------------------------------------------------------- rolling upgrade
 
 TEST(Upgrade, NewFormatIsNotWrittenWhileANodeMayBeOld) {
     auto simulator = settled_simulator(12, {2});
-    simulator->submit(simulator->job(1, JobKind::Array, 1), 2 * kSecond);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 1), 2 * kSecond);
     simulator->run(2 * kSecond);
     const Json job = wire::job_value(job_with_dependencies(*simulator, 2, {"req-000001"}));
-    auto response = simulator->ask(0, "POST", "/v1/jobs", job);
+    auto response = simulator->request(0, "POST", "/v1/jobs", job);
     EXPECT_EQ(response.status, 503);
     EXPECT_GT(response.retry_after_s, 0);
     EXPECT_EQ(simulator
-                  ->ask(0, "POST", "/v1/jobs",
-                        wire::job_value(job_with_dependencies(*simulator, 1, {"req-000044"})))
+                  ->request(0, "POST", "/v1/jobs",
+                            wire::job_value(job_with_dependencies(*simulator, 1, {"req-000044"})))
                   .status,
               200)
         << "an accepted job is answered first";
     // A node that is down is not upgraded: it may come back with the old version.
     simulator->crash(2, 3 * kSecond);
     simulator->run(2 * kSecond);
-    EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", job).status, 503);
+    EXPECT_EQ(simulator->request(0, "POST", "/v1/jobs", job).status, 503);
     simulator->run(6 * kSecond);
-    EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", job).status, 503);
+    EXPECT_EQ(simulator->request(0, "POST", "/v1/jobs", job).status, 503);
     simulator->upgrade(2, kSecond);
     simulator->run(6 * kSecond);
-    EXPECT_EQ(simulator->ask(0, "POST", "/v1/jobs", job).status, 201);
+    EXPECT_EQ(simulator->request(0, "POST", "/v1/jobs", job).status, 201);
     // Once proven it holds for good: also while a node is down, and for a node that starts now.
     simulator->crash(1, 30 * kSecond);
     simulator->crash(0, kSecond);
     simulator->run(6 * kSecond);
     EXPECT_EQ(simulator
-                  ->ask(0, "POST", "/v1/jobs",
-                        wire::job_value(job_with_dependencies(*simulator, 3, {"req-000002"})))
+                  ->request(0, "POST", "/v1/jobs",
+                            wire::job_value(job_with_dependencies(*simulator, 3, {"req-000002"})))
                   .status,
               201);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 }  // namespace
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -14,7 +14,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 std::vector<Json> production_records() {
     std::vector<Json> out;
@@ -34,32 +35,32 @@
         simulator.add_machine(i % 3 == 0 ? "large" : "small", i % 2 ? "b" : "a", i >= 4);
     simulator.start_nodes(3, std::move(old_nodes));
     simulator.run(6 * kSecond);
-    JobSpec service = simulator.job(1, JobKind::Service, 3);
+    JobSpec service = simulator.make_job(1, JobKind::Service, 3);
     service.spread = true;
     service.spot = false;
     simulator.submit(service, 0);
-    JobSpec gang = simulator.job(2, JobKind::Gang, 2);
+    JobSpec gang = simulator.make_job(2, JobKind::Gang, 2);
     gang.one_zone = true;
     gang.checkpoint_interval = 3 * kSecond;
     gang.save_duration = kSecond;
     simulator.submit(gang, 60 * kSecond);
-    JobSpec array = simulator.job(3, JobKind::Array, 6, 2);
+    JobSpec array = simulator.make_job(3, JobKind::Array, 6, 2);
     array.deadline = 90 * kSecond;
     array.types = {"small", "large"};
     array.zone = "a";
     simulator.submit(array, 3 * kSecond);
-    simulator.submit(simulator.job(4, JobKind::Array, 2), 2 * kSecond);
-    JobSpec broken = simulator.job(5, JobKind::Array, 3);
+    simulator.submit(simulator.make_job(4, JobKind::Array, 2), 2 * kSecond);
+    JobSpec broken = simulator.make_job(5, JobKind::Array, 3);
     broken.team = "blue";
     simulator.submit(broken, 0, 100 * kMillisecond, true);
-    JobSpec wide = simulator.job(6, JobKind::Array, 250);
+    JobSpec wide = simulator.make_job(6, JobKind::Array, 250);
     wide.team = "guests";
     wide.priority_class = PriorityClass::Low;
     simulator.submit(wide, 4 * kSecond);
-    simulator.submit(simulator.job(7, JobKind::Service, 2), 0);
+    simulator.submit(simulator.make_job(7, JobKind::Service, 2), 0);
     simulator.run(8 * kSecond);
     simulator.cancel("req-000007");
-    simulator.submit(simulator.job(8, JobKind::Service, 1), 0);
+    simulator.submit(simulator.make_job(8, JobKind::Service, 1), 0);
     simulator.run(30 * kSecond);
 }
 
@@ -119,7 +120,7 @@
         if (const ShardOwner* candidate = simulator.node(i)->owner("loom-1");
             candidate && candidate->active())
             owner = candidate;
-    ASSERT_TRUE(owner) << simulator.story();
+    ASSERT_TRUE(owner) << simulator.format_history();
     EXPECT_EQ(owner->machines().size(), 5u);
     ASSERT_TRUE(owner->jobs().count("req-000006"));
     const Job& wide = *owner->jobs().at("req-000006");
@@ -129,8 +130,8 @@
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint_interval, 3 * kSecond);
     EXPECT_EQ(simulator.node(0)->quota_share("loom-1", "red").cores, 24'000);
-    EXPECT_EQ(wire::text(simulator.ask(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
-    EXPECT_EQ(wire::text(simulator.ask(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
+    EXPECT_EQ(wire::text(simulator.request(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
+    EXPECT_EQ(wire::text(simulator.request(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
 }
 
 std::string decode_hex(const std::string& hex) {
@@ -190,7 +191,7 @@
 
 /// Returns the settings after the limits of the state service were lowered.
 Settings settings_with_lowered_limits() {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.current_max_value_bytes = 4096;
     settings.max_value_bytes = 1024;
     settings.max_txn_ops = 4;
@@ -209,7 +210,7 @@
     for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes(3, {0, 1, 2});
     simulator.run(10 * kSecond);
-    JobSpec wide = simulator.job(1, JobKind::Array, 60, 4);
+    JobSpec wide = simulator.make_job(1, JobKind::Array, 60, 4);
     wide.team = std::string(48, 't');
     wide.request.cores = 1600;
     wide.request.ram = 20'000;  // one to a machine
@@ -222,7 +223,7 @@
     other.request.cores = 10;
     simulator.submit(other, 25 * kSecond, 0);
     simulator.run(4 * kSecond);
-    EXPECT_EQ(simulator.running("req-000001"), 60) << simulator.story();
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 60) << simulator.format_history();
     // All nodes are upgraded, and the limits are lowered before the nodes can rewrite any record.
     simulator.settings = settings_with_lowered_limits();
     for (int i = 0; i < 3; ++i) simulator.upgrade(i, kSecond);
@@ -231,16 +232,16 @@
     simulator.run(kSecond);
     simulator.cancel("req-000002");
     simulator.run(8 * kSecond);
-    EXPECT_EQ(simulator.told("req-000002"), "cancelled") << simulator.story();
-    EXPECT_EQ(simulator.running("req-000002"), 0);
+    EXPECT_EQ(simulator.reported_stage("req-000002"), "cancelled") << simulator.format_history();
+    EXPECT_EQ(simulator.running_tasks("req-000002"), 0);
     for (int i = 0; i < 3; ++i)
         simulator.crash(i, kSecond);  // new holders load the records as they are stored now
     simulator.run(60 * kSecond);
-    EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
-    EXPECT_EQ(simulator.starts("req-000001"), 60);
+    EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
+    EXPECT_EQ(simulator.task_starts("req-000001"), 60);
     for (const auto& record : records_of(simulator))
         EXPECT_LE(record["data"].dump().size(), 1024u) << record["k"];
-    EXPECT_RULES(simulator);
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 TEST(Limits, SplitBlockLosesNoTaskWhicheverUpdateArrivesFirst) {
@@ -251,25 +252,26 @@
         for (int i = 0; i < 60; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
         simulator.start_nodes(3, {0, 1, 2});
         simulator.run(10 * kSecond);
-        JobSpec service = simulator.job(1, JobKind::Service, 60, 0.4);
+        JobSpec service = simulator.make_job(1, JobKind::Service, 60, 0.4);
         service.request.ram = 20'000;  // one to a machine
         simulator.submit(service, 0, 0);
         simulator.run(3 * kSecond);
-        EXPECT_EQ(simulator.running("req-000001"), 60) << simulator.story();
+        EXPECT_EQ(simulator.running_tasks("req-000001"), 60) << simulator.format_history();
         simulator.settings = settings_with_lowered_limits();
         for (int i = 0; i < 3; ++i) simulator.upgrade(i, kSecond);
         simulator.run(2 * kSecond);
-        simulator.answers_lost = 0.4;  // the answers to the split among them
+        simulator.state_answer_loss_rate = 0.4;  // the answers to the split among them
         simulator.run(10 * kSecond);
-        simulator.answers_lost = 0;
+        simulator.state_answer_loss_rate = 0;
         simulator.run(10 * kSecond);
         std::size_t largest_block = 0;
         for (const auto& record : records_of(simulator))
             if (record["data"].contains("m"))
                 largest_block = std::max(largest_block, record["data"]["m"].size());
         EXPECT_LE(largest_block, 15u) << "the blocks have been split";
-        EXPECT_EQ(simulator.starts("req-000001"), 60) << "seed " << seed << "\n" << simulator.story();
-        EXPECT_RULES(simulator);
+        EXPECT_EQ(simulator.task_starts("req-000001"), 60) << "seed " << seed << "\n"
+                                                           << simulator.format_history();
+        EXPECT_NO_VIOLATIONS(simulator);
     }
 }
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(JobCache, StillStopsACancelledTaskAfterReadingManyFinishedJobs) {
     constexpr int kFinishedJobs = 20'001;
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings);
     JobSpec spec;
     spec.ref = "req-000001";
@@ -61,7 +61,7 @@
 
 // Guards against a job that is unknown being taken for an unfinished one.
 TEST(JobCache, DistinguishesUnknownFromUnfinishedJobs) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings, kSmallCapacity);
     const JobSpec spec = one_task_job("req-000001");
     EXPECT_EQ(cache.finality(spec.ref), JobFinality::Unknown);
@@ -79,7 +79,7 @@
 
 // Guards against a job whose record was deleted being taken for unfinished until its outcome is read.
 TEST(JobCache, FinalityIsUnknownAfterTheRecordIsRemoved) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings);
     const JobSpec spec = one_task_job("req-000001");
     cache.apply(spec.ref, RecordLocation::Active, record(spec, "queued"), 1, 0);
@@ -94,7 +94,7 @@
 
 // Guards against a user being told that a job runs after being told that its dependency cancelled it.
 TEST(JobCache, KeepsACancellationByADependencyAfterManyFinishedJobs) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings, kSmallCapacity);
     const JobSpec first = one_task_job("req-000001"), second = one_task_job("req-000002", {first.ref});
     cache.apply(first.ref, RecordLocation::Active, record(first, "queued"), 1, 0);
@@ -115,7 +115,7 @@
 
 // Guards against an older update of a live job being applied after its view was evicted.
 TEST(JobCache, RejectsOlderUpdatesOfALiveJobAfterManyFinishedJobs) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings, kSmallCapacity);
     const JobSpec spec = one_task_job("req-000001");
     cache.apply(spec.ref, RecordLocation::Active, record(spec, "cancelled"), 5, 0);
@@ -127,7 +127,7 @@
 
 // Guards against a finished job becoming live again by a record from before its end.
 TEST(JobCache, RejectsRecordsFromBeforeTheEndOfAnEvictedJob) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     for (const std::size_t other_jobs : {kSmallCapacity - 1, kSmallCapacity, kSmallCapacity + 1}) {
         JobCache cache(settings, kSmallCapacity);
         const JobSpec spec = one_task_job("req-000001");
@@ -148,7 +148,7 @@
 
 // Guards against losing the result of a read when the first update of the job's record arrives.
 TEST(JobCache, KeepsAViewThatWasReadBeforeTheFirstUpdate) {
-    const Settings settings = simulation::small_site();
+    const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings);
     const JobSpec spec = one_task_job("req-000001");
     cache.remember(spec.ref, JobView::from_record(record(spec, "cancelled"), 5));
--- a/tests/late_messages.hpp
+++ b/tests/late_messages.hpp
@@ -31,7 +31,7 @@
 }
 
 inline void cut_from_all_nodes(simulation::Simulator& simulator, const std::string& machine) {
-    for (int i = 0; i < simulator.node_count(); ++i) simulator.cut(host(i), machine);
+    for (int i = 0; i < simulator.node_count(); ++i) simulator.cut_link(host(i), machine);
 }
 
 /// A machine that hung until its only task (of service job 1) was restarted on another machine, and an old
@@ -41,21 +41,21 @@
     Json old_report;
 };
 inline RestartedElsewhere restart_elsewhere(simulation::Simulator& simulator) {
-    simulator.submit(simulator.job(1, JobKind::Service, 1), 0);
+    simulator.submit(simulator.make_job(1, JobKind::Service, 1), 0);
     simulator.run(3 * kSecond);
-    const std::string machine = *simulator.machines_of("req-000001").begin();
+    const std::string machine = *simulator.machines_running("req-000001").begin();
     const Json old_report = current_report(simulator, machine);
-    simulator.hang(machine, true);
+    simulator.set_hung(machine, true);
     simulator.run(25 * kSecond);
-    simulator.hang(machine, false);
+    simulator.set_hung(machine, false);
     simulator.run(5 * kSecond);
-    EXPECT_EQ(simulator.machines_of("req-000001").count(machine), 0u) << simulator.story();
+    EXPECT_EQ(simulator.machines_running("req-000001").count(machine), 0u) << simulator.format_history();
     return {machine, old_report};
 }
 
 /// Settings with which no machine is returned to the cloud for being idle.
 inline Settings settings_without_idle_return(double cpu_share = 1.0) {
-    Settings settings = simulation::small_site();
+    Settings settings = simulation::small_cluster_settings();
     settings.operators.idle_return_delay = 600 * kSecond;
     settings.cpu_cores = cpu_share;  // a small value spreads the machines over several shards
     return settings;
@@ -64,7 +64,7 @@
 /// Counts the lines of the trace that contain a text, e.g. starts on a machine.
 inline int count_trace_lines(const simulation::Simulator& simulator, const std::string& text) {
     int count = 0;
-    for (const auto& line : simulator.trace) count += line.find(text) != std::string::npos;
+    for (const auto& line : simulator.event_history) count += line.find(text) != std::string::npos;
     return count;
 }
 
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -14,7 +14,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story(300)
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history(300)
 
 // ---------------------------------------------------------------- random transactions
 
@@ -23,7 +24,7 @@
 /// Returns settings with several shards, so that machines, quota and jobs are transferred. Every third seed
 /// has small values and few changes per transaction, so that jobs have many parts and are stored in chunks.
 Settings settings_for_seed(int seed) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;
     if (seed % 3 == 0) {
         settings.max_value_bytes = 1024;
@@ -48,40 +49,43 @@
     for (Micros fault_at = 3 * kSecond; fault_at < faults_end;
          fault_at += static_cast<Micros>(9 + random_below(8)) * kSecond) {
         const double share = 0.1 + 0.1 * random_below(5);
-        simulator.at(fault_at, [&simulator, share, fault_rate] {
-            simulator.note("transactions get no answer: " + std::to_string(share));
+        simulator.schedule_at(fault_at, [&simulator, share, fault_rate] {
+            simulator.record_event("transactions get no answer: " + std::to_string(share));
             simulator.*fault_rate = share;
         });
-        simulator.at(fault_at + static_cast<Micros>(4 + random_below(7)) * kSecond,
-                     [&simulator, fault_rate] { simulator.*fault_rate = 0; });
+        simulator.schedule_at(fault_at + static_cast<Micros>(4 + random_below(7)) * kSecond,
+                              [&simulator, fault_rate] { simulator.*fault_rate = 0; });
         const Micros second_fault_at = fault_at + static_cast<Micros>(random_below(6000)) * kMillisecond;
         const Micros fault_duration = static_cast<Micros>(1 + random_below(10)) * kSecond;
         const Micros restart_after = static_cast<Micros>(50 + random_below(950)) * kMillisecond;
         const int node = random_below(3);
-        switch (random_below(fault_rate == &Simulator::late_writes ? 5 : 6)) {
+        switch (random_below(fault_rate == &Simulator::delayed_write_rate ? 5 : 6)) {
             case 0:
-                simulator.at(second_fault_at,
-                             [&simulator, node, restart_after] { simulator.crash(node, restart_after); });
+                simulator.schedule_at(second_fault_at, [&simulator, node, restart_after] {
+                    simulator.crash(node, restart_after);
+                });
                 break;
             case 1:
-                simulator.at(second_fault_at, [&simulator, restart_after] {
+                simulator.schedule_at(second_fault_at, [&simulator, restart_after] {
                     for (int i = 0; i < 3; ++i) simulator.crash(i, restart_after);
                 });
                 break;
             case 2:
-                simulator.at(second_fault_at, [&simulator, node] { simulator.refuse(node, true); });
-                simulator.at(second_fault_at + fault_duration,
-                             [&simulator, node] { simulator.refuse(node, false); });
+                simulator.schedule_at(second_fault_at,
+                                      [&simulator, node] { simulator.refuse_state_requests(node, true); });
+                simulator.schedule_at(second_fault_at + fault_duration,
+                                      [&simulator, node] { simulator.refuse_state_requests(node, false); });
                 break;
             case 3:
-                simulator.at(second_fault_at,
-                             [&simulator] { simulator.state().set_down(true, simulator.now()); });
-                simulator.at(second_fault_at + fault_duration,
-                             [&simulator] { simulator.state().set_down(false, simulator.now()); });
+                simulator.schedule_at(second_fault_at,
+                                      [&simulator] { simulator.state().set_down(true, simulator.now()); });
+                simulator.schedule_at(second_fault_at + fault_duration,
+                                      [&simulator] { simulator.state().set_down(false, simulator.now()); });
                 break;
             case 5:
-                simulator.at(second_fault_at,
-                             [&simulator, node, fault_duration] { simulator.freeze(node, fault_duration); });
+                simulator.schedule_at(second_fault_at, [&simulator, node, fault_duration] {
+                    simulator.freeze_process(node, fault_duration);
+                });
                 break;
             default:
                 break;  // no other fault
@@ -91,51 +95,54 @@
     std::string previous_job;
     for (Micros submit_at = 2 * kSecond; submit_at < faults_end - 10 * kSecond;
          submit_at += static_cast<Micros>(400 + random_below(2500)) * kMillisecond)
-        simulator.at(submit_at, [&simulator, &next_job, &previous_job, random_below] {
+        simulator.schedule_at(submit_at, [&simulator, &next_job, &previous_job, random_below] {
             const JobKind kind = random_below(5) == 0   ? JobKind::Service
                                  : random_below(4) == 0 ? JobKind::Gang
                                                         : JobKind::Array;
-            JobSpec spec = simulator.job(next_job++, kind, 1 + random_below(kind == JobKind::Array ? 24 : 4));
+            JobSpec spec =
+                simulator.make_job(next_job++, kind, 1 + random_below(kind == JobKind::Array ? 24 : 4));
             spec.team = random_below(3) == 0 ? "blue" : "red";
             spec.priority_class = static_cast<PriorityClass>(random_below(4));
             spec.spot = kind != JobKind::Service;
             if (random_below(3) == 0) spec.checkpoint_interval = 3 * kSecond, spec.save_duration = kSecond;
-            if (!previous_job.empty() && !simulator.told(previous_job).empty() && random_below(4) == 0)
+            if (!previous_job.empty() && !simulator.reported_stage(previous_job).empty() &&
+                random_below(4) == 0)
                 spec.dependencies.push_back(previous_job);
             simulator.submit(spec, static_cast<Micros>(1000 + random_below(6000)) * kMillisecond,
                              200 * kMillisecond);
             if (random_below(4) == 0 || kind == JobKind::Service)
-                simulator.at(simulator.now() + static_cast<Micros>(random_below(20000)) * kMillisecond,
-                             [&simulator, ref = spec.ref] { simulator.cancel(ref); });
+                simulator.schedule_at(
+                    simulator.now() + static_cast<Micros>(random_below(20000)) * kMillisecond,
+                    [&simulator, ref = spec.ref] { simulator.cancel(ref); });
             previous_job = kind == JobKind::Service ? "" : spec.ref;
         });
     simulator.run(faults_end + 15 * kSecond);
     simulator.*fault_rate = 0;
-    simulator.quiesce();
+    simulator.mark_faults_over();
     simulator.run(150 * kSecond);
-    EXPECT_RULES(simulator);
+    EXPECT_NO_VIOLATIONS(simulator);
     int accepted = 0;
     for (int i = 1; i < next_job; ++i) {
         char ref[32];
         std::snprintf(ref, sizeof ref, "req-%06d", i);
-        if (simulator.told(ref).empty()) continue;  // its user gave up on it
+        if (simulator.reported_stage(ref).empty()) continue;  // its user gave up on it
         ++accepted;
-        EXPECT_TRUE(simulator.told(ref) == "done" || simulator.told(ref) == "cancelled")
-            << ref << " is " << simulator.told(ref) << " at the end, seed " << seed << "\n"
-            << simulator.story(200);
-        EXPECT_EQ(simulator.running(ref), 0) << ref;
+        EXPECT_TRUE(simulator.reported_stage(ref) == "done" || simulator.reported_stage(ref) == "cancelled")
+            << ref << " is " << simulator.reported_stage(ref) << " at the end, seed " << seed << "\n"
+            << simulator.format_history(200);
+        EXPECT_EQ(simulator.running_tasks(ref), 0) << ref;
     }
     EXPECT_GT(accepted, next_job / 2);
 }
 
 TEST_P(LateWrites, LoseNothingAndRunNothingTwice) {
-    run_with_faulty_writes(GetParam(), &Simulator::late_writes);
+    run_with_faulty_writes(GetParam(), &Simulator::delayed_write_rate);
 }
 
 class UnansweredWrites : public testing::TestWithParam<int> {};
 
 TEST_P(UnansweredWrites, LoseNothingAndRunNothingTwice) {
-    run_with_faulty_writes(GetParam(), &Simulator::unanswered_writes);
+    run_with_faulty_writes(GetParam(), &Simulator::unanswered_write_rate);
 }
 
 /// Returns the range of seeds; WORLD_SEEDS="100 400" replaces the default one.
@@ -160,12 +167,13 @@
         simulator.add_machine("small", "a");
         simulator.start_nodes(1);
         simulator.run(5 * kSecond);
-        simulator.late_next("c/active/req-000001", late_by * kMillisecond);
-        simulator.submit(simulator.job(1, JobKind::Array, 2), kSecond);
+        simulator.delay_next_write("c/active/req-000001", late_by * kMillisecond);
+        simulator.submit(simulator.make_job(1, JobKind::Array, 2), kSecond);
         simulator.run(14 * kSecond);
-        EXPECT_EQ(simulator.late_to_come(), 0U);
-        EXPECT_EQ(simulator.told("req-000001"), "done") << late_by << " ms late\n" << simulator.story();
-        EXPECT_RULES(simulator);
+        EXPECT_EQ(simulator.pending_write_delays(), 0U);
+        EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << late_by << " ms late\n"
+                                                                  << simulator.format_history();
+        EXPECT_NO_VIOLATIONS(simulator);
     }
 }
 
@@ -173,33 +181,34 @@
 /// a shard with waiting tasks, and the block is deleted. The first transaction, executed late, must not
 /// create the block again.
 TEST(LateWrite, LateBlockCreationDoesNotTakeBackAMovedMachine) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;  // several shards
     Simulator simulator(1, settings);
     simulator.add_machine("small", "a");
     simulator.start_nodes();
     simulator.run(6 * kSecond);
-    simulator.submit(simulator.job(1, JobKind::Array, 16), 40 * kSecond);  // half of its tasks fit
+    simulator.submit(simulator.make_job(1, JobKind::Array, 16), 40 * kSecond);  // half of its tasks fit
     simulator.run(2 * kSecond);
-    EXPECT_EQ(simulator.running("req-000001"), 8);
-    simulator.late_next("c/block/", 11 * kSecond);
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 8);
+    simulator.delay_next_write("c/block/", 11 * kSecond);
     simulator.add_machine("small", "a");
     simulator.run(10 * kSecond);
-    EXPECT_EQ(simulator.late_to_come(), 0U);
-    EXPECT_EQ(simulator.running("req-000001"), 16) << "the machine has moved\n" << simulator.story();
+    EXPECT_EQ(simulator.pending_write_delays(), 0U);
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 16) << "the machine has moved\n"
+                                                         << simulator.format_history();
     simulator.run(5 * kSecond);
     simulator.add_machine("small", "b");  // room for tasks that are wrongly taken to be lost
     simulator.run(80 * kSecond);
-    EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
-    EXPECT_EQ(simulator.starts("req-000001"), 16) << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
+    EXPECT_EQ(simulator.task_starts("req-000001"), 16) << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 /// The transaction that transfers a job to another shard gets no answer, and the job's tasks are bound here
 /// afterwards. The transfer is conditional on the revision of the job's record, which is written last of its
 /// parts: until it is written, no task of the job may run here.
 TEST(LateWrite, JobWithRunningTasksIsNotTransferred) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;
     settings.max_value_bytes = 1024;  // three parts
     settings.max_txn_ops = 2;         // too few to write them in one transaction
@@ -207,27 +216,27 @@
     simulator.add_machine("small", "a");
     simulator.start_nodes();
     simulator.run(6 * kSecond);
-    simulator.submit(simulator.job(1, JobKind::Service, 8), 0);  // fills the machine
+    simulator.submit(simulator.make_job(1, JobKind::Service, 8), 0);  // fills the machine
     simulator.run(3 * kSecond);
-    JobSpec job = simulator.job(2, JobKind::Array, 60, 0.08);
+    JobSpec job = simulator.make_job(2, JobKind::Array, 60, 0.08);
     job.team = "blue";
     simulator.submit(job, 25 * kSecond);
     simulator.run(2 * kSecond);
-    EXPECT_EQ(simulator.told(job.ref), "accepted");
-    simulator.late_next("c/active/" + job.ref, 9 * kSecond);
+    EXPECT_EQ(simulator.reported_stage(job.ref), "accepted");
+    simulator.delay_next_write("c/active/" + job.ref, 9 * kSecond);
     const std::string machine =
         simulator.add_machine("large", "a");  // in another shard: the job is transferred there
-    for (int i = 0; i < 100 && simulator.late_to_come() > 0; ++i) simulator.run(100 * kMillisecond);
-    ASSERT_EQ(simulator.late_to_come(), 0U) << simulator.story();
-    for (int i = 0; i < 4; ++i) simulator.late_next("c/active/" + job.ref, 30 * kSecond);
+    for (int i = 0; i < 100 && simulator.pending_write_delays() > 0; ++i) simulator.run(100 * kMillisecond);
+    ASSERT_EQ(simulator.pending_write_delays(), 0U) << simulator.format_history();
+    for (int i = 0; i < 4; ++i) simulator.delay_next_write("c/active/" + job.ref, 30 * kSecond);
     simulator.run(8 * kSecond);
-    for (int i = 0; i < 3; ++i) simulator.cut("loom-" + std::to_string(i), machine);
+    for (int i = 0; i < 3; ++i) simulator.cut_link("loom-" + std::to_string(i), machine);
     for (int i = 0; i < 3; ++i) simulator.add_machine("large", "b");  // one for each shard
     simulator.run(25 * kSecond);
-    simulator.heal_all();
+    simulator.heal_all_links();
     simulator.run(70 * kSecond);
-    EXPECT_EQ(simulator.told(job.ref), "done") << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.reported_stage(job.ref), "done") << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 Json read_store(Simulator& simulator, const std::string& key) {
@@ -238,7 +247,7 @@
 /// shown the chunks unreferenced and before they are deleted: the deletion must fail because the record has
 /// changed.
 TEST(LateWrite, ChunksOfALateHeadAreNotDeleted) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.max_value_bytes = 1024;
     Simulator simulator(1, settings);
     simulator.add_machine("small", "a");
@@ -247,22 +256,23 @@
     policy::Policy new_policy;
     new_policy.revision = 3;
     for (int i = 0; i < 60; ++i) new_policy.tiers.push_back({{"red", "class-" + std::to_string(i)}, {}});
-    const int writer = (simulator.leader() + 1) % 3;
+    const int writer = (simulator.leader_node() + 1) % 3;
     const Micros late_by = 70 * kSecond;
-    simulator.late_next("c/policy", late_by);
+    simulator.delay_next_write("c/policy", late_by);
     simulator.node(writer)->set_policy_file(new_policy);
-    for (int i = 0; i < 100 && simulator.late_to_come() > 0; ++i) simulator.run(50 * kMillisecond);
-    ASSERT_EQ(simulator.late_to_come(), 0U);
+    for (int i = 0; i < 100 && simulator.pending_write_delays() > 0; ++i) simulator.run(50 * kMillisecond);
+    ASSERT_EQ(simulator.pending_write_delays(), 0U);
     const Micros head_written_at = simulator.now() + late_by;
     simulator.crash(writer, 300 * kSecond);  // so that it does not write the record again
-    for (int i = 0; i < 40; ++i) simulator.late_next("c/0/", 15 * kSecond);  // the deletion of each chunk
+    for (int i = 0; i < 40; ++i)
+        simulator.delay_next_write("c/0/", 15 * kSecond);  // the deletion of each chunk
     simulator.run(head_written_at + 30 * kSecond - simulator.now());
-    EXPECT_LT(simulator.late_to_come(), 40U) << "the chunks were to be deleted";
+    EXPECT_LT(simulator.pending_write_delays(), 40U) << "the chunks were to be deleted";
     const auto head = chunks::chunk_reference(read_store(simulator, "/store/c/policy")["data"]);
     ASSERT_TRUE(head) << "the head was written";
     for (std::size_t i = 0; i < head->second; ++i)
         EXPECT_TRUE(read_store(simulator, "/store/" + chunks::key(head->first, i)).contains("data")) << i;
-    EXPECT_RULES(simulator);
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 /// The transaction that allocates the initial quota gets no answer, and another shard is to have the quota by
@@ -270,10 +280,10 @@
 TEST(LateWrite, InitialQuotaIsNotAllocatedTwice) {
     Simulator simulator(1);
     simulator.add_machine("small", "a");
-    simulator.late_next("c/share/", 8 * kSecond);
+    simulator.delay_next_write("c/share/", 8 * kSecond);
     simulator.start_nodes();
-    for (int i = 0; i < 200 && simulator.late_to_come() > 0; ++i) simulator.run(50 * kMillisecond);
-    ASSERT_EQ(simulator.late_to_come(), 0U);
+    for (int i = 0; i < 200 && simulator.pending_write_delays() > 0; ++i) simulator.run(50 * kMillisecond);
+    ASSERT_EQ(simulator.pending_write_delays(), 0U);
     const Json block = read_store(simulator, "/store?starts=c/block/&page=10")["pairs"][0];
     Json moved = block["data"];
     moved["dom"] = moved["dom"] == "loom-0" ? "loom-1" : "loom-0";
@@ -283,7 +293,7 @@
     Milli red = 0;
     const Json shares = read_store(simulator, "/store?starts=c/share/&page=10")["pairs"];
     for (const auto& pair : shares) red += parse_quota(pair["data"])["red"].cores;
-    EXPECT_EQ(red, 24'000) << shares << simulator.story();
+    EXPECT_EQ(red, 24'000) << shares << simulator.format_history();
 }
 
 }  // namespace
--- a/tests/lease_validity_test.cpp
+++ b/tests/lease_validity_test.cpp
@@ -20,22 +20,23 @@
     for (int i = 0; i < machine_count; ++i) simulator->add_machine("small", "a");
     simulator->start_nodes();
     simulator->run(6 * kSecond);
-    EXPECT_GE(simulator->holder(), 0);
+    EXPECT_GE(simulator->owner_node(), 0);
     return simulator;
 }
 
 /// Cancels the job through a controller other than `node`, and waits for the confirmation.
 void cancel_at_other_controller(Simulator& simulator, int node, const std::string& ref) {
-    simulator.cut("users", host(node));
+    simulator.cut_link("users", host(node));
     simulator.cancel(ref);
-    simulator.ask((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Json::object());
-    for (int i = 0; i < 600 && simulator.told(ref) != "cancelled"; ++i) simulator.run(10 * kMillisecond);
-    ASSERT_EQ(simulator.told(ref), "cancelled") << simulator.story();
+    simulator.request((node + 1) % 3, "POST", "/v1/jobs/" + ref + "/abort", Json::object());
+    for (int i = 0; i < 600 && simulator.reported_stage(ref) != "cancelled"; ++i)
+        simulator.run(10 * kMillisecond);
+    ASSERT_EQ(simulator.reported_stage(ref), "cancelled") << simulator.format_history();
 }
 
 TEST(ControllerLease, WorkerLeaseEndsBeforeTheCancelDeadline) {
     // For all durations that may be configured. If they do not fit, can_cancel_in_time reports it.
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     for (settings.worker_lease = 5 * kSecond; settings.worker_lease < 60 * kSecond;
          settings.worker_lease += 700 * kMillisecond)
         for (settings.cancel_deadline = settings.worker_lease;
@@ -59,24 +60,24 @@
     // resumes, its answer to a call reports a new session. The launch, which was not executed, would then be
     // sent again, long after the job was cancelled.
     auto simulator = settled_single_zone_simulator(1, 1);
-    const int holder = simulator->holder();
+    const int holder = simulator->owner_node();
     const std::string machine = simulator->machine_names().front();
-    simulator->hang(machine, true);
-    simulator->submit(simulator->job(1, JobKind::Array, 1), 100 * kSecond, 0);
+    simulator->set_hung(machine, true);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 1), 100 * kSecond, 0);
     simulator->run(kSecond);
-    ASSERT_EQ(simulator->told("req-000001"), "accepted") << simulator->story();
-    simulator->cut_off(holder, true);
+    ASSERT_EQ(simulator->reported_stage("req-000001"), "accepted") << simulator->format_history();
+    simulator->isolate_controller(holder, true);
     for (int i = 0; i < 3; ++i)
-        if (i != holder) simulator->cut(host(i), machine);
+        if (i != holder) simulator->cut_link(host(i), machine);
     cancel_at_other_controller(*simulator, holder, "req-000001");
     simulator->run(simulator->settings.cancel_deadline + 2 * kSecond);
-    simulator->hang(machine, false);
+    simulator->set_hung(machine, false);
     simulator->run(10 * kSecond);
     EXPECT_GT(simulator->worker(machine)->session(), 1U);
-    EXPECT_EQ(simulator->starts("req-000001"), 0) << simulator->story();
-    simulator->heal_all();
+    EXPECT_EQ(simulator->task_starts("req-000001"), 0) << simulator->format_history();
+    simulator->heal_all_links();
     simulator->run(20 * kSecond);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(ControllerLease, CancellationIsAppliedWhileAWriteOfItsRecordIsPending) {
@@ -84,24 +85,24 @@
     // cancellation only after the pending write of the same record was answered, the tasks would run too
     // long: while the state service is unreachable, that answer does not come.
     auto simulator = settled_single_zone_simulator(2, 1);
-    const int holder = simulator->holder();
-    simulator->submit(simulator->job(1, JobKind::Array, 1, 4), 4 * kSecond, 0);
+    const int holder = simulator->owner_node();
+    simulator->submit(simulator->make_job(1, JobKind::Array, 1, 4), 4 * kSecond, 0);
     simulator->run(kSecond);
-    simulator->submit(simulator->job(2, JobKind::Array, 2, 4), 100 * kSecond, 0);
+    simulator->submit(simulator->make_job(2, JobKind::Array, 2, 4), 100 * kSecond, 0);
     simulator->run(kSecond);
-    ASSERT_EQ(simulator->running("req-000002"), 1) << simulator->story();
-    simulator->late_writes =
+    ASSERT_EQ(simulator->running_tasks("req-000002"), 1) << simulator->format_history();
+    simulator->delayed_write_rate =
         1;  // delays writes from now on, and so the binding of the task that starts after the first job
-    while (simulator->running("req-000001") > 0) simulator->run(10 * kMillisecond);
+    while (simulator->running_tasks("req-000001") > 0) simulator->run(10 * kMillisecond);
     simulator->run(700 * kMillisecond);
-    simulator->late_writes = 0;
+    simulator->delayed_write_rate = 0;
     cancel_at_other_controller(*simulator, holder, "req-000002");
     simulator->run(800 * kMillisecond);
-    EXPECT_EQ(simulator->running("req-000002"), 0) << "stopped before the write times out\n"
-                                                   << simulator->story();
-    simulator->heal_all();
+    EXPECT_EQ(simulator->running_tasks("req-000002"), 0) << "stopped before the write times out\n"
+                                                         << simulator->format_history();
+    simulator->heal_all_links();
     simulator->run(20 * kSecond);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(ControllerLease, HolderThatIsStillLoadingStopsTasksOfCancelledJobs) {
@@ -109,14 +110,15 @@
     // expires. When an outage began in that interval, the holder renewed the leases of machines with tasks of
     // cancelled jobs without stopping these tasks.
     auto simulator = settled_single_zone_simulator(3, 2);
-    const int former_holder = simulator->holder();
+    const int former_holder = simulator->owner_node();
     const std::string shard = simulator->owner_at(former_holder)->shard();
-    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 2), 0);
     simulator->run(3 * kSecond);
-    ASSERT_EQ(simulator->running("req-000001"), 2);
-    simulator->refuse(former_holder, true);
+    ASSERT_EQ(simulator->running_tasks("req-000001"), 2);
+    simulator->refuse_state_requests(former_holder, true);
     cancel_at_other_controller(*simulator, former_holder, "req-000001");
-    ASSERT_EQ(simulator->running("req-000001"), 2) << "the former holder must not know of the cancellation";
+    ASSERT_EQ(simulator->running_tasks("req-000001"), 2)
+        << "the former holder must not know of the cancellation";
     auto other_controller_is_loading = [&] {
         for (int i = 0; i < 3; ++i)
             if (const ShardOwner* owner = simulator->node(i)->owner(shard);
@@ -125,16 +127,16 @@
         return false;
     };
     for (int i = 0; i < 10'000 && !other_controller_is_loading(); ++i) simulator->run(kMillisecond);
-    ASSERT_TRUE(other_controller_is_loading()) << simulator->story();
+    ASSERT_TRUE(other_controller_is_loading()) << simulator->format_history();
     simulator->state().set_down(true, simulator->now());
     simulator->run(9 * kSecond);
-    EXPECT_EQ(simulator->running("req-000001"), 0) << simulator->story();
+    EXPECT_EQ(simulator->running_tasks("req-000001"), 0) << simulator->format_history();
     simulator->run(30 * kSecond);
     simulator->state().set_down(false, simulator->now());
-    simulator->refuse(former_holder, false);
-    simulator->heal_all();
+    simulator->refuse_state_requests(former_holder, false);
+    simulator->heal_all_links();
     simulator->run(10 * kSecond);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(ControllerLease, LaunchOfACancelledJobIsRefusedByToken) {
@@ -142,62 +144,64 @@
     // other. The holder's launch is delayed in the network. When it arrives, only a higher token, which the
     // other controller reads from the state service, prevents the task from starting.
     auto simulator = settled_single_zone_simulator(4, 1);
-    simulator->submit(simulator->job(2, JobKind::Service, 1),
+    simulator->submit(simulator->make_job(2, JobKind::Service, 1),
                       0);          // keeps the machine from being returned to the cloud
     simulator->run(30 * kSecond);  // controllers renew no leases for others earlier
-    const int holder = simulator->holder();
+    const int holder = simulator->owner_node();
     const std::string machine = simulator->machine_names().front();
-    simulator->hold_next(host(holder), machine);
-    simulator->submit(simulator->job(1, JobKind::Array, 1), 100 * kSecond, 0);
-    for (int i = 0; i < 300 && simulator->told("req-000001") != "accepted"; ++i)
+    simulator->hold_next_message(host(holder), machine);
+    simulator->submit(simulator->make_job(1, JobKind::Array, 1), 100 * kSecond, 0);
+    for (int i = 0; i < 300 && simulator->reported_stage("req-000001") != "accepted"; ++i)
         simulator->run(10 * kMillisecond);
     simulator->run(100 * kMillisecond);
-    simulator->cut(host(holder), machine);
+    simulator->cut_link(host(holder), machine);
     for (int i = 0; i < 3; ++i)
-        if (i != holder) simulator->cut(host(holder), host(i));
+        if (i != holder) simulator->cut_link(host(holder), host(i));
     cancel_at_other_controller(*simulator, holder, "req-000001");
     simulator->run(simulator->settings.cancel_deadline + 2 * kSecond);
     ASSERT_EQ(simulator->worker(machine)->session(), 1U) << "the session must still be alive\n"
-                                                         << simulator->story();
-    simulator->release();
+                                                         << simulator->format_history();
+    simulator->release_held_messages();
     simulator->run(5 * kSecond);
-    EXPECT_EQ(simulator->starts("req-000001"), 0) << simulator->story();
-    simulator->heal_all();
+    EXPECT_EQ(simulator->task_starts("req-000001"), 0) << simulator->format_history();
+    simulator->heal_all_links();
     simulator->run(20 * kSecond);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(ControllerLease, CutOffHolderRefusesUsersAndItsWorkersMoveToTheNewHolder) {
     auto simulator = settled_single_zone_simulator(5, 4);
-    const int former_holder = simulator->holder();
-    simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
-    simulator->submit(simulator->job(2, JobKind::Array, 2), 60 * kSecond, 0);
+    const int former_holder = simulator->owner_node();
+    simulator->submit(simulator->make_job(1, JobKind::Service, 2), 0);
+    simulator->submit(simulator->make_job(2, JobKind::Array, 2), 60 * kSecond, 0);
     simulator->run(4 * kSecond);
-    simulator->cut_off(former_holder, true);
+    simulator->isolate_controller(former_holder, true);
     cancel_at_other_controller(*simulator, former_holder, "req-000002");
-    const auto submission = wire::job_value(simulator->job(1, JobKind::Service, 2));
-    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000001", Json::object()).status, 503);
-    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000002", Json::object()).status, 503);
-    EXPECT_EQ(simulator->ask(former_holder, "GET", "/v1/jobs/req-000999", Json::object()).status, 503);
-    EXPECT_EQ(simulator->ask(former_holder, "POST", "/v1/jobs/req-000001/abort", Json::object()).status, 503);
-    EXPECT_EQ(simulator->ask(former_holder, "POST", "/v1/jobs", submission).status, 503)
+    const auto submission = wire::job_value(simulator->make_job(1, JobKind::Service, 2));
+    EXPECT_EQ(simulator->request(former_holder, "GET", "/v1/jobs/req-000001", Json::object()).status, 503);
+    EXPECT_EQ(simulator->request(former_holder, "GET", "/v1/jobs/req-000002", Json::object()).status, 503);
+    EXPECT_EQ(simulator->request(former_holder, "GET", "/v1/jobs/req-000999", Json::object()).status, 503);
+    EXPECT_EQ(simulator->request(former_holder, "POST", "/v1/jobs/req-000001/abort", Json::object()).status,
+              503);
+    EXPECT_EQ(simulator->request(former_holder, "POST", "/v1/jobs", submission).status, 503)
         << "a repeated submission";
-    EXPECT_EQ(
-        simulator
-            ->ask(former_holder, "POST", "/v1/jobs", wire::job_value(simulator->job(3, JobKind::Array, 1)))
-            .status,
-        503);
+    EXPECT_EQ(simulator
+                  ->request(former_holder, "POST", "/v1/jobs",
+                            wire::job_value(simulator->make_job(3, JobKind::Array, 1)))
+                  .status,
+              503);
     simulator->run(20 * kSecond);  // until the controller's lease has expired
-    EXPECT_EQ(simulator->running("req-000002"), 0) << simulator->story();
-    EXPECT_EQ(simulator->running("req-000001"), 2);
-    EXPECT_EQ(simulator->starts("req-000001"), 2) << "no task was started again\n" << simulator->story();
-    simulator->heal("users", host(former_holder));
-    simulator->submit(simulator->job(4, JobKind::Array, 4), 2 * kSecond, 0);
+    EXPECT_EQ(simulator->running_tasks("req-000002"), 0) << simulator->format_history();
+    EXPECT_EQ(simulator->running_tasks("req-000001"), 2);
+    EXPECT_EQ(simulator->task_starts("req-000001"), 2) << "no task was started again\n"
+                                                       << simulator->format_history();
+    simulator->heal_link("users", host(former_holder));
+    simulator->submit(simulator->make_job(4, JobKind::Array, 4), 2 * kSecond, 0);
     simulator->run(15 * kSecond);
-    EXPECT_EQ(simulator->told("req-000004"), "done") << simulator->story();
-    simulator->heal_all();
+    EXPECT_EQ(simulator->reported_stage("req-000004"), "done") << simulator->format_history();
+    simulator->heal_all_links();
     simulator->run(20 * kSecond);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -16,7 +16,7 @@
 constexpr Micros kMaxReuseDelay = 90 * kSecond;
 
 Settings site_settings(bool has_several_shards) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     if (has_several_shards) settings.cpu_cores = 0.001;
     settings.operators.idle_return_delay = 600 * kSecond;
     return settings;
@@ -27,8 +27,8 @@
                    const std::string& team) {
     Milli cores = 0;
     for (const auto& [ref, spec] : jobs)
-        if (spec.team == team && simulator.told(ref) != "cancelled")
-            cores += simulator.running(ref) * spec.request.cores;
+        if (spec.team == team && simulator.reported_stage(ref) != "cancelled")
+            cores += simulator.running_tasks(ref) * spec.request.cores;
     return cores;
 }
 
@@ -41,7 +41,7 @@
         for (int i = 0; i < 10; ++i) {
             const bool is_red = team == std::string("red");
             const JobKind kind = i % 5 == 3 ? JobKind::Gang : i % 5 == 4 ? JobKind::Service : JobKind::Array;
-            JobSpec spec = simulator.job(number++, kind, kind != JobKind::Array ? 2 : is_red ? 7 : 4);
+            JobSpec spec = simulator.make_job(number++, kind, kind != JobKind::Array ? 2 : is_red ? 7 : 4);
             spec.team = team;
             if (i % 2) spec.checkpoint_interval = 5 * kSecond, spec.save_duration = kSecond;
             simulator.submit(spec, 400 * kSecond);
@@ -65,25 +65,27 @@
                        bool on) {
     for (const auto& machine : machines) {
         const std::string kind = fault.kind;
-        if (kind == "hang") simulator.hang(machine, on);
-        if (kind == "deaf") simulator.deafen(machine, on);
-        if (kind == "mute") simulator.mute(machine, on);
+        if (kind == "hang") simulator.set_hung(machine, on);
+        if (kind == "deaf") simulator.block_messages_to(machine, on);
+        if (kind == "mute") simulator.block_reports_from(machine, on);
         for (int i = 0; kind == "cut" && i < simulator.node_count(); ++i)
-            on ? simulator.cut(host(i), machine) : simulator.heal(host(i), machine);
+            on ? simulator.cut_link(host(i), machine) : simulator.heal_link(host(i), machine);
     }
 }
 
 void start_controller_fault(Simulator& simulator, const std::string& kind, int node, Micros duration) {
     if (kind == "ends") simulator.crash(node, 300 * kMillisecond);
     if (kind == "ends for long") simulator.crash(node, duration);
-    if (kind == "stands still") simulator.freeze(node, duration);
+    if (kind == "stands still") simulator.freeze_process(node, duration);
     if (kind == "cut off") {
-        simulator.cut_off(node, true);
-        simulator.at(simulator.now() + duration, [&simulator, node] { simulator.cut_off(node, false); });
+        simulator.isolate_controller(node, true);
+        simulator.schedule_at(simulator.now() + duration,
+                              [&simulator, node] { simulator.isolate_controller(node, false); });
     }
     if (kind == "refused") {
-        simulator.refuse(node, true);
-        simulator.at(simulator.now() + duration, [&simulator, node] { simulator.refuse(node, false); });
+        simulator.refuse_state_requests(node, true);
+        simulator.schedule_at(simulator.now() + duration,
+                              [&simulator, node] { simulator.refuse_state_requests(node, false); });
     }
 }
 
@@ -91,9 +93,9 @@
 bool has_startable_job(const Simulator& simulator, const std::map<std::string, JobSpec>& jobs) {
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
         const auto& [ref, spec] = entry;
-        const int missing = spec.tasks - simulator.running(ref);
+        const int missing = spec.tasks - simulator.running_tasks(ref);
         const Milli tasks_at_once = spec.kind == JobKind::Gang ? spec.tasks : 1;
-        return simulator.told(ref) != "cancelled" && missing > 0 &&
+        return simulator.reported_stage(ref) != "cancelled" && missing > 0 &&
                cores_in_use(simulator, jobs, spec.team) + spec.request.cores * tasks_at_once <=
                    (spec.team == "red" ? 24'000 : 16'000);
     });
@@ -117,13 +119,13 @@
         auto simulator =
             settled_simulator(static_cast<std::uint64_t>(largest_job_cores), 9, site_settings(true));
         for (int i = 1; i <= 9; ++i) {
-            JobSpec spec = simulator->job(i, JobKind::Gang, i == 7 ? largest_job_cores / 5 : 1, 5);
+            JobSpec spec = simulator->make_job(i, JobKind::Gang, i == 7 ? largest_job_cores / 5 : 1, 5);
             simulator->submit(spec, 400 * kSecond);  // all at once, so that some wait in each shard
         }
         simulator->run(20 * kSecond);
         int running = 0;
-        for (const auto& ref : simulator->refs()) running += simulator->running(ref);
-        EXPECT_EQ(running, 4) << "jobs of 5 cores, within a limit of 24\n" << simulator->story();
+        for (const auto& ref : simulator->job_refs()) running += simulator->running_tasks(ref);
+        EXPECT_EQ(running, 4) << "jobs of 5 cores, within a limit of 24\n" << simulator->format_history();
         const auto sum_of_share_revisions = [&] {
             Revision sum = 0;
             for (int i = 0; i < 3; ++i)
@@ -134,15 +136,16 @@
         };
         const Revision before = sum_of_share_revisions();
         simulator->run(20 * kSecond);
-        EXPECT_EQ(sum_of_share_revisions(), before) << "shares move back and forth\n" << simulator->story();
-        EXPECT_RULES(*simulator);
+        EXPECT_EQ(sum_of_share_revisions(), before) << "shares move back and forth\n"
+                                                    << simulator->format_history();
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
 TEST(TeamLimitShares, JobWithoutAMachineKeepsNoShareFromJobsThatFit) {
     auto simulator = settled_simulator(3, 6, site_settings(true));  // two machines of 8 cores a shard
     const auto submit = [&](int number, const char* team, int tasks) {
-        JobSpec spec = simulator->job(number, JobKind::Array, tasks);
+        JobSpec spec = simulator->make_job(number, JobKind::Array, tasks);
         spec.team = team;
         simulator->submit(spec, 400 * kSecond);
         simulator->run(6 * kSecond);
@@ -150,15 +153,17 @@
     };
     const std::string first = submit(1, "red", 14), other = submit(2, "red", 16);
     submit(3, "guests", 16);  // so that no shard has idle machines to give
-    ASSERT_EQ(simulator->running(first), 14) << simulator->story();
-    ASSERT_EQ(simulator->running(other), 10) << "the whole limit is in use\n" << simulator->story();
-    simulator->kill_machine(*simulator->machines_of(first).begin());
+    ASSERT_EQ(simulator->running_tasks(first), 14) << simulator->format_history();
+    ASSERT_EQ(simulator->running_tasks(other), 10) << "the whole limit is in use\n"
+                                                   << simulator->format_history();
+    simulator->kill_machine(*simulator->machines_running(first).begin());
     simulator->run(30 * kSecond);  // until then its tasks are in doubt
-    const int still_running = simulator->running(first);
+    const int still_running = simulator->running_tasks(first);
     ASSERT_LT(still_running, 14);
     simulator->run(60 * kSecond);
-    EXPECT_EQ(simulator->running(other), std::min(16, 24 - still_running)) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->running_tasks(other), std::min(16, 24 - still_running))
+        << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 class TeamsAtTheirLimit : public testing::TestWithParam<int> {};
@@ -174,11 +179,11 @@
             if ((++number + GetParam()) % 6 > 0 && !std::getenv("WORLD_ALL")) continue;
             auto simulator = settled_simulator(static_cast<std::uint64_t>(100 * GetParam() + number), 12,
                                                site_settings(has_several_shards));
-            if (number % 2) simulator->late_next("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
+            if (number % 2) simulator->delay_next_write("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
             auto jobs = submit_twice_the_limits(*simulator);
             const Micros fill_duration = number % 3 ? 60 * kSecond : kSecond;
             if (run_until_limits_are_used(*simulator, jobs, fill_duration) >= fill_duration) {
-                ASSERT_EQ(number % 3, 0) << simulator->story();
+                ASSERT_EQ(number % 3, 0) << simulator->format_history();
             }
             // With one second only, the faults come while shares are still being transferred.
             simulator->run(1500 * kMillisecond);
@@ -186,33 +191,36 @@
             std::set<std::string> machines;
             int running_jobs = 0;
             for (const auto& [ref, spec] : jobs)
-                if (simulator->running(ref) > 0 && ++running_jobs % 2) {  // every other job
+                if (simulator->running_tasks(ref) > 0 && ++running_jobs % 2) {  // every other job
                     cancelled.push_back(ref);
-                    for (const auto& machine : simulator->machines_of(ref))
+                    for (const auto& machine : simulator->machines_running(ref))
                         if (machines.size() < 5) machines.insert(machine);
                 }
             const Micros fault_start = simulator->now() + 500 * kMillisecond;
-            const int node = number % 2 ? simulator->leader() : simulator->busiest();
-            simulator->at(fault_start - 100 * kMillisecond,
-                          [&] { set_machine_fault(*simulator, machine_fault, machines, true); });
-            simulator->at(fault_start,
-                          [&] { start_controller_fault(*simulator, controller_fault, node, 20 * kSecond); });
-            simulator->at(fault_start + cancellation_delay, [&] {
+            const int node = number % 2 ? simulator->leader_node() : simulator->busiest_node();
+            simulator->schedule_at(fault_start - 100 * kMillisecond,
+                                   [&] { set_machine_fault(*simulator, machine_fault, machines, true); });
+            simulator->schedule_at(fault_start, [&] {
+                start_controller_fault(*simulator, controller_fault, node, 20 * kSecond);
+            });
+            simulator->schedule_at(fault_start + cancellation_delay, [&] {
                 for (const auto& ref : cancelled) simulator->cancel(ref);
             });
-            simulator->at(fault_start + machine_fault.duration,
-                          [&] { set_machine_fault(*simulator, machine_fault, machines, false); });
+            simulator->schedule_at(fault_start + machine_fault.duration,
+                                   [&] { set_machine_fault(*simulator, machine_fault, machines, false); });
             simulator->run(500 * kMillisecond + std::max(machine_fault.duration, 20 * kSecond));
-            simulator->quiesce();
+            simulator->mark_faults_over();
             const std::string description =
                 fmt::format("machines {} for {} s, controller {}, cancelled {} ms after, case {}",
                             machine_fault.kind, machine_fault.duration / kSecond, controller_fault,
                             cancellation_delay / kMillisecond, number);
             const Micros reuse_delay = run_until_limits_are_used(*simulator, jobs, kMaxReuseDelay);
-            EXPECT_LT(reuse_delay, kMaxReuseDelay) << description << "\n" << simulator->story();
-            for (const auto& ref : cancelled) EXPECT_EQ(simulator->told(ref), "cancelled") << description;
-            EXPECT_TRUE(simulator->broken.empty()) << description << ": " << simulator->broken.front() << "\n"
-                                                   << simulator->story(150);
+            EXPECT_LT(reuse_delay, kMaxReuseDelay) << description << "\n" << simulator->format_history();
+            for (const auto& ref : cancelled)
+                EXPECT_EQ(simulator->reported_stage(ref), "cancelled") << description;
+            EXPECT_TRUE(simulator->violations.empty())
+                << description << ": " << simulator->violations.front() << "\n"
+                << simulator->format_history(150);
         }
 }
 
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -20,7 +20,7 @@
     JobAnswerChecker(Simulator& simulator, JobSpec spec, Micros span)
         : simulator_(simulator), spec_(std::move(spec)) {
         for (Micros offset = 0; offset < span; offset += 100 * kMillisecond)
-            simulator.at(simulator.now() + offset, [this] {
+            simulator.schedule_at(simulator.now() + offset, [this] {
                 for (int i = 0; i < simulator_.node_count(); ++i) check_node(i);
             });
     }
@@ -30,15 +30,15 @@
         if (!simulator_.node(node)) return;
         const auto check_answer = [this, node, known_stage = reported_stage_](const ApiResponse& response) {
             if (response.status == 400 || response.status == 422)
-                simulator_.broken.push_back("forgotten: a repeat was refused");
+                simulator_.violations.push_back("forgotten: a repeat was refused");
             if (response.status != 200 && response.status != 201 && response.status != 404) return;
             const std::string stage = wire::text(response.body, "stage").value_or("");
             const int stage_number = response.status == 404                    ? 0
                                      : stage == "done" || stage == "cancelled" ? 2
                                                                                : 1;
             if (stage_number < known_stage)
-                simulator_.broken.push_back("went_back: " + spec_.ref + " is " +
-                                            (stage_number ? stage : "unknown") + " at " + host(node));
+                simulator_.violations.push_back("went_back: " + spec_.ref + " is " +
+                                                (stage_number ? stage : "unknown") + " at " + host(node));
             reported_stage_ = std::max(reported_stage_, stage_number);
         };
         simulator_.node(node)->handle_request({"GET", "/v1/jobs/" + spec_.ref, "", false}, check_answer);
@@ -52,7 +52,7 @@
 };
 
 Settings settings_with_small_limits() {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;  // leads to several shards
     settings.max_value_bytes = 1024;
     settings.max_txn_ops = 4;
@@ -75,7 +75,7 @@
 }
 
 JobSpec watched_job(Simulator& simulator, int tasks = 2, double cores = 1) {
-    return simulator.job(9, JobKind::Array, tasks, cores);
+    return simulator.make_job(9, JobKind::Array, tasks, cores);
 }
 void submit_watched_job(Simulator& simulator) {
     simulator.submit(watched_job(simulator), 3 * kSecond);
@@ -83,7 +83,7 @@
 void do_nothing(Simulator&) {}
 /// Fills all machines for some seconds, so that the watched job waits for room.
 void submit_waiting_job(Simulator& simulator) {
-    for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
+    for (int i = 2; i <= 3; ++i) simulator.submit(simulator.make_job(i, JobKind::Array, 24), 6 * kSecond);
     simulator.run(kSecond);
     simulator.submit(watched_job(simulator, 20), 3 * kSecond);
     simulator.run(1500 * kMillisecond);
@@ -110,14 +110,14 @@
     {"admission",
      {kRecord},
      false,
-     [](Simulator& simulator) { simulator.cut("users", host(simulator.holder())); },
+     [](Simulator& simulator) { simulator.cut_link("users", host(simulator.owner_node())); },
      submit_watched_job},
     {"admission with its binds",
      {kRecord},
      false,
      [](Simulator& simulator) {
          for (int i = 0; i < 3; ++i)
-             if (i != simulator.holder()) simulator.cut("users", host(i));
+             if (i != simulator.owner_node()) simulator.cut_link("users", host(i));
      },
      submit_watched_job},
     {"admission and cancellation",
@@ -134,7 +134,8 @@
      {kRecord, kRecord, std::string("c/part/") + kRef, std::string("c/part/") + kRef},
      true,
      [](Simulator& simulator) {
-         for (int i = 2; i <= 3; ++i) simulator.submit(simulator.job(i, JobKind::Array, 24), 6 * kSecond);
+         for (int i = 2; i <= 3; ++i)
+             simulator.submit(simulator.make_job(i, JobKind::Array, 24), 6 * kSecond);
          simulator.run(kSecond);
          simulator.submit(watched_job(simulator, 60, 0.2), 2 * kSecond);
          simulator.run(kSecond);
@@ -146,7 +147,7 @@
      {kRecord},
      false,
      [](Simulator& simulator) {
-         simulator.cancel_at_end = 1;
+         simulator.cancel_on_completion_rate = 1;
          submit_and_run(simulator);
          for (int i = 0; i < 900 && simulator.completed_tasks(kRef) < 2; ++i)
              simulator.run(20 * kMillisecond);
@@ -161,7 +162,8 @@
      {"c/block/"},
      false,
      [](Simulator& simulator) {
-         for (const auto& m : simulator.machine_names()) simulator.hold_next(host(simulator.holder()), m);
+         for (const auto& m : simulator.machine_names())
+             simulator.hold_next_message(host(simulator.owner_node()), m);
          submit_watched_job(simulator);
          simulator.run(2 * kSecond);
      },
@@ -171,18 +173,18 @@
      false,
      do_nothing,
      [](Simulator& simulator) {
-         simulator.owner_at(simulator.holder())->retire(simulator.machine_names().back(), "a test");
+         simulator.owner_at(simulator.owner_node())->retire(simulator.machine_names().back(), "a test");
      }},
     {"leader and domain after a crash",
      {"c/leader", "c/domain/"},
      false,
      submit_and_run,
-     [](Simulator& simulator) { simulator.crash(simulator.holder(), 20 * kSecond); }},
+     [](Simulator& simulator) { simulator.crash(simulator.owner_node(), 20 * kSecond); }},
     {"live key",
      {"c/live/"},
      false,
      submit_and_run,
-     [](Simulator& simulator) { simulator.crash(simulator.holder(), 200 * kMillisecond); }},
+     [](Simulator& simulator) { simulator.crash(simulator.owner_node(), 200 * kMillisecond); }},
     {"policy", {"c/policy"}, false, do_nothing, publish_policy},
     {"policy in chunks", {"c/0/", "c/policy"}, true, do_nothing, publish_policy},
     {"machine transfer",
@@ -192,7 +194,8 @@
          simulator.submit(watched_job(simulator, 16), 10 * kSecond);
          simulator.run(2 * kSecond);
          simulator.add_machine("small", "a");
-         for (int i = 0; i < 500 && leased(simulator).size() < 2; ++i) simulator.run(10 * kMillisecond);
+         for (int i = 0; i < 500 && block_listings(simulator).size() < 2; ++i)
+             simulator.run(10 * kMillisecond);
      },
      do_nothing,
      1},
@@ -200,13 +203,14 @@
      {kRecord},
      true,
      [](Simulator& simulator) {
-         simulator.submit(simulator.job(2, JobKind::Service, 6), 0);  // takes the rest of the machine
+         simulator.submit(simulator.make_job(2, JobKind::Service, 6), 0);  // takes the rest of the machine
          simulator.run(3 * kSecond);
          JobSpec spec = watched_job(simulator, 60, 0.08);
          spec.team = "blue";
          simulator.submit(spec, 3 * kSecond);
          simulator.run(2 * kSecond);
-         simulator.at(simulator.now() + 25 * kSecond, [&simulator] { simulator.cancel("req-000002"); });
+         simulator.schedule_at(simulator.now() + 25 * kSecond,
+                               [&simulator] { simulator.cancel("req-000002"); });
      },
      [](Simulator& simulator) { simulator.add_machine("large", "a"); },
      1},
@@ -223,7 +227,7 @@
      {"c/domain/"},
      true,
      [](Simulator& simulator) {
-         simulator.crash(simulator.busiest(), 8 * kSecond);
+         simulator.crash(simulator.busiest_node(), 8 * kSecond);
          simulator.run(9 * kSecond);
      },
      do_nothing,
@@ -235,29 +239,31 @@
 TEST_P(LostAnswers, WriterAndOtherControllersStayConsistent) {
     const ChangeCase& change_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto simulator =
-            settled_simulator(seed, change_case.machines,
-                              change_case.several_shards ? settings_with_small_limits() : small_site());
-        simulator->submit(simulator->job(1, JobKind::Service, 2), 0);
+        auto simulator = settled_simulator(
+            seed, change_case.machines,
+            change_case.several_shards ? settings_with_small_limits() : small_cluster_settings());
+        simulator->submit(simulator->make_job(1, JobKind::Service, 2), 0);
         simulator->run(2 * kSecond);
         change_case.before(*simulator);
-        for (const auto& key : change_case.lost) simulator->late_next(key, 0);
+        for (const auto& key : change_case.lost) simulator->delay_next_write(key, 0);
         JobAnswerChecker checker(*simulator, watched_job(*simulator), 6 * kSecond);
         change_case.act(*simulator);
         simulator->run(12 * kSecond);
-        simulator->heal_all();
-        simulator->release();
+        simulator->heal_all_links();
+        simulator->release_held_messages();
         simulator->run(20 * kSecond);
-        EXPECT_EQ(simulator->late_to_come(), 0U) << "seed " << seed << "\n" << simulator->story();
+        EXPECT_EQ(simulator->pending_write_delays(), 0U) << "seed " << seed << "\n"
+                                                         << simulator->format_history();
         simulator->run(30 * kSecond);
-        EXPECT_RULES(*simulator);
-        EXPECT_EQ(simulator->running("req-000001"), 2);
-        for (const auto& ref : simulator->refs()) {
+        EXPECT_NO_VIOLATIONS(*simulator);
+        EXPECT_EQ(simulator->running_tasks("req-000001"), 2);
+        for (const auto& ref : simulator->job_refs()) {
             if (ref == "req-000001") continue;
-            EXPECT_TRUE(simulator->told(ref) == "done" || simulator->told(ref) == "cancelled")
-                << ref << " is " << simulator->told(ref) << "\n"
-                << simulator->story();
-            EXPECT_EQ(simulator->running(ref), 0) << ref;
+            EXPECT_TRUE(simulator->reported_stage(ref) == "done" ||
+                        simulator->reported_stage(ref) == "cancelled")
+                << ref << " is " << simulator->reported_stage(ref) << "\n"
+                << simulator->format_history();
+            EXPECT_EQ(simulator->running_tasks(ref), 0) << ref;
         }
         expect_each_machine_leased_once(*simulator);
     }
@@ -275,13 +281,13 @@
     auto simulator = settled_simulator(8);
     const std::string machine = simulator->add_machine("small", "a");
     // The first report is sent below. The machine answers the call that checks that it exists.
-    simulator->mute(machine, true);
-    simulator->late_next("c/block/", 0);
+    simulator->block_reports_from(machine, true);
+    simulator->delay_next_write("c/block/", 0);
     const Micros asked = simulator->now();
     const auto report = simulator->worker(machine)->report(asked);
-    EXPECT_EQ(simulator->ask(simulator->leader(), "POST", "/v1/report", report).status, 200)
-        << simulator->story();
-    EXPECT_EQ(simulator->late_to_come(), 0U);
+    EXPECT_EQ(simulator->request(simulator->leader_node(), "POST", "/v1/report", report).status, 200)
+        << simulator->format_history();
+    EXPECT_EQ(simulator->pending_write_delays(), 0U);
     EXPECT_LT(simulator->now() - asked, kSecond) << "long before the leader reads the record by itself";
 }
 
@@ -290,17 +296,17 @@
     const std::vector<std::string> keys{"c/live/",   "c/leader", "c/domain/", "c/share/",
                                         "c/format/", "c/types",  "c/history", "c/block/"};
     for (std::size_t i = 0; i <= keys.size(); ++i) {
-        Simulator simulator(7, i % 2 ? settings_with_small_limits() : small_site());
+        Simulator simulator(7, i % 2 ? settings_with_small_limits() : small_cluster_settings());
         for (int m = 0; m < 4; ++m) simulator.add_machine("small", m % 2 ? "b" : "a");
         for (std::size_t k = 0; k < keys.size(); ++k)
-            if (i == k || i == keys.size()) simulator.late_next(keys[k], 0);
+            if (i == k || i == keys.size()) simulator.delay_next_write(keys[k], 0);
         simulator.start_nodes();
-        simulator.submit(simulator.job(1, JobKind::Array, 4), 2 * kSecond);
+        simulator.submit(simulator.make_job(1, JobKind::Array, 4), 2 * kSecond);
         simulator.run(60 * kSecond);
-        EXPECT_EQ(simulator.late_to_come(), 0U) << i;
-        EXPECT_EQ(simulator.told("req-000001"), "done") << simulator.story();
-        EXPECT_EQ(simulator.starts("req-000001"), 4) << simulator.story();
-        EXPECT_RULES(simulator);
+        EXPECT_EQ(simulator.pending_write_delays(), 0U) << i;
+        EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
+        EXPECT_EQ(simulator.task_starts("req-000001"), 4) << simulator.format_history();
+        EXPECT_NO_VIOLATIONS(simulator);
         expect_each_machine_leased_once(simulator);
     }
 }
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -40,7 +40,7 @@
 // ---------------------------------------------------------------- balance
 
 Settings rebalancing_settings() {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     policy::Policy policy = policy_with_short_waits();
     policy::ZoneRule rule;
     rule.scope.team = "red";
@@ -61,7 +61,7 @@
         for (int i = 0; i < 2; ++i) simulator.add_machine("small", "a");
         simulator.start_nodes();
         simulator.run(6 * kSecond);
-        JobSpec service = simulator.job(1, JobKind::Service, 4);
+        JobSpec service = simulator.make_job(1, JobKind::Service, 4);
         service.priority_class = PriorityClass::Production;
         simulator.submit(service, 0);
         simulator.run(4 * kSecond);
@@ -70,7 +70,7 @@
     void run(Micros duration, Micros step = 50 * kMillisecond) {
         for (const Micros end = simulator.now() + duration; simulator.now() < end;) {
             simulator.run(step);
-            min_running = std::min(min_running, simulator.running(kServiceJob));
+            min_running = std::min(min_running, simulator.running_tasks(kServiceJob));
         }
     }
     /// Runs until the condition holds, for `max_duration` at most. Returns whether it holds.
@@ -81,19 +81,19 @@
     }
     int replicas_in_zone_b() {
         int replicas = 0;
-        const auto& machines = simulator.owner_at(simulator.holder())->machines();
-        for (const auto& machine : simulator.machines_of(kServiceJob))
+        const auto& machines = simulator.owner_at(simulator.owner_node())->machines();
+        for (const auto& machine : simulator.machines_running(kServiceJob))
             replicas += machines.at(machine)->zone == "b";
         return replicas;
     }
     void expect_balanced(const std::string& description) {
-        const std::string story = description + "\n" + simulator.story();
-        EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << "\n" << story;
-        EXPECT_EQ(simulator.running(kServiceJob), 4) << story;
+        const std::string story = description + "\n" + simulator.format_history();
+        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << story;
+        EXPECT_EQ(simulator.running_tasks(kServiceJob), 4) << story;
         EXPECT_GE(min_running, 3) << story;
-        EXPECT_EQ(simulator.starts(kServiceJob), 6) << "two replicas have to move once each\n" << story;
+        EXPECT_EQ(simulator.task_starts(kServiceJob), 6) << "two replicas have to move once each\n" << story;
         EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
-        const auto* plan = plan_of(simulator, simulator.holder());
+        const auto* plan = plan_of(simulator, simulator.owner_node());
         ASSERT_TRUE(plan) << story;
         EXPECT_TRUE(plan->empty()) << story;
         EXPECT_GE(replicas_in_zone_b(), 1) << story;
@@ -110,17 +110,17 @@
     static const std::vector<MoveStep> steps{
         {"before the plan is stored",
          [](RebalancedService& service) {
-             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             const auto* plan = plan_of(service.simulator, service.simulator.owner_node());
              return plan && !plan->moves().empty() && !is_plan_stored(service.simulator);
          }},
         {"after the plan is stored, before the answer",
          [](RebalancedService& service) { return is_plan_stored(service.simulator); }},
         {"after the task is told to stop",
          [](RebalancedService& service) {
-             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             const auto* plan = plan_of(service.simulator, service.simulator.owner_node());
              if (!plan || plan->moves().empty()) return false;
              const auto& move = plan->moves().front().move;
-             return service.simulator.owner_at(service.simulator.holder())
+             return service.simulator.owner_at(service.simulator.owner_node())
                  ->jobs()
                  .at(move.job)
                  ->slots[static_cast<std::size_t>(move.task)]
@@ -128,22 +128,22 @@
          }},
         {"after the task is gone, before it starts",
          [](RebalancedService& service) {
-             const auto* plan = plan_of(service.simulator, service.simulator.holder());
-             return plan && !plan->moves().empty() && service.simulator.running(kServiceJob) == 3;
+             const auto* plan = plan_of(service.simulator, service.simulator.owner_node());
+             return plan && !plan->moves().empty() && service.simulator.running_tasks(kServiceJob) == 3;
          }},
         {"after the task is bound again",
          [](RebalancedService& service) {
-             const auto* plan = plan_of(service.simulator, service.simulator.holder());
+             const auto* plan = plan_of(service.simulator, service.simulator.owner_node());
              if (!plan || plan->moves().empty()) return false;
              const auto& move = plan->moves().front().move;
-             const auto& slot = service.simulator.owner_at(service.simulator.holder())
+             const auto& slot = service.simulator.owner_at(service.simulator.owner_node())
                                     ->jobs()
                                     .at(move.job)
                                     ->slots[static_cast<std::size_t>(move.task)];
              return slot.machine && slot.machine->name != move.from;
          }},
         {"after the task started",
-         [](RebalancedService& service) { return service.simulator.starts(kServiceJob) == 5; }},
+         [](RebalancedService& service) { return service.simulator.task_starts(kServiceJob) == 5; }},
     };
     return steps;
 }
@@ -156,9 +156,9 @@
 
 TEST(SimulatedMoves, PlanIsCarriedOutOnceWhenItsAnswersAreLost) {
     RebalancedService service(2);
-    for (int i = 0; i < 3; ++i) service.simulator.late_next("c/plan/", 0);
+    for (int i = 0; i < 3; ++i) service.simulator.delay_next_write("c/plan/", 0);
     service.run(60 * kSecond);
-    EXPECT_EQ(service.simulator.late_to_come(), 0U) << service.simulator.story();
+    EXPECT_EQ(service.simulator.pending_write_delays(), 0U) << service.simulator.format_history();
     service.expect_balanced("answers are lost");
 }
 
@@ -169,8 +169,8 @@
             const std::string description = std::string(step.name) + ", seed " + std::to_string(seed);
             ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); }))
                 << description << "\n"
-                << service.simulator.story();
-            service.simulator.crash(service.simulator.holder(), 20 * kSecond);
+                << service.simulator.format_history();
+            service.simulator.crash(service.simulator.owner_node(), 20 * kSecond);
             service.run(70 * kSecond);
             service.expect_balanced(description);
         }
@@ -203,12 +203,13 @@
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             RebalancedService service(seed);
             ASSERT_TRUE(service.run_until([&] { return move_steps()[0].is_reached(service); }));
-            const std::string node = "loom-" + std::to_string(service.simulator.holder());
-            service.simulator.hold_next(delays_request ? node : "state", delays_request ? "state" : node);
-            service.simulator.answers_lost = 0.3;
+            const std::string node = "loom-" + std::to_string(service.simulator.owner_node());
+            service.simulator.hold_next_message(delays_request ? node : "state",
+                                                delays_request ? "state" : node);
+            service.simulator.state_answer_loss_rate = 0.3;
             service.run(8 * kSecond);
-            service.simulator.answers_lost = 0;
-            service.simulator.release();
+            service.simulator.state_answer_loss_rate = 0;
+            service.simulator.release_held_messages();
             service.run(60 * kSecond);
             service.expect_balanced(delays_request ? "the request arrives late" : "the answer arrives late");
         }
@@ -218,11 +219,11 @@
     RebalancedService service(6);
     ASSERT_TRUE(service.run_until([&] { return move_steps()[2].is_reached(service); }));
     service.simulator.kill_machine(
-        plan_of(service.simulator, service.simulator.holder())->moves().front().move.to);
+        plan_of(service.simulator, service.simulator.owner_node())->moves().front().move.to);
     service.run(70 * kSecond);
-    EXPECT_TRUE(service.simulator.broken.empty())
-        << service.simulator.broken.front() << service.simulator.story();
-    EXPECT_EQ(service.simulator.running(kServiceJob), 4) << service.simulator.story();
+    EXPECT_TRUE(service.simulator.violations.empty())
+        << service.simulator.violations.front() << service.simulator.format_history();
+    EXPECT_EQ(service.simulator.running_tasks(kServiceJob), 4) << service.simulator.format_history();
     EXPECT_GE(service.min_running, 3);
     EXPECT_FALSE(is_plan_stored(service.simulator));
 }
@@ -233,9 +234,9 @@
         ASSERT_TRUE(service.run_until([&] { return step.is_reached(service); })) << step.name;
         service.simulator.cancel(kServiceJob);
         service.simulator.run(20 * kSecond);
-        EXPECT_TRUE(service.simulator.broken.empty())
-            << service.simulator.broken.front() << service.simulator.story();
-        EXPECT_EQ(service.simulator.running(kServiceJob), 0) << step.name;
+        EXPECT_TRUE(service.simulator.violations.empty())
+            << service.simulator.violations.front() << service.simulator.format_history();
+        EXPECT_EQ(service.simulator.running_tasks(kServiceJob), 0) << step.name;
         EXPECT_FALSE(is_plan_stored(service.simulator)) << step.name;
     }
 }
@@ -250,7 +251,7 @@
     Simulator simulator;
 
     static Settings settings() {
-        Settings result = small_site();
+        Settings result = small_cluster_settings();
         result.teams[0].limit = {128'000, 64'000, 0};
         policy::Policy policy = policy_with_short_waits();
         policy.gpus.make_room = true;
@@ -262,7 +263,7 @@
         return {{"g8", {32'000, 8'000, 128'000}, 200'000, 1.0, 4.0, 1.5, 10 * kSecond, {"a", "b"}}};
     }
     JobSpec gpu_job(int number, Milli gpus) {
-        JobSpec spec = simulator.job(number, JobKind::Array, 1);
+        JobSpec spec = simulator.make_job(number, JobKind::Array, 1);
         spec.request = {gpus * 2, gpus, gpus * 8};
         spec.estimated_duration = 300 * kSecond;
         spec.checkpoint_interval = 10 * kSecond;
@@ -292,11 +293,11 @@
     /// Checks that both batch jobs run, that they had three starts at most (one of them was moved once), and
     /// that no plan is left.
     void expect_at_rest(const std::string& description, int large_starts) {
-        const std::string story = description + "\n" + simulator.story();
-        EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << "\n" << story;
-        EXPECT_EQ(simulator.starts(kLargeJob), large_starts) << story;
-        EXPECT_EQ(simulator.running("req-000001") + simulator.running("req-000003"), 2) << story;
-        EXPECT_LE(simulator.starts("req-000001") + simulator.starts("req-000003"), 3) << story;
+        const std::string story = description + "\n" + simulator.format_history();
+        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << story;
+        EXPECT_EQ(simulator.task_starts(kLargeJob), large_starts) << story;
+        EXPECT_EQ(simulator.running_tasks("req-000001") + simulator.running_tasks("req-000003"), 2) << story;
+        EXPECT_LE(simulator.task_starts("req-000001") + simulator.task_starts("req-000003"), 3) << story;
         EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
     }
 };
@@ -304,12 +305,12 @@
 /// The steps of a reservation, at which a test makes something fail, by name.
 const std::vector<std::pair<const char*, std::function<bool(LargeTaskCluster&)>>>& reservation_steps() {
     static const auto running = [](LargeTaskCluster& cluster) {
-        return cluster.simulator.running("req-000001") + cluster.simulator.running("req-000003");
+        return cluster.simulator.running_tasks("req-000001") + cluster.simulator.running_tasks("req-000003");
     };
     static const std::vector<std::pair<const char*, std::function<bool(LargeTaskCluster&)>>> steps{
         {"before the plan is stored",
          [](LargeTaskCluster& cluster) {
-             const auto* plan = plan_of(cluster.simulator, cluster.simulator.holder());
+             const auto* plan = plan_of(cluster.simulator, cluster.simulator.owner_node());
              return plan && !plan->reservations().empty() && !is_plan_stored(cluster.simulator);
          }},
         {"after the plan is stored",
@@ -317,10 +318,12 @@
         {"after a task is stopped", [](LargeTaskCluster& cluster) { return running(cluster) < 2; }},
         {"after the moved task started",
          [](LargeTaskCluster& cluster) {
-             return cluster.simulator.starts("req-000001") + cluster.simulator.starts("req-000003") == 3;
+             return cluster.simulator.task_starts("req-000001") +
+                        cluster.simulator.task_starts("req-000003") ==
+                    3;
          }},
         {"after the large task started",
-         [](LargeTaskCluster& cluster) { return cluster.simulator.starts(kLargeJob) == 1; }},
+         [](LargeTaskCluster& cluster) { return cluster.simulator.task_starts(kLargeJob) == 1; }},
     };
     return steps;
 }
@@ -332,8 +335,8 @@
             const std::string description = std::string(name) + ", seed " + std::to_string(seed);
             ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
                 << description << "\n"
-                << cluster.simulator.story();
-            cluster.simulator.crash(cluster.simulator.holder(), 20 * kSecond);
+                << cluster.simulator.format_history();
+            cluster.simulator.crash(cluster.simulator.owner_node(), 20 * kSecond);
             cluster.simulator.run(60 * kSecond);
             cluster.expect_at_rest(description, 1);
         }
@@ -344,7 +347,7 @@
         LargeTaskCluster cluster(4);
         ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
             << name << "\n"
-            << cluster.simulator.story();
+            << cluster.simulator.format_history();
         for (int i = 0; i < 3; ++i) cluster.simulator.crash(i, 2 * kSecond + i * 300 * kMillisecond);
         cluster.simulator.run(60 * kSecond);
         cluster.expect_at_rest(std::string("all controllers crash ") + name, 1);
@@ -354,16 +357,16 @@
 TEST(SimulatedReservations, ReservedGpusAreNotTakenByALaterJob) {
     LargeTaskCluster cluster(6);
     ASSERT_TRUE(cluster.run_until([&] {
-        const auto* plan = plan_of(cluster.simulator, cluster.simulator.holder());
+        const auto* plan = plan_of(cluster.simulator, cluster.simulator.owner_node());
         return plan && !plan->reserved_by_machine().empty();
     }));
     cluster.simulator.submit(cluster.gpu_job(4, 4'000), 300 * kSecond);
     cluster.simulator.run(10 * kSecond);
-    EXPECT_EQ(cluster.simulator.starts(kLargeJob), 1) << cluster.simulator.story();
-    EXPECT_EQ(cluster.simulator.starts("req-000004"), 0) << "the later job has to wait\n"
-                                                         << cluster.simulator.story();
+    EXPECT_EQ(cluster.simulator.task_starts(kLargeJob), 1) << cluster.simulator.format_history();
+    EXPECT_EQ(cluster.simulator.task_starts("req-000004"), 0) << "the later job has to wait\n"
+                                                              << cluster.simulator.format_history();
     cluster.simulator.run(30 * kSecond);
-    EXPECT_EQ(cluster.simulator.starts("req-000004"), 1) << cluster.simulator.story();
+    EXPECT_EQ(cluster.simulator.task_starts("req-000004"), 1) << cluster.simulator.format_history();
     cluster.expect_at_rest("with a later job", 1);
 }
 
@@ -372,11 +375,11 @@
         LargeTaskCluster cluster(5);
         ASSERT_TRUE(cluster.run_until([&, &condition = is_reached] { return condition(cluster); }))
             << name << "\n"
-            << cluster.simulator.story();
+            << cluster.simulator.format_history();
         cluster.simulator.cancel(kLargeJob);
         cluster.simulator.run(30 * kSecond);
-        cluster.expect_at_rest(std::string("cancelled ") + name, cluster.simulator.starts(kLargeJob));
-        EXPECT_LE(cluster.simulator.starts(kLargeJob), 1) << name;
+        cluster.expect_at_rest(std::string("cancelled ") + name, cluster.simulator.task_starts(kLargeJob));
+        EXPECT_LE(cluster.simulator.task_starts(kLargeJob), 1) << name;
     }
 }
 
@@ -388,10 +391,10 @@
         for (int i = 0; i < 4; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
         simulator.start_nodes();
         simulator.run(6 * kSecond);
-        simulator.submit(simulator.job(1, JobKind::Service, 4), 0);
-        simulator.submit(simulator.job(2, JobKind::Array, 3), 4 * kSecond);
+        simulator.submit(simulator.make_job(1, JobKind::Service, 4), 0);
+        simulator.submit(simulator.make_job(2, JobKind::Array, 3), 4 * kSecond);
         simulator.run(30 * kSecond);
-        EXPECT_EQ(simulator.running(kServiceJob), 4);
+        EXPECT_EQ(simulator.running_tasks(kServiceJob), 4);
         for (int i = 0; i < 3; ++i)
             EXPECT_FALSE(simulator.node(i)->status()["changes_sent"].contains("plan"));
     }
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -28,41 +28,44 @@
                                                settings_without_idle_return());
             const auto story = [&] {
                 return fmt::format("crash {} seconds mute {}\n", static_cast<int>(crash), seconds_mute) +
-                       simulator->story(200);
+                       simulator->format_history(200);
             };
-            simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
+            simulator->submit(simulator->make_job(1, JobKind::Service, 1, 2), 0);
             simulator->run(3 * kSecond);
-            const std::string machine = *simulator->machines_of("req-000001").begin();
+            const std::string machine = *simulator->machines_running("req-000001").begin();
             const auto starts_before = starts_on(*simulator, machine);
-            simulator->mute(machine, true);
+            simulator->block_reports_from(machine, true);
             const Micros muted_at = simulator->now();
-            simulator->at(muted_at + 2 * kSecond, [&] {
-                const int holder = simulator->holder();
+            simulator->schedule_at(muted_at + 2 * kSecond, [&] {
+                const int holder = simulator->owner_node();
                 for (int i = 0; i < 3; ++i)
                     if (crash == Crash::All || (crash == Crash::Holder && i == holder))
                         simulator->crash(i, crash == Crash::All ? 400 * kMillisecond : 90 * kSecond);
             });
             for (int i = 0; i < 20; ++i)
-                simulator->at(muted_at + i * 2 * kSecond, [&, i] {
-                    simulator->submit(simulator->job(10 + i, JobKind::Array, 1, 1),
+                simulator->schedule_at(muted_at + i * 2 * kSecond, [&, i] {
+                    simulator->submit(simulator->make_job(10 + i, JobKind::Array, 1, 1),
                                       i % 4 ? kSecond : 25 * kSecond);
                 });
             simulator->run(seconds_mute * kSecond);
             if (seconds_mute > 12) {
-                EXPECT_EQ(simulator->machines_of("req-000001").count(machine), 0u) << story();
-                EXPECT_EQ(simulator->running("req-000001"), 1) << story();
+                EXPECT_EQ(simulator->machines_running("req-000001").count(machine), 0u) << story();
+                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << story();
                 // Each holder may have bound some tasks there before it noticed the silence.
                 EXPECT_LE(starts_on(*simulator, machine) - starts_before, 6) << story();
             }
-            simulator->mute(machine, false);
+            simulator->block_reports_from(machine, false);
             simulator->run(std::max<Micros>(75 - seconds_mute, 40) * kSecond);
             for (int i = 0; i < 20; ++i)
-                EXPECT_EQ(simulator->told(simulator->job(10 + i, JobKind::Array, 1).ref), "done") << story();
-            EXPECT_EQ(simulator->starts("req-000001"), seconds_mute > 12 ? 2 : 1) << story();
-            simulator->submit(simulator->job(2, JobKind::Array, 4, 5), 2 * kSecond);
+                EXPECT_EQ(simulator->reported_stage(simulator->make_job(10 + i, JobKind::Array, 1).ref),
+                          "done")
+                    << story();
+            EXPECT_EQ(simulator->task_starts("req-000001"), seconds_mute > 12 ? 2 : 1) << story();
+            simulator->submit(simulator->make_job(2, JobKind::Array, 4, 5), 2 * kSecond);
             simulator->run(6 * kSecond);
-            EXPECT_EQ(simulator->told("req-000002"), "done") << "the machine must be used again\n" << story();
-            EXPECT_RULES(*simulator);
+            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "the machine must be used again\n"
+                                                                       << story();
+            EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
 
@@ -71,40 +74,40 @@
 TEST(OneWayPartition, AnswersToCallsDoNotMakeAMuteMachineUsable) {
     auto simulator = settled_simulator(52, 3, settings_without_idle_return());
     const std::string machine = simulator->machine_names().front();
-    simulator->mute(machine, true);
+    simulator->block_reports_from(machine, true);
     simulator->run(7 * kSecond);
-    simulator->crash(simulator->holder(), 200 * kSecond);  // the next holder calls the machine
+    simulator->crash(simulator->owner_node(), 200 * kSecond);  // the next holder calls the machine
     const auto starts_before = starts_on(*simulator, machine);
     simulator->run(6 * kSecond);
     for (int i = 0; i < 30; ++i) {
-        simulator->submit(simulator->job(1 + i, JobKind::Array, 1, 1), 8 * kSecond);
+        simulator->submit(simulator->make_job(1 + i, JobKind::Array, 1, 1), 8 * kSecond);
         simulator->run(kSecond);
     }
     // Only as many as the new holder may bind while it waits for the machine's first report.
-    EXPECT_LE(starts_on(*simulator, machine) - starts_before, 3) << simulator->story(200);
+    EXPECT_LE(starts_on(*simulator, machine) - starts_before, 3) << simulator->format_history(200);
     simulator->run(30 * kSecond);
     for (int i = 0; i < 30; ++i)
-        EXPECT_EQ(simulator->told(simulator->job(1 + i, JobKind::Array, 1).ref), "done");
-    EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->reported_stage(simulator->make_job(1 + i, JobKind::Array, 1).ref), "done");
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 /// The cloud lists a machine that answers calls but has never reported.
 TEST(OneWayPartition, NewMachineThatNeverReportsIsAvoidedAndReturned) {
     auto simulator = settled_simulator(53, 2, settings_without_idle_return());
     const std::string machine = simulator->add_machine("small", "a");
-    simulator->mute(machine, true);
+    simulator->block_reports_from(machine, true);
     for (int i = 0; i < 30; ++i) {
-        simulator->submit(simulator->job(1 + i, JobKind::Service, 1, 0.5), 0);
+        simulator->submit(simulator->make_job(1 + i, JobKind::Service, 1, 0.5), 0);
         simulator->run(kSecond);
     }
-    EXPECT_LE(starts_on(*simulator, machine), 7) << simulator->story(200);
+    EXPECT_LE(starts_on(*simulator, machine), 7) << simulator->format_history(200);
     simulator->run(25 * kSecond);
     for (int i = 0; i < 30; ++i)
-        EXPECT_EQ(simulator->running(simulator->job(1 + i, JobKind::Service, 1).ref), 1);
-    EXPECT_EQ(simulator->machines_of("req-000001").count(machine), 0u);
+        EXPECT_EQ(simulator->running_tasks(simulator->make_job(1 + i, JobKind::Service, 1).ref), 1);
+    EXPECT_EQ(simulator->machines_running("req-000001").count(machine), 0u);
     simulator->run(110 * kSecond);
     EXPECT_EQ(simulator->worker(machine), nullptr) << "the machine must be returned";
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 /// A machine that has not reported, or has not shown that it receives messages, for a lease and 90 s is
@@ -114,28 +117,28 @@
         for (const bool busy : {false, true}) {
             auto simulator = settled_simulator(54, 3, settings_without_idle_return());
             const auto story = [&] {
-                return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->story();
+                return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->format_history();
             };
-            if (busy) simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
+            if (busy) simulator->submit(simulator->make_job(1, JobKind::Service, 1, 2), 0);
             simulator->run(3 * kSecond);
-            const std::string machine =
-                busy ? *simulator->machines_of("req-000001").begin() : simulator->machine_names().front();
+            const std::string machine = busy ? *simulator->machines_running("req-000001").begin()
+                                             : simulator->machine_names().front();
             if (deaf)
-                simulator->deafen(machine, true);
+                simulator->block_messages_to(machine, true);
             else
-                simulator->mute(machine, true);
+                simulator->block_reports_from(machine, true);
             // Submits a task that is bound to the machine, so that a controller calls it.
-            simulator->submit(simulator->job(2, JobKind::Array, 3, 5), 2 * kSecond);
+            simulator->submit(simulator->make_job(2, JobKind::Array, 3, 5), 2 * kSecond);
             simulator->run(60 * kSecond);
             EXPECT_NE(simulator->worker(machine), nullptr) << "a short fault must not return the machine\n"
                                                            << story();
             simulator->run(simulator->settings.worker_lease + 60 * kSecond);
             EXPECT_EQ(simulator->worker(machine), nullptr) << story();
             if (busy) {
-                EXPECT_EQ(simulator->running("req-000001"), 1) << story();
+                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << story();
             }
-            EXPECT_EQ(simulator->told("req-000002"), "done") << story();
-            EXPECT_RULES(*simulator);
+            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << story();
+            EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
 
@@ -143,22 +146,22 @@
 /// is kept however long that takes: its deletion would end work that may run well.
 TEST(OneWayPartition, MachineIsKeptWhileItsTasksMayStillRun) {
     auto simulator = settled_simulator(55, 2, settings_without_idle_return());
-    simulator->submit(simulator->job(1, JobKind::Service, 1, 2), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 1, 2), 0);
     simulator->run(30 * kSecond);
-    const std::string machine = *simulator->machines_of("req-000001").begin();
-    const int holder = simulator->holder(), other = (holder + 1) % 3;
+    const std::string machine = *simulator->machines_running("req-000001").begin();
+    const int holder = simulator->owner_node(), other = (holder + 1) % 3;
     for (int i = 0; i < 3; ++i)
-        if (i != other) simulator->cut(host(i), machine);
+        if (i != other) simulator->cut_link(host(i), machine);
     // The other controller keeps renewing the machine's lease and can't promise to stop doing so.
-    simulator->cut(host(holder), host(other));
+    simulator->cut_link(host(holder), host(other));
     simulator->run(150 * kSecond);
-    EXPECT_EQ(simulator->machines_of("req-000001"), std::set{machine}) << simulator->story();
-    EXPECT_EQ(simulator->starts("req-000001"), 1) << simulator->story();
-    simulator->heal_all();
+    EXPECT_EQ(simulator->machines_running("req-000001"), std::set{machine}) << simulator->format_history();
+    EXPECT_EQ(simulator->task_starts("req-000001"), 1) << simulator->format_history();
+    simulator->heal_all_links();
     simulator->run(10 * kSecond);
-    EXPECT_EQ(simulator->starts("req-000001"), 1) << simulator->story();
+    EXPECT_EQ(simulator->task_starts("req-000001"), 1) << simulator->format_history();
     EXPECT_NE(simulator->worker(machine), nullptr);
-    EXPECT_RULES(*simulator);
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 }  // namespace
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -30,7 +30,7 @@
 
 TEST_P(OneTaskJobs, AreAnsweredRunAndLeaveNoBacklog) {
     const auto [jobs_per_second, has_crash] = GetParam();
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.teams = {{"red", {288'000, 0, 0}, {kNoLimit, kNoLimit, 0}}};
     settings.cpu_cores = 0.02;  // so little that there are several shards
     settings.state_write_rps = settings.next_write_rps = kWriteRps;
@@ -47,39 +47,40 @@
     std::vector<int> waiting_jobs;  // sampled every ten seconds
     const int job_count = static_cast<int>(jobs_per_second * 60);
     for (int i = 0; i < job_count; ++i)
-        simulator.at(start + static_cast<Micros>(i / jobs_per_second * 1e6), [&, i] {
-            JobSpec job = simulator.job(i + 1, JobKind::Array, 1, 4);
+        simulator.schedule_at(start + static_cast<Micros>(i / jobs_per_second * 1e6), [&, i] {
+            JobSpec job = simulator.make_job(i + 1, JobKind::Array, 1, 4);
             job.estimated_duration = 8 * kSecond;
             submitted_at[job.ref] = simulator.now();
             simulator.submit(job, 8 * kSecond);
             if (i % 4 == 0)
-                simulator.at(simulator.now() + static_cast<Micros>(simulator.random() % 8'000) * kMillisecond,
-                             [&simulator, ref = job.ref] { simulator.cancel(ref); });
+                simulator.schedule_at(
+                    simulator.now() + static_cast<Micros>(simulator.random() % 8'000) * kMillisecond,
+                    [&simulator, ref = job.ref] { simulator.cancel(ref); });
         });
     if (has_crash)
-        simulator.at(start + 25 * kSecond,
-                     [&simulator] { simulator.crash(simulator.busiest(), 3 * kSecond); });
+        simulator.schedule_at(start + 25 * kSecond,
+                              [&simulator] { simulator.crash(simulator.busiest_node(), 3 * kSecond); });
     for (int i = 1; i <= 6; ++i)
-        simulator.at(start + i * 10 * kSecond, [&] {
-            const auto fates = simulator.fates();
+        simulator.schedule_at(start + i * 10 * kSecond, [&] {
+            const auto fates = simulator.job_outcomes();
             waiting_jobs.push_back(
-                static_cast<int>(std::count_if(fates.begin(), fates.end(), [](const Fate& fate) {
-                    return fate.begun < 0 && !fate.left_out;
+                static_cast<int>(std::count_if(fates.begin(), fates.end(), [](const JobOutcome& fate) {
+                    return fate.first_started_at < 0 && !fate.excluded;
                 })));
         });
     simulator.run(61 * kSecond);
     const double writes_per_job = static_cast<double>(writes_sent(simulator) - writes_before) / job_count;
-    simulator.quiesce();
+    simulator.mark_faults_over();
     simulator.run(40 * kSecond);
-    EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << simulator.story();
+    EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << simulator.format_history();
     Micros max_accept_delay = 0, max_start_delay = 0;
-    for (const Fate& fate : simulator.fates()) {
-        max_accept_delay = std::max(max_accept_delay, fate.accepted - submitted_at.at(fate.spec.ref));
-        if (fate.left_out) continue;
-        EXPECT_GE(fate.done, 0) << fate.spec.ref;
-        max_start_delay = std::max(max_start_delay, fate.begun - fate.accepted);
+    for (const JobOutcome& fate : simulator.job_outcomes()) {
+        max_accept_delay = std::max(max_accept_delay, fate.accepted_at - submitted_at.at(fate.spec.ref));
+        if (fate.excluded) continue;
+        EXPECT_GE(fate.completed_at, 0) << fate.spec.ref;
+        max_start_delay = std::max(max_start_delay, fate.first_started_at - fate.accepted_at);
     }
-    EXPECT_EQ(simulator.fates().size(), static_cast<std::size_t>(job_count));
+    EXPECT_EQ(simulator.job_outcomes().size(), static_cast<std::size_t>(job_count));
     EXPECT_LT(max_accept_delay, 5 * kSecond);
     EXPECT_LT(max_start_delay, 9 * kSecond);
     EXPECT_LT(writes_per_job * jobs_per_second, kWriteRps);
@@ -102,13 +103,13 @@
 /// Two teams submit one and a half times the work that the machines can hold, urgent and not, for 200 s.
 /// Messages take up to 0.15 s, and the leader crashes halfway.
 TEST(Overload, NoJobStarvesAndHalfOfEachClassIsServed) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.teams = {{"red", {32'000, 0, 0}, {kNoLimit, kNoLimit, 0}},
                       {"blue", {32'000, 0, 0}, {48'000, 0, 0}}};
     settings.cpu_cores = 0.02;
     settings.state_write_rps = settings.next_write_rps = kWriteRps;
     Simulator simulator(3, settings);
-    simulator.slow_links = 150 * kMillisecond;
+    simulator.max_extra_link_delay = 150 * kMillisecond;
     for (int i = 0; i < 8; ++i) simulator.add_machine("small", i % 2 ? "a" : "b");
     simulator.start_nodes(3);
     simulator.state().limits.write_rps = kWriteRps;
@@ -128,25 +129,28 @@
           JobClass{"large", PriorityClass::Normal, 12, 2, 10 * kSecond, 15 * kSecond},
           JobClass{"idle", PriorityClass::Low, 6, 1, 6 * kSecond, 6 * kSecond}})
         for (Micros offset = 0; offset < duration; offset += job_class.interval)
-            simulator.at(start + offset, [&simulator, job_class, job_number = ++number] {
-                JobSpec job = simulator.job(job_number, JobKind::Array, job_class.tasks, job_class.cores);
+            simulator.schedule_at(start + offset, [&simulator, job_class, job_number = ++number] {
+                JobSpec job =
+                    simulator.make_job(job_number, JobKind::Array, job_class.tasks, job_class.cores);
                 job.job_class = job_class.name;
                 job.team = job_number % 2 ? "red" : "blue";
                 job.priority_class = job_class.rank;
                 job.estimated_duration = job_class.run_time;
                 simulator.submit(job, job_class.run_time);
             });
-    simulator.at(start + 100 * kSecond, [&simulator] { simulator.crash(simulator.leader(), 2 * kSecond); });
+    simulator.schedule_at(start + 100 * kSecond,
+                          [&simulator] { simulator.crash(simulator.leader_node(), 2 * kSecond); });
     simulator.run(duration);
-    simulator.quiesce();
+    simulator.mark_faults_over();
     simulator.run(270 * kSecond);
-    EXPECT_TRUE(simulator.broken.empty()) << simulator.broken.front() << simulator.story();
-    const Acceptance acceptance = judge(simulator.fates(), simulator.settings.teams, simulator.now());
-    for (const auto& line : acceptance.broken) ADD_FAILURE() << line;
+    EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << simulator.format_history();
+    const AcceptanceResult acceptance =
+        evaluate_acceptance(simulator.job_outcomes(), simulator.settings.teams, simulator.now());
+    for (const auto& line : acceptance.violations) ADD_FAILURE() << line;
     for (const char* name : {"urgent", "batch", "large", "idle"})
         std::printf("%s: %d of %d served, the largest jobs waited up to %.1f s\n", name,
-                    acceptance.classes.at(name).served, acceptance.classes.at(name).due,
-                    static_cast<double>(acceptance.largest_wait.at(name)) / 1e6);
+                    acceptance.served_by_class.at(name).served, acceptance.served_by_class.at(name).due,
+                    static_cast<double>(acceptance.longest_wait_of_largest.at(name)) / 1e6);
 }
 
 }  // namespace
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -18,7 +18,8 @@
 using policy::Tier;
 namespace {
 
-#define EXPECT_RULES(sim) EXPECT_TRUE((sim).broken.empty()) << (sim).broken.front() << "\n" << (sim).story()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 JobSpec job_of(const std::string& team, const std::string& job_class, PriorityClass rank, JobKind kind) {
     JobSpec job;
@@ -32,7 +33,7 @@
 // ---------------------------------------------------------------- rules
 
 TEST(PolicyRules, WithoutRulesTheTierFollowsFromKindAndRank) {
-    const Policy policy = policy::default_policy(small_site());
+    const Policy policy = policy::default_policy(small_cluster_settings());
     EXPECT_EQ(policy.revision, 0u);
     EXPECT_EQ(policy.tier(job_of("red", "x", PriorityClass::Production, JobKind::Service)), Tier::Live);
     EXPECT_EQ(policy.tier(job_of("red", "x", PriorityClass::Production, JobKind::Array)), Tier::Urgent);
@@ -81,7 +82,7 @@
 }
 
 std::string load_error(const std::string& text) {
-    const Settings site = small_site();
+    const Settings site = small_cluster_settings();
     try {
         policy::load(write_policy_file(text), &site);
     } catch (const std::runtime_error& e) {
@@ -125,7 +126,7 @@
 }
 
 TEST(PolicyFile, ExampleFileLoadsForTheTeamsAndZonesOfASite) {
-    const Settings site = small_site();
+    const Settings site = small_cluster_settings();
     const Policy policy = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
     EXPECT_EQ(policy.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
     EXPECT_EQ(policy.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
@@ -246,7 +247,7 @@
             if (simulator.node(i) && !(simulator.node(i)->policy() == expected))
                 return testing::AssertionFailure()
                        << "node " << i << " uses revision " << simulator.node(i)->policy().revision << "\n"
-                       << simulator.story();
+                       << simulator.format_history();
         return testing::AssertionSuccess();
     }
     /// Returns how many writes of the policy the controller has sent.
@@ -282,7 +283,7 @@
         EXPECT_EQ(cluster.simulator.node(0)->status()["policy"]["file"]["in_force"], true);
         EXPECT_EQ(cluster.simulator.node(2)->status()["policy"]["revision"], 7u);
         EXPECT_LE(cluster.policy_writes(0) + cluster.policy_writes(1), 2u);
-        EXPECT_RULES(cluster.simulator);
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
@@ -310,7 +311,7 @@
     PolicyCluster cluster(4);
     cluster.simulator.start_nodes(3);
     cluster.simulator.run(8 * kSecond);
-    JobSpec wide_job = cluster.simulator.job(1, JobKind::Array, 40, 4);
+    JobSpec wide_job = cluster.simulator.make_job(1, JobKind::Array, 40, 4);
     cluster.simulator.submit(wide_job, 60 * kSecond);
     cluster.simulator.run(3 * kSecond);
     auto tier = [&] {
@@ -326,7 +327,7 @@
     cluster.simulator.run(2 * kSecond);
     EXPECT_EQ(tier(), "leftover");
     EXPECT_TRUE(cluster.all_use(policy_of_revision(1, Tier::BestEffort)));
-    EXPECT_RULES(cluster.simulator);
+    EXPECT_NO_VIOLATIONS(cluster.simulator);
 }
 
 TEST(SharedPolicy, NewPolicyIsStoredDespiteCrashesAndOutages) {
@@ -342,17 +343,18 @@
         cluster.simulator.run(static_cast<Micros>(cluster.simulator.random() % 60) * kMillisecond);
         if (seed % 2) {
             cluster.simulator.state().set_down(true, cluster.simulator.now());
-            cluster.simulator.at(cluster.simulator.now() + 3 * kSecond,
-                                 [&] { cluster.simulator.state().set_down(false, cluster.simulator.now()); });
+            cluster.simulator.schedule_at(cluster.simulator.now() + 3 * kSecond, [&] {
+                cluster.simulator.state().set_down(false, cluster.simulator.now());
+            });
         }
-        cluster.simulator.answers_lost = 0.3;
+        cluster.simulator.state_answer_loss_rate = 0.3;
         cluster.simulator.crash(writer, 300 * kMillisecond);  // restarts with the newer file
         cluster.simulator.crash((writer + 1) % 5, 2 * kSecond);
         cluster.simulator.run(6 * kSecond);
-        cluster.simulator.answers_lost = 0;
+        cluster.simulator.state_answer_loss_rate = 0;
         cluster.simulator.run(45 * kSecond);
         EXPECT_TRUE(cluster.all_use(policy_of_revision(2, Tier::BestEffort))) << "seed " << seed;
-        EXPECT_RULES(cluster.simulator);
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
@@ -394,7 +396,7 @@
     cluster.simulator.node(0)->set_policy_file(policy_of_revision(5));
     cluster.simulator.run(2 * kSecond);
     EXPECT_TRUE(cluster.all_use(policy_of_revision(5)));
-    EXPECT_RULES(cluster.simulator);
+    EXPECT_NO_VIOLATIONS(cluster.simulator);
 }
 
 TEST(SharedPolicy, PolicyLargerThanAValueWaitsUntilAllControllersReadPieces) {
@@ -414,7 +416,7 @@
     cluster.simulator.settings.operators.policy.reset();
     cluster.simulator.run(15 * kSecond);
     EXPECT_TRUE(cluster.all_use(large_policy));
-    EXPECT_RULES(cluster.simulator);
+    EXPECT_NO_VIOLATIONS(cluster.simulator);
 }
 
 }  // namespace
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -11,7 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front() << "\n" << (w).story()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 using recovery::FailoverState;
 using recovery::HeldShard;
@@ -66,7 +67,7 @@
 
 /// Returns a settled simulator with nine machines in the shards of three controllers.
 std::unique_ptr<Simulator> simulator_with_several_shards(std::uint64_t seed) {
-    Settings settings = small_site();
+    Settings settings = small_cluster_settings();
     settings.cpu_cores = 0.001;
     auto simulator = std::make_unique<Simulator>(seed, settings);
     for (int i = 0; i < 9; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
@@ -86,7 +87,7 @@
 TEST(RestartOfAllControllers, NoShardIsTakenBeforeItsHolderReturns) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         auto simulator = simulator_with_several_shards(seed);
-        simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+        simulator->submit(simulator->make_job(1, JobKind::Service, 6), 0);
         simulator->run(3 * kSecond);
         for (int i = 0; i < 3; ++i) simulator->crash(i, 3 * kSecond + i * 400 * kMillisecond);
         std::size_t max_held = 0;
@@ -94,10 +95,10 @@
             simulator->run(100 * kMillisecond);
             for (int n = 0; n < 3; ++n) max_held = std::max(max_held, shards_held_at(*simulator, n));
         }
-        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->story();
+        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->format_history();
         for (int n = 0; n < 3; ++n) EXPECT_TRUE(simulator->owner_at(n)) << n;
-        EXPECT_EQ(simulator->starts("req-000001"), 6) << simulator->story();
-        EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->task_starts("req-000001"), 6) << simulator->format_history();
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
@@ -117,55 +118,57 @@
             simulator->run(100 * kMillisecond);
             for (int n = 0; n < 3; ++n) max_held = std::max(max_held, shards_held_at(*simulator, n));
         }
-        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->story();
+        EXPECT_EQ(max_held, 1u) << "seed " << seed << "\n" << simulator->format_history();
         for (int n = 0; n < 3; ++n) EXPECT_TRUE(simulator->owner_at(n)) << n;
-        EXPECT_RULES(*simulator);
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
 TEST(RestartOfAllControllers, ControllerThatStaysDownIsReplacedAndGetsItsShardBack) {
     auto simulator = simulator_with_several_shards(5);
-    simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 6), 0);
     simulator->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) simulator->crash(i, i == 2 ? 8 * kSecond : 3 * kSecond);
     simulator->run(6'500 * kMillisecond);  // 3.5 s after the first two are back
-    EXPECT_EQ(shards_held_at(*simulator, 0) + shards_held_at(*simulator, 1), 3u) << simulator->story();
+    EXPECT_EQ(shards_held_at(*simulator, 0) + shards_held_at(*simulator, 1), 3u)
+        << simulator->format_history();
     simulator->run(3'500 * kMillisecond);  // 2 s after the third is back
     for (int n = 0; n < 3; ++n)
-        EXPECT_EQ(shards_held_at(*simulator, n), 1u) << n << "\n" << simulator->story();
-    EXPECT_EQ(simulator->starts("req-000001"), 6) << simulator->story();
-    EXPECT_RULES(*simulator);
+        EXPECT_EQ(shards_held_at(*simulator, n), 1u) << n << "\n" << simulator->format_history();
+    EXPECT_EQ(simulator->task_starts("req-000001"), 6) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 // ---------------------------------------------------------------- restarts with further faults
 
 /// Submits a service, batch work, a gang, a job that depends on another, and a job whose tasks fail.
 void submit_varied_jobs(Simulator& simulator) {
-    simulator.submit(simulator.job(1, JobKind::Service, 4), 0);
-    simulator.submit(simulator.job(2, JobKind::Array, 6), 12 * kSecond);
-    JobSpec gang = simulator.job(3, JobKind::Gang, 3, 2);
+    simulator.submit(simulator.make_job(1, JobKind::Service, 4), 0);
+    simulator.submit(simulator.make_job(2, JobKind::Array, 6), 12 * kSecond);
+    JobSpec gang = simulator.make_job(3, JobKind::Gang, 3, 2);
     gang.checkpoint_interval = 3 * kSecond;
     gang.save_duration = kSecond;
     simulator.submit(gang, 20 * kSecond);
-    simulator.submit(simulator.job(4, JobKind::Array, 2), 15 * kSecond);
+    simulator.submit(simulator.make_job(4, JobKind::Array, 2), 15 * kSecond);
     simulator.run(4 * kSecond);
-    JobSpec dependent = simulator.job(5, JobKind::Array, 2);
+    JobSpec dependent = simulator.make_job(5, JobKind::Array, 2);
     dependent.dependencies = {"req-000004"};
     simulator.submit(dependent, 2 * kSecond);
-    JobSpec failing = simulator.job(6, JobKind::Array, 8, 0.5);
+    JobSpec failing = simulator.make_job(6, JobKind::Array, 8, 0.5);
     simulator.submit(failing, kSecond, 0, true);
     simulator.run(kSecond);
 }
 
 void expect_nothing_lost(Simulator& simulator, const std::string& fault) {
-    EXPECT_EQ(simulator.starts("req-000001"), 4) << fault << "\n" << simulator.story();
-    EXPECT_EQ(simulator.starts("req-000002"), 6) << fault;
-    EXPECT_EQ(simulator.starts("req-000003"), 3) << fault;
-    EXPECT_EQ(simulator.starts("req-000004"), 2) << fault;
-    EXPECT_EQ(simulator.running("req-000001"), 4) << fault;
+    EXPECT_EQ(simulator.task_starts("req-000001"), 4) << fault << "\n" << simulator.format_history();
+    EXPECT_EQ(simulator.task_starts("req-000002"), 6) << fault;
+    EXPECT_EQ(simulator.task_starts("req-000003"), 3) << fault;
+    EXPECT_EQ(simulator.task_starts("req-000004"), 2) << fault;
+    EXPECT_EQ(simulator.running_tasks("req-000001"), 4) << fault;
     for (const char* ref : {"req-000002", "req-000003", "req-000004", "req-000005"})
-        EXPECT_EQ(simulator.told(ref), "done") << fault << " " << ref << "\n" << simulator.story();
-    EXPECT_RULES(simulator);
+        EXPECT_EQ(simulator.reported_stage(ref), "done") << fault << " " << ref << "\n"
+                                                         << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 TEST(RestartWithFaults, RepeatedCrashesAtEachStepLoseNothing) {
@@ -188,13 +191,13 @@
         submit_varied_jobs(*simulator);
         for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
         if (kind == 0) simulator->state().set_down(true, simulator->now());
-        if (kind == 1) simulator->answers_lost = 0.5;
-        if (kind == 2) simulator->refuse(1, true);
+        if (kind == 1) simulator->state_answer_loss_rate = 0.5;
+        if (kind == 2) simulator->refuse_state_requests(1, true);
         simulator->run(4 * kSecond);
         simulator->state().set_down(false, simulator->now());
-        simulator->answers_lost = 0;
+        simulator->state_answer_loss_rate = 0;
         simulator->run(3 * kSecond);
-        simulator->refuse(1, false);
+        simulator->refuse_state_requests(1, false);
         simulator->run(35 * kSecond);
         expect_nothing_lost(*simulator, std::to_string(kind));
     }
@@ -207,58 +210,58 @@
     simulator->run(45 * kSecond);
     expect_nothing_lost(*simulator, "downtime shorter than the lease");
     auto longer = simulator_with_several_shards(31);
-    longer->submit(longer->job(1, JobKind::Service, 4), 0);
-    longer->submit(longer->job(2, JobKind::Array, 6), 25 * kSecond);
+    longer->submit(longer->make_job(1, JobKind::Service, 4), 0);
+    longer->submit(longer->make_job(2, JobKind::Array, 6), 25 * kSecond);
     longer->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) longer->crash(i, 16 * kSecond);
     longer->run(15 * kSecond);
-    EXPECT_EQ(longer->running("req-000001"), 0) << "the workers' leases have expired";
+    EXPECT_EQ(longer->running_tasks("req-000001"), 0) << "the workers' leases have expired";
     longer->run(45 * kSecond);
-    EXPECT_EQ(longer->starts("req-000001"), 8) << longer->story();
-    EXPECT_EQ(longer->starts("req-000002"), 12);
-    EXPECT_EQ(longer->told("req-000002"), "done");
-    EXPECT_RULES(*longer);
+    EXPECT_EQ(longer->task_starts("req-000001"), 8) << longer->format_history();
+    EXPECT_EQ(longer->task_starts("req-000002"), 12);
+    EXPECT_EQ(longer->reported_stage("req-000002"), "done");
+    EXPECT_NO_VIOLATIONS(*longer);
 }
 
 TEST(RestartWithFaults, LiveMachinesAreUsedAtOnceWhileOthersAreDeadOrHang) {
     auto simulator = simulator_with_several_shards(40);
-    simulator->submit(simulator->job(1, JobKind::Service, 6), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 6), 0);
     simulator->run(3 * kSecond);
     for (int i = 0; i < 3; ++i) simulator->crash(i, 2 * kSecond);
     const auto names = simulator->machine_names();
     simulator->kill_machine(names[0]);
     simulator->kill_machine(names[1]);
-    simulator->hang(names[2], true);
-    simulator->hang(names[3], true);
+    simulator->set_hung(names[2], true);
+    simulator->set_hung(names[3], true);
     simulator->run(4 * kSecond);
-    JobSpec next = simulator->job(2, JobKind::Array, 4);
+    JobSpec next = simulator->make_job(2, JobKind::Array, 4);
     simulator->submit(next, 2 * kSecond);
     simulator->run(5 * kSecond);
-    EXPECT_EQ(simulator->told("req-000002"), "done") << "machines that report are used at once\n"
-                                                     << simulator->story();
-    simulator->hang(names[2], false);
-    simulator->hang(names[3], false);
+    EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "machines that report are used at once\n"
+                                                               << simulator->format_history();
+    simulator->set_hung(names[2], false);
+    simulator->set_hung(names[3], false);
     simulator->run(40 * kSecond);
-    EXPECT_EQ(simulator->running("req-000001"), 6) << simulator->story();
-    EXPECT_RULES(*simulator);
+    EXPECT_EQ(simulator->running_tasks("req-000001"), 6) << simulator->format_history();
+    EXPECT_NO_VIOLATIONS(*simulator);
 }
 
 TEST(RestartWithFaults, FrozenControllerAndDelayedMessagesStartNothingTwice) {
     auto simulator = simulator_with_several_shards(50);
     submit_varied_jobs(*simulator);
-    simulator->hold_next("loom-0", "state");  // a transaction, or a read of the store
+    simulator->hold_next_message("loom-0", "state");  // a transaction, or a read of the store
     const std::string machine = simulator->machine_names().front();
-    simulator->hold_next("loom-1", machine);  // a launch, or the announcement of a token
-    simulator->submit(simulator->job(7, JobKind::Array, 4), 3 * kSecond, 0);
+    simulator->hold_next_message("loom-1", machine);  // a launch, or the announcement of a token
+    simulator->submit(simulator->make_job(7, JobKind::Array, 4), 3 * kSecond, 0);
     simulator->run(100 * kMillisecond);
-    simulator->freeze(2, 12 * kSecond);  // while the others crash and come back
+    simulator->freeze_process(2, 12 * kSecond);  // while the others crash and come back
     simulator->crash(0, 2 * kSecond);
     simulator->crash(1, 2 * kSecond);
     simulator->run(10 * kSecond);
-    simulator->release();
+    simulator->release_held_messages();
     simulator->run(35 * kSecond);
-    EXPECT_EQ(simulator->told("req-000007"), "done") << simulator->story();
-    EXPECT_EQ(simulator->starts("req-000007"), 4);
+    EXPECT_EQ(simulator->reported_stage("req-000007"), "done") << simulator->format_history();
+    EXPECT_EQ(simulator->task_starts("req-000007"), 4);
     expect_nothing_lost(*simulator, "delayed messages");
 }
 
@@ -267,14 +270,15 @@
         auto simulator = simulator_with_several_shards(60);
         submit_varied_jobs(*simulator);
         simulator->cancel("req-000001");
-        for (int i = 0; i < 200 && simulator->told("req-000001") != "cancelled"; ++i)
+        for (int i = 0; i < 200 && simulator->reported_stage("req-000001") != "cancelled"; ++i)
             simulator->run(5 * kMillisecond);
         simulator->run(ms * kMillisecond);
         for (int i = 0; i < 3; ++i) simulator->crash(i, 3 * kSecond);
         simulator->run(15 * kSecond);
-        EXPECT_EQ(simulator->running("req-000001"), 0) << ms << " ms after\n" << simulator->story();
-        EXPECT_EQ(simulator->starts("req-000001"), 4);
-        EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->running_tasks("req-000001"), 0) << ms << " ms after\n"
+                                                             << simulator->format_history();
+        EXPECT_EQ(simulator->task_starts("req-000001"), 4);
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -53,46 +53,47 @@
 TEST_P(RefusedLeader, CancelledJobsEndInTimeAndNoJobIsLost) {
     const Case& test_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        Settings site = small_site();
+        Settings site = small_cluster_settings();
         if (seed == 2) site.cpu_cores = 0.001;  // spreads the machines over several shards
         auto simulator = settled_simulator(seed, 5, site);
-        const int leader = simulator->leader();
-        simulator->poll_rate = 4;
-        simulator->submit(simulator->job(kLongJob, JobKind::Array, 4), 90 * kSecond);
-        simulator->submit(simulator->job(kServiceJob, JobKind::Service, 3), 0);
-        simulator->submit(simulator->job(kNeededJob, JobKind::Array, 2), 60 * kSecond);
+        const int leader = simulator->leader_node();
+        simulator->poll_frequency_factor = 4;
+        simulator->submit(simulator->make_job(kLongJob, JobKind::Array, 4), 90 * kSecond);
+        simulator->submit(simulator->make_job(kServiceJob, JobKind::Service, 3), 0);
+        simulator->submit(simulator->make_job(kNeededJob, JobKind::Array, 2), 60 * kSecond);
         simulator->run(kSecond);
-        JobSpec dependent = simulator->job(kDependentJob, JobKind::Array, 2);
+        JobSpec dependent = simulator->make_job(kDependentJob, JobKind::Array, 2);
         dependent.dependencies = {ref(kNeededJob)};
         simulator->submit(dependent, 2 * kSecond);
         simulator->run(2 * kSecond);
         const Micros refused_at = simulator->now() + 4 * kSecond;
-        simulator->at(refused_at - 2 * kSecond, [&] { simulator->slow_state = test_case.answer_delay; });
+        simulator->schedule_at(refused_at - 2 * kSecond,
+                               [&] { simulator->max_state_answer_delay = test_case.answer_delay; });
         // Tasks that end, tasks that start and admissions that are in flight at that moment.
-        simulator->at(refused_at - 3 * kSecond, [&] {
-            simulator->submit(simulator->job(kEndingJob, JobKind::Array, 3), 2700 * kMillisecond, 0);
+        simulator->schedule_at(refused_at - 3 * kSecond, [&] {
+            simulator->submit(simulator->make_job(kEndingJob, JobKind::Array, 3), 2700 * kMillisecond, 0);
         });
-        simulator->at(refused_at - 300 * kMillisecond, [&] {
-            JobSpec gang = simulator->job(kGangJob, JobKind::Gang, 3, 2);
+        simulator->schedule_at(refused_at - 300 * kMillisecond, [&] {
+            JobSpec gang = simulator->make_job(kGangJob, JobKind::Gang, 3, 2);
             simulator->submit(gang, 60 * kSecond, kSecond);
         });
-        simulator->at(refused_at - 10 * kMillisecond, [&] {
-            simulator->submit(simulator->job(kAdmittedJob, JobKind::Array, 2), 5 * kSecond);
+        simulator->schedule_at(refused_at - 10 * kMillisecond, [&] {
+            simulator->submit(simulator->make_job(kAdmittedJob, JobKind::Array, 2), 5 * kSecond);
         });
-        simulator->at(refused_at, [&] { simulator->refuse(leader, true); });
-        simulator->at(refused_at + test_case.outage_at,
-                      [&] { simulator->state().set_down(true, simulator->now()); });
-        simulator->at(refused_at + test_case.cancelled_at, [&] {
+        simulator->schedule_at(refused_at, [&] { simulator->refuse_state_requests(leader, true); });
+        simulator->schedule_at(refused_at + test_case.outage_at,
+                               [&] { simulator->state().set_down(true, simulator->now()); });
+        simulator->schedule_at(refused_at + test_case.cancelled_at, [&] {
             for (int i = 0; test_case.through_leader && i < 3; ++i)
-                if (i != leader) simulator->cut("users", host(i));
+                if (i != leader) simulator->cut_link("users", host(i));
             int machine_number = 0;
             for (const int job : {kLongJob, kServiceJob, kGangJob, kNeededJob, kEndingJob, kAdmittedJob}) {
                 if (test_case.hang_time > 0)
-                    for (const auto& m : simulator->machines_of(ref(job))) {
+                    for (const auto& m : simulator->machines_running(ref(job))) {
                         if (++machine_number % 2) continue;
-                        simulator->hang(m, true);
-                        simulator->at(simulator->now() + test_case.hang_time,
-                                      [&, m] { simulator->hang(m, false); });
+                        simulator->set_hung(m, true);
+                        simulator->schedule_at(simulator->now() + test_case.hang_time,
+                                               [&, m] { simulator->set_hung(m, false); });
                     }
                 simulator->cancel(ref(job));
             }
@@ -100,24 +101,25 @@
         simulator->run(4 * kSecond + test_case.outage_at + simulator->settings.cancel_deadline +
                        15 * kSecond);
         simulator->state().set_down(false, simulator->now());
-        simulator->refuse(leader, false);
-        simulator->heal_all();
-        simulator->slow_state = 0;
+        simulator->refuse_state_requests(leader, false);
+        simulator->heal_all_links();
+        simulator->max_state_answer_delay = 0;
         simulator->run(5 * kSecond);
-        simulator->submit(simulator->job(20, JobKind::Array, 8), 3 * kSecond);
+        simulator->submit(simulator->make_job(20, JobKind::Array, 8), 3 * kSecond);
         simulator->run(simulator->settings.cancel_deadline + 40 * kSecond);
-        EXPECT_RULES(*simulator);
-        for (const auto& job : simulator->refs()) {
-            EXPECT_TRUE(simulator->told(job) == "done" || simulator->told(job) == "cancelled")
-                << job << " is " << simulator->told(job) << ", seed " << seed << "\n"
-                << simulator->story();
-            EXPECT_EQ(simulator->running(job), 0) << job;
+        EXPECT_NO_VIOLATIONS(*simulator);
+        for (const auto& job : simulator->job_refs()) {
+            EXPECT_TRUE(simulator->reported_stage(job) == "done" ||
+                        simulator->reported_stage(job) == "cancelled")
+                << job << " is " << simulator->reported_stage(job) << ", seed " << seed << "\n"
+                << simulator->format_history();
+            EXPECT_EQ(simulator->running_tasks(job), 0) << job;
         }
-        EXPECT_EQ(simulator->told(ref(kLongJob)), "cancelled");
-        EXPECT_EQ(simulator->told(ref(kDependentJob)), "cancelled")
+        EXPECT_EQ(simulator->reported_stage(ref(kLongJob)), "cancelled");
+        EXPECT_EQ(simulator->reported_stage(ref(kDependentJob)), "cancelled")
             << "it must be cancelled with the job that it depends on";
-        EXPECT_EQ(simulator->told(ref(20)), "done") << "the freed capacity must be used again\n"
-                                                    << simulator->story();
+        EXPECT_EQ(simulator->reported_stage(ref(20)), "done") << "the freed capacity must be used again\n"
+                                                              << simulator->format_history();
     }
 }
 
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -19,7 +19,7 @@
     const auto machine_count = [&] { return simulator.cloud().machines().size(); };
     const std::size_t other_machines = machine_count() - static_cast<std::size_t>(count);
     for (int i = 0; i < 3'000 && machine_count() > other_machines; ++i) simulator.run(100 * kMillisecond);
-    ASSERT_EQ(machine_count(), other_machines) << simulator.story();
+    ASSERT_EQ(machine_count(), other_machines) << simulator.format_history();
 }
 
 // The controller remembers only 10,000 returned machines. A machine that was older than the 10,000 returned
@@ -28,28 +28,28 @@
     constexpr int kRememberedNames = 10'000;
     constexpr Micros kListLag = 5 * kSecond;
     for (const int newer_machines : {kRememberedNames - 1, kRememberedNames, kRememberedNames + 1}) {
-        Settings site = small_site();
+        Settings site = small_cluster_settings();
         site.cloud_list_lag = kListLag;
         auto simulator = settled_simulator(5, 4, site);
         // The service keeps its machines from being returned until it is cancelled.
-        simulator->submit(simulator->job(1, JobKind::Service, 12, 2), 0);
+        simulator->submit(simulator->make_job(1, JobKind::Service, 12, 2), 0);
         simulator->run(5 * kSecond);
-        const std::string old_machine = *simulator->machines_of("req-000001").begin();
+        const std::string old_machine = *simulator->machines_running("req-000001").begin();
         return_newer_machines(*simulator, newer_machines);
-        ASSERT_EQ(leased(*simulator)[old_machine], 1);
+        ASSERT_EQ(block_listings(*simulator)[old_machine], 1);
         simulator->cloud().list_lag = kListLag;
         simulator->run(2 * kListLag);
         simulator->cancel("req-000001");  // so that the machine is idle and returned
-        for (int i = 0; i < 600 && leased(*simulator)[old_machine] > 0; ++i)
+        for (int i = 0; i < 600 && block_listings(*simulator)[old_machine] > 0; ++i)
             simulator->run(100 * kMillisecond);
-        ASSERT_EQ(leased(*simulator)[old_machine], 0) << simulator->story();
+        ASSERT_EQ(block_listings(*simulator)[old_machine], 0) << simulator->format_history();
         for (Micros waited = 0; waited < 3 * kListLag; waited += 100 * kMillisecond) {
             simulator->run(100 * kMillisecond);
-            ASSERT_EQ(leased(*simulator)[old_machine], 0)
+            ASSERT_EQ(block_listings(*simulator)[old_machine], 0)
                 << newer_machines << " newer machines were returned before\n"
-                << simulator->story();
+                << simulator->format_history();
         }
-        EXPECT_RULES(*simulator);
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -12,7 +12,7 @@
 namespace cottonway::test {
 
 using namespace soak;
-using simulation::Asked;
+using simulation::RequestKind;
 namespace {
 
 constexpr int kControllers = 3;
@@ -61,14 +61,14 @@
         spec.tasks = tasks;
         spec.request = {1'000, 0, 1'000};
         rule_checker_.submit(spec, kSecond);
-        report_answer(Asked::Submission, ref, 201, "pending");
+        report_answer(RequestKind::Submission, ref, 201, "pending");
     }
-    void report_answer(Asked asked, const std::string& ref, int status, const std::string& stage) {
+    void report_answer(RequestKind asked, const std::string& ref, int status, const std::string& stage) {
         rule_checker_.on_answer(asked, ref, rule_checker_.begin_request(), status, stage);
     }
     void cancel(const std::string& ref) {
         rule_checker_.record_cancellation_request(ref);
-        report_answer(Asked::Cancellation, ref, 200, "cancelled");
+        report_answer(RequestKind::Cancellation, ref, 200, "cancelled");
     }
     /// Returns the names of the violated rules, without details.
     std::vector<std::string> violated_rules() const {
@@ -91,7 +91,7 @@
     rule_checker_.set_time(20 * kSecond);
     rule_checker_.check_deadlines();
     rule_checker_.on_faults_over();
-    report_answer(Asked::State, "req-000001", 200, "cancelled");
+    report_answer(RequestKind::State, "req-000001", 200, "cancelled");
     rule_checker_.check_final_state(kSecond);
     EXPECT_EQ(violated_rules(), RuleNames{});
     EXPECT_EQ(rule_checker_.longest_stop_time(), 4 * kSecond);
@@ -125,13 +125,13 @@
 
 TEST_F(RuleCheckerTest, ReportsWrongAnswersAndStatesThatGoBack) {
     submit("req-000001", JobKind::Array);
-    report_answer(Asked::State, "req-000001", 200, "done");
+    report_answer(RequestKind::State, "req-000001", 200, "done");
     EXPECT_EQ(violated_rules(), RuleNames{"not_done"});
     submit("req-000002");
     cancel("req-000002");
-    report_answer(Asked::State, "req-000002", 200, "running");
+    report_answer(RequestKind::State, "req-000002", 200, "running");
     EXPECT_EQ(violated_rules(), (RuleNames{"not_done", "went_back"}));
-    report_answer(Asked::State, "req-000002", 404, "");
+    report_answer(RequestKind::State, "req-000002", 404, "");
     EXPECT_EQ(violated_rules(), (RuleNames{"not_done", "went_back", "forgotten"}));
 }
 
--- a/tests/stored_parts_test.cpp
+++ b/tests/stored_parts_test.cpp
@@ -12,9 +12,9 @@
 /// Returns the number of tasks per part for jobs like those of the tests below.
 std::size_t tasks_per_part() {
     auto simulator = settled_simulator(3, 6);
-    simulator->submit(simulator->job(1, JobKind::Service, 2, 0.1), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 2, 0.1), 0);
     simulator->run(2 * kSecond);
-    return simulator->owner_at(simulator->holder())->jobs().at("req-000001")->tasks_per_part;
+    return simulator->owner_at(simulator->owner_node())->jobs().at("req-000001")->tasks_per_part;
 }
 
 // A part counted as full before all of its tasks were bound, so its last replicas never started.
@@ -22,10 +22,10 @@
     const auto tasks_in_part = static_cast<int>(tasks_per_part());
     for (const int tasks : {tasks_in_part - 1, tasks_in_part, tasks_in_part + 1}) {
         auto simulator = settled_simulator(3, 6);
-        simulator->submit(simulator->job(1, JobKind::Service, tasks, 0.1), 0);
+        simulator->submit(simulator->make_job(1, JobKind::Service, tasks, 0.1), 0);
         simulator->run(20 * kSecond);
-        EXPECT_EQ(simulator->running("req-000001"), tasks) << simulator->story();
-        EXPECT_RULES(*simulator);
+        EXPECT_EQ(simulator->running_tasks("req-000001"), tasks) << simulator->format_history();
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
@@ -37,10 +37,10 @@
     for (int i = 0; i < 6; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes();
     simulator.run(6 * kSecond);
-    simulator.submit(simulator.job(1, JobKind::Service, tasks_in_part + 1, 0.1), 0);
+    simulator.submit(simulator.make_job(1, JobKind::Service, tasks_in_part + 1, 0.1), 0);
     simulator.run(20 * kSecond);
-    EXPECT_EQ(simulator.running("req-000001"), tasks_in_part + 1) << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.running_tasks("req-000001"), tasks_in_part + 1) << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 }  // namespace
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -13,7 +13,8 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_NO_VIOLATION(s) EXPECT_TRUE((s).broken.empty()) << (s).broken.front() << "\n" << (s).story()
+#define EXPECT_NO_VIOLATION(s) \
+    EXPECT_TRUE((s).violations.empty()) << (s).violations.front() << "\n" << (s).format_history()
 
 const std::string kServiceRef = "req-000001";
 
@@ -28,7 +29,7 @@
         simulator.run(8 * kSecond);
     }
     static Settings settings(const ZoneRule& rule) {
-        Settings settings = small_site();
+        Settings settings = small_cluster_settings();
         settings.zones = {"a", "b", "c"};
         settings.operators.idle_return_delay = 600 * kSecond;  // so that idle machines are not returned
         settings.operators.policy.emplace();
@@ -37,12 +38,12 @@
         return settings;
     }
     static std::vector<MachineType> types() {
-        auto types = small_types();
+        auto types = small_cluster_machine_types();
         for (auto& type : types) type.zones = {"a", "b", "c"};
         return types;
     }
     JobSpec service(int replicas) {
-        JobSpec spec = simulator.job(1, JobKind::Service, replicas);
+        JobSpec spec = simulator.make_job(1, JobKind::Service, replicas);
         spec.priority_class = PriorityClass::Production;
         return spec;
     }
@@ -60,7 +61,7 @@
             if (machine_zone != zone) continue;
             for (int i = 0; i < simulator.node_count(); ++i) {
                 const std::string node = "loom-" + std::to_string(i);
-                is_cut ? simulator.cut(machine, node) : simulator.heal(machine, node);
+                is_cut ? simulator.cut_link(machine, node) : simulator.heal_link(machine, node);
             }
         }
     }
@@ -76,8 +77,10 @@
         Site site(seed, rule);
         site.simulator.submit(site.service(9), 0);
         site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}})) << site.simulator.story();
-        EXPECT_EQ(site.simulator.machines_of(kServiceRef).size(), 9u) << "no two replicas on one machine";
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}}))
+            << site.simulator.format_history();
+        EXPECT_EQ(site.simulator.machines_running(kServiceRef).size(), 9u)
+            << "no two replicas on one machine";
         EXPECT_NO_VIOLATION(site.simulator);
     }
 }
@@ -90,12 +93,12 @@
         Site site(seed, rule);
         site.simulator.submit(site.service(2), 0);
         site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"b", 1}, {"c", 1}})) << site.simulator.story();
-        JobSpec gang = site.simulator.job(2, JobKind::Gang, 3);
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"b", 1}, {"c", 1}})) << site.simulator.format_history();
+        JobSpec gang = site.simulator.make_job(2, JobKind::Gang, 3);
         site.simulator.submit(gang, 20 * kSecond);
         site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.simulator.running(gang.ref), 3) << site.simulator.story();
-        for (const auto& machine : site.simulator.machines_of(gang.ref))
+        EXPECT_EQ(site.simulator.running_tasks(gang.ref), 3) << site.simulator.format_history();
+        for (const auto& machine : site.simulator.machines_running(gang.ref))
             EXPECT_NE(site.zone_by_machine.at(machine), "a");
         EXPECT_NO_VIOLATION(site.simulator);
     }
@@ -108,14 +111,15 @@
         Site site(seed, rule);
         site.simulator.submit(site.service(6), 0);
         site.simulator.run(5 * kSecond);
-        ASSERT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << site.simulator.story();
+        ASSERT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
+            << site.simulator.format_history();
         site.set_zone_cut("c", true);
         site.simulator.run(8 * kSecond);
         EXPECT_EQ(site.replicas_by_zone()["c"], 2) << "in doubt as long as the lease may last";
-        EXPECT_EQ(site.simulator.starts(kServiceRef), 6);
+        EXPECT_EQ(site.simulator.task_starts(kServiceRef), 6);
         site.simulator.run(12 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}})) << site.simulator.story();
-        EXPECT_EQ(site.simulator.running(kServiceRef), 6) << site.simulator.story();
+        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}})) << site.simulator.format_history();
+        EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 6) << site.simulator.format_history();
         EXPECT_NO_VIOLATION(site.simulator);
     }
 }
@@ -129,10 +133,11 @@
     site.simulator.run(5 * kSecond);
     site.set_zone_cut("c", true);
     site.simulator.run(20 * kSecond);
-    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}})) << site.simulator.story();
+    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}})) << site.simulator.format_history();
     site.set_zone_cut("c", false);
     site.simulator.run(10 * kSecond);
-    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}})) << site.simulator.story();
+    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
+        << site.simulator.format_history();
     EXPECT_NO_VIOLATION(site.simulator);
 }
 
@@ -146,14 +151,14 @@
         job.spread = true;
         site.simulator.submit(job, 0);
         site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone()["a"], 2) << site.simulator.story();
+        EXPECT_EQ(site.replicas_by_zone()["a"], 2) << site.simulator.format_history();
         for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, true);
         site.simulator.run(20 * kSecond);
         EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}}))
             << "half of five replicas, rounded up; the others wait";
         for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, false);
         site.simulator.run(10 * kSecond);
-        EXPECT_EQ(site.simulator.running(kServiceRef), 5) << site.simulator.story();
+        EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 5) << site.simulator.format_history();
         EXPECT_NO_VIOLATION(site.simulator);
     }
 }
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -12,7 +12,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_RULES(sim) EXPECT_TRUE((sim).broken.empty()) << (sim).broken.front() << "\n" << (sim).story()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 using recovery::Finding;
 
@@ -55,10 +56,10 @@
     for (int i = 0; i < 4; ++i) simulator->add_machine("small", i % 2 ? "b" : "a");
     simulator->start_nodes();
     simulator->run(6 * kSecond);
-    simulator->submit(simulator->job(1, JobKind::Service, 3), 0);
-    simulator->submit(simulator->job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
-    simulator->submit(simulator->job(3, JobKind::Array, 2), kSecond);
-    simulator->submit(simulator->job(4, JobKind::Service, 2), 0);
+    simulator->submit(simulator->make_job(1, JobKind::Service, 3), 0);
+    simulator->submit(simulator->make_job(2, JobKind::Array, 300, 0.01), 20 * kSecond);
+    simulator->submit(simulator->make_job(3, JobKind::Array, 2), kSecond);
+    simulator->submit(simulator->make_job(4, JobKind::Service, 2), 0);
     simulator->run(5 * kSecond);
     simulator->cancel("req-000004");
     simulator->run(4 * kSecond);
@@ -131,9 +132,9 @@
         {"add up to",
          [](Simulator& simulator) {
              Json value =
-                 read_record(simulator, "c/share/" + simulator.owner_at(simulator.holder())->shard());
+                 read_record(simulator, "c/share/" + simulator.owner_at(simulator.owner_node())->shard());
              value["red"][0] = 50'000;
-             write_record(simulator, "c/share/" + simulator.owner_at(simulator.holder())->shard(), value);
+             write_record(simulator, "c/share/" + simulator.owner_at(simulator.owner_node())->shard(), value);
          }},
         {"newer than this program's",
          [](Simulator& simulator) {
@@ -161,13 +162,13 @@
         // the rest.
         for (int i = 0; i < 3; ++i) simulator->crash(i, kSecond);
         simulator->run(6 * kSecond);
-        EXPECT_EQ(simulator->running("req-000001"), 3) << damage_case.expected_text << "\n"
-                                                       << simulator->story();
-        EXPECT_EQ(simulator->starts("req-000001"), 3) << damage_case.expected_text;
-        simulator->submit(simulator->job(8, JobKind::Array, 2), kSecond);
+        EXPECT_EQ(simulator->running_tasks("req-000001"), 3) << damage_case.expected_text << "\n"
+                                                             << simulator->format_history();
+        EXPECT_EQ(simulator->task_starts("req-000001"), 3) << damage_case.expected_text;
+        simulator->submit(simulator->make_job(8, JobKind::Array, 2), kSecond);
         simulator->run(6 * kSecond);
-        EXPECT_EQ(simulator->told("req-000008"), "done") << damage_case.expected_text << "\n"
-                                                         << simulator->story();
+        EXPECT_EQ(simulator->reported_stage("req-000008"), "done") << damage_case.expected_text << "\n"
+                                                                   << simulator->format_history();
     }
 }
 
