--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -16,7 +16,7 @@
 /// Returns a job of four tasks of 2 cores, which fit into one zone of the settled simulator, with its two
 /// machines of 8 cores.
 JobSpec constrained_job(Simulator& simulator, int number, JobKind kind, ZoneConstraint constraint) {
-    JobSpec job = simulator.job(number, kind, 4, 2);
+    JobSpec job = simulator.make_job(number, kind, 4, 2);
     if (constraint == ZoneConstraint::Zone) job.zone = "a";
     job.one_zone = constraint == ZoneConstraint::OneZone;
     job.spread = constraint == ZoneConstraint::Spread;
@@ -32,7 +32,7 @@
 
 int running_in(Simulator& simulator, const std::string& ref, const std::string& zone) {
     int count = 0;
-    for (const auto& machine : simulator.machines_of(ref))
+    for (const auto& machine : simulator.machines_running(ref))
         count += simulator.worker(machine) && simulator.worker(machine)->zone() == zone;
     return count;
 }
@@ -44,10 +44,10 @@
                                                  double cpu_share) {
     auto simulator = settled_simulator(61, 6, settings_without_idle_return(cpu_share));
     auto leads_in_zone = [&] {
-        return simulator->settings.zones[static_cast<std::size_t>(simulator->leader()) % 2] == zone;
+        return simulator->settings.zones[static_cast<std::size_t>(simulator->leader_node()) % 2] == zone;
     };
     if (leads_in_zone() != is_leader_in_zone) {
-        simulator->crash(simulator->leader(), 5 * kSecond);
+        simulator->crash(simulator->leader_node(), 5 * kSecond);
         simulator->run(40 * kSecond);
     }
     EXPECT_EQ(leads_in_zone(), is_leader_in_zone);
@@ -64,42 +64,44 @@
                 const auto story = [&] {
                     return fmt::format("zone {}, leader in it: {}, cpu_share {}\n", zone, is_leader_in_zone,
                                        cpu_share) +
-                           simulator->story(150);
+                           simulator->format_history(150);
                 };
-                JobSpec bound_job = simulator->job(1, JobKind::Array, 2, 2),
-                        unconstrained_job = simulator->job(2, JobKind::Array, 4);
-                JobSpec spread_service = simulator->job(5, JobKind::Service, 2);
+                JobSpec bound_job = simulator->make_job(1, JobKind::Array, 2, 2),
+                        unconstrained_job = simulator->make_job(2, JobKind::Array, 4);
+                JobSpec spread_service = simulator->make_job(5, JobKind::Service, 2);
                 bound_job.zone = zone;
                 spread_service.spread = true;
                 simulator->submit(bound_job, 30 * kSecond);
                 simulator->submit(unconstrained_job, 12 * kSecond);
                 simulator->submit(spread_service, 0);
-                for (int i : {3, 4}) simulator->submit(simulator->job(i, JobKind::Service, 2), 0);
+                for (int i : {3, 4}) simulator->submit(simulator->make_job(i, JobKind::Service, 2), 0);
                 simulator->run(5 * kSecond);
-                ASSERT_EQ(simulator->running("req-000001"), 2) << story();
-                simulator->lose_zone(zone, false);
+                ASSERT_EQ(simulator->running_tasks("req-000001"), 2) << story();
+                simulator->fail_zone(zone, false);
                 simulator->run(kSecond);
                 simulator->cancel("req-000003");
                 simulator->run(9 * kSecond);
                 simulator->cancel("req-000004");
                 simulator->run(45 * kSecond);
-                EXPECT_EQ(simulator->told("req-000002"), "done") << "it can run in the other zone\n"
-                                                                 << story();
+                EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "it can run in the other zone\n"
+                                                                           << story();
                 EXPECT_EQ(running_in(*simulator, "req-000005", zone), 0) << story();
-                EXPECT_EQ(simulator->running("req-000005"), 1)
+                EXPECT_EQ(simulator->running_tasks("req-000005"), 1)
                     << "half of its replicas are in the other zone\n"
                     << story();
                 for (int i : {3, 4}) {
-                    EXPECT_EQ(simulator->told(simulator->job(i, JobKind::Service, 2).ref), "cancelled")
+                    EXPECT_EQ(simulator->reported_stage(simulator->make_job(i, JobKind::Service, 2).ref),
+                              "cancelled")
+                        << story();
+                    EXPECT_EQ(simulator->running_tasks(simulator->make_job(i, JobKind::Service, 2).ref), 0)
                         << story();
-                    EXPECT_EQ(simulator->running(simulator->job(i, JobKind::Service, 2).ref), 0) << story();
                 }
-                simulator->zone_back(zone);
+                simulator->restore_zone(zone);
                 simulator->run(6 * kSecond);
-                EXPECT_EQ(simulator->running("req-000005"), 2) << story();
+                EXPECT_EQ(simulator->running_tasks("req-000005"), 2) << story();
                 simulator->run(40 * kSecond);
-                EXPECT_EQ(simulator->told("req-000001"), "done") << story();
-                EXPECT_RULES(*simulator);
+                EXPECT_EQ(simulator->reported_stage("req-000001"), "done") << story();
+                EXPECT_NO_VIOLATIONS(*simulator);
             }
 }
 
@@ -127,12 +129,12 @@
                 return fmt::format("job kind {}, zone constraint {}, machines cut off: {}\n",
                                    static_cast<int>(loss_case.kind), static_cast<int>(loss_case.constraint),
                                    is_cut) +
-                       simulator->story();
+                       simulator->format_history();
             };
             // A job in zone b makes jobs that may choose their zone start in zone a.
             simulator->submit(
                 [&] {
-                    JobSpec other = simulator->job(2, JobKind::Array, 2, 8);
+                    JobSpec other = simulator->make_job(2, JobKind::Array, 2, 8);
                     other.zone = "b";
                     return other;
                 }(),
@@ -142,7 +144,7 @@
             const Micros run_time = loss_case.kind == JobKind::Service ? 0 : 60 * kSecond;
             simulator->submit(job, run_time);
             simulator->run(10 * kSecond);
-            ASSERT_EQ(simulator->running(job.ref), 4) << story();
+            ASSERT_EQ(simulator->running_tasks(job.ref), 4) << story();
             const auto lost_machines = machines_in(*simulator, "a");
             for (const auto& machine : lost_machines) {
                 if (is_cut)
@@ -151,19 +153,20 @@
                     simulator->kill_machine(machine);
             }
             simulator->run(20 * kSecond);
-            simulator->crash(simulator->holder(), 5 * kSecond);
+            simulator->crash(simulator->owner_node(), 5 * kSecond);
             simulator->run(15 * kSecond);
-            EXPECT_EQ(simulator->running(job.ref), loss_case.running_meanwhile) << story();
+            EXPECT_EQ(simulator->running_tasks(job.ref), loss_case.running_meanwhile) << story();
             if (is_cut)
-                simulator->heal_all();
+                simulator->heal_all_links();
             else
                 for (std::size_t i = 0; i < lost_machines.size(); ++i) simulator->add_machine("small", "a");
             simulator->run(10 * kSecond);
-            EXPECT_EQ(simulator->running(job.ref), 4) << story();
+            EXPECT_EQ(simulator->running_tasks(job.ref), 4) << story();
             simulator->run(run_time + 5 * kSecond);
-            EXPECT_EQ(simulator->told(job.ref), loss_case.kind == JobKind::Service ? "accepted" : "done")
+            EXPECT_EQ(simulator->reported_stage(job.ref),
+                      loss_case.kind == JobKind::Service ? "accepted" : "done")
                 << story();
-            EXPECT_RULES(*simulator);
+            EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
 
@@ -173,7 +176,7 @@
     for (const JobKind kind : {JobKind::Array, JobKind::Gang}) {
         auto simulator = settled_simulator(63, 4, settings_without_idle_return());
         for (int i = 0; i < 8; ++i) {
-            JobSpec job = simulator->job(10 + i, JobKind::Array, 2, 2);
+            JobSpec job = simulator->make_job(10 + i, JobKind::Array, 2, 2);
             job.zone = "a";
             simulator->submit(job, 10 * kSecond);
         }
@@ -182,40 +185,40 @@
         simulator->run(5 * kSecond);
         simulator->kill_machine(machines_in(*simulator, "a").back());
         simulator->run(110 * kSecond);
-        EXPECT_EQ(simulator->told(job.ref), "done") << simulator->story();
+        EXPECT_EQ(simulator->reported_stage(job.ref), "done") << simulator->format_history();
         for (int i = 0; i < 8; ++i)
-            EXPECT_EQ(simulator->told(simulator->job(10 + i, JobKind::Array, 2).ref), "done")
-                << simulator->story();
-        EXPECT_RULES(*simulator);
+            EXPECT_EQ(simulator->reported_stage(simulator->make_job(10 + i, JobKind::Array, 2).ref), "done")
+                << simulator->format_history();
+        EXPECT_NO_VIOLATIONS(*simulator);
     }
 }
 
 /// A job is refused if its zone offers no machine type that the job may use. If the zone offers one and has
 /// no such machine at the moment, the job waits.
 TEST(ZoneLoss, JobIsRefusedWithoutTheMachineTypeAndWaitsWithoutAMachine) {
-    auto types = small_types();
+    auto types = small_cluster_machine_types();
     types[1].zones = {"b"};
-    Simulator simulator(64, small_site(), types);
+    Simulator simulator(64, small_cluster_settings(), types);
     for (const char* zone : {"a", "b"}) simulator.add_machine("small", zone);
     simulator.start_nodes();
     simulator.run(6 * kSecond);
-    JobSpec impossible_job = simulator.job(1, JobKind::Array, 2),
-            possible_job = simulator.job(2, JobKind::Array, 2);
+    JobSpec impossible_job = simulator.make_job(1, JobKind::Array, 2),
+            possible_job = simulator.make_job(2, JobKind::Array, 2);
     impossible_job.types = possible_job.types = {"large"};
     impossible_job.zone = "a";
     possible_job.zone = "b";
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(simulator.ask(i, "POST", "/v1/jobs", wire::job_value(impossible_job)).status, 422);
+        EXPECT_EQ(simulator.request(i, "POST", "/v1/jobs", wire::job_value(impossible_job)).status, 422);
     simulator.submit(possible_job, 2 * kSecond);
     simulator.run(30 * kSecond);
-    EXPECT_EQ(simulator.told(possible_job.ref), "accepted");
-    EXPECT_EQ(simulator.starts(possible_job.ref), 0);
-    simulator.crash(simulator.holder(), 5 * kSecond);
+    EXPECT_EQ(simulator.reported_stage(possible_job.ref), "accepted");
+    EXPECT_EQ(simulator.task_starts(possible_job.ref), 0);
+    simulator.crash(simulator.owner_node(), 5 * kSecond);
     simulator.run(10 * kSecond);
     simulator.add_machine("large", "b");
     simulator.run(15 * kSecond);
-    EXPECT_EQ(simulator.told(possible_job.ref), "done") << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.reported_stage(possible_job.ref), "done") << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 /// A zone has lost all of its machines, the cloud has none to rent there, and machines in the other zone have
@@ -228,11 +231,11 @@
     const JobSpec job = constrained_job(simulator, 1, JobKind::Array, ZoneConstraint::Zone);
     simulator.submit(job, 2 * kSecond);
     simulator.run(20 * kSecond);
-    EXPECT_EQ(simulator.starts(job.ref), 0);
+    EXPECT_EQ(simulator.task_starts(job.ref), 0);
     simulator.cloud().capacity = 50;
     simulator.run(90 * kSecond);
-    EXPECT_EQ(simulator.told(job.ref), "done") << simulator.story();
-    EXPECT_RULES(simulator);
+    EXPECT_EQ(simulator.reported_stage(job.ref), "done") << simulator.format_history();
+    EXPECT_NO_VIOLATIONS(simulator);
 }
 
 }  // namespace
