--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -62,7 +62,7 @@
 enum class FailureDomain : std::uint8_t { None, Machine, Zone };
 
 /// The zones in which a team's services may run, and how far their replicas are spread. A rule narrows the
-/// job's own constraints (`spread`, `one_zone`, `mill`) and never widens them.
+/// job's own constraints (`spread`, `one_zone`, `zone`) and never widens them.
 struct ZoneRule {
     Scope scope;
     std::vector<std::string> allowed;    // empty: all
--- a/src/scheduling/gpu_packing.hpp
+++ b/src/scheduling/gpu_packing.hpp
@@ -32,9 +32,10 @@
 };
 GpuDemand gpu_demand_of(const ShardView& view);
 
-/// Returns a penalty to add to a candidate's score, where lower is better and the weights of the paper's
-/// terms add up to 100. It grows with the free GPUs that the task's start there makes unusable, and keeps
-/// tasks without GPUs off machines that have GPUs.
+/// Returns a penalty to add to a candidate's score, where lower is better and the default weights of
+/// cores, memory, size and tasks in PlacementSettings add up to 100, disregarding their signs. It grows with
+/// the free GPUs that the task's start there makes unusable, and keeps tasks without GPUs off machines that
+/// have GPUs.
 double gpu_penalty(const Resources& size, const Resources& reserved, const Resources& request,
                    const GpuDemand& demand);
 
--- a/src/scheduling/migrations.cpp
+++ b/src/scheduling/migrations.cpp
@@ -220,11 +220,11 @@
 }
 
 MigrationPlan::Actions MigrationPlan::advance(const ShardQuery& shard, std::int64_t now_ms,
-                                              std::int64_t give_up_ms) {
+                                              std::int64_t timeout_ms) {
     auto drop_finished = [&](auto& entries) {
         std::erase_if(entries, [&](const auto& planned) {
             // The difference may be negative, because the wall clock may have been set back since.
-            if (std::abs(now_ms - planned.planned_at_ms) < give_up_ms && !is_over(planned, shard))
+            if (std::abs(now_ms - planned.planned_at_ms) < timeout_ms && !is_over(planned, shard))
                 return false;
             drop_stored(planned);
             return true;
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The migration plan of a shard: moves in progress and reserved capacity. It is stored as one value of the
-// shard (c/plan/DOMAIN) before any of it is carried out. The shard's next holder can therefore finish or
-// cancel what is in the plan, and never starts a second move of the same task. Pure: the holder reads and
+// shard (c/plan/DOMAIN) before any of it is carried out. The shard's next owner can therefore finish or
+// cancel what is in the plan, and never starts a second move of the same task. Pure: the owner reads and
 // writes the stored value.
 
 #include <map>
@@ -29,7 +29,7 @@
     bool operator==(const PlannedReservation&) const = default;
 };
 
-/// What the holder knows of a task that has a planned move.
+/// What the owner knows of a task that has a planned move.
 struct TaskState {
     bool known = false;      // the job is not over and has this task
     bool cancelled = false;  // the job was cancelled
@@ -37,7 +37,7 @@
     std::int64_t attempt = 0;
     bool stopping = false;
 };
-/// What the holder knows of a job that has a planned move or a reservation.
+/// What the owner knows of a job that has a planned move or a reservation.
 struct JobState {
     bool known = false;
     bool cancelled = false;
@@ -58,7 +58,7 @@
         virtual int tasks_on(const std::string& job, const std::string& machine) const = 0;
         virtual bool is_machine_usable(const std::string& machine) const = 0;
     };
-    /// What the holder has to do now. The same action may be returned again; it is idempotent.
+    /// What the owner has to do now. The same action may be returned again; it is idempotent.
     struct Actions {
         std::vector<Move> tasks_to_stop;  // only moves that are stored
         bool needs_write = false;         // the value has changed and no write is in progress
@@ -76,15 +76,14 @@
     /// can be moved only if it is on the move's source machine and not stopping.
     std::size_t add(const std::vector<Move>& moves, const std::vector<Reservation>& reservations,
                     std::int64_t now_ms, const policy::Budgets& budgets, const ShardQuery& shard);
-    /// Removes entries that are complete or no longer needed, and returns what the holder has to do. An entry
-    /// that is still there `give_up_ms` after it was planned is dropped.
-    Actions advance(const ShardQuery& shard, std::int64_t now_ms, std::int64_t give_up_ms);
+    /// Removes entries that are complete or no longer needed, and returns what the owner has to do. An entry
+    /// that is still there `timeout_ms` after it was planned is dropped.
+    Actions advance(const ShardQuery& shard, std::int64_t now_ms, std::int64_t timeout_ms);
     /// Removes a move that is no longer needed. Must be called only while its task has not been stopped.
     void cancel_move(const Move& move);
     /// Marks the start of a write of `to_value()`.
     void begin_write();
-    /// Marks the end of that write: `ok` if it has succeeded, false if it has failed or its outcome is
-    /// unknown.
+    /// Marks the end of that write. `ok` is false if it has failed or its outcome is unknown.
     void finish_write(bool ok);
 
     bool empty() const { return moves_.empty() && reservations_.empty(); }
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -168,11 +168,11 @@
         if (is_overdue(job, priority)) overdue_jobs.push_back(&job);
     }
     // The highest tier goes first, then the highest rank, then jobs within their guarantee, then the nearest
-    // deadline, then jobs that cannot wait. Ties go to the smallest remaining work by age.
+    // deadline, then jobs that cannot wait. Ties go to the smallest remaining work divided by age.
     auto goes_before = [](const QueuedJob* a, const QueuedJob* b) {
         auto key = [](const QueuedJob& job) {
             return std::tuple(job.tier, job.rank, !job.within_guarantee, job.deadline_ms, job.can_wait,
-                              job.remaining_work, job.index);
+                              job.remaining_work_by_age, job.index);
         };
         return key(*a) < key(*b);
     };
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Priority planning: the order in which waiting jobs are placed, the part of a team's limit that is withheld
+// The order in which waiting jobs are placed, the part of a team's limit that is withheld
 // for other jobs, and reservations for a large job that is overdue. All functions are pure and depend on
-// stored facts only (tier, rank, admission, deadline, running tasks), so that each holder of a shard decides
-// alike and a job's waiting time survives a change of holder.
+// stored facts only (tier, rank, admission, deadline, running tasks), so that each owner of a shard decides
+// alike and a job's waiting time survives a change of owner.
 
 #include <map>
 #include <string>
@@ -21,12 +21,12 @@
     bool within_guarantee = false;
     bool can_wait = false;  // misses its first objective in any case, and a later one is not at risk yet
     std::int64_t deadline_ms = INT64_MAX;
-    double remaining_work = 0;     // remaining work divided by age; the smallest value goes first
-    Micros age = 0;                // since submission or, if later, since its last dependency was done
-    bool has_started = false;      // some task is on a machine or has succeeded
-    bool lacks_room = false;       // recently fitted on no machine: no part of a limit is withheld for it
-    Resources waiting_request;     // request of all its waiting tasks together
-    Resources next_start_request;  // request of its next start: one task, or the whole gang
+    double remaining_work_by_age = 0;  // remaining work divided by age; the smallest value goes first
+    Micros age = 0;                    // since submission or, if later, since its last dependency was done
+    bool has_started = false;          // some task is on a machine or has succeeded
+    bool lacks_room = false;           // recently fitted on no machine: no part of a limit is withheld for it
+    Resources waiting_request;         // request of all its waiting tasks together
+    Resources next_start_request;      // request of its next start: one task, or the whole gang
 };
 
 /// A team's limit in the shard and its current usage.
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -439,11 +439,11 @@
         history.lost_at.push_back(now);
 }
 
-Zones ZoneMonitor::unstable_zones(Micros now, Micros settle) const {
+Zones ZoneMonitor::unstable_zones(Micros now, Micros settle_time) const {
     Zones unstable;
     for (const auto& [zone, history] : zones_) {
         const int doublings = std::clamp(static_cast<int>(history.lost_at.size()) - 1, 0, kMaxDoublings);
-        if (!history.is_up || now - history.up_since < settle * (Micros{1} << doublings))
+        if (!history.is_up || now - history.up_since < settle_time * (Micros{1} << doublings))
             unstable.push_back(zone);
     }
     return unstable;
--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -21,7 +21,7 @@
 struct ZoneChoice {
     /// The most tasks that each zone may hold, including the tasks already there (also those in doubt). A
     /// zone that is not listed takes none. The choice holds for the next task only and has to be made again
-    /// after that is bound. It never exceeds what the job's own `spread`, `one_zone` and `mill` allow.
+    /// after that is bound. It never exceeds what the job's own `spread`, `one_zone` and `zone` allow.
     std::map<std::string, int> max_tasks;
     /// Added to a candidate's score in the zone (lower is better).
     std::map<std::string, double> penalty;
@@ -77,8 +77,9 @@
     /// Records the zone's current state. To be called at every check; the first time that a zone is up does
     /// not count as recovery from a loss.
     void observe(const std::string& zone, bool is_up, Micros now);
-    /// Returns the observed zones that are down or have been up for less than `settle`, doubled as above.
-    std::vector<std::string> unstable_zones(Micros now, Micros settle) const;
+    /// Returns the observed zones that are down or have been up for less than `settle_time`, doubled as
+    /// above.
+    std::vector<std::string> unstable_zones(Micros now, Micros settle_time) const;
 
   private:
     struct ZoneHistory {
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Snapshot of one shard that the planning functions read. It is taken by the shard's holder at one moment and
-// passed by value; planning is pure, and the holder carries out the decisions.
+// Snapshot of one shard that the planning functions read. It is taken by the shard's owner at one moment and
+// passed by value; planning is pure, and the owner carries out the decisions.
 
 #include <cstdint>
 #include <map>
@@ -65,7 +65,7 @@
     std::vector<MachineView> machines;  // sorted by name
     std::vector<JobView> jobs;          // in order of admission
     std::vector<TaskView> tasks;
-    /// Zones that are down, or that have been up again for less than the policy's `settle_time` time.
+    /// Zones that are down, or that have been up again for less than the policy's `settle_time`.
     std::vector<std::string> unstable_zones;
 };
 
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -23,7 +23,7 @@
 constexpr Micros kPeakUseHalfLife = 60 * kSecond;
 constexpr double kFetchPenaltyPerSecond = 10;
 constexpr Micros kBestEffortInterval = 500 * kMillisecond;
-// How long nothing of a team's limit is kept for a job after it found no machine.
+// For this long after a job has found no machine, no part of its team's limit is withheld for it.
 constexpr Micros kLacksRoomPeriod = 10 * kSecond;
 // How long other shards have to give a waiting live task some of their share of its team's limit. After that,
 // batch tasks of the same team are preempted for it.
@@ -389,10 +389,10 @@
     queued.deadline_ms = job.deadline_ms;
     // The job with the least work left goes first, so that one wide array does not delay many small jobs.
     // Waiting makes up for size, so that no job starves.
-    const auto work_left = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
-                           static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
-                           static_cast<double>(std::max<Micros>(spec.estimated_duration, kSecond)) / 1e6;
-    queued.remaining_work = work_left / static_cast<double>(age_ms + 10'000);
+    const auto remaining_work = static_cast<double>(job.unbound_tasks + job.bound_tasks) *
+                                static_cast<double>(std::max<Milli>(spec.request.cores, 1)) *
+                                static_cast<double>(std::max<Micros>(spec.estimated_duration, kSecond)) / 1e6;
+    queued.remaining_work_by_age = remaining_work / static_cast<double>(age_ms + 10'000);
     queued.age = age_ms * kMillisecond;
     // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
     // is overdue.
@@ -476,7 +476,7 @@
     for (const auto& entry : scheduling::queue_order(queue, usage_by_team(), context_.policy().priority)) {
         Job& job = *waiting[entry.index];
         if (job.unbound_tasks == 0)
-            continue;  // an earlier entry, for being overdue, has placed all of its tasks
+            continue;  // its entry as an overdue job has already placed all of its tasks
         job.usage_limit = {entry.max_team_cores, entry.max_team_gpus, 0};
         job.overdue = entry.overdue;
         const bool placed = place_job(job);
@@ -490,8 +490,8 @@
     usable_machines_.clear();
 }
 
-/// Live work goes before the batch work of its own team inside their limit as well: stops as much of that
-/// batch work as one more live task needs, the least loss first.
+/// Stops as much batch work of the live job's own team as one more task of the job needs within the team's
+/// limit, the least loss first: live work goes before batch work inside that limit as well.
 void Scheduler::preempt_within_team_limit(const Job& job) {
     const Resources share = context_.quota_share(shard_, job.spec.team);
     Resources excess = usage_with(job, 1) - share;
@@ -689,7 +689,7 @@
     bool tried_relayed = false, tried_draining = !may_use_draining_machines(job);
     const bool includes_draining = !tried_draining;
     const bool image_ready_only = job.waiting_for_image = waits_for_image(job);
-    const bool values_in_pieces = context_.store().is_chunking_enabled();
+    const bool values_are_chunked = context_.store().is_chunking_enabled();
     while (job.first_unbound < job.slots.size() && job.slots[job.first_unbound].state != SlotState::Unbound)
         ++job.first_unbound;
     for (std::size_t i = job.first_unbound; i < job.slots.size(); ++i) {
@@ -705,9 +705,9 @@
         if (preferred && preferred->seq == 0 &&
             now - preferred->known_since < 2 * context_.settings().report_interval)
             continue;
-        // Unless values are stored in pieces, a stored part must not grow beyond the size of one value. The
+        // Unless values are stored in chunks, a stored part must not grow beyond the size of one value. The
         // following parts still have room.
-        if (!values_in_pieces && job.part_of(static_cast<int>(i)).is_full(job.tasks_per_part)) {
+        if (!values_are_chunked && job.part_of(static_cast<int>(i)).is_full(job.tasks_per_part)) {
             i = (i / job.tasks_per_part + 1) * job.tasks_per_part - 1;
             continue;
         }
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -339,7 +339,7 @@
     return value ? std::atoi(value) : default_value;
 }
 
-/// Simulates `shards` shards of `machines` machines, each with its own arrivals and its own holder, prints a
+/// Simulates `shards` shards of `machines` machines, each with its own arrivals and its own owner, prints a
 /// row of the table and returns the sums.
 Measurement measure_and_print(int shards, int machines, double load, bool pack, bool moves) {
     Measurement sum;
--- a/tests/migrations_test.cpp
+++ b/tests/migrations_test.cpp
@@ -1,4 +1,4 @@
-// The migration plan: its rules one by one, and random histories by RapidCheck in which holders fail, writes
+// The migration plan: its rules one by one, and random histories by RapidCheck in which owners fail, writes
 // are lost or delayed, and tasks stop, vanish and start.
 
 #include "scheduling/migrations.hpp"
@@ -15,7 +15,7 @@
 
 using namespace scheduling;
 
-constexpr std::int64_t kGiveUpMs = 120'000;
+constexpr std::int64_t kTimeoutMs = 120'000;
 
 /// A shard with two services of two tasks, an array of three, and a large job that waits for capacity.
 class FakeShard : public MigrationPlan::ShardQuery {
@@ -80,16 +80,16 @@
     FakeShard shard;
     MigrationPlan plan;
     EXPECT_EQ(add_room_for_large(plan, shard), 3u);
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).needs_write);
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     plan.begin_write();
-    EXPECT_FALSE(plan.advance(shard, 0, kGiveUpMs).needs_write);  // one write at a time
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).tasks_to_stop.empty());
+    EXPECT_FALSE(plan.advance(shard, 0, kTimeoutMs).needs_write);  // one write at a time
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).tasks_to_stop.empty());
     plan.finish_write(false);
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).tasks_to_stop.empty());
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).tasks_to_stop.empty());
     EXPECT_TRUE(plan.reserved_by_machine().empty());
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).needs_write);
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     store(plan);
-    EXPECT_EQ(plan.advance(shard, 0, kGiveUpMs).tasks_to_stop.size(), 2u);
+    EXPECT_EQ(plan.advance(shard, 0, kTimeoutMs).tasks_to_stop.size(), 2u);
     EXPECT_EQ(plan.reserved_by_machine().at("m0").size(), 1u);
     EXPECT_EQ(plan.destination("sums", 0), "m1");
 }
@@ -102,11 +102,11 @@
     const Json stored = plan.to_value();
     // Started again on the machine that it was to leave, because no other one had capacity.
     shard.task_at("web", 0) = {"m0", 2, false};
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).needs_write);
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     EXPECT_TRUE(plan.empty());
     MigrationPlan next;
     ASSERT_TRUE(next.restore(stored));
-    EXPECT_TRUE(next.advance(shard, 0, kGiveUpMs).tasks_to_stop.empty());
+    EXPECT_TRUE(next.advance(shard, 0, kTimeoutMs).tasks_to_stop.empty());
     EXPECT_TRUE(next.empty());
 }
 
@@ -127,7 +127,7 @@
     store(plan);
     shard.task_at("sums", 0).stopping = true;
     shard.cancelled_jobs.insert("large");
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).tasks_to_stop.empty());
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).tasks_to_stop.empty());
     EXPECT_FALSE(plan.reserved_by_machine().count("m0"));
     ASSERT_EQ(plan.moves().size(), 1u);
     EXPECT_EQ(plan.moves()[0].move.task, 0);  // the stopping task still prefers its destination
@@ -140,7 +140,7 @@
     store(plan);
     shard.task_at("web", 0).machine = "";
     shard.unusable_machines.insert("m3");
-    EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).needs_write);
+    EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     EXPECT_EQ(plan.destination("web", 0), "");
     EXPECT_FALSE(plan.empty());
 }
@@ -183,13 +183,13 @@
           R"({"v":1,"m":[],"g":[["a","m",1,0,0],["a","m",1,0,0]]})", R"({"v":1,"m":{},"g":[]})"}) {
         EXPECT_FALSE(plan.restore(Json::parse(text))) << text;
         EXPECT_TRUE(plan.empty());
-        EXPECT_TRUE(plan.advance(shard, 0, kGiveUpMs).needs_write);
+        EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     }
 }
 
 // ---------------------------------------------------------------- histories
 
-/// A shard with one holder at a time, and a store that accepts a write only if the record has the revision
+/// A shard with one owner at a time, and a store that accepts a write only if the record has the revision
 /// that the write expects.
 class History {
   public:
@@ -231,7 +231,7 @@
                 }
                 break;
             case 10:
-                change_holder();
+                change_owner();
                 break;
             case 11:
             case 12:
@@ -269,7 +269,7 @@
             end_stopping_tasks();
             advance();
             finish_write(true, true);
-            now_ms_ += kGiveUpMs / 4;
+            now_ms_ += kTimeoutMs / 4;
         }
         RC_ASSERT(plan_.empty());
         MigrationPlan stored;
@@ -292,7 +292,7 @@
             planned_attempts_.insert({move.job, move.task, shard.task(move.job, move.task).attempt});
     }
     void advance() {
-        const MigrationPlan::Actions actions = plan_.advance(shard, now_ms_, kGiveUpMs);
+        const MigrationPlan::Actions actions = plan_.advance(shard, now_ms_, kTimeoutMs);
         for (const Move& move : actions.tasks_to_stop) {
             FakeShard::Task& task = shard.task_at(move.job, move.task);
             // A task is stopped only if its move is stored, and only the attempt that the move was planned
@@ -322,7 +322,7 @@
         write_.reset();
         plan_.finish_write(applied && answer_arrives);
     }
-    void change_holder() {
+    void change_owner() {
         write_.reset();
         delayed_writes_.clear();  // refused from now on, because the shard's revision has changed
         plan_ = MigrationPlan();
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -30,7 +30,7 @@
                : tier == Tier::BestEffort ? PriorityClass::Low
                                           : PriorityClass::Normal;
     job.age = age;
-    job.remaining_work = static_cast<double>(cores);
+    job.remaining_work_by_age = static_cast<double>(cores);
     job.next_start_request = {cores * kCore, 0, 0};
     job.waiting_request = {cores * kCore * tasks, 0, 0};
     return job;
@@ -199,7 +199,7 @@
         job.has_started = *rc::gen::arbitrary<bool>();
         job.lacks_room = *rc::gen::inRange(0, 4) == 0;
         job.within_guarantee = *rc::gen::arbitrary<bool>();
-        job.remaining_work = *rc::gen::inRange(0, 3);
+        job.remaining_work_by_age = *rc::gen::inRange(0, 3);
         queue.push_back(job);
     }
     return queue;
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -325,7 +325,7 @@
              changed.view.machines[4].type = changed.view.machines[5].type = "other";
              changed.view.jobs[0].spec.types = {{"small"}};
          }},
-        {"spot",
+        {"the machines in zone c are spot machines",
          [](Shard& changed) { changed.view.machines[4].spot = changed.view.machines[5].spot = true; }},
     };
     for (const auto& [description, apply_obstacle] : obstacles) {
@@ -418,26 +418,26 @@
 
 TEST(ZoneMonitoring, AZoneThatIsLostRepeatedlyIsUnstableForLongerEachTime) {
     ZoneMonitor monitor;
-    const Micros settle = 10 * kSecond;
+    const Micros settle_time = 10 * kSecond;
     Micros now = 100 * kSecond;
     auto time_until_stable = [&] {
         Micros passed = 0;
-        while (!monitor.unstable_zones(now + passed, settle).empty()) passed += kSecond;
+        while (!monitor.unstable_zones(now + passed, settle_time).empty()) passed += kSecond;
         return passed;
     };
     monitor.observe("a", true, now);
-    EXPECT_EQ(time_until_stable(), settle);
-    now += settle;
-    for (const Micros expected : {settle, 2 * settle, 4 * settle}) {
+    EXPECT_EQ(time_until_stable(), settle_time);
+    now += settle_time;
+    for (const Micros expected : {settle_time, 2 * settle_time, 4 * settle_time}) {
         monitor.observe("a", false, now);
-        EXPECT_EQ(monitor.unstable_zones(now, settle), Zones{"a"});
+        EXPECT_EQ(monitor.unstable_zones(now, settle_time), Zones{"a"});
         monitor.observe("a", true, now += kSecond);
         EXPECT_EQ(time_until_stable(), expected);
     }
     now += 700 * kSecond;
     monitor.observe("a", false, now);
     monitor.observe("a", true, now += kSecond);
-    EXPECT_EQ(time_until_stable(), settle) << "losses of more than ten minutes ago are forgotten";
+    EXPECT_EQ(time_until_stable(), settle_time) << "losses of more than ten minutes ago are forgotten";
 }
 
 // ---------------------------------------------------------------- properties
