--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -86,18 +86,19 @@
 }
 
 std::vector<std::string> ShardOwner::waiting_reasons(const Job& job, const Json& zones) const {
-    std::vector<std::string> why;
+    std::vector<std::string> reasons;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
-    if (job.unbound_tasks == 0) return {"nothing of it waits"};
-    if (!job.dependencies_done) return {"jobs that it needs are not done"};
-    if (job.transferring) why.push_back("it is being given to another domain");
-    if (job.on_admitted) why.push_back("its record is not stored yet");
+    if (job.unbound_tasks == 0) return {"none of its tasks waits"};
+    if (!job.dependencies_done) return {"jobs that it depends on are not done"};
+    if (job.transferring) reasons.push_back("it is being transferred to another domain");
+    if (job.on_admitted) reasons.push_back("its record is not stored yet");
     if (job.backing_off)
-        why.push_back("it fails everywhere: one task is tried at a time, the next in " +
-                      std::to_string(std::max<Micros>(job.next_try_at - now, 0) / kMillisecond) + " ms");
+        reasons.push_back("it fails everywhere: one task is tried at a time, the next in " +
+                          std::to_string(std::max<Micros>(job.next_try_at - now, 0) / kMillisecond) + " ms");
     const int tasks_at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
-    if (!scheduler_.is_within_quota(job, tasks_at_once)) why.push_back("its team has used up its limit here");
+    if (!scheduler_.is_within_quota(job, tasks_at_once))
+        reasons.push_back("its team has used up its limit here");
     int machines = 0, usable_machines = 0, with_room = 0, open_zones = 0;
     for (const auto& [name, entry] : zones.items()) {
         machines += entry["machines"].get<int>();
@@ -107,24 +108,26 @@
             entry["with_room"].get<int>() > 0 && entry["tasks"].get<int>() < job.max_tasks_per_zone();
     }
     if (machines == 0)
-        why.push_back("no machine of this domain is of a type, zone and kind that it may use");
+        reasons.push_back("no machine of this domain is of a type, zone and kind that it may use");
     else if (usable_machines == 0)
-        why.push_back("no machine that it may use can take new tasks now");
+        reasons.push_back("no machine that it may use can take new tasks now");
     else if (with_room == 0)
-        why.push_back("no machine that it may use has room for a task");
+        reasons.push_back("no machine that it may use has room for a task");
     else if (open_zones == 0)
-        why.push_back("zones with room hold as many of its tasks as they may");
+        reasons.push_back("zones with room hold as many of its tasks as they may");
     else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
-        why.push_back("a gang starts as a whole, and there may not be room for all of it");
-    if (job.is_best_effort()) why.push_back("it takes what other work leaves over, in turns");
-    if (job.waiting_for_image) why.push_back("it waits for a machine that has its image");
+        reasons.push_back("a gang starts as a whole, and there may not be room for all of it");
+    if (job.is_best_effort())
+        reasons.push_back(
+            "it is best-effort work, which is placed at intervals on resources that no other work uses");
+    if (job.waiting_for_image) reasons.push_back("it waits for a machine that has its image");
     const auto waiting_to_retry = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& slot) {
         return slot.state == SlotState::Unbound && slot.retry_at > now;
     });
     if (waiting_to_retry > 0)
-        why.push_back(std::to_string(waiting_to_retry) + " of its tasks have failed and are tried later");
-    if (why.empty()) why.push_back("its turn comes with the next pass of planning");
-    return why;
+        reasons.push_back(std::to_string(waiting_to_retry) + " of its tasks have failed and are tried later");
+    if (reasons.empty()) reasons.push_back("it is considered in the next scheduling pass");
+    return reasons;
 }
 
 Json ShardOwner::explain(const std::string& ref) const {
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -141,16 +141,17 @@
 void Rebalancer::update_zone_stability() {
     const Micros now = context_.runtime().now();
     const Micros max_silence = context_.settings().report_interval * 5 / 2 + kSecond;
-    std::map<std::string, std::pair<bool, bool>> zones;  // has a machine that reports, has one in doubt
+    // By zone: whether it has a machine that reports, and whether it has a silent one with tasks.
+    std::map<std::string, std::pair<bool, bool>> zones;
     for (const auto& [name, machine] : shard_state_.machines) {
-        auto& [has_reporting, has_doubtful] = zones[machine->zone];
+        auto& [has_reporting, has_silent_with_tasks] = zones[machine->zone];
         const bool reports_lately =
             machine->seq > 0 &&
             context_.runtime().listening_time() - machine->last_report_listening < max_silence;
         has_reporting = has_reporting || reports_lately;
-        has_doubtful = has_doubtful || (!reports_lately && !machine->tasks.empty());
+        has_silent_with_tasks = has_silent_with_tasks || (!reports_lately && !machine->tasks.empty());
     }
-    for (const auto& [zone, state] : zones) zone_watch_.observe(zone, state.first && !state.second, now);
+    for (const auto& [zone, state] : zones) zone_monitor_.observe(zone, state.first && !state.second, now);
     for (auto it = move_history_.begin(); it != move_history_.end();) {
         std::erase_if(it->second.balance_moves_at,
                       [&](Micros moved_at) { return moved_at <= now - kBalanceMovesPeriod; });
@@ -160,7 +161,7 @@
 
 std::vector<std::string> Rebalancer::unstable_zones() const {
     std::vector<std::string> zones =
-        zone_watch_.unstable_zones(context_.runtime().now(), context_.policy().budgets.settle_time);
+        zone_monitor_.unstable_zones(context_.runtime().now(), context_.policy().budgets.settle_time);
     // Zones without a machine of this shard are ignored.
     std::erase_if(zones, [this](const std::string& zone) {
         return std::none_of(shard_state_.machines.begin(), shard_state_.machines.end(),
@@ -252,7 +253,7 @@
 }
 
 void Rebalancer::propose_moves() {
-    // No move begins while a controller starts or ends, or while it is not known whether the plan is stored.
+    // No move begins while a controller joins or leaves, or while it is not known whether the plan is stored.
     const policy::Policy& policy = context_.policy();
     if (write_in_flight_ || is_outcome_unknown_ || context_.stable_for() < policy.budgets.settle_time) return;
     const scheduling::ShardView snapshot = view();
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -28,7 +28,7 @@
 
     /// Takes over the stored plan. To be called once all of the shard is loaded.
     void load_stored_plan();
-    /// Does what is due with the passing of time; called about ten times a second, once the shard is active.
+    /// Performs periodic work; called about ten times a second, once the shard is active.
     void tick();
 
     /// Returns the machine's resources that are reserved for other jobs, except for jobs of a lower tier.
@@ -65,7 +65,7 @@
     Scheduler::Owner& owner_;
     Micros owned_since_;  // when this process took the shard
     scheduling::MigrationPlan plan_;
-    scheduling::ZoneMonitor zone_watch_;
+    scheduling::ZoneMonitor zone_monitor_;
     Revision record_revision_ = 0;  // of the stored plan as last known, 0: there is none
     Revision known_revision_ = 0;   // up to which all changes of the stored plan are known
     bool write_in_flight_ = false;
