--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -87,16 +87,17 @@
         return replicas;
     }
     void expect_balanced(const std::string& description) {
-        const std::string story = description + "\n" + simulator.format_history();
-        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << story;
-        EXPECT_EQ(simulator.running_tasks(kServiceJob), 4) << story;
-        EXPECT_GE(min_running, 3) << story;
-        EXPECT_EQ(simulator.task_starts(kServiceJob), 6) << "two replicas have to move once each\n" << story;
-        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
+        const std::string details = description + "\n" + simulator.format_history();
+        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << details;
+        EXPECT_EQ(simulator.running_tasks(kServiceJob), 4) << details;
+        EXPECT_GE(min_running, 3) << details;
+        EXPECT_EQ(simulator.task_starts(kServiceJob), 6) << "two replicas have to move once each\n"
+                                                         << details;
+        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << details;
         const auto* plan = plan_of(simulator, simulator.owner_node());
-        ASSERT_TRUE(plan) << story;
-        EXPECT_TRUE(plan->empty()) << story;
-        EXPECT_GE(replicas_in_zone_b(), 1) << story;
+        ASSERT_TRUE(plan) << details;
+        EXPECT_TRUE(plan->empty()) << details;
+        EXPECT_GE(replicas_in_zone_b(), 1) << details;
     }
 };
 
@@ -293,12 +294,13 @@
     /// Checks that both batch jobs run, that they had three starts at most (one of them was moved once), and
     /// that no plan is left.
     void expect_at_rest(const std::string& description, int large_starts) {
-        const std::string story = description + "\n" + simulator.format_history();
-        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << story;
-        EXPECT_EQ(simulator.task_starts(kLargeJob), large_starts) << story;
-        EXPECT_EQ(simulator.running_tasks("req-000001") + simulator.running_tasks("req-000003"), 2) << story;
-        EXPECT_LE(simulator.task_starts("req-000001") + simulator.task_starts("req-000003"), 3) << story;
-        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << story;
+        const std::string details = description + "\n" + simulator.format_history();
+        EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << details;
+        EXPECT_EQ(simulator.task_starts(kLargeJob), large_starts) << details;
+        EXPECT_EQ(simulator.running_tasks("req-000001") + simulator.running_tasks("req-000003"), 2)
+            << details;
+        EXPECT_LE(simulator.task_starts("req-000001") + simulator.task_starts("req-000003"), 3) << details;
+        EXPECT_FALSE(is_plan_stored(simulator)) << stored_plans(simulator).dump() << details;
     }
 };
 
--- a/tests/one_task_jobs_test.cpp
+++ b/tests/one_task_jobs_test.cpp
@@ -62,10 +62,10 @@
                               [&simulator] { simulator.crash(simulator.busiest_node(), 3 * kSecond); });
     for (int i = 1; i <= 6; ++i)
         simulator.schedule_at(start + i * 10 * kSecond, [&] {
-            const auto fates = simulator.job_outcomes();
-            waiting_jobs.push_back(
-                static_cast<int>(std::count_if(fates.begin(), fates.end(), [](const JobOutcome& fate) {
-                    return fate.first_started_at < 0 && !fate.excluded;
+            const auto outcomes = simulator.job_outcomes();
+            waiting_jobs.push_back(static_cast<int>(
+                std::count_if(outcomes.begin(), outcomes.end(), [](const JobOutcome& outcome) {
+                    return outcome.first_started_at < 0 && !outcome.excluded;
                 })));
         });
     simulator.run(61 * kSecond);
@@ -74,11 +74,12 @@
     simulator.run(40 * kSecond);
     EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << simulator.format_history();
     Micros max_accept_delay = 0, max_start_delay = 0;
-    for (const JobOutcome& fate : simulator.job_outcomes()) {
-        max_accept_delay = std::max(max_accept_delay, fate.accepted_at - submitted_at.at(fate.spec.ref));
-        if (fate.excluded) continue;
-        EXPECT_GE(fate.completed_at, 0) << fate.spec.ref;
-        max_start_delay = std::max(max_start_delay, fate.first_started_at - fate.accepted_at);
+    for (const JobOutcome& outcome : simulator.job_outcomes()) {
+        max_accept_delay =
+            std::max(max_accept_delay, outcome.accepted_at - submitted_at.at(outcome.spec.ref));
+        if (outcome.excluded) continue;
+        EXPECT_GE(outcome.completed_at, 0) << outcome.spec.ref;
+        max_start_delay = std::max(max_start_delay, outcome.first_started_at - outcome.accepted_at);
     }
     EXPECT_EQ(simulator.job_outcomes().size(), static_cast<std::size_t>(job_count));
     EXPECT_LT(max_accept_delay, 5 * kSecond);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -82,9 +82,9 @@
 }
 
 std::string load_error(const std::string& text) {
-    const Settings site = small_cluster_settings();
+    const Settings settings = small_cluster_settings();
     try {
-        policy::load(write_policy_file(text), &site);
+        policy::load(write_policy_file(text), &settings);
     } catch (const std::runtime_error& e) {
         return e.what();
     }
@@ -126,8 +126,8 @@
 }
 
 TEST(PolicyFile, ExampleFileLoadsForTheTeamsAndZonesOfASite) {
-    const Settings site = small_cluster_settings();
-    const Policy policy = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &site);
+    const Settings settings = small_cluster_settings();
+    const Policy policy = policy::load(COTTONWAY_TEST_DATA "/../../deploy/policy.toml", &settings);
     EXPECT_EQ(policy.tier(job_of("red", "bridge", PriorityClass::Normal, JobKind::Service)), Tier::Live);
     EXPECT_EQ(policy.tier(job_of("red", "rush", PriorityClass::Normal, JobKind::Array)), Tier::Urgent);
     EXPECT_TRUE(
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -13,8 +13,8 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_NO_VIOLATION(s) \
-    EXPECT_TRUE((s).violations.empty()) << (s).violations.front() << "\n" << (s).format_history()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 const std::string kServiceRef = "req-000001";
 
@@ -47,7 +47,7 @@
         spec.priority_class = PriorityClass::Production;
         return spec;
     }
-    /// Returns the service's replicas by zone, as the shard's holder counts them.
+    /// Returns the service's replicas by zone, as the shard's owner counts them.
     Counts replicas_by_zone() {
         for (int node = 0; node < simulator.node_count(); ++node) {
             if (!simulator.owner_at(node)) continue;
@@ -81,7 +81,7 @@
             << site.simulator.format_history();
         EXPECT_EQ(site.simulator.machines_running(kServiceRef).size(), 9u)
             << "no two replicas on one machine";
-        EXPECT_NO_VIOLATION(site.simulator);
+        EXPECT_NO_VIOLATIONS(site.simulator);
     }
 }
 
@@ -100,7 +100,7 @@
         EXPECT_EQ(site.simulator.running_tasks(gang.ref), 3) << site.simulator.format_history();
         for (const auto& machine : site.simulator.machines_running(gang.ref))
             EXPECT_NE(site.zone_by_machine.at(machine), "a");
-        EXPECT_NO_VIOLATION(site.simulator);
+        EXPECT_NO_VIOLATIONS(site.simulator);
     }
 }
 
@@ -120,7 +120,7 @@
         site.simulator.run(12 * kSecond);
         EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}})) << site.simulator.format_history();
         EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 6) << site.simulator.format_history();
-        EXPECT_NO_VIOLATION(site.simulator);
+        EXPECT_NO_VIOLATIONS(site.simulator);
     }
 }
 
@@ -138,7 +138,7 @@
     site.simulator.run(10 * kSecond);
     EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
         << site.simulator.format_history();
-    EXPECT_NO_VIOLATION(site.simulator);
+    EXPECT_NO_VIOLATIONS(site.simulator);
 }
 
 TEST(ZonePlacement, SpreadHoldsEvenIfTheRuleIsRelaxed) {
@@ -159,7 +159,7 @@
         for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, false);
         site.simulator.run(10 * kSecond);
         EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 5) << site.simulator.format_history();
-        EXPECT_NO_VIOLATION(site.simulator);
+        EXPECT_NO_VIOLATIONS(site.simulator);
     }
 }
 
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -54,14 +54,14 @@
     return simulator;
 }
 
-/// The zone is cut off for 55 s, which is longer than a lease and a controller's authority. Jobs are
+/// The zone is cut off for 55 s, which is longer than a worker's lease and a controller's lease. Jobs are
 /// cancelled before the cut is noticed and after.
 TEST(ZoneLoss, JobsSurviveAZoneThatIsCutOffWithItsControllers) {
     for (const std::string zone : {"a", "b"})
         for (const bool is_leader_in_zone : {false, true})
             for (const double cpu_share : {1.0, 0.001}) {
                 auto simulator = simulator_with_leader(zone, is_leader_in_zone, cpu_share);
-                const auto story = [&] {
+                const auto details = [&] {
                     return fmt::format("zone {}, leader in it: {}, cpu_share {}\n", zone, is_leader_in_zone,
                                        cpu_share) +
                            simulator->format_history(150);
@@ -76,7 +76,7 @@
                 simulator->submit(spread_service, 0);
                 for (int i : {3, 4}) simulator->submit(simulator->make_job(i, JobKind::Service, 2), 0);
                 simulator->run(5 * kSecond);
-                ASSERT_EQ(simulator->running_tasks("req-000001"), 2) << story();
+                ASSERT_EQ(simulator->running_tasks("req-000001"), 2) << details();
                 simulator->fail_zone(zone, false);
                 simulator->run(kSecond);
                 simulator->cancel("req-000003");
@@ -84,23 +84,23 @@
                 simulator->cancel("req-000004");
                 simulator->run(45 * kSecond);
                 EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "it can run in the other zone\n"
-                                                                           << story();
-                EXPECT_EQ(running_in(*simulator, "req-000005", zone), 0) << story();
+                                                                           << details();
+                EXPECT_EQ(running_in(*simulator, "req-000005", zone), 0) << details();
                 EXPECT_EQ(simulator->running_tasks("req-000005"), 1)
                     << "half of its replicas are in the other zone\n"
-                    << story();
+                    << details();
                 for (int i : {3, 4}) {
                     EXPECT_EQ(simulator->reported_stage(simulator->make_job(i, JobKind::Service, 2).ref),
                               "cancelled")
-                        << story();
+                        << details();
                     EXPECT_EQ(simulator->running_tasks(simulator->make_job(i, JobKind::Service, 2).ref), 0)
-                        << story();
+                        << details();
                 }
                 simulator->restore_zone(zone);
                 simulator->run(6 * kSecond);
-                EXPECT_EQ(simulator->running_tasks("req-000005"), 2) << story();
+                EXPECT_EQ(simulator->running_tasks("req-000005"), 2) << details();
                 simulator->run(40 * kSecond);
-                EXPECT_EQ(simulator->reported_stage("req-000001"), "done") << story();
+                EXPECT_EQ(simulator->reported_stage("req-000001"), "done") << details();
                 EXPECT_NO_VIOLATIONS(*simulator);
             }
 }
@@ -125,7 +125,7 @@
     for (const ZoneLossCase& loss_case : kCases)
         for (const bool is_cut : {false, true}) {
             auto simulator = settled_simulator(62, 4, settings_without_idle_return());
-            const auto story = [&] {
+            const auto details = [&] {
                 return fmt::format("job kind {}, zone constraint {}, machines cut off: {}\n",
                                    static_cast<int>(loss_case.kind), static_cast<int>(loss_case.constraint),
                                    is_cut) +
@@ -144,7 +144,7 @@
             const Micros run_time = loss_case.kind == JobKind::Service ? 0 : 60 * kSecond;
             simulator->submit(job, run_time);
             simulator->run(10 * kSecond);
-            ASSERT_EQ(simulator->running_tasks(job.ref), 4) << story();
+            ASSERT_EQ(simulator->running_tasks(job.ref), 4) << details();
             const auto lost_machines = machines_in(*simulator, "a");
             for (const auto& machine : lost_machines) {
                 if (is_cut)
@@ -155,17 +155,17 @@
             simulator->run(20 * kSecond);
             simulator->crash(simulator->owner_node(), 5 * kSecond);
             simulator->run(15 * kSecond);
-            EXPECT_EQ(simulator->running_tasks(job.ref), loss_case.running_meanwhile) << story();
+            EXPECT_EQ(simulator->running_tasks(job.ref), loss_case.running_meanwhile) << details();
             if (is_cut)
                 simulator->heal_all_links();
             else
                 for (std::size_t i = 0; i < lost_machines.size(); ++i) simulator->add_machine("small", "a");
             simulator->run(10 * kSecond);
-            EXPECT_EQ(simulator->running_tasks(job.ref), 4) << story();
+            EXPECT_EQ(simulator->running_tasks(job.ref), 4) << details();
             simulator->run(run_time + 5 * kSecond);
             EXPECT_EQ(simulator->reported_stage(job.ref),
                       loss_case.kind == JobKind::Service ? "accepted" : "done")
-                << story();
+                << details();
             EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
