--- a/src/policy/file.cpp
+++ b/src/policy/file.cpp
@@ -1,4 +1,5 @@
-// Reads and writes the operators' policy file. docs/operations.md describes its format.
+// Reads the operators' policy file, and describes a policy under the keys of that file. docs/operations.md
+// has its format.
 
 #include <algorithm>
 
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -14,8 +14,8 @@
 namespace {
 constexpr double kWaitingTaskWeight = 3;
 
-// Penalty for making all GPUs of a machine unusable. The default weights of cores, memory, size
-// and tasks in PlacementSettings add up to 100, disregarding their signs.
+// Penalty for making all GPUs of a machine unusable. The default weights of cores, memory, size and tasks
+// in PlacementSettings add up to 100, disregarding their signs.
 constexpr double kWholeMachinePenalty = 400;
 // More than all other terms of the score together, so that tasks without GPUs go elsewhere if they can.
 constexpr double kNoGpuTaskPenalty = 200;
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// The order in which waiting jobs are placed, the part of a team's limit that is withheld
-// for other jobs, and reservations for a large job that is overdue. All functions are pure and depend on
-// stored facts only (tier, rank, admission, deadline, running tasks), so that each owner of a shard decides
-// alike and a job's waiting time survives a change of owner.
+// The order in which waiting jobs are placed, the part of a team's limit that is withheld for other jobs, and
+// reservations for a large job that is overdue. All functions are pure and depend on stored facts only (tier,
+// rank, admission, deadline, running tasks), so that each owner of a shard decides alike and a job's waiting
+// time survives a change of owner.
 
 #include <map>
 #include <string>
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -464,7 +464,7 @@
     if (is_best_effort_turn) update_best_effort_cores();
     update_gpu_demand();
     update_zone_cores();
-    has_bound_low_priority_ =
+    has_bound_low_rank_ =
         std::any_of(shard_state_.jobs.begin(), shard_state_.jobs.end(), [](const auto& entry) {
             return entry.second->rank == PriorityClass::Low && entry.second->bound_tasks > 0;
         });
@@ -859,7 +859,7 @@
     const bool reclaims_guarantee = job.within_guarantee && now - job.waiting_since > 2 * kSecond;
     // Work of normal rank preempts only work of low rank.
     if (job.rank > PriorityClass::High && !reclaims_guarantee &&
-        (job.rank == PriorityClass::Low || !has_bound_low_priority_))
+        (job.rank == PriorityClass::Low || !has_bound_low_rank_))
         return;
     // With a wait objective of the operators, resources are freed for all waiting tasks at once.
     const auto& wait_objectives = objectives(job).wait;
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -183,7 +183,7 @@
     /// The GPU counts that tasks ask for, in the current pass; nothing unless the policy packs GPUs and some
     /// machine has any.
     std::optional<scheduling::GpuDemand> gpu_demand_;
-    bool has_bound_low_priority_ = false;          // a task of low rank is bound
+    bool has_bound_low_rank_ = false;              // a task of low rank is bound
     std::map<const Machine*, Resources> claimed_;  // by waiting tasks, in the current pass
     struct ZoneCores {
         Milli total = 0, free = 0;
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -80,7 +80,7 @@
         bool stopping = false;
         std::string destination;  // of a move
         int restart_at = -1;      // at the destination
-        bool over = false, judged = false;
+        bool over = false, promptness_recorded = false;
     };
     struct Machine {
         MachineView view;
@@ -220,7 +220,7 @@
                 ++task.seconds_with_enough_gpus;
                 free_gpus -= request.gpus;
             }
-            judge(task, chosen >= 0);
+            record_promptness(task, chosen >= 0);
             if (chosen < 0) {
                 still_waiting.push_back(i);
                 continue;
@@ -233,9 +233,9 @@
 
     /// Decides once for each task whether it started promptly, that is before enough GPUs were free in total
     /// for more than 60 s.
-    void judge(Task& task, bool starts_now) {
-        if (task.judged || (!starts_now && task.seconds_with_enough_gpus <= 60)) return;
-        task.judged = true;
+    void record_promptness(Task& task, bool starts_now) {
+        if (task.promptness_recorded || (!starts_now && task.seconds_with_enough_gpus <= 60)) return;
+        task.promptness_recorded = true;
         if (!is_measuring_) return;
         const bool is_prompt = starts_now && task.seconds_with_enough_gpus <= 60;
         if (task.job.spec.request.gpus == 8'000) ++measurement_.large, measurement_.large_prompt += is_prompt;
--- a/tests/migrations_simulator_test.cpp
+++ b/tests/migrations_simulator_test.cpp
@@ -293,7 +293,7 @@
     }
     /// Checks that both batch jobs run, that they had three starts at most (one of them was moved once), and
     /// that no plan is left.
-    void expect_at_rest(const std::string& description, int large_starts) {
+    void expect_final_state(const std::string& description, int large_starts) {
         const std::string details = description + "\n" + simulator.format_history();
         EXPECT_TRUE(simulator.violations.empty()) << simulator.violations.front() << "\n" << details;
         EXPECT_EQ(simulator.task_starts(kLargeJob), large_starts) << details;
@@ -340,7 +340,7 @@
                 << cluster.simulator.format_history();
             cluster.simulator.crash(cluster.simulator.owner_node(), 20 * kSecond);
             cluster.simulator.run(60 * kSecond);
-            cluster.expect_at_rest(description, 1);
+            cluster.expect_final_state(description, 1);
         }
 }
 
@@ -352,7 +352,7 @@
             << cluster.simulator.format_history();
         for (int i = 0; i < 3; ++i) cluster.simulator.crash(i, 2 * kSecond + i * 300 * kMillisecond);
         cluster.simulator.run(60 * kSecond);
-        cluster.expect_at_rest(std::string("all controllers crash ") + name, 1);
+        cluster.expect_final_state(std::string("all controllers crash ") + name, 1);
     }
 }
 
@@ -369,7 +369,7 @@
                                                               << cluster.simulator.format_history();
     cluster.simulator.run(30 * kSecond);
     EXPECT_EQ(cluster.simulator.task_starts("req-000004"), 1) << cluster.simulator.format_history();
-    cluster.expect_at_rest("with a later job", 1);
+    cluster.expect_final_state("with a later job", 1);
 }
 
 TEST(SimulatedReservations, CancellationAtEveryStepLeavesNoReservation) {
@@ -380,7 +380,8 @@
             << cluster.simulator.format_history();
         cluster.simulator.cancel(kLargeJob);
         cluster.simulator.run(30 * kSecond);
-        cluster.expect_at_rest(std::string("cancelled ") + name, cluster.simulator.task_starts(kLargeJob));
+        cluster.expect_final_state(std::string("cancelled ") + name,
+                                   cluster.simulator.task_starts(kLargeJob));
         EXPECT_LE(cluster.simulator.task_starts(kLargeJob), 1) << name;
     }
 }
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -325,7 +325,7 @@
              changed.view.machines[4].type = changed.view.machines[5].type = "other";
              changed.view.jobs[0].spec.types = {{"small"}};
          }},
-        {"the machines in zone c are spot machines",
+        {"spot",
          [](Shard& changed) { changed.view.machines[4].spot = changed.view.machines[5].spot = true; }},
     };
     for (const auto& [description, apply_obstacle] : obstacles) {
