--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -215,7 +215,7 @@
     }
 }
 
-/// Retires a machine from the leader, whichever node holds its shard.
+/// Retires a machine of any shard, whichever node holds that shard. Called on the leader only.
 void Autoscaler::retire(const std::string& machine, const char* reason) {
     const Block* block = cache_.blocks.find_by_machine(machine);
     if (!block) return;
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -46,7 +46,7 @@
             transfer_all_jobs(*owner);
             continue;
         }
-        if (auto want = owner->capacity_request()) request_machines(*owner, *want);
+        if (auto request = owner->capacity_request()) request_machines(*owner, *request);
         for (const auto& [team, missing] : owner->missing_quota_by_team())
             request_quota(*owner, team, missing);
     }
@@ -65,10 +65,10 @@
 
 /// Transfers waiting jobs to the shard with the most free capacity, and requests idle machines from the peer
 /// that has the most, or else from another shard held by this node.
-void CapacityBroker::request_machines(ShardOwner& owner, const peer::CapacityRequest& want) {
+void CapacityBroker::request_machines(ShardOwner& owner, const peer::CapacityRequest& request) {
     const peer::ShardLoad* freest = nullptr;
     auto free_cores = [&](const peer::ShardLoad& load) {
-        return load.free_ordinary + (want.allows_spot ? load.free_spot : 0) - load.waiting;
+        return load.free_ordinary + (request.allows_spot ? load.free_spot : 0) - load.waiting;
     };
     std::optional<std::size_t> best_peer;
     Milli most_idle = 0;
@@ -80,7 +80,7 @@
             if (record && record->mod_revision == load.mod_revision &&
                 (!freest || free_cores(load) > free_cores(*freest)))
                 freest = &load;
-            const Milli idle = load.idle_ordinary + (want.allows_spot ? load.idle_spot : 0);
+            const Milli idle = load.idle_ordinary + (request.allows_spot ? load.idle_spot : 0);
             if (load.waiting == 0 && idle > most_idle && !machine_request_in_flight_[i]) {
                 most_idle = idle;
                 best_peer = i;
@@ -94,13 +94,13 @@
                              freest->free_spot / 2, freest->idle_ordinary / 2, freest->idle_spot / 2});
     if (best_peer) {
         machine_request_in_flight_[*best_peer] = true;
-        peers_.call(*best_peer, peer::pack(want), kRequestTimeout,
+        peers_.call(*best_peer, peer::pack(request), kRequestTimeout,
                     [this, i = *best_peer](const Reply&) { machine_request_in_flight_[i] = false; });
         return;
     }
     for (const auto& [other, from] : assignment_.owners())
         if (from && other != owner.shard() && from->active() && !from->capacity_request())
-            return machine_allocator_.transfer_idle_machines(*from, want, [](const peer::Grant&) {});
+            return machine_allocator_.transfer_idle_machines(*from, request, [](const peer::Grant&) {});
 }
 
 /// Returns the sum of the unused parts of a team's quota in all other shards.
@@ -120,13 +120,13 @@
 /// several shards each have too little left for one task, none of them can use it. So the unused parts go to
 /// the shard that lacks least, which keeps them from moving back and forth, and only if all of them together
 /// suffice there.
-bool CapacityBroker::should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& want) const {
+bool CapacityBroker::should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& request) const {
     // If all unused parts together don't suffice for the requester, they would only be requested back.
-    if (!want.amount.fits(unused_quota_elsewhere(want.shard, want.team))) return false;
-    const auto lacking = from.smallest_quota_shortfall(want.team);
+    if (!request.amount.fits(unused_quota_elsewhere(request.shard, request.team))) return false;
+    const auto lacking = from.smallest_quota_shortfall(request.team);
     if (!lacking || (lacking->cores <= 0 && lacking->gpus <= 0)) return false;  // a task here will use it
-    if (!lacking->fits(unused_quota_elsewhere(from.shard(), want.team))) return true;
-    return std::tie(want.amount.gpus, want.amount.cores, want.shard) <
+    if (!lacking->fits(unused_quota_elsewhere(from.shard(), request.team))) return true;
+    return std::tie(request.amount.gpus, request.amount.cores, request.shard) <
            std::tie(lacking->gpus, lacking->cores, from.shard());
 }
 
@@ -166,33 +166,33 @@
                 most = quota.cores + quota.gpus;
                 best_local = from.get();
             }
-    const peer::QuotaRequest want{owner.shard(), owner.mod_revision(), team, missing};
+    const peer::QuotaRequest request{owner.shard(), owner.mod_revision(), team, missing};
     if (best_local) {
-        transfer_quota(*best_local, want, [](const peer::Grant&) {});
+        transfer_quota(*best_local, request, [](const peer::Grant&) {});
     } else if (best_peer) {
         quota_request_in_flight_[*best_peer] = true;
-        peers_.call(*best_peer, peer::pack(want), kRequestTimeout,
+        peers_.call(*best_peer, peer::pack(request), kRequestTimeout,
                     [this, i = *best_peer](const Reply&) { quota_request_in_flight_[i] = false; });
     }
     return best_local || best_peer;
 }
 
 /// Transfers spare quota, or if the shard has none and should yield, unused quota.
-void CapacityBroker::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want,
+void CapacityBroker::transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
                                     std::function<void(peer::Grant)> done) {
-    Resources available = from.spare_quota(want.team);
-    if (available.cores + available.gpus <= 0 && should_yield_quota(from, want))
-        available = from.unused_quota(want.team);
-    quota_allocator_.transfer_quota(from, want, available, std::move(done));
+    Resources available = from.spare_quota(request.team);
+    if (available.cores + available.gpus <= 0 && should_yield_quota(from, request))
+        available = from.unused_quota(request.team);
+    quota_allocator_.transfer_quota(from, request, available, std::move(done));
 }
 
 /// Grants machines of the shard with the most idle cores, among those held by this node.
-void CapacityBroker::grant_machines(const peer::CapacityRequest& want,
+void CapacityBroker::grant_machines(const peer::CapacityRequest& request,
                                     std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
     Milli most_idle = 0;
     for (const auto& [name, owner] : assignment_.owners()) {
-        if (!owner || name == want.shard || !owner->active()) continue;
+        if (!owner || name == request.shard || !owner->active()) continue;
         const auto load = owner->load();
         if (load.waiting > 0) continue;
         if (const Milli idle = load.idle_ordinary + load.idle_spot; idle > most_idle) {
@@ -201,19 +201,19 @@
         }
     }
     if (!from) return done({});
-    machine_allocator_.transfer_idle_machines(*from, want, std::move(done));
+    machine_allocator_.transfer_idle_machines(*from, request, std::move(done));
 }
 
 /// Grants quota of the shard with the most spare quota among those held by this node, or if none has any, of
 /// the one that can yield the most unused quota.
-void CapacityBroker::grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done) {
+void CapacityBroker::grant_quota(const peer::QuotaRequest& request, std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
     std::pair<Milli, Milli> most;  // spare quota, and unused quota that the shard should yield
     for (const auto& [name, owner] : assignment_.owners()) {
-        if (!owner || name == want.shard || !owner->active()) continue;
-        const Resources spare = owner->spare_quota(want.team);
+        if (!owner || name == request.shard || !owner->active()) continue;
+        const Resources spare = owner->spare_quota(request.team);
         const Resources unused =
-            should_yield_quota(*owner, want) ? owner->unused_quota(want.team) : Resources{};
+            should_yield_quota(*owner, request) ? owner->unused_quota(request.team) : Resources{};
         const std::pair available{spare.cores + spare.gpus, unused.cores + unused.gpus};
         if (available > most) {
             most = available;
@@ -221,7 +221,7 @@
         }
     }
     if (!from) return done({});
-    transfer_quota(*from, want, std::move(done));
+    transfer_quota(*from, request, std::move(done));
 }
 
 }  // namespace cottonway
--- a/src/allocation/capacity_broker.hpp
+++ b/src/allocation/capacity_broker.hpp
@@ -18,19 +18,19 @@
                    PeerDirectory& peers);
     /// Called ten times a second.
     void tick();
-    void grant_machines(const peer::CapacityRequest& want, std::function<void(peer::Grant)> done);
-    void grant_quota(const peer::QuotaRequest& want, std::function<void(peer::Grant)> done);
+    void grant_machines(const peer::CapacityRequest& request, std::function<void(peer::Grant)> done);
+    void grant_quota(const peer::QuotaRequest& request, std::function<void(peer::Grant)> done);
 
   private:
     void transfer_all_jobs(ShardOwner& owner);
-    void request_machines(ShardOwner& owner, const peer::CapacityRequest& want);
+    void request_machines(ShardOwner& owner, const peer::CapacityRequest& request);
     void request_quota(const ShardOwner& owner, const std::string& team, const Resources& missing);
     bool request_quota(const ShardOwner& owner, const std::string& team, const Resources& missing,
                        Resources (*peer_quota)(const peer::TeamLoad&),
                        Resources (ShardOwner::*local_quota)(const std::string&) const);
     Resources unused_quota_elsewhere(const std::string& shard, const std::string& team) const;
-    bool should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& want) const;
-    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& want,
+    bool should_yield_quota(const ShardOwner& from, const peer::QuotaRequest& request) const;
+    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
                         std::function<void(peer::Grant)> done);
 
     Runtime& runtime_;
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -411,13 +411,13 @@
 /// Transfers idle machines to a shard with waiting tasks: in one transaction they leave their blocks and form
 /// a new one. Only the holder does this, and only with machines without tasks, so no task's state becomes
 /// uncertain.
-void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
+void MachineAllocator::transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& request,
                                               std::function<void(peer::Grant)> done) {
-    const OwnershipRecord* receiver = cache_.membership.shard(want.shard);
-    if (!from.active() || !receiver || receiver->mod_revision != want.mod_revision ||
-        want.shard == from.shard() || !store_.has_write_budget(Priority::Normal))
+    const OwnershipRecord* receiver = cache_.membership.shard(request.shard);
+    if (!from.active() || !receiver || receiver->mod_revision != request.mod_revision ||
+        request.shard == from.shard() || !store_.has_write_budget(Priority::Normal))
         return done({});
-    std::vector<std::string> offered = from.offer_idle_machines(want);
+    std::vector<std::string> offered = from.offer_idle_machines(request);
     // All machines go into one new record, so they must have the same shape. They are taken from as many
     // records as fit into a transaction.
     Block next;
@@ -451,7 +451,7 @@
     from.withdraw_offer(kept);
     if (transferred.empty()) return done({});
     next.id = next_block_id(from.mod_revision());
-    next.shard = want.shard;
+    next.shard = request.shard;
     Change change;
     change.conditions.push_back({keys::shard + from.shard(), from.mod_revision()});
     change.conditions.push_back({keys::block + next.id, 0});
@@ -464,7 +464,7 @@
     for (const auto& [id, value] : writes) change.writes.push_back({keys::block + id, value});
     change.purpose = "move";
     spdlog::info("block {}: {} idle {} machines in {} move from {} to {}", next.id, transferred.size(),
-                 next.type, next.zone, from.shard(), want.shard);
+                 next.type, next.zone, from.shard(), request.shard);
     commit_until_outcome_known(
         runtime_, store_, feed_, std::move(change),
         [this, shard = from.shard(), writes, transferred,
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -63,13 +63,13 @@
     /// Removes deleted machines from their block records.
     void remove_from_blocks(const std::vector<std::string>& machines);
     /// Transfers idle machines to a shard with waiting tasks.
-    void transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& want,
+    void transfer_idle_machines(ShardOwner& from, const peer::CapacityRequest& request,
                                 std::function<void(peer::Grant)> done);
 
     // Called ten times a second.
     void allocate_blocks();
-    /// Splits blocks from the time when values could be larger, when the store has capacity to spare: stored
-    /// in chunks, such a block would cost several changes at each rewrite.
+    /// Splits blocks that were written when values could be larger, while the store has capacity to spare:
+    /// stored in chunks, such a block would cost several changes at each rewrite.
     void split_blocks();
     void flush_edits();
 
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -86,48 +86,49 @@
 
 /// A change without an answer is retried until its outcome is known. Until then neither shard counts the
 /// transferred part as its own.
-void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
-                                    std::function<void(peer::Grant)> done) {
+void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
+                                    const Resources& spare, std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
     QuotaCache& shares = cache_.quotas;
     const auto* stored_from = shares.find(shard);
-    const OwnershipRecord* receiver = cache_.membership.shard(want.shard);
-    if (!from.active() || !stored_from || !receiver || receiver->mod_revision != want.mod_revision ||
-        want.shard == shard || shares.is_transferring(shard) || shares.is_transferring(want.shard))
+    const OwnershipRecord* receiver = cache_.membership.shard(request.shard);
+    if (!from.active() || !stored_from || !receiver || receiver->mod_revision != request.mod_revision ||
+        request.shard == shard || shares.is_transferring(shard) || shares.is_transferring(request.shard))
         return done({});
     auto granted = [](Milli available, Milli requested) {
         return std::min(available, std::max(requested, available / 2));
     };
-    const Resources grant{granted(spare.cores, std::max<Milli>(want.amount.cores, 0)),
-                          granted(spare.gpus, std::max<Milli>(want.amount.gpus, 0)), 0};
+    const Resources grant{granted(spare.cores, std::max<Milli>(request.amount.cores, 0)),
+                          granted(spare.gpus, std::max<Milli>(request.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
     QuotaAllocation new_from = stored_from->allocation, new_receiver;
     Revision receiver_revision = 0;
-    if (const auto* stored_receiver = shares.find(want.shard)) {
+    if (const auto* stored_receiver = shares.find(request.shard)) {
         new_receiver = stored_receiver->allocation;
         receiver_revision = stored_receiver->mod_revision;
     }
-    new_from[want.team] -= grant;
-    new_receiver[want.team] += grant;
+    new_from[request.team] -= grant;
+    new_receiver[request.team] += grant;
     Change change;
     change.priority = Priority::Urgent;
     change.conditions.push_back({keys::shard + shard, from.mod_revision()});
     change.conditions.push_back({keys::quota + shard, stored_from->mod_revision});
-    change.conditions.push_back({keys::quota + want.shard, receiver_revision});
+    change.conditions.push_back({keys::quota + request.shard, receiver_revision});
     change.writes.push_back({keys::quota + shard, quota_to_json(new_from)});
-    change.writes.push_back({keys::quota + want.shard, quota_to_json(new_receiver)});
+    change.writes.push_back({keys::quota + request.shard, quota_to_json(new_receiver)});
     change.purpose = "share";
-    shares.begin_transfer(shard, want.shard, want.team, grant);
-    spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, want.team, shard, want.shard);
-    auto finish = [this, shard, want, grant, new_from, new_receiver,
+    shares.begin_transfer(shard, request.shard, request.team, grant);
+    spdlog::info("share: {} cores of {} from {} to {}", grant.cores / 1000, request.team, shard,
+                 request.shard);
+    auto finish = [this, shard, request, grant, new_from, new_receiver,
                    done = std::move(done)](const CommitResult& result) {
         const bool ok = result.status == CommitStatus::Ok;
         if (ok) {
             const Json from_value = quota_to_json(new_from), receiver_value = quota_to_json(new_receiver);
             cache_.apply(keys::quota + shard, &from_value, result.revision);
-            cache_.apply(keys::quota + want.shard, &receiver_value, result.revision);
+            cache_.apply(keys::quota + request.shard, &receiver_value, result.revision);
         }
-        cache_.quotas.end_transfer(shard, want.shard);
+        cache_.quotas.end_transfer(shard, request.shard);
         done(ok ? peer::Grant{grant, 0} : peer::Grant{});
     };
     commit_until_outcome_known(runtime_, store_, feed_, std::move(change), std::move(finish));
--- a/src/allocation/quota_allocator.hpp
+++ b/src/allocation/quota_allocator.hpp
@@ -29,7 +29,7 @@
     /// leave the sum as it is. Called ten times a second.
     void allocate_initial_quota();
     /// Transfers a part of the quota that a shard held by this node can spare to the requesting shard.
-    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& want, const Resources& spare,
+    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& request, const Resources& spare,
                         std::function<void(peer::Grant)> done);
 
   private:
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -60,7 +60,7 @@
 void JobArchiver::tick() {
     if (!feed_.loaded()) return;
     read_lost_jobs();
-    verify_needed_jobs();
+    verify_dependencies();
     delete_stale_records();
     separate_history();
 }
@@ -99,8 +99,8 @@
     return true;
 }
 
-/// Verifies jobs that other jobs depend on: the gates of those jobs open or stay shut by their outcome.
-void JobArchiver::verify_needed_jobs() {
+/// Verifies jobs that other jobs depend on, since their outcome decides whether those jobs may start.
+void JobArchiver::verify_dependencies() {
     if (verifying_) return;
     const auto refs = cache_.jobs.unverified_dependencies();
     if (refs.empty()) return;
@@ -116,9 +116,10 @@
     }
 }
 
-/// Advances the history record towards State::Apart. The leader first closes history to records of the old
+/// Advances the history record towards State::Complete. The leader first closes history to records of the old
 /// format: admitting one is conditional on the history record not existing, so none is admitted any more. If
-/// a refresh begun after that shows no such record, none can exist, and history is marked as apart for good.
+/// a refresh begun after that shows no such record, none can exist, and history is marked as separated for
+/// good.
 void JobArchiver::separate_history() {
     if (writing_history_ || cache_.is_history_separated() || !election_.is_leader() ||
         !cache_.formats.is_read_by_all(format::kSeparateActiveRecords) ||
@@ -148,7 +149,7 @@
         if (result.status == CommitStatus::Ok) {
             cache_.apply(keys::history, &value, result.revision);
             spdlog::info("history is {}", next == State::Complete
-                                              ? "apart: a starting controller reads unfinished jobs only"
+                                              ? "separated: a starting controller reads unfinished jobs only"
                                               : "closed to records of the old format");
         }
         feed_.after_next_refresh([this](bool) { writing_history_ = false; });
--- a/src/cluster/job_archiver.hpp
+++ b/src/cluster/job_archiver.hpp
@@ -42,7 +42,7 @@
     /// Starts to read the outcome of a job. Returns false if a read of it, or too many other reads, are under
     /// way.
     bool read_outcome(const std::string& ref, std::set<std::string>& reading);
-    void verify_needed_jobs();
+    void verify_dependencies();
     void delete_stale_records();
     void separate_history();
     void read_final_record(const std::string& ref, bool delete_stale, std::function<void(bool known)> done);
--- a/src/cluster/policy_publisher.hpp
+++ b/src/cluster/policy_publisher.hpp
@@ -25,7 +25,7 @@
     void set_file(policy::Policy file);
     /// Called ten times a second.
     void tick();
-    /// Called when another policy is in force.
+    /// Logs which policy is in force. Called when it has changed.
     void log_policy_in_force() const;
     Json status() const;
 
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -27,7 +27,7 @@
         if (owner) owner->tick();
 }
 
-void ShardAssignment::process_pending_work() {
+void ShardAssignment::run_pending_work() {
     released_owners_.clear();
     for (auto& [name, owner] : owners_)
         if (owner) owner->run_pending_work();
--- a/src/cluster/shard_assignment.hpp
+++ b/src/cluster/shard_assignment.hpp
@@ -41,7 +41,7 @@
     /// Lets every owner handle the passing of time. Called ten times a second.
     void tick();
     /// Lets every owner place tasks, commit and send what follows from the events received so far.
-    void process_pending_work();
+    void run_pending_work();
     /// Destroys all owners when the process ends, so that callers that wait for an owner are answered while
     /// everything else still exists.
     void shut_down();
@@ -62,7 +62,7 @@
     const MachineAllocator& machine_allocator_;
     JobArchiver& job_archiver_;
     std::map<std::string, std::unique_ptr<ShardOwner>> owners_;
-    // Destroyed by the next tick() or process_pending_work(), since an owner may be released in the middle of
+    // Destroyed by the next tick() or run_pending_work(), since an owner may be released in the middle of
     // its own call.
     std::vector<std::unique_ptr<ShardOwner>> released_owners_;
     std::set<std::string> acquiring_;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -114,7 +114,7 @@
     if (std::exchange(wake_scheduled_, true)) return;
     runtime_.after(0, [this] {
         wake_scheduled_ = false;
-        assignment_.process_pending_work();
+        assignment_.run_pending_work();
     });
 }
 
@@ -132,9 +132,9 @@
 }
 
 /// Returns the time by which a peer whose liveness key is gone has stopped renewing leases. Its last
-/// confirmation was before its key ended, and its authority ends a fixed time later. The peer may have
+/// confirmation was before its key ended, and its controller lease ends a fixed time later. The peer may have
 /// restarted since the last refresh of the cache, so the age of that refresh is added.
-std::optional<Micros> Controller::peer_authority_end(std::size_t peer) const {
+std::optional<Micros> Controller::peer_lease_end(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
     return *silent + controller_lease_duration(settings_) + controller_lease_duration(settings_) / 1000 +
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -63,7 +63,7 @@
     void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) override {
         cache_.apply(keys::job + ref, &value, mod_revision);
     }
-    std::optional<Micros> peer_authority_end(std::size_t peer) const override;
+    std::optional<Micros> peer_lease_end(std::size_t peer) const override;
     const LiveJob* stored_job(const std::string& ref) const override { return cache_.jobs.find(ref); }
     const PlanCache::Stored* stored_plan(const std::string& shard) const override {
         return cache_.plans.find(shard);
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -28,8 +28,8 @@
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
     // The end of an attempt on an unreachable machine is stored even if the task isn't bound elsewhere.
-    // Otherwise the next holder would have to wait for the authority of this one and for a lease to end
-    // before it could prove the same again.
+    // Otherwise the next holder would have to wait until the controller lease of this one and then a worker
+    // lease have ended before it could prove the same again.
     const bool stores_end =
         slot.state == SlotState::Bound && unreachable_for(*slot.machine) > unreachable_limit();
     set_unbound(job, slot);
@@ -196,11 +196,11 @@
                          ? &job->slots[static_cast<std::size_t>(task.task)]
                          : nullptr;
         const bool has_exited = task.phase == Phase::Exited;
-        const auto verdict = recovery::reconcile(stored_task(job, slot, machine, task.attempt),
-                                                 {true, has_exited, task.cause}, {});
-        startup_.record_reconciled(verdict, slot && slot->inherited && !slot->seen);
+        const auto action = recovery::reconcile(stored_task(job, slot, machine, task.attempt),
+                                                {true, has_exited, task.cause}, {});
+        startup_.record_reconciled(action, slot && slot->inherited && !slot->seen);
         if (has_exited) machine.exited_tasks.push_back(task);
-        switch (verdict) {
+        switch (action) {
             case ReconcileAction::Runs:
                 handle_listed_task(machine, *job, *slot, task.phase);
                 break;
@@ -292,23 +292,23 @@
     // with the last lease that the former holder can have granted, or that was granted while reports could
     // not be reconciled yet.
     if (slot.inherited && is_report && machine.token_seen < mod_revision_ &&
-        are_leases_expired_since(machine, std::max(former_authority_end_, machine.heartbeat_before_load)))
+        are_leases_expired_since(machine, std::max(former_lease_end_, machine.heartbeat_before_load)))
         proof.session_ended = true;
     proof.may_still_arrive = has_unsettled_launch(machine, key);
-    const auto verdict = recovery::reconcile(stored_task(&job, &slot, machine, slot.attempt), {}, proof);
-    startup_.record_reconciled(verdict, slot.inherited);
-    if (verdict == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
+    const auto action = recovery::reconcile(stored_task(&job, &slot, machine, slot.attempt), {}, proof);
+    startup_.record_reconciled(action, slot.inherited);
+    if (action == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
     const bool not_sent =
-        verdict == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
+        action == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
     // The task is proven not to run there. A machine that does not receive messages would never start it, so
     // it is released to be placed elsewhere.
-    if ((verdict == ReconcileAction::Relaunch || not_sent) && machine.suspect &&
+    if ((action == ReconcileAction::Relaunch || not_sent) && machine.suspect &&
         !has_unsettled_launch(machine, key)) {
         spdlog::info("task {}/{}: {} does not receive messages, to be placed elsewhere", key.job, task,
                      machine.name);
         return on_attempt_terminated(job, task, 0);
     }
-    if (verdict != ReconcileAction::Relaunch) return;
+    if (action != ReconcileAction::Relaunch) return;
     slot.launch_sent = false;
     request_dispatch(machine);
 }
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -135,8 +135,8 @@
 void ShardOwner::add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                             std::vector<Order>& orders) {
     permission::LaunchEvidence evidence;
-    // Without a recent read of the store this holder may have missed the job's cancellation. A launch to a
-    // session that began after the holder's authority ended would then outlive the limit on cancelled tasks.
+    // Without a recent read of the store this holder may have missed the job's cancellation. A task launched
+    // in a session that began after the controller lease ended could then run past the cancel deadline.
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.job_queued = job.stage == Stage::Queued;
     evidence.token = token(machine);
@@ -238,7 +238,7 @@
                                          [](const Order& order) { return order.kind == OrderKind::Clear; });
     if (!announces_token && !is_probe && only_clears)
         return;  // clears can wait for the answer to the next report
-    // If the session is not known yet, 1 is tried. The answer tells the right one if it is another.
+    // If the session is not known yet, 1 is tried. The answer contains the actual session.
     const std::uint64_t session = std::max<std::uint64_t>(machine.session, 1);
     machine.direct_call_in_flight = true;
     ++direct_calls_in_flight_;
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Micros kMigrationInterval = kSecond;
-constexpr Micros kStaleRecordDropInterval = 500 * kMillisecond;
+constexpr Micros kStaleRecordDeletionInterval = 500 * kMillisecond;
 constexpr std::size_t kManyStaleRecords = 200;
 // For how long the final record of a job that was cancelled by a dependency may be deferred.
 constexpr Micros kCancelledRecordDelay = 5 * kSecond;
@@ -65,11 +65,11 @@
             spdlog::error("job {}: its record can't be parsed: {}", ref, parsed.error);
             return;
         }
-        auto ms = [&](const char* key) -> std::optional<std::int64_t> {
+        auto time_ms = [&](const char* key) -> std::optional<std::int64_t> {
             auto number = wire::number(value, key);
             return number ? std::optional(static_cast<std::int64_t>(*number)) : std::nullopt;
         };
-        auto job = create_job(std::move(*parsed.spec), ms("at").value_or(0), ms("go"),
+        auto job = create_job(std::move(*parsed.spec), time_ms("at").value_or(0), time_ms("go"),
                               context_.dependency_status(ref));
         // Records of the previous version lack the number of tasks per part; it was 64.
         divide_into_parts(*job, std::max<std::size_t>(wire::count(value, "ps").value_or(64), 1));
@@ -137,11 +137,11 @@
     const std::string ref = spec.ref;
     if (shard_state_.job(ref)) return done({CommitStatus::Unknown, 0, {}});
     auto job = create_job(std::move(spec), submitted_ms, std::nullopt, dependency_status);
-    auto needs =
-        std::exchange(job->spec.dependencies, {});  // the record lacks them by the time when its parts fill
+    auto dependencies = std::exchange(job->spec.dependencies,
+                                      {});  // the record no longer contains them when its parts fill up
     divide_into_parts(*job, compute_tasks_per_part(context_.settings().max_value_bytes,
                                                    chunks::stored_size(part_value(*job, 0, false))));
-    job->spec.dependencies = std::move(needs);
+    job->spec.dependencies = std::move(dependencies);
     if (context_.all_can_read(format::kSeparateActiveRecords)) job->record_location = RecordLocation::Active;
     job->on_admitted = std::move(done);
     mark_part_dirty(*job, 0);
@@ -502,10 +502,10 @@
                                           : part_key(job, index),
                              value});
     // The final record deletes the one under c/active/ if the store has spare write rate. Otherwise that is
-    // deleted later (see drop_stale_records).
-    const bool drops_active =
+    // deleted later (see delete_stale_records).
+    const bool deletes_active =
         final_record && job.record_location == RecordLocation::Active && context_.store().is_quiet();
-    if (drops_active) change.writes.push_back({keys::active + ref, Json()});
+    if (deletes_active) change.writes.push_back({keys::active + ref, Json()});
     change.purpose = job.on_admitted          ? "admit"
                      : final_record           ? "over"
                      : bound_attempts.empty() ? "done"
@@ -515,7 +515,7 @@
     if (!job.on_admitted && !final_record)
         value = nullptr;  // only admissions and final records are needed afterwards
     const Condition stale_record{
-        keys::active + ref, final_record && !drops_active && job.record_location == RecordLocation::Active
+        keys::active + ref, final_record && !deletes_active && job.record_location == RecordLocation::Active
                                 ? job.parts[0].mod_revision
                                 : 0};
     context_.store().commit(
@@ -697,16 +697,17 @@
 
 /// Deletes records under c/active/ of jobs that are over, while the store has spare write rate. The next
 /// holder of the shard finds those that are left.
-void ShardOwner::drop_stale_records() {
+void ShardOwner::delete_stale_records() {
     // One at a time, since all owners see the same spare write rate and would use it up together. Each record
     // that is left is one more that a starting holder has to check, so above a number of them they compete
     // with other deferrable writes.
     const Micros now = context_.runtime().now();
     const bool has_many = stale_records_.size() > kManyStaleRecords;
     if (!stale_records_.empty() &&
-        now - last_record_drop_at_ >= (has_many ? kStaleRecordDropInterval / 4 : kStaleRecordDropInterval) &&
+        now - last_record_deletion_at_ >=
+            (has_many ? kStaleRecordDeletionInterval / 4 : kStaleRecordDeletionInterval) &&
         (has_many ? context_.store().has_write_budget(Priority::Deferrable) : context_.store().is_quiet())) {
-        last_record_drop_at_ = now;
+        last_record_deletion_at_ = now;
         const Condition stale_record = stale_records_.back();
         stale_records_.pop_back();
         context_.store().commit(JobCache::deletion_change(stale_record), [this, alive = alive_, stale_record](
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -135,7 +135,7 @@
     return request;
 }
 
-std::vector<std::string> ShardOwner::offer_idle_machines(const peer::CapacityRequest& want) {
+std::vector<std::string> ShardOwner::offer_idle_machines(const peer::CapacityRequest& request) {
     std::vector<std::string> names;
     if (!active_) return names;
     const Micros now = context_.runtime().listening_time();
@@ -148,16 +148,17 @@
             machine->raising_token)
             continue;
         if (now - machine->idle_since < kMinIdleBeforeOffer) continue;
-        if ((machine->spot && !want.allows_spot) || !want.largest_task.fits(machine->type->size)) continue;
-        if (!want.type.empty() && want.type != machine->type_name) continue;
-        if (!want.zone.empty() && want.zone != machine->zone) continue;
+        if ((machine->spot && !request.allows_spot) || !request.largest_task.fits(machine->type->size))
+            continue;
+        if (!request.type.empty() && request.type != machine->type_name) continue;
+        if (!request.zone.empty() && request.zone != machine->zone) continue;
         idle_machines.push_back(machine.get());
     }
     // Half of the idle machines stay here for jobs that arrive next.
     const std::size_t max_offered = (idle_machines.size() + 1) / 2;
     Milli offered_cores = 0;
     for (Machine* machine : idle_machines) {
-        if (names.size() >= max_offered || offered_cores >= want.cores) break;
+        if (names.size() >= max_offered || offered_cores >= request.cores) break;
         machine->transferring = true;
         offered_cores += machine->type->size.cores;
         names.push_back(machine->name);
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -17,11 +17,11 @@
 }  // namespace
 
 ShardOwner::ShardOwner(ShardContext& context, std::string shard, Revision mod_revision,
-                       Micros former_authority_end)
+                       Micros former_lease_end)
     : context_(context),
       shard_(std::move(shard)),
       mod_revision_(mod_revision),
-      former_authority_end_(former_authority_end),
+      former_lease_end_(former_lease_end),
       acquired_at_(context.runtime().now()),
       scheduler_(context, shard_, shard_state_, *this),
       rebalancer_(context, shard_, mod_revision, shard_state_, *this) {}
@@ -120,12 +120,12 @@
 
 /// Returns true if every lease that the worker may hold has expired: leases that this holder granted, leases
 /// that a former holder may have granted while the worker has not reported this holder's token, and renewals
-/// by other controllers on the holder's behalf. The latter are excluded only by a controller's promise not to
-/// renew, or once that controller can no longer be entitled to.
+/// by other controllers on the holder's behalf. Renewals by another controller are ruled out only by its
+/// promise not to renew, or once its controller lease must have ended.
 bool ShardOwner::is_lease_expired(const Machine& machine) const {
     // An answered report renews the lease from the time when it was sent, which was before it arrived here.
     Micros last = std::max(machine.last_heartbeat, machine.known_since);
-    if (machine.token_seen < mod_revision_) last = std::max(last, former_authority_end_);
+    if (machine.token_seen < mod_revision_) last = std::max(last, former_lease_end_);
     return are_leases_expired_since(machine, last);
 }
 
@@ -137,7 +137,7 @@
     for (std::size_t peer = 0; peer < machine.relinquishments.size(); ++peer) {
         if (machine.relinquishments[peer].until > now)
             last = std::max(last, machine.relinquishments[peer].last_renewal_at);
-        else if (auto ended = context_.peer_authority_end(peer))
+        else if (auto ended = context_.peer_lease_end(peer))
             last = std::max(last, *ended);
         else
             return false;
@@ -227,7 +227,7 @@
     if (const std::string line = startup_.take_log_line(now); !line.empty())
         spdlog::info("domain {}: {}", shard_, line);
     if (active_) {
-        drop_stale_records();
+        delete_stale_records();
         migrate_legacy_record();
         rebalancer_.tick();
     }
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -42,6 +42,7 @@
     virtual const policy::Policy& policy() const = 0;
     virtual const MachineType* machine_type(const std::string& name) = 0;
     virtual void on_ownership_lost(const std::string& shard) = 0;
+    /// Schedules run_pending_work() of all owners to run as soon as the current event has been handled.
     virtual void wake() = 0;
     /// Returns the shard's stored share of a team's limit, less the part that is being given to other shards.
     virtual Resources quota_share(const std::string& shard, const std::string& team) const = 0;
@@ -55,7 +56,7 @@
     /// Reports a final record that this owner committed, before the change feed delivers it.
     virtual void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) = 0;
     /// Returns the time from which a peer that is not alive can't renew any lease; empty while it still may.
-    virtual std::optional<Micros> peer_authority_end(std::size_t peer) const = 0;
+    virtual std::optional<Micros> peer_lease_end(std::size_t peer) const = 0;
     /// Returns a job that is not over as the change feed has delivered it; nullptr if there is none.
     virtual const LiveJob* stored_job(const std::string& ref) const = 0;
     /// Returns the migration plan that a shard has begun and not ended, as last read; nullptr if there never
@@ -82,7 +83,7 @@
 
 class ShardOwner : private Scheduler::Owner {
   public:
-    ShardOwner(ShardContext& context, std::string shard, Revision mod_revision, Micros former_authority_end);
+    ShardOwner(ShardContext& context, std::string shard, Revision mod_revision, Micros former_lease_end);
     ~ShardOwner() override;
 
     const std::string& shard() const { return shard_; }
@@ -163,8 +164,9 @@
     /// Returns the smallest amount by which the team's share is too small to start one more waiting task, or
     /// a whole gang. Returns zero if one fits already, and nothing if no task waits.
     std::optional<Resources> smallest_quota_shortfall(const std::string& team) const;
-    /// Returns the machines with tasks that for half a lease have been silent, or have not seen the shard's
-    /// token, and for which a promise of `peer` not to renew leases ends within a lease or does not exist.
+    /// Returns the machines whose leases `peer` is to promise not to renew: machines with tasks that for half
+    /// a lease have been silent or have not seen the shard's token. Leaves out machines for which a promise
+    /// of the peer lasts for at least another lease.
     std::vector<std::string> machines_to_relinquish(std::size_t peer) const;
     void on_relinquished(std::size_t peer, const std::string& machine, LeaseRelinquishment promise);
     Json status() const;
@@ -252,7 +254,7 @@
     void mark_part_dirty(Job& job, std::size_t part);
     std::vector<Condition> record_conditions(const Job& job) const;
     std::string part_key(const Job& job, std::size_t part) const;
-    void drop_stale_records();
+    void delete_stale_records();
     void migrate_legacy_record();
     void flush_jobs();
     void write_part(Job& job, std::size_t part, Priority priority);
@@ -286,7 +288,7 @@
     ShardContext& context_;
     std::string shard_;
     Revision mod_revision_;
-    Micros former_authority_end_;
+    Micros former_lease_end_;
     Micros acquired_at_;
     bool active_ = false;
     recovery::StartupSummary startup_;
@@ -298,7 +300,7 @@
     std::set<std::string> dirty_jobs_;
     std::vector<Condition>
         stale_records_;  // records under c/active/ of jobs that are over; still to be deleted
-    Micros last_record_drop_at_ = 0;
+    Micros last_record_deletion_at_ = 0;
     Micros last_record_migration_at_ = 0;
     std::vector<std::string> dispatch_due_;  // machines to send orders to
     int direct_calls_in_flight_ = 0;
--- a/src/shard/shard_state.hpp
+++ b/src/shard/shard_state.hpp
@@ -32,7 +32,7 @@
 
     /// Records a task that runs on a machine without being bound to it. It must not start elsewhere until
     /// that attempt is gone.
-    void add_orphaned_task(Machine& machine, const ReportedTask& t);
+    void add_orphaned_task(Machine& machine, const ReportedTask& task);
     void forget_orphaned_tasks(Machine& machine);
     bool has_orphaned_task(const std::string& job, int task) const {
         return orphaned_task_counts_.count({job, task}) > 0;
--- a/src/shard/startup.cpp
+++ b/src/shard/startup.cpp
@@ -58,8 +58,8 @@
 
 std::string StartupSummary::take_log_line(Micros now) {
     if (!is_open() || (now - started_at_ < kLogDelay && all_heard_after_ < 0)) return "";
-    // Orders that follow from the last reconciled messages are still to be sent, so it waits for another
-    // second.
+    // Orders that follow from the last reconciled messages are still to be sent, so the line waits for
+    // another second.
     if (all_heard_after_ >= 0 && now - started_at_ < all_heard_after_ + kSecond) return "";
     line_taken_ = true;
     return fmt::format(
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -46,7 +46,7 @@
     DependencyStatus dependency_status(const std::string&) const override { return {}; }
     bool all_can_read(std::uint64_t) const override { return true; }
     void on_job_finalized(const std::string&, const Json&, Revision) override {}
-    std::optional<Micros> peer_authority_end(std::size_t) const override { return std::nullopt; }
+    std::optional<Micros> peer_lease_end(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
                       std::function<void(bool)>) override {}
     void advance(Micros span) { runtime_.advance(span); }
