--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -12,11 +12,11 @@
 
 constexpr int kMachines = 6;
 
-Settings gpu_site() {
-    Settings s = small_cluster_settings();
-    s.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
-    s.cpu_cores = 0.005;  // spreads the machines over several shards
-    return s;
+Settings gpu_settings() {
+    Settings settings = small_cluster_settings();
+    settings.teams = {{"captions", {}, {kNoLimit, kNoLimit, 0}}};
+    settings.cpu_cores = 0.005;  // spreads the machines over several shards
+    return settings;
 }
 
 MachineType gpu_type() {
@@ -26,7 +26,7 @@
 /// Returns a simulator with six machines of two GPUs each and three controllers, after startup. The cloud can
 /// rent out up to `capacity` machines.
 std::unique_ptr<Simulator> gpu_simulator(std::uint64_t seed, int capacity) {
-    auto simulator = std::make_unique<Simulator>(seed, gpu_site(), std::vector<MachineType>{gpu_type()});
+    auto simulator = std::make_unique<Simulator>(seed, gpu_settings(), std::vector<MachineType>{gpu_type()});
     for (int i = 0; i < kMachines; ++i) simulator->add_machine("gpu", i % 2 ? "b" : "a");
     simulator->cloud().capacity = capacity;
     simulator->start_nodes();
--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -85,10 +85,10 @@
     int combination = GetParam();
     for (const Fault& fault : kFaults) {
         if (combination++ % 3 > 0 && !std::getenv("WORLD_ALL")) continue;
-        Settings site = small_cluster_settings();
-        if (transfer.several_shards) site.cpu_cores = 0.001;
-        site.operators.idle_return_delay = 600 * kSecond;
-        auto simulator = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, site);
+        Settings settings = small_cluster_settings();
+        if (transfer.several_shards) settings.cpu_cores = 0.001;
+        settings.operators.idle_return_delay = 600 * kSecond;
+        auto simulator = settled_simulator(static_cast<std::uint64_t>(GetParam()), 6, settings);
         const std::string combination_name = fmt::format("{}, {}", transfer.name, fault.name);
         const int holder = simulator->owner_node();
         const Micros origin = simulator->now() + 4 * kSecond + transfer.lead_time;
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -94,7 +94,7 @@
             for (const Micros delay_s : {2, 13, 30}) {
                 auto simulator = settled_simulator(44 + static_cast<std::uint64_t>(delay_s), 6,
                                                    settings_without_idle_return(cpu_share));
-                const auto story = [&] {
+                const auto describe_run = [&] {
                     return fmt::format("all {} share {} delay_s {}\n", all, cpu_share, delay_s) +
                            simulator->format_history();
                 };
@@ -115,15 +115,15 @@
                 ASSERT_GT(delayed_reports, 0u);
                 simulator->submit(simulator->make_job(5, JobKind::Array, 4), 3 * kSecond);
                 simulator->run(8 * kSecond);
-                EXPECT_EQ(simulator->pending_report_replays(), 0u) << story();
-                EXPECT_EQ(simulator->unnecessary_starts(), 0u) << story();
-                EXPECT_EQ(simulator->running_tasks("req-000001"), 2) << story();
+                EXPECT_EQ(simulator->pending_report_replays(), 0u) << describe_run();
+                EXPECT_EQ(simulator->unnecessary_starts(), 0u) << describe_run();
+                EXPECT_EQ(simulator->running_tasks("req-000001"), 2) << describe_run();
                 simulator->run(60 * kSecond);
                 for (const char* ref : {"req-000003", "req-000004", "req-000005"})
-                    EXPECT_EQ(simulator->reported_stage(ref), "done") << ref << story();
+                    EXPECT_EQ(simulator->reported_stage(ref), "done") << ref << describe_run();
                 EXPECT_EQ(simulator->reported_stage("req-000002"), "cancelled");
                 EXPECT_EQ(simulator->running_tasks("req-000002"), 0);
-                EXPECT_EQ(simulator->task_starts("req-000003"), 4) << story();
+                EXPECT_EQ(simulator->task_starts("req-000003"), 4) << describe_run();
                 EXPECT_NO_VIOLATIONS(*simulator);
             }
 }
@@ -167,7 +167,7 @@
     for (const bool one_way : {false, true})
         for (const Micros outage_s : {4, 50}) {
             auto simulator = settled_simulator(47, 4, settings_without_idle_return());
-            const auto story = [&] {
+            const auto describe_run = [&] {
                 return fmt::format("one_way {} outage_s {}\n", one_way, outage_s) +
                        simulator->format_history();
             };
@@ -182,19 +182,19 @@
             simulator->run(kSecond);
             crash_controllers(*simulator, false);
             simulator->run(outage_s * kSecond);
-            EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << story();
+            EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << describe_run();
             EXPECT_EQ(simulator->machines_running("req-000001").count(machine), outage_s < 12 ? 1u : 0u)
-                << story();
+                << describe_run();
             simulator->block_messages_to(machine, false);
             simulator->heal_all_links();
             simulator->run(120 * kSecond);
-            EXPECT_EQ(simulator->reported_stage("req-000001"), "done") << story();
-            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << story();
-            EXPECT_EQ(simulator->task_starts("req-000001"), outage_s < 12 ? 1 : 2) << story();
+            EXPECT_EQ(simulator->reported_stage("req-000001"), "done") << describe_run();
+            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << describe_run();
+            EXPECT_EQ(simulator->task_starts("req-000001"), outage_s < 12 ? 1 : 2) << describe_run();
             // One task for each machine.
             simulator->submit(simulator->make_job(3, JobKind::Array, 4, 5), 2 * kSecond);
             simulator->run(8 * kSecond);
-            EXPECT_EQ(simulator->reported_stage("req-000003"), "done") << story();
+            EXPECT_EQ(simulator->reported_stage("req-000003"), "done") << describe_run();
             EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
--- a/tests/mute_test.cpp
+++ b/tests/mute_test.cpp
@@ -26,7 +26,7 @@
         for (const Micros seconds_mute : {3, 45}) {
             auto simulator = settled_simulator(51 + static_cast<std::uint64_t>(seconds_mute), 4,
                                                settings_without_idle_return());
-            const auto story = [&] {
+            const auto describe_run = [&] {
                 return fmt::format("crash {} seconds mute {}\n", static_cast<int>(crash), seconds_mute) +
                        simulator->format_history(200);
             };
@@ -49,22 +49,22 @@
                 });
             simulator->run(seconds_mute * kSecond);
             if (seconds_mute > 12) {
-                EXPECT_EQ(simulator->machines_running("req-000001").count(machine), 0u) << story();
-                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << story();
+                EXPECT_EQ(simulator->machines_running("req-000001").count(machine), 0u) << describe_run();
+                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << describe_run();
                 // Each holder may have bound some tasks there before it noticed the silence.
-                EXPECT_LE(starts_on(*simulator, machine) - starts_before, 6) << story();
+                EXPECT_LE(starts_on(*simulator, machine) - starts_before, 6) << describe_run();
             }
             simulator->block_reports_from(machine, false);
             simulator->run(std::max<Micros>(75 - seconds_mute, 40) * kSecond);
             for (int i = 0; i < 20; ++i)
                 EXPECT_EQ(simulator->reported_stage(simulator->make_job(10 + i, JobKind::Array, 1).ref),
                           "done")
-                    << story();
-            EXPECT_EQ(simulator->task_starts("req-000001"), seconds_mute > 12 ? 2 : 1) << story();
+                    << describe_run();
+            EXPECT_EQ(simulator->task_starts("req-000001"), seconds_mute > 12 ? 2 : 1) << describe_run();
             simulator->submit(simulator->make_job(2, JobKind::Array, 4, 5), 2 * kSecond);
             simulator->run(6 * kSecond);
             EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << "the machine must be used again\n"
-                                                                       << story();
+                                                                       << describe_run();
             EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
@@ -116,7 +116,7 @@
     for (const bool deaf : {false, true})
         for (const bool busy : {false, true}) {
             auto simulator = settled_simulator(54, 3, settings_without_idle_return());
-            const auto story = [&] {
+            const auto describe_run = [&] {
                 return fmt::format("deaf {} busy {}\n", deaf, busy) + simulator->format_history();
             };
             if (busy) simulator->submit(simulator->make_job(1, JobKind::Service, 1, 2), 0);
@@ -131,13 +131,13 @@
             simulator->submit(simulator->make_job(2, JobKind::Array, 3, 5), 2 * kSecond);
             simulator->run(60 * kSecond);
             EXPECT_NE(simulator->worker(machine), nullptr) << "a short fault must not return the machine\n"
-                                                           << story();
+                                                           << describe_run();
             simulator->run(simulator->settings.worker_lease + 60 * kSecond);
-            EXPECT_EQ(simulator->worker(machine), nullptr) << story();
+            EXPECT_EQ(simulator->worker(machine), nullptr) << describe_run();
             if (busy) {
-                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << story();
+                EXPECT_EQ(simulator->running_tasks("req-000001"), 1) << describe_run();
             }
-            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << story();
+            EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << describe_run();
             EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -20,16 +20,17 @@
 
 std::map<std::string, std::size_t> arbitrary_nodes() {
     std::map<std::string, std::size_t> nodes;
-    const int n = *rc::gen::inRange(1, 7);
-    for (int i = 0; i < n; ++i) nodes["n" + std::to_string(i)] = *rc::gen::inRange<std::size_t>(0, 400);
+    const int node_count = *rc::gen::inRange(1, 7);
+    for (int i = 0; i < node_count; ++i)
+        nodes["n" + std::to_string(i)] = *rc::gen::inRange<std::size_t>(0, 400);
     return nodes;
 }
 
 RC_GTEST_PROP(ShardFailoverDecisionProperties, EveryOrphanIsTakenByExactlyOneNode, ()) {
     FailoverState state;
     state.alive = arbitrary_nodes();
-    const int n = *rc::gen::inRange(1, 9);
-    for (int i = 0; i < n; ++i)
+    const int orphan_count = *rc::gen::inRange(1, 9);
+    for (int i = 0; i < orphan_count; ++i)
         state.orphans.push_back({"d" + std::to_string(i), *rc::gen::inRange<std::size_t>(0, 400), 0, false});
     std::map<std::string, int> taken;
     std::map<std::string, std::size_t> load = state.alive;
@@ -204,13 +205,13 @@
     // A message counts only if it is newer than all that arrived before it. So in the end the newest message
     // determines what is known, in whatever order they arrive.
     std::vector<MessagePosition> messages;
-    const int n = *rc::gen::inRange(1, 12);
-    for (int i = 0; i < n; ++i)
+    const int message_count = *rc::gen::inRange(1, 12);
+    for (int i = 0; i < message_count; ++i)
         messages.push_back({*rc::gen::inRange<std::uint64_t>(1, 4), *rc::gen::inRange<std::uint64_t>(1, 50)});
     MessagePosition last{};
-    for (const auto& m : messages)
-        if (is_newer_message(m, last, 0)) last = m;
-    for (const auto& m : messages) RC_ASSERT(!is_newer_message(m, last, 0));
+    for (const auto& message : messages)
+        if (is_newer_message(message, last, 0)) last = message;
+    for (const auto& message : messages) RC_ASSERT(!is_newer_message(message, last, 0));
     RC_ASSERT(!is_newer_message(last, {}, last.session + 1));
 }
 
@@ -239,7 +240,7 @@
     spec.image = "i";
     spec.job_class = "c";
     struct StoredRecord {
-        RecordLocation place;
+        RecordLocation location;
         Json value;
         Revision mod_revision;
     };
@@ -266,7 +267,7 @@
         order.push_back(*rc::gen::inRange<std::size_t>(0, records.size()));
     for (std::size_t i = 0; i < records.size(); ++i) order.push_back(i);  // each record at least once
     for (const std::size_t i : order)
-        cache.apply(spec.ref, records[i].place, records[i].value, records[i].mod_revision, kSecond);
+        cache.apply(spec.ref, records[i].location, records[i].value, records[i].mod_revision, kSecond);
     const JobView* view = cache.find_view(spec.ref);
     RC_ASSERT(view != nullptr);
     RC_ASSERT(view->mod_revision == mod_revision);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -266,16 +266,16 @@
 }
 
 TEST(RestartWithFaults, CancellationConfirmedJustBeforeTheCrashHolds) {
-    for (int ms : {0, 10, 30, 60, 120}) {
+    for (int delay_ms : {0, 10, 30, 60, 120}) {
         auto simulator = simulator_with_several_shards(60);
         submit_varied_jobs(*simulator);
         simulator->cancel("req-000001");
         for (int i = 0; i < 200 && simulator->reported_stage("req-000001") != "cancelled"; ++i)
             simulator->run(5 * kMillisecond);
-        simulator->run(ms * kMillisecond);
+        simulator->run(delay_ms * kMillisecond);
         for (int i = 0; i < 3; ++i) simulator->crash(i, 3 * kSecond);
         simulator->run(15 * kSecond);
-        EXPECT_EQ(simulator->running_tasks("req-000001"), 0) << ms << " ms after\n"
+        EXPECT_EQ(simulator->running_tasks("req-000001"), 0) << delay_ms << " ms after\n"
                                                              << simulator->format_history();
         EXPECT_EQ(simulator->task_starts("req-000001"), 4);
         EXPECT_NO_VIOLATIONS(*simulator);
--- a/tests/refused_leader_test.cpp
+++ b/tests/refused_leader_test.cpp
@@ -53,9 +53,9 @@
 TEST_P(RefusedLeader, CancelledJobsEndInTimeAndNoJobIsLost) {
     const Case& test_case = GetParam();
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        Settings site = small_cluster_settings();
-        if (seed == 2) site.cpu_cores = 0.001;  // spreads the machines over several shards
-        auto simulator = settled_simulator(seed, 5, site);
+        Settings settings = small_cluster_settings();
+        if (seed == 2) settings.cpu_cores = 0.001;  // spreads the machines over several shards
+        auto simulator = settled_simulator(seed, 5, settings);
         const int leader = simulator->leader_node();
         simulator->poll_frequency_factor = 4;
         simulator->submit(simulator->make_job(kLongJob, JobKind::Array, 4), 90 * kSecond);
--- a/tests/returned_machines_test.cpp
+++ b/tests/returned_machines_test.cpp
@@ -28,9 +28,9 @@
     constexpr int kRememberedNames = 10'000;
     constexpr Micros kListLag = 5 * kSecond;
     for (const int newer_machines : {kRememberedNames - 1, kRememberedNames, kRememberedNames + 1}) {
-        Settings site = small_cluster_settings();
-        site.cloud_list_lag = kListLag;
-        auto simulator = settled_simulator(5, 4, site);
+        Settings settings = small_cluster_settings();
+        settings.cloud_list_lag = kListLag;
+        auto simulator = settled_simulator(5, 4, settings);
         // The service keeps its machines from being returned until it is cancelled.
         simulator->submit(simulator->make_job(1, JobKind::Service, 12, 2), 0);
         simulator->run(5 * kSecond);
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -16,9 +16,9 @@
     // former process. But another node had transferred it, does not know this yet and goes on answering
     // workers.
     for (const bool new_holder_crashes : {false, true}) {
-        Settings site = small_cluster_settings();
-        site.operators.idle_return_delay = 600 * kSecond;
-        auto simulator = settled_simulator(21, 2, site);
+        Settings settings = small_cluster_settings();
+        settings.operators.idle_return_delay = 600 * kSecond;
+        auto simulator = settled_simulator(21, 2, settings);
         const int old_holder = simulator->owner_node(), new_holder = (old_holder + 1) % 3;
         simulator->submit(simulator->make_job(1, JobKind::Service, 1), 0);
         simulator->run(3 * kSecond);
@@ -108,9 +108,9 @@
 
 TEST(ControllerRestart, JobsFinishAlthoughAllControllersRestartRepeatedly) {
     for (std::uint64_t seed = 31; seed < 35; ++seed) {
-        Settings site = small_cluster_settings();
-        if (seed % 2) site.cpu_cores = 0.001;  // several shards, so that some are transferred back
-        auto simulator = settled_simulator(seed, 8, site);
+        Settings settings = small_cluster_settings();
+        if (seed % 2) settings.cpu_cores = 0.001;  // several shards, so that some are transferred back
+        auto simulator = settled_simulator(seed, 8, settings);
         simulator->submit(simulator->make_job(1, JobKind::Service, 3), 0);
         for (int i = 2; i <= 6; ++i)
             simulator->submit(simulator->make_job(i, JobKind::Array, 3), 15 * kSecond);
@@ -188,9 +188,9 @@
     // jobs stay cancelled. One controller may be back long before the others.
     for (const Micros downtime : {20 * kSecond, 60 * kSecond})
         for (const bool staggered : {false, true}) {
-            Settings site = small_cluster_settings();
-            if (downtime > 30 * kSecond) site.cpu_cores = 0.001;
-            auto simulator = settled_simulator(43, 6, site);
+            Settings settings = small_cluster_settings();
+            if (downtime > 30 * kSecond) settings.cpu_cores = 0.001;
+            auto simulator = settled_simulator(43, 6, settings);
             simulator->submit(simulator->make_job(1, JobKind::Service, 3), 0);
             // More tasks than the team's limit allows at once.
             simulator->submit(simulator->make_job(2, JobKind::Array, 30), 18 * kSecond);
@@ -221,9 +221,9 @@
 TEST(ControllerRestart, JobsFinishAlthoughTheLeaderChangesTenTimesInTwoMinutes) {
     for (const bool same_node : {true, false})
         for (const bool outage : {false, true}) {
-            Settings site = small_cluster_settings();
-            site.cpu_cores = 0.001;  // spreads the machines over several shards
-            auto simulator = settled_simulator(44, 9, site);
+            Settings settings = small_cluster_settings();
+            settings.cpu_cores = 0.001;  // spreads the machines over several shards
+            auto simulator = settled_simulator(44, 9, settings);
             simulator->submit(simulator->make_job(1, JobKind::Service, 3), 0);
             std::set<std::uint64_t> terms;
             for (int round = 0; round < 10; ++round) {
@@ -311,8 +311,8 @@
 /// A holder that is cut off from its machine and from `helper`, the controller that renews the machine's
 /// lease on its behalf. `next` is the controller that the machine reports to after that.
 struct CutOffHolder {
-    explicit CutOffHolder(std::uint64_t seed, const Settings& site)
-        : simulator(settled_simulator(seed, 2, site)) {
+    explicit CutOffHolder(std::uint64_t seed, const Settings& settings)
+        : simulator(settled_simulator(seed, 2, settings)) {
         simulator->run(30 * kSecond);  // other controllers may renew leases only after this time
         holder = simulator->owner_node(), helper = (holder + 1) % 3, next = (holder + 2) % 3;
         simulator->submit(simulator->make_job(1, JobKind::Service, 1), 0);
@@ -333,15 +333,15 @@
 };
 
 /// Returns settings under which no machine is returned for being idle and a failed node is noticed after 6 s.
-Settings slow_timeout_site() {
-    Settings site = small_cluster_settings();
-    site.operators.idle_return_delay = 600 * kSecond;
-    site.operators.liveness_ttl = 6 * kSecond;
-    return site;
+Settings slow_timeout_settings() {
+    Settings settings = small_cluster_settings();
+    settings.operators.idle_return_delay = 600 * kSecond;
+    settings.operators.liveness_ttl = 6 * kSecond;
+    return settings;
 }
 
 TEST(LeaseRelinquishment, PromiseOfACrashedProcessCountsNoLongerThanItsSuccessorWaits) {
-    CutOffHolder cut_off_holder(45, slow_timeout_site());
+    CutOffHolder cut_off_holder(45, slow_timeout_settings());
     Simulator& simulator = *cut_off_holder.simulator;
     simulator.run(8 * kSecond);  // `next` has promised not to renew by now
     simulator.cut_link(host(cut_off_holder.holder), host(cut_off_holder.next));
@@ -358,7 +358,7 @@
 }
 
 TEST(LeaseRelinquishment, NodeThatMayHaveRestartedIsNotTakenForDead) {
-    CutOffHolder cut_off_holder(46, slow_timeout_site());
+    CutOffHolder cut_off_holder(46, slow_timeout_settings());
     Simulator& simulator = *cut_off_holder.simulator;
     simulator.cut_link(host(cut_off_holder.holder), host(cut_off_holder.next));
     simulator.run(8 * kSecond);
