--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -85,12 +85,12 @@
 void Autoscaler::tick() {
     const Micros now = runtime_.now();
     if (first_tick_at_ == 0) first_tick_at_ = now;
-    const bool idle_too = now - idle_retired_at_ > kRetireIdleInterval;
-    if (idle_too) idle_retired_at_ = now;
+    const bool include_idle = now - idle_retired_at_ > kRetireIdleInterval;
+    if (include_idle) idle_retired_at_ = now;
     for (const auto& [name, owner] : assignment_.owners()) {
         if (!owner || !owner->active()) continue;
-        if (idle_too) drain_surplus(*owner);
-        retire_machines(*owner, idle_too);
+        if (include_idle) drain_surplus(*owner);
+        retire_machines(*owner, include_idle);
     }
     if (!election_.is_leader()) {
         was_leading_ = false;
@@ -348,12 +348,12 @@
     }
 }
 
-/// Retires machines of a shard that are unreachable, reclaimed by the cloud or faulty, and with `idle_too`
-/// surplus machines that have been idle for a while.
-void Autoscaler::retire_machines(ShardOwner& owner, bool idle_too) {
+/// Retires machines of a shard that are unreachable, reclaimed by the cloud or faulty, and with
+/// `include_idle` surplus machines that have been idle for a while.
+void Autoscaler::retire_machines(ShardOwner& owner, bool include_idle) {
     const Micros now = runtime_.now();
     const Settings& settings = settings_;
-    Surplus surplus = idle_too ? surplus_of(owner) : Surplus{};
+    Surplus surplus = include_idle ? surplus_of(owner) : Surplus{};
     for (const auto& [name, machine] : owner.machines()) {
         if (machine->retired || machine->retiring || machine->transferring) continue;
         const Micros silent = owner.silent_for(*machine);
@@ -365,7 +365,7 @@
             owner.retire(name, "the cloud has reclaimed it");
         } else if (machine->failing_jobs.size() >= 3 && machine->tasks.empty()) {
             owner.retire(name, "tasks of several jobs fail on it");
-        } else if (idle_too && machine->tasks.empty() && machine->type &&
+        } else if (include_idle && machine->tasks.empty() && machine->type &&
                    now - first_tick_at_ > settings.operators.idle_return_delay &&
                    runtime_.listening_time() - machine->idle_since > settings.operators.idle_return_delay) {
             const Milli cores = machine->type->size.cores;
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -101,7 +101,7 @@
     };
     Surplus surplus_of(const ShardOwner& owner) const;
     void drain_surplus(ShardOwner& owner);
-    void retire_machines(ShardOwner& owner, bool idle_too);
+    void retire_machines(ShardOwner& owner, bool include_idle);
     void delete_retired();
     bool call(Call call, double reserve, ReplyHandler done);
 
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -204,7 +204,7 @@
     change.priority = Priority::Urgent;
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& [name, node] : transfers) {
-        spdlog::info("domain {}: handed over to {}", name, node);
+        spdlog::info("domain {}: transferred to {}", name, node);
         change.conditions.push_back({keys::shard + name, find(name)->mod_revision()});
         writes.emplace_back(keys::shard + name, Json{{"holder", node}});
         change.writes.push_back({writes.back().first, writes.back().second});
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t kMaxFailedMachines = 64;
 constexpr Micros kInitialBackoff = 4 * kSecond;  // doubled with each failed try
 constexpr Micros kMaxBackoff = 60 * kSecond;
-constexpr Micros kAvoidMachine = 10 * kSecond;      // after tasks of one job have failed on it
-constexpr Micros kAvoidMachineLong = 60 * kSecond;  // after tasks of several jobs have failed on it
+constexpr Micros kAvoidDuration = 10 * kSecond;      // of a machine on which tasks of one job have failed
+constexpr Micros kLongAvoidDuration = 60 * kSecond;  // the same for tasks of several jobs
 }  // namespace
 
 /// Handles a failed task and returns the delay until it may be tried again. A machine is at fault if jobs
@@ -71,7 +71,7 @@
 
 void ShardOwner::record_failure(Machine& machine, const Job& job, Micros now) {
     machine.failing_jobs.insert(job.spec.ref);
-    machine.avoid_until = now + (machine.failing_jobs.size() >= 2 ? kAvoidMachineLong : kAvoidMachine);
+    machine.avoid_until = now + (machine.failing_jobs.size() >= 2 ? kLongAvoidDuration : kAvoidDuration);
     spdlog::info("machine {}: avoided, {} jobs that run elsewhere fail on it", machine.name,
                  machine.failing_jobs.size());
 }
--- a/src/shard/machine.hpp
+++ b/src/shard/machine.hpp
@@ -106,7 +106,7 @@
     /// An image that the machine has or is fetching for a task.
     struct Image {
         std::string name;
-        Milli gb = 0;
+        Milli size_gb = 0;
         bool ready = false;
     };
     std::vector<Image> images;  // most recently used last
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -92,10 +92,10 @@
         machine.images.push_back({job.spec.image, job.spec.image_gb, ready});
     }
     Milli total = 0;
-    for (const auto& image : machine.images) total += image.gb;
+    for (const auto& image : machine.images) total += image.size_gb;
     while (machine.images.size() > 1 && (machine.images.size() > kMaxImagesPerMachine ||
                                          (machine.type && total > machine.type->cache_gb))) {
-        total -= machine.images.front().gb;
+        total -= machine.images.front().size_gb;
         machine.images.erase(machine.images.begin());
     }
 }
--- a/src/shard/startup.cpp
+++ b/src/shard/startup.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr Micros kLogDelay = 10 * kSecond;
 
-std::string after(Micros elapsed) {
+std::string format_elapsed(Micros elapsed) {
     return elapsed < 0 ? "not yet" : fmt::format("after {} ms", elapsed / kMillisecond);
 }
 }  // namespace
@@ -69,8 +69,8 @@
         "of "
         "them repeated; first bind of a waiting task: {}",
         activation_time_ / kMillisecond, jobs_, inherited_tasks_, heard_machines_.size(), machines_,
-        after(all_heard_after_), running_, ended_, gone_, results_, orphaned_tasks_, orders_[0], orders_[1],
-        orders_[2], repeated_orders_, after(first_bind_after_));
+        format_elapsed(all_heard_after_), running_, ended_, gone_, results_, orphaned_tasks_, orders_[0],
+        orders_[1], orders_[2], repeated_orders_, format_elapsed(first_bind_after_));
 }
 
 Json StartupSummary::to_json() const {
--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -111,7 +111,7 @@
         simulator->schedule_at(origin - transfer.lead_time, [&] { transfer.start(*simulator, holder); });
         // When users were told that a job is cancelled, and how often its tasks had started shortly after
         // that.
-        std::map<std::string, std::pair<Micros, int>> told;
+        std::map<std::string, std::pair<Micros, int>> confirmed_cancellations;
         const Micros end = origin + kJobCount * kCancellationInterval + 25 * kSecond;
         while (simulator->now() < end) {
             simulator->run(kCancellationInterval);
@@ -119,9 +119,10 @@
                 simulator->delayed_command_rate = simulator->max_state_answer_delay = 0;
             for (const auto& ref : refs)
                 if (simulator->reported_stage(ref) == "cancelled") {
-                    auto& told_job = told.try_emplace(ref, simulator->now(), 0).first->second;
-                    if (simulator->now() - told_job.first <= 3 * kCancellationInterval)
-                        told_job.second = simulator->task_starts(ref);
+                    auto& confirmed =
+                        confirmed_cancellations.try_emplace(ref, simulator->now(), 0).first->second;
+                    if (simulator->now() - confirmed.first <= 3 * kCancellationInterval)
+                        confirmed.second = simulator->task_starts(ref);
                 }
         }
         simulator->run(simulator->settings.cancel_deadline);
@@ -136,7 +137,7 @@
             EXPECT_EQ(simulator->reported_stage(ref), "cancelled") << combination_name << " " << ref;
             EXPECT_EQ(simulator->running_tasks(ref), 0) << combination_name << " " << ref << "\n"
                                                         << simulator->format_history();
-            if (simulator->task_starts(ref) > told[ref].second) ++late_starts;
+            if (simulator->task_starts(ref) > confirmed_cancellations[ref].second) ++late_starts;
         }
         if (!fault.allows_late_starts) {
             EXPECT_EQ(late_starts, 0)
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -283,12 +283,13 @@
     // The first report is sent below. The machine answers the call that checks that it exists.
     simulator->block_reports_from(machine, true);
     simulator->delay_next_write("c/block/", 0);
-    const Micros asked = simulator->now();
-    const auto report = simulator->worker(machine)->report(asked);
+    const Micros requested_at = simulator->now();
+    const auto report = simulator->worker(machine)->report(requested_at);
     EXPECT_EQ(simulator->request(simulator->leader_node(), "POST", "/v1/report", report).status, 200)
         << simulator->format_history();
     EXPECT_EQ(simulator->pending_write_delays(), 0U);
-    EXPECT_LT(simulator->now() - asked, kSecond) << "long before the leader reads the record by itself";
+    EXPECT_LT(simulator->now() - requested_at, kSecond)
+        << "long before the leader reads the record by itself";
 }
 
 /// Loses the answers to the writes of starting controllers: to each kind of write alone, and to all together.
--- a/tests/shard_transfer_test.cpp
+++ b/tests/shard_transfer_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 TEST(ShardTransfer, FormerHolderIsWaitedForEvenIfTheRecordNamesTheNewHolder) {
-    // The record names the node that acquires the shard, which therefore treated the shard as that of its own
-    // former process. But another node had transferred it, does not know this yet and goes on answering
-    // workers.
+    // Guards against a node that acquires a shard whose record already names it, and therefore takes the
+    // former holder for its own former process. In fact another node transferred the shard to it, does not
+    // know this yet and goes on answering workers.
     for (const bool new_holder_crashes : {false, true}) {
         Settings settings = small_cluster_settings();
         settings.operators.idle_return_delay = 600 * kSecond;
