--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -203,20 +203,21 @@
 /// Renews a worker's lease on behalf of a holder that neither the worker nor this node can reach. The answer
 /// has the holder's token, and its only orders are stops for tasks of finished jobs. This is safe because the
 /// holder presumes the lease to be over only once this node has promised not to renew it (see
-/// `relinquish_leases`) or has ended. It is limited by this node's own authority, so that a cancellation ends
-/// every task in time.
+/// `relinquish_leases`) or has ended. It requires that this node's own controller lease is valid, so that
+/// a cancellation ends every task in time.
 void HeartbeatRouter::renew_on_behalf(const Report& report, const Block& block, const ApiResponder& respond) {
     const Micros now = runtime_.now();
-    const OwnershipRecord* shard = cache_.membership.shard(block.shard);
+    const OwnershipRecord* shard_record = cache_.membership.shard(block.shard);
     const Block::Machine* machine = block.find(report.machine);
-    const Revision token = std::max(shard ? shard->mod_revision : 0, machine ? machine->token : 0);
+    const Revision token =
+        std::max(shard_record ? shard_record->mod_revision : 0, machine ? machine->token : 0);
     const permission::Decision decision = may_renew_on_behalf(report, block, token);
     decisions_.count_renewal(decision);
     if (decision) return respond(unavailable());
     ProxiedWorker& proxied = proxied_workers_[report.machine];
     if (proxied.renewed_at == 0 || now - proxied.renewed_at > 30 * kSecond)
         spdlog::info("machine {}: lease renewed on behalf of {}, which is unreachable", report.machine,
-                     shard->holder);
+                     shard_record->holder);
     proxied.renewed_at = now;
     respond({200, renewal_answer(report, token, cache_.jobs.stops_for_finished_jobs(report))});
 }
@@ -234,7 +235,8 @@
     // promises have expired.
     evidence.former_promises_expired =
         now - started_at_ > kForgottenPromiseLeases * with_drift(settings_.worker_lease);
-    evidence.lease_relinquished = proxied != proxied_workers_.end() && now < proxied->second.refused_until;
+    evidence.lease_relinquished =
+        proxied != proxied_workers_.end() && now < proxied->second.relinquished_until;
     evidence.machine_listed = machine && !machine->retired;
     evidence.jobs_known = job_archiver_.knows_outcomes_of(report);
     evidence.token = token;
@@ -247,7 +249,7 @@
     peer::Relinquished answer;
     for (const auto& name : request.machines) {
         ProxiedWorker& proxied = proxied_workers_[name];
-        proxied.refused_until = now + 3 * with_drift(settings_.worker_lease);
+        proxied.relinquished_until = now + 3 * with_drift(settings_.worker_lease);
         answer.renewal_ages.push_back(now - std::max(proxied.renewed_at, started_at_));
     }
     return answer;
--- a/src/api/heartbeat_router.hpp
+++ b/src/api/heartbeat_router.hpp
@@ -39,7 +39,7 @@
     struct ProxiedWorker {
         Micros redirected_at = 0;            // when it was last redirected to its holder
         Micros renewed_at = 0;               // when its lease was last renewed here on the holder's behalf
-        Micros refused_until = 0;            // until when this node has promised not to renew its lease
+        Micros relinquished_until = 0;       // until when this node has promised not to renew its lease
         bool holder_reaches_worker = false;  // the holder said so in its last answer to a relayed report
         std::uint64_t session = 0, seq = 0;  // of the newest report received here
     };
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -223,51 +223,52 @@
         attempt == 0 && live && !cache_.has_only_legacy_record(ref))
         return cancel(ref, {live->record_location, live->record, live->mod_revision, live->legacy_revision},
                       attempt, std::move(respond));
-    read_record(
-        ref, [this, ref, attempt, respond = std::move(respond)](bool ok, std::optional<Found> found) mutable {
-            if (!ok) return respond(unavailable());
-            if (!found)  // never accepted, or its record is being moved between the keys
-                return check_in_store(ref, [this, ref, attempt, respond = std::move(respond)](
-                                               bool known, const std::optional<JobView>& view) mutable {
-                    if (!known) return respond(unavailable());
-                    if (!view) return respond({404, Json::object()});
-                    abort(ref, attempt + 1, std::move(respond));
-                });
-            const JobView view = JobView::from_record(found->record, found->mod_revision);
-            if (view.is_final()) {
-                cache_.apply(record_key(found->record_location, ref), &found->record, found->mod_revision);
-                return respond({200, wire::job_answer(ref, stage_name(view))});
-            }
-            // A process that has ended wrote this record late: the job is accepted only once the record is
-            // moved.
-            if (found->record_location == RecordLocation::Job && cache_.is_history_separated())
-                return respond(unavailable());
-            cancel(ref, std::move(*found), attempt, std::move(respond));
-        });
+    read_record(ref, [this, ref, attempt, respond = std::move(respond)](
+                         bool ok, std::optional<StoredJob> found) mutable {
+        if (!ok) return respond(unavailable());
+        if (!found)  // never accepted, or its record is being moved between the keys
+            return check_in_store(ref, [this, ref, attempt, respond = std::move(respond)](
+                                           bool known, const std::optional<JobView>& view) mutable {
+                if (!known) return respond(unavailable());
+                if (!view) return respond({404, Json::object()});
+                abort(ref, attempt + 1, std::move(respond));
+            });
+        const JobView view = JobView::from_record(found->record, found->mod_revision);
+        if (view.is_final()) {
+            cache_.apply(record_key(found->record_location, ref), &found->record, found->mod_revision);
+            return respond({200, wire::job_answer(ref, stage_name(view))});
+        }
+        // A process that has ended wrote this record late: the job is accepted only once the record is
+        // moved.
+        if (found->record_location == RecordLocation::Job && cache_.is_history_separated())
+            return respond(unavailable());
+        cancel(ref, std::move(*found), attempt, std::move(respond));
+    });
 }
 
-void JobService::read_record(const std::string& ref, std::function<void(bool, std::optional<Found>)> done) {
+void JobService::read_record(const std::string& ref,
+                             std::function<void(bool, std::optional<StoredJob>)> done) {
     store_.read(keys::job + ref, [this, ref, done = std::move(done)](const ReadResult& job) {
         if (!job.ok) return done(false, std::nullopt);
         const bool is_final = job.found && JobView::from_record(job.value, job.mod_revision).is_final();
         if (is_final || !cache_.formats.is_read_by_all(format::kSeparateActiveRecords)) {
             if (!job.found) return done(true, std::nullopt);
-            return done(true, Found{RecordLocation::Job, job.value, job.mod_revision, 0});
+            return done(true, StoredJob{RecordLocation::Job, job.value, job.mod_revision, 0});
         }
         store_.read(keys::active + ref, [job, done](const ReadResult& active) {
             if (!active.ok) return done(false, std::nullopt);
             if (active.found)
-                return done(
-                    true, Found{RecordLocation::Active, active.value, active.mod_revision, job.mod_revision});
+                return done(true, StoredJob{RecordLocation::Active, active.value, active.mod_revision,
+                                            job.mod_revision});
             if (!job.found) return done(true, std::nullopt);
-            done(true, Found{RecordLocation::Job, job.value, job.mod_revision, 0});
+            done(true, StoredJob{RecordLocation::Job, job.value, job.mod_revision, 0});
         });
     });
 }
 
 /// Cancels by a conditional commit on the job's record. It races with commits that bind tasks; the loser gets
 /// a conflict and sees the other change.
-void JobService::cancel(const std::string& ref, Found job, int attempt, ApiResponder respond) {
+void JobService::cancel(const std::string& ref, StoredJob job, int attempt, ApiResponder respond) {
     job.record["s"] = "cancelled";
     const std::string key = record_key(job.record_location, ref);
     Change change;
@@ -324,12 +325,12 @@
     return !store_.is_reachable() && runtime_.now() - store_.last_contact() > kSecond;
 }
 
-void JobService::check_in_store(const std::string& ref, Checked done) {
+void JobService::check_in_store(const std::string& ref, CheckHandler done) {
     const JobView* view = find_view(ref);
     if (view && view->is_final()) return done(true, *view);
     if (store_unreachable()) return done(false, std::nullopt);
     if (cache_.has_only_legacy_record(ref)) return done(false, std::nullopt);
-    // Its final record may be under c/job/, which a start does not read.
+    // Its final record may be under c/job/, which a resync does not read.
     if (view && cache_.jobs.is_unverified(ref))
         return job_archiver_.verify_unfinished({ref}, false,
                                                [this, ref, done = std::move(done)](bool known) mutable {
@@ -351,9 +352,9 @@
         });
         return;
     }
-    Change compare;
-    compare.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
-    store_.commit(std::move(compare),
+    Change absence_check;
+    absence_check.conditions = {{keys::job + ref, 0}, {keys::active + ref, 0}};
+    store_.commit(std::move(absence_check),
                   [this, ref, done = std::move(done)](const CommitResult& result) mutable {
                       if (result.status == CommitStatus::Ok) return done(true, std::nullopt);
                       if (result.status == CommitStatus::Conflict)
@@ -362,9 +363,9 @@
                   });
 }
 
-void JobService::read_after_conflict(const std::string& ref, int attempt, Checked done) {
+void JobService::read_after_conflict(const std::string& ref, int attempt, CheckHandler done) {
     read_record(ref, [this, ref, attempt, done = std::move(done)](bool ok,
-                                                                  std::optional<Found> found) mutable {
+                                                                  std::optional<StoredJob> found) mutable {
         if (!ok && attempt < 1 && store_.is_reachable())
             return read_after_conflict(ref, attempt + 1, std::move(done));
         // The job exists, so a missing record is being moved from one key to the other.
@@ -391,10 +392,10 @@
     });
 }
 
-/// Selects the shard of a new job: the one with the largest share of free capacity, after the jobs that wait
-/// there and the jobs sent there since its holder last reported its load. A shard held here gets a small
-/// bonus because it learns of the job at once. Production jobs may preempt others, so only other production
-/// jobs count for them. If no machines are known a random shard is chosen.
+/// Selects the shard of a new job: the one with the largest share of free capacity, not counting the capacity
+/// that the jobs waiting there need, nor that of the jobs sent there since its holder last reported its load.
+/// A shard held here gets a small bonus because it learns of the job at once. Production jobs may preempt
+/// others, so only other production jobs count for them. If no machines are known a random shard is chosen.
 std::string JobService::select_shard(const JobSpec& spec) {
     // The shard of a dependency: the commit that finishes the dependency can start this job there.
     for (const auto& dependency : spec.dependencies) {
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -40,26 +40,26 @@
 
   private:
     enum class Feasibility { Feasible, Infeasible, TooLarge, MachineTypesUnknown };
-    using Checked = std::function<void(bool ok, std::optional<JobView>)>;
+    using CheckHandler = std::function<void(bool ok, std::optional<JobView>)>;
 
     void create_with_dependencies(JobSpec spec, ApiResponder respond);
     void create(JobSpec spec, ApiResponder respond);
     std::string select_shard(const JobSpec& spec);
     void abort(const std::string& ref, int attempt, ApiResponder respond);
-    struct Found {
+    struct StoredJob {
         RecordLocation record_location = RecordLocation::Job;
         Json record;
         Revision mod_revision = 0;
         Revision legacy_revision = 0;
     };
-    void cancel(const std::string& ref, Found job, int attempt, ApiResponder respond);
+    void cancel(const std::string& ref, StoredJob job, int attempt, ApiResponder respond);
     /// Reads a job's record under c/job/ and c/active/. If none is found the job may still exist: its record
     /// may be moved from one key to the other between the two reads.
-    void read_record(const std::string& ref, std::function<void(bool ok, std::optional<Found>)> done);
+    void read_record(const std::string& ref, std::function<void(bool ok, std::optional<StoredJob>)> done);
     /// Calls back with the job's current state in the store. No view: the job was never accepted. `ok` false:
     /// its state could not be determined.
-    void check_in_store(const std::string& ref, Checked done);
-    void read_after_conflict(const std::string& ref, int attempt, Checked done);
+    void check_in_store(const std::string& ref, CheckHandler done);
+    void read_after_conflict(const std::string& ref, int attempt, CheckHandler done);
     const JobView* find_view(const std::string& ref) const { return cache_.jobs.find_view(ref); }
     /// Checks whether the job could be accepted. A job that can't is rejected only once the store proves that
     /// it was not accepted before.
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -14,7 +14,7 @@
     std::string path;
     std::string body;
     bool too_large = false;
-    Micros queue_time = 0;  // how long it may have waited unread while the process was stalled
+    Micros possible_delay = 0;  // how long it may have waited unread while the process was stalled
 };
 
 struct ApiResponse {
--- a/src/cache/block_cache.cpp
+++ b/src/cache/block_cache.cpp
@@ -36,7 +36,8 @@
 
 void BlockCache::end_split(const std::string& machine, const std::string& new_block) {
     split_targets_.erase(machine);
-    // The split was not committed, and another commit has removed the machine from its block.
+    // If the split was not committed and another commit has removed the machine from its old block, no block
+    // lists it any more.
     auto current_block = block_by_machine_.find(machine);
     if (current_block != block_by_machine_.end() && current_block->second == new_block &&
         !blocks_.count(new_block))
--- a/src/cache/job_cache.cpp
+++ b/src/cache/job_cache.cpp
@@ -16,9 +16,9 @@
 
 std::vector<Condition> JobCache::unchanged_conditions(const std::string& ref, RecordLocation record_location,
                                                       Revision mod_revision, Revision legacy_revision) {
-    std::vector<Condition> when{{record_key(record_location, ref), mod_revision}};
-    if (record_location == RecordLocation::Active) when.push_back({keys::job + ref, legacy_revision});
-    return when;
+    std::vector<Condition> conditions{{record_key(record_location, ref), mod_revision}};
+    if (record_location == RecordLocation::Active) conditions.push_back({keys::job + ref, legacy_revision});
+    return conditions;
 }
 
 Change JobCache::deletion_change(const Condition& leftover) {
--- a/src/cache/plan_cache.hpp
+++ b/src/cache/plan_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Cache of the shards' records of migrations and reservations in progress (c/plan/DOMAIN). Makes no
+// Cache of the shards' records of migrations and reservations in progress (c/plan/SHARD). Makes no
 // decisions.
 
 #include <map>
--- a/src/config/lease_validity.hpp
+++ b/src/config/lease_validity.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // Durations of leases by a controller's own steady clock, as pure functions of the settings. There are two
 // kinds: a worker's lease, renewed by the answers to its reports, and a controller's lease, renewed by each
-// confirmed read of the state service. Without a valid lease a controller must not
-// renew worker leases or start tasks.
+// confirmed read of the state service. Without a valid lease a controller must not renew worker leases or
+// start tasks.
 
 #include <algorithm>
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -41,9 +41,10 @@
     }
 }
 
-/// Calls `use` for each table of an array, and puts the path of the table before the message of an error.
+/// Calls `read_row` for each table of an array, and puts the path of the table before the message of an
+/// error.
 void rows(const toml::table& file, const std::string& key, bool required,
-          const std::function<void(const toml::table&)>& use) {
+          const std::function<void(const toml::table&)>& read_row) {
     const toml::array* array = file.at_path(key).as_array();
     if (!array) {
         if (required) fail(key, "is missing");
@@ -53,7 +54,7 @@
     for (const auto& row : *array) {
         if (!row.is_table()) fail(key, "must hold tables");
         try {
-            use(*row.as_table());
+            read_row(*row.as_table());
         } catch (const std::runtime_error& error) {
             throw std::runtime_error(key + "[" + std::to_string(index) + "]." + error.what());
         }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -132,8 +132,8 @@
 }
 
 /// Returns the time by which a peer whose liveness key is gone has stopped renewing leases. Its last
-/// confirmation was before its key ended, and its authority ends a fixed time later. The peer may have
-/// restarted since the last refresh of the cache, so the age of that refresh is added.
+/// confirmed read was before its key ended, and its controller lease ends a fixed time after that read. The
+/// peer may have restarted since the last refresh of the cache, so the age of that refresh is added.
 std::optional<Micros> Controller::peer_authority_end(std::size_t peer) const {
     const auto silent = cache_.membership.silent_since(settings_.peers[peer].name);
     if (!silent) return std::nullopt;
@@ -268,7 +268,7 @@
     if (request.too_large) return respond({413, Json::object()});
     // The sender of a request that has waited this long no longer waits for the answer. Rejecting it cheaply
     // keeps a process that was stalled from falling behind again.
-    if (request.queue_time >= (request.method == "GET" ? kPollRequestTimeout : kWorkerRequestTimeout))
+    if (request.possible_delay >= (request.method == "GET" ? kPollRequestTimeout : kWorkerRequestTimeout))
         return respond(unavailable());
     const std::string path = request.path.substr(0, request.path.find('?'));
     const bool is_get = request.method == "GET", is_post = request.method == "POST";
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -16,7 +16,7 @@
 constexpr Micros kBatchDelay = 3 * kMillisecond;  // wait for further changes for the same transaction
 // Fraction of the write budget that a change of each priority must leave for more urgent ones.
 constexpr std::array<double, kPriorityCount> kWriteReserve{0.0, 0.15, 0.5};
-// The same for changes that can wait for any time (see is_quiet).
+// The same for changes that can wait for hours (see is_quiet).
 constexpr double kQuietLevel = 0.9;
 // Fractions of the configured write rate: the part that is used, and the bursts of all controllers and of one
 // controller.
@@ -169,9 +169,9 @@
                               std::function<void(ReadResult)> on_done) {
     const auto reference = chunks::chunk_reference(head.value);
     if (texts.size() >= reference->second) {
-        auto whole = chunks::join(head.value, texts);
-        if (!whole) return on_done({});
-        head.value = std::move(*whole);
+        auto joined_value = chunks::join(head.value, texts);
+        if (!joined_value) return on_done({});
+        head.value = std::move(*joined_value);
         return on_done(std::move(head));
     }
     const std::string key = chunks::key(reference->first, texts.size());
@@ -184,22 +184,22 @@
     });
 }
 
-void StoreClient::list(const std::string& prefix, NextPageKey next_page_key,
+void StoreClient::list(const std::string& prefix, ContinuationKey continuation_key,
                        std::function<void(const Entry&)> each, std::function<void(ListResult)> on_done) {
-    list_page(prefix, "", std::move(next_page_key), std::move(each), std::make_shared<ListResult>(),
+    list_page(prefix, "", std::move(continuation_key), std::move(each), std::make_shared<ListResult>(),
               std::move(on_done));
 }
 
-void StoreClient::list_page(const std::string& prefix, const std::string& since, NextPageKey next_page_key,
-                            std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
-                            std::function<void(ListResult)> on_done) {
+void StoreClient::list_page(const std::string& prefix, const std::string& since,
+                            ContinuationKey continuation_key, std::function<void(const Entry&)> each,
+                            std::shared_ptr<ListResult> result, std::function<void(ListResult)> on_done) {
     Call call;
     call.method = "GET";
     call.path = "/store?starts=" + prefix + (since.empty() ? "" : "&since=" + since) + "&page=1000";
     call.timeout = 4 * kSecond;
     request(std::move(call),
-            [this, prefix, since, next_page_key = std::move(next_page_key), each = std::move(each), result,
-             on_done = std::move(on_done)](const Reply& reply) mutable {
+            [this, prefix, since, continuation_key = std::move(continuation_key), each = std::move(each),
+             result, on_done = std::move(on_done)](const Reply& reply) mutable {
                 const Json* pairs = wire::find(reply.body, "pairs");
                 auto store_revision = wire::count(reply.body, "ledger");
                 if (reply.status != 200 || !pairs || !pairs->is_array() || !store_revision)
@@ -216,8 +216,8 @@
                     each(Entry{*key, data ? *data : Json(), *mod_revision, result->store_revision});
                 }
                 if (wire::flag(reply.body, "has_next").value_or(false) && !last_key.empty()) {
-                    const std::string next = next_page_key(last_key);
-                    return list_page(prefix, next, std::move(next_page_key), std::move(each), result,
+                    const std::string next = continuation_key(last_key);
+                    return list_page(prefix, next, std::move(continuation_key), std::move(each), result,
                                      std::move(on_done));
                 }
                 result->ok = true;
@@ -455,8 +455,8 @@
     if (reply.status == 409) {
         std::set<std::string> failed;
         if (const Json* list = wire::find(reply.body, "failed"); list && list->is_array())
-            for (const auto& k : *list)
-                if (k.is_string()) failed.insert(k.get<std::string>());
+            for (const auto& key : *list)
+                if (key.is_string()) failed.insert(key.get<std::string>());
         std::vector<Pending> conflicting, others;
         for (auto& pending : batch) {
             const bool is_conflicting =
--- a/src/kvstore/store_client.hpp
+++ b/src/kvstore/store_client.hpp
@@ -108,10 +108,10 @@
     void read(const std::string& key, std::function<void(ReadResult)> on_done);
     /// Returns the key after which the next page starts, given the last key of a page: that key, or a later
     /// one to skip the keys between.
-    using NextPageKey = std::function<std::string(const std::string& key)>;
+    using ContinuationKey = std::function<std::string(const std::string& key)>;
     /// Reads all keys with a prefix; entries are passed on page by page to keep memory bounded.
-    void list(const std::string& prefix, NextPageKey next_page_key, std::function<void(const Entry&)> each,
-              std::function<void(ListResult)> on_done);
+    void list(const std::string& prefix, ContinuationKey continuation_key,
+              std::function<void(const Entry&)> each, std::function<void(ListResult)> on_done);
     void commit(Change change, std::function<void(const CommitResult&)> on_done);
     void watch(const std::string& prefix, Revision since, Micros block, ReplyHandler on_done);
     /// Requests a lease; passes its id to `on_done`, or 0 if none was granted.
@@ -169,7 +169,7 @@
     void pump_later(Queue& queue, bool writes, Micros delay);
     void send(Queue& queue, bool writes, std::vector<Pending> batch);
     void handle_response(Queue& queue, bool writes, std::vector<Pending> batch, const Reply& reply);
-    void list_page(const std::string& prefix, const std::string& since, NextPageKey next_page_key,
+    void list_page(const std::string& prefix, const std::string& since, ContinuationKey continuation_key,
                    std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
                    std::function<void(ListResult)> on_done);
 
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -87,9 +87,9 @@
         return std::string(bytes_.substr(position_ - n, n));
     }
     /// Reads the number of elements that follow.
-    std::size_t count(std::size_t max_size) {
+    std::size_t count(std::size_t max_count) {
         const std::size_t n = u32();
-        if (n > max_size) is_valid_ = false;
+        if (n > max_count) is_valid_ = false;
         return is_valid_ ? n : 0;
     }
     bool is_complete() const { return is_valid_ && position_ == bytes_.size(); }
@@ -178,11 +178,11 @@
                          &shard.free_spot, &shard.idle_ordinary, &shard.idle_spot, &shard.waiting})
             *v = reader.i64();
         shard.teams.resize(reader.count(kMaxTeams));
-        for (auto& t : shard.teams) {
-            t.team = reader.name();
-            t.quota = reader.resources();
-            t.used = reader.resources();
-            t.waiting = reader.resources();
+        for (auto& team_load : shard.teams) {
+            team_load.team = reader.name();
+            team_load.quota = reader.resources();
+            team_load.used = reader.resources();
+            team_load.waiting = reader.resources();
         }
     }
     return if_complete(reader, std::move(message));
--- a/src/peer/messages.hpp
+++ b/src/peer/messages.hpp
@@ -63,7 +63,8 @@
     std::vector<TeamLoad> teams;
 };
 
-/// The leader's view of the fleet. Shard holders use it to decide which machines to return to the cloud.
+/// The leader's view of the fleet, in cores. Shard holders use it to decide which machines to return to the
+/// cloud.
 struct FleetBalance {
     std::uint64_t term = 0;  // 0: not the leader
     Milli ordinary = 0;
--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -415,8 +415,9 @@
 }
 
 Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                  int how_many) {
-    return {{"hire", name}, {"loom_type", type}, {"mill", zone}, {"remnant", spot}, {"how_many", how_many}};
+                  int machine_count) {
+    return {
+        {"hire", name}, {"loom_type", type}, {"mill", zone}, {"remnant", spot}, {"how_many", machine_count}};
 }
 
 std::optional<std::vector<std::string>> parse_rented(const Json& body) {
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -138,7 +138,7 @@
 };
 std::optional<MachinePage> parse_machines(const Json& body);
 Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                  int count);
+                  int machine_count);
 std::optional<std::vector<std::string>> parse_rented(const Json& body);
 Json delete_request(const std::vector<std::string>& machines);
 
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -244,17 +244,17 @@
                     simulator->run(late_s * kSecond / 4);
                     simulator->release_held_messages();
                     simulator->run(28 * kSecond);
-                    const auto story = [&] {
+                    const auto failure_details = [&] {
                         return fmt::format("to machine {}, holder crashes {}, {} s late, at {} ms\n",
                                            to_machine, holder_crashes, late_s, delay_at_ms) +
                                simulator->format_history(120);
                     };
-                    EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << story();
+                    EXPECT_EQ(simulator->reported_stage("req-000002"), "done") << failure_details();
                     if (late_s < 12) {
-                        EXPECT_EQ(simulator->task_starts("req-000002"), 16) << story();
+                        EXPECT_EQ(simulator->task_starts("req-000002"), 16) << failure_details();
                     }
                     EXPECT_EQ(simulator->running_tasks("req-000001"), delay_at_ms % 1800 == 0 ? 0 : 2)
-                        << story();
+                        << failure_details();
                     EXPECT_NO_VIOLATIONS(*simulator);
                 }
 }
@@ -295,7 +295,7 @@
     for (const bool holder_cut_off : {false, true})
         for (const bool is_stop : {false, true}) {
             auto simulator = settled_simulator(33, 2);
-            const auto story = [&] {
+            const auto failure_details = [&] {
                 return fmt::format("holder cut off {}, stop {}\n", holder_cut_off, is_stop) +
                        simulator->format_history();
             };
@@ -318,11 +318,11 @@
             else
                 simulator->crash(former, 60 * kSecond);
             simulator->run(20 * kSecond);
-            ASSERT_NE(simulator->owner_node(), former) << story();
+            ASSERT_NE(simulator->owner_node(), former) << failure_details();
             simulator->release_held_messages();
             simulator->run(5 * kSecond);
-            EXPECT_EQ(simulator->running_tasks("req-000001"), is_stop ? 0 : 2) << story();
-            EXPECT_EQ(simulator->task_starts("req-000001"), 2) << story();
+            EXPECT_EQ(simulator->running_tasks("req-000001"), is_stop ? 0 : 2) << failure_details();
+            EXPECT_EQ(simulator->task_starts("req-000001"), 2) << failure_details();
             EXPECT_NO_VIOLATIONS(*simulator);
         }
 }
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -14,8 +14,9 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(w) \
-    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history(300)
+#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
+    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
+                                                << (simulator).format_history(300)
 
 // ---------------------------------------------------------------- random transactions
 
@@ -162,16 +163,16 @@
 /// The transaction that admits a job and binds its tasks is executed while its shard owner checks whether it
 /// was: the read finds no record, and the update arrives before the check is finished.
 TEST(LateWrite, AdmissionExecutedWhileItsOutcomeIsCheckedIsNotLost) {
-    for (Micros late_by = 2002; late_by < 2014; ++late_by) {
+    for (Micros late_by_ms = 2002; late_by_ms < 2014; ++late_by_ms) {
         Simulator simulator(7);
         simulator.add_machine("small", "a");
         simulator.start_nodes(1);
         simulator.run(5 * kSecond);
-        simulator.delay_next_write("c/active/req-000001", late_by * kMillisecond);
+        simulator.delay_next_write("c/active/req-000001", late_by_ms * kMillisecond);
         simulator.submit(simulator.make_job(1, JobKind::Array, 2), kSecond);
         simulator.run(14 * kSecond);
         EXPECT_EQ(simulator.pending_write_delays(), 0U);
-        EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << late_by << " ms late\n"
+        EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << late_by_ms << " ms late\n"
                                                                   << simulator.format_history();
         EXPECT_NO_VIOLATIONS(simulator);
     }
