--- a/src/cache/format_cache.hpp
+++ b/src/cache/format_cache.hpp
@@ -19,8 +19,8 @@
 /// Values stored in chunks (kvstore/chunks.hpp), jobs with dependencies (cache/dependency_graph.hpp), and the
 /// time at which a job ended in its final record.
 constexpr std::uint64_t kChunksAndDependencies = 2;
-/// Unfinished jobs under a key of their own, so that a starting process need not read finished
-/// jobs (docs/history.md).
+/// Unfinished jobs under a key of their own, so that a starting process need not read finished jobs
+/// (docs/history.md).
 constexpr std::uint64_t kSeparateActiveRecords = 3;
 constexpr std::uint64_t kNewest = kSeparateActiveRecords;
 }  // namespace format
--- a/src/cache/state_cache.hpp
+++ b/src/cache/state_cache.hpp
@@ -49,8 +49,8 @@
     /// Returns whether no unfinished job can be added under c/job/ any more.
     bool legacy_writes_closed() const { return history_separation_ != HistorySeparation::NotStarted; }
     Revision history_revision() const { return history_revision_; }
-    /// Returns whether an unfinished job has its only record under c/job/ although no controller
-    /// reads unfinished jobs there any more. A process that has since ended wrote it late; the job counts as
+    /// Returns whether an unfinished job has its only record under c/job/ although no controller reads
+    /// unfinished jobs there any more. A process that has since ended wrote it late; the job counts as
     /// accepted only once its record has been moved to c/active/.
     bool has_only_legacy_record(const std::string& ref) const;
     /// Applies changes of dependency statuses to the job cache and notifies the listener.
--- a/src/kvstore/records.cpp
+++ b/src/kvstore/records.cpp
@@ -16,15 +16,15 @@
 
 Json Block::to_json() const {
     Json list = Json::array();
-    for (const auto& m : machines) {
+    for (const auto& machine : machines) {
         // The first machine's token is stored once, as `tok`: most machines have the token of the commit that
         // created the record.
-        Json machine = Json::array({m.name, m.address});
-        if (m.retired || m.raise_token || m.token != machines.front().token) {
-            machine.push_back(m.retired ? 1U : 0U);
-            machine.push_back(m.raise_token ? Revision{0} : m.token);
+        Json machine_json = Json::array({machine.name, machine.address});
+        if (machine.retired || machine.raise_token || machine.token != machines.front().token) {
+            machine_json.push_back(machine.retired ? 1U : 0U);
+            machine_json.push_back(machine.raise_token ? Revision{0} : machine.token);
         }
-        list.push_back(std::move(machine));
+        list.push_back(std::move(machine_json));
     }
     Json json{{"dom", shard}, {"type", type}, {"zone", zone}, {"m", std::move(list)}};
     if (spot) json["spot"] = true;
@@ -57,13 +57,13 @@
     for (const auto& entry : *list) {
         if (!entry.is_array() || entry.size() < 2 || !entry[0].is_string() || !entry[1].is_string())
             return std::nullopt;
-        Machine m{entry[0].get<std::string>(), entry[1].get<std::string>(), common_token, false, false};
+        Machine machine{entry[0].get<std::string>(), entry[1].get<std::string>(), common_token, false, false};
         if (entry.size() >= 4) {
             if (!entry[2].is_number_unsigned() || !entry[3].is_number_unsigned()) return std::nullopt;
-            m.retired = entry[2].get<unsigned>() != 0;
-            m.token = token_or_revision(entry[3].get<Revision>());
+            machine.retired = entry[2].get<unsigned>() != 0;
+            machine.token = token_or_revision(entry[3].get<Revision>());
         }
-        block.machines.push_back(std::move(m));
+        block.machines.push_back(std::move(machine));
     }
     return block;
 }
--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -133,14 +133,14 @@
         });
         return;
     }
-    runtime_.call(std::move(call), [this, on_done = std::move(on_done)](const Reply& r) {
-        if (r.status <= 0 || r.status == 503) {
+    runtime_.call(std::move(call), [this, on_done = std::move(on_done)](const Reply& reply) {
+        if (reply.status <= 0 || reply.status == 503) {
             ++consecutive_failures_;
-        } else if (r.status != 429) {
+        } else if (reply.status != 429) {
             consecutive_failures_ = 0;
             last_contact_ = runtime_.now();
         }
-        on_done(r);
+        on_done(reply);
     });
 }
 
@@ -149,13 +149,13 @@
     call.method = "GET";
     call.path = "/store/" + key;
     call.timeout = 1500 * kMillisecond;
-    request(std::move(call), [this, on_done = std::move(on_done)](const Reply& r) {
+    request(std::move(call), [this, on_done = std::move(on_done)](const Reply& reply) {
         ReadResult result;
-        if (r.status == 404 && r.body.is_object()) {
+        if (reply.status == 404 && reply.body.is_object()) {
             result.ok = true;
-        } else if (r.status == 200) {
-            const Json* data = wire::find(r.body, "data");
-            auto mod_revision = wire::count(r.body, "mark");
+        } else if (reply.status == 200) {
+            const Json* data = wire::find(reply.body, "data");
+            auto mod_revision = wire::count(reply.body, "mark");
             if (data && mod_revision) result = {true, true, *data, *mod_revision};
         }
         if (result.found && chunks::chunk_reference(result.value))
@@ -176,8 +176,8 @@
     }
     const std::string key = chunks::key(reference->first, texts.size());
     read(key, [this, head = std::move(head), texts = std::move(texts),
-               on_done = std::move(on_done)](const ReadResult& r) mutable {
-        auto text = r.found ? wire::text(r.value, "t") : std::nullopt;
+               on_done = std::move(on_done)](const ReadResult& chunk) mutable {
+        auto text = chunk.found ? wire::text(chunk.value, "t") : std::nullopt;
         if (!text) return on_done({});
         texts.push_back(std::move(*text));
         read_chunks(std::move(head), std::move(texts), std::move(on_done));
@@ -239,8 +239,8 @@
     call.method = "POST";
     call.path = "/grants";
     call.body = Json{{"ttl_ms", ttl / kMillisecond}};
-    request(std::move(call), [on_done = std::move(on_done)](const Reply& r) {
-        on_done(r.status == 200 ? wire::count(r.body, "lien").value_or(0) : 0);
+    request(std::move(call), [on_done = std::move(on_done)](const Reply& reply) {
+        on_done(reply.status == 200 ? wire::count(reply.body, "lien").value_or(0) : 0);
     });
 }
 
@@ -250,7 +250,7 @@
     call.path = "/grants/" + std::to_string(lease) + "/extend";
     call.body = Json::object();
     call.timeout = kSecond;
-    request(std::move(call), [on_done = std::move(on_done)](const Reply& r) { on_done(r.status); });
+    request(std::move(call), [on_done = std::move(on_done)](const Reply& reply) { on_done(reply.status); });
 }
 
 void StoreClient::commit(Change change, std::function<void(const CommitResult&)> on_done) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -135,21 +135,22 @@
 
     void dispatch() {
         auto responded = std::make_shared<bool>(false);
-        server_.handler_(std::move(request_), [self = shared_from_this(), responded](Response r) {
+        server_.handler_(std::move(request_), [self = shared_from_this(), responded](Response response) {
             if (std::exchange(*responded, true)) return;
-            self->send(std::move(r));
+            self->send(std::move(response));
         });
     }
 
-    void send(Response r) {
+    void send(Response response) {
         if (!socket_.is_open()) return;
-        response_ = "HTTP/1.1 " + std::to_string(r.status) + " " + reason_phrase(r.status) +
-                    "\r\nContent-Type: " + r.content_type +
-                    "\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
-        if (r.retry_after > 0) response_ += "Retry-After: " + std::to_string(r.retry_after) + "\r\n";
+        response_ = "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) +
+                    "\r\nContent-Type: " + response.content_type +
+                    "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
+        if (response.retry_after > 0)
+            response_ += "Retry-After: " + std::to_string(response.retry_after) + "\r\n";
         if (close_after_response_) response_ += "Connection: close\r\n";
         response_ += "\r\n";
-        response_ += r.body;
+        response_ += response.body;
         asio::async_write(socket_, asio::buffer(response_),
                           [self = shared_from_this()](asio::error_code ec, std::size_t) {
                               if (ec || self->close_after_response_) return self->close();
