--- a/src/kvstore/store_client.cpp
+++ b/src/kvstore/store_client.cpp
@@ -16,7 +16,7 @@
 constexpr Micros kBatchDelay = 3 * kMillisecond;  // wait for further changes for the same transaction
 // Fraction of the write budget that a change of each priority must leave for more urgent ones.
 constexpr std::array<double, kPriorityCount> kWriteReserve{0.0, 0.15, 0.5};
-// The same for changes that can wait for any time (see is_quiet).
+// The same for changes that can wait for hours (see is_quiet).
 constexpr double kQuietLevel = 0.9;
 // Fractions of the configured write rate: the part that is used, and the bursts of all controllers and of one
 // controller.
@@ -133,14 +133,14 @@
         });
         return;
     }
-    runtime_.call(std::move(call), [this, on_done = std::move(on_done)](const Reply& r) {
-        if (r.status <= 0 || r.status == 503) {
+    runtime_.call(std::move(call), [this, on_done = std::move(on_done)](const Reply& reply) {
+        if (reply.status <= 0 || reply.status == 503) {
             ++consecutive_failures_;
-        } else if (r.status != 429) {
+        } else if (reply.status != 429) {
             consecutive_failures_ = 0;
             last_contact_ = runtime_.now();
         }
-        on_done(r);
+        on_done(reply);
     });
 }
 
@@ -149,13 +149,13 @@
     call.method = "GET";
     call.path = "/store/" + key;
     call.timeout = 1500 * kMillisecond;
-    request(std::move(call), [this, on_done = std::move(on_done)](const Reply& r) {
+    request(std::move(call), [this, on_done = std::move(on_done)](const Reply& reply) {
         ReadResult result;
-        if (r.status == 404 && r.body.is_object()) {
+        if (reply.status == 404 && reply.body.is_object()) {
             result.ok = true;
-        } else if (r.status == 200) {
-            const Json* data = wire::find(r.body, "data");
-            auto mod_revision = wire::count(r.body, "mark");
+        } else if (reply.status == 200) {
+            const Json* data = wire::find(reply.body, "data");
+            auto mod_revision = wire::count(reply.body, "mark");
             if (data && mod_revision) result = {true, true, *data, *mod_revision};
         }
         if (result.found && chunks::chunk_reference(result.value))
@@ -169,37 +169,37 @@
                               std::function<void(ReadResult)> on_done) {
     const auto reference = chunks::chunk_reference(head.value);
     if (texts.size() >= reference->second) {
-        auto whole = chunks::join(head.value, texts);
-        if (!whole) return on_done({});
-        head.value = std::move(*whole);
+        auto joined_value = chunks::join(head.value, texts);
+        if (!joined_value) return on_done({});
+        head.value = std::move(*joined_value);
         return on_done(std::move(head));
     }
     const std::string key = chunks::key(reference->first, texts.size());
     read(key, [this, head = std::move(head), texts = std::move(texts),
-               on_done = std::move(on_done)](const ReadResult& r) mutable {
-        auto text = r.found ? wire::text(r.value, "t") : std::nullopt;
+               on_done = std::move(on_done)](const ReadResult& chunk) mutable {
+        auto text = chunk.found ? wire::text(chunk.value, "t") : std::nullopt;
         if (!text) return on_done({});
         texts.push_back(std::move(*text));
         read_chunks(std::move(head), std::move(texts), std::move(on_done));
     });
 }
 
-void StoreClient::list(const std::string& prefix, NextPageKey next_page_key,
+void StoreClient::list(const std::string& prefix, ContinuationKey continuation_key,
                        std::function<void(const Entry&)> each, std::function<void(ListResult)> on_done) {
-    list_page(prefix, "", std::move(next_page_key), std::move(each), std::make_shared<ListResult>(),
+    list_page(prefix, "", std::move(continuation_key), std::move(each), std::make_shared<ListResult>(),
               std::move(on_done));
 }
 
-void StoreClient::list_page(const std::string& prefix, const std::string& since, NextPageKey next_page_key,
-                            std::function<void(const Entry&)> each, std::shared_ptr<ListResult> result,
-                            std::function<void(ListResult)> on_done) {
+void StoreClient::list_page(const std::string& prefix, const std::string& since,
+                            ContinuationKey continuation_key, std::function<void(const Entry&)> each,
+                            std::shared_ptr<ListResult> result, std::function<void(ListResult)> on_done) {
     Call call;
     call.method = "GET";
     call.path = "/store?starts=" + prefix + (since.empty() ? "" : "&since=" + since) + "&page=1000";
     call.timeout = 4 * kSecond;
     request(std::move(call),
-            [this, prefix, since, next_page_key = std::move(next_page_key), each = std::move(each), result,
-             on_done = std::move(on_done)](const Reply& reply) mutable {
+            [this, prefix, since, continuation_key = std::move(continuation_key), each = std::move(each),
+             result, on_done = std::move(on_done)](const Reply& reply) mutable {
                 const Json* pairs = wire::find(reply.body, "pairs");
                 auto store_revision = wire::count(reply.body, "ledger");
                 if (reply.status != 200 || !pairs || !pairs->is_array() || !store_revision)
@@ -216,8 +216,8 @@
                     each(Entry{*key, data ? *data : Json(), *mod_revision, result->store_revision});
                 }
                 if (wire::flag(reply.body, "has_next").value_or(false) && !last_key.empty()) {
-                    const std::string next = next_page_key(last_key);
-                    return list_page(prefix, next, std::move(next_page_key), std::move(each), result,
+                    const std::string next = continuation_key(last_key);
+                    return list_page(prefix, next, std::move(continuation_key), std::move(each), result,
                                      std::move(on_done));
                 }
                 result->ok = true;
@@ -239,8 +239,8 @@
     call.method = "POST";
     call.path = "/grants";
     call.body = Json{{"ttl_ms", ttl / kMillisecond}};
-    request(std::move(call), [on_done = std::move(on_done)](const Reply& r) {
-        on_done(r.status == 200 ? wire::count(r.body, "lien").value_or(0) : 0);
+    request(std::move(call), [on_done = std::move(on_done)](const Reply& reply) {
+        on_done(reply.status == 200 ? wire::count(reply.body, "lien").value_or(0) : 0);
     });
 }
 
@@ -250,7 +250,7 @@
     call.path = "/grants/" + std::to_string(lease) + "/extend";
     call.body = Json::object();
     call.timeout = kSecond;
-    request(std::move(call), [on_done = std::move(on_done)](const Reply& r) { on_done(r.status); });
+    request(std::move(call), [on_done = std::move(on_done)](const Reply& reply) { on_done(reply.status); });
 }
 
 void StoreClient::commit(Change change, std::function<void(const CommitResult&)> on_done) {
@@ -455,8 +455,8 @@
     if (reply.status == 409) {
         std::set<std::string> failed;
         if (const Json* list = wire::find(reply.body, "failed"); list && list->is_array())
-            for (const auto& k : *list)
-                if (k.is_string()) failed.insert(k.get<std::string>());
+            for (const auto& key : *list)
+                if (key.is_string()) failed.insert(key.get<std::string>());
         std::vector<Pending> conflicting, others;
         for (auto& pending : batch) {
             const bool is_conflicting =
