--- a/src/fakes/fakes.hpp
+++ b/src/fakes/fakes.hpp
@@ -89,13 +89,13 @@
     virtual ~TaskObserver() = default;
     /// Returns nullptr if the job is unknown.
     virtual const JobInfo* job(const std::string& ref) = 0;
-    /// A task's image is fetched, and the task occupies the machine from now on.
+    /// Called when a task's image has been fetched and the task starts on the machine.
     virtual void on_task_started(const std::string& machine, const std::string& job, int task,
                                  std::int64_t attempt) = 0;
-    /// A task no longer runs on the machine, for whatever reason.
+    /// Called when a task no longer runs on the machine, for whatever reason.
     virtual void on_task_stopped(const std::string& machine, const std::string& job, int task,
                                  std::int64_t attempt) = 0;
-    /// A task has completed; its result is kept.
+    /// Called when a task has completed; its result is kept.
     virtual void on_task_completed(const std::string& job, int task, std::int64_t attempt) = 0;
     /// Returns true once every task of the gang's attempt has started on some machine.
     virtual bool is_gang_complete(const std::string& job, std::int64_t attempt) = 0;
--- a/src/fakes/live_worker.cpp
+++ b/src/fakes/live_worker.cpp
@@ -56,7 +56,7 @@
 void LiveWorker::send_report(Micros now) {
     report_in_flight_ = true;
     last_report_at_ = now;
-    next_report_at_ = now + options_.report_every;
+    next_report_at_ = now + options_.report_interval;
     client_.call(controllers_[controller_index_].address, "POST", "/v1/report",
                  wire::encode(worker_->report(now)), kReportTimeout,
                  [this, session = worker_->session(), now](const net::ClientReply& reply) {
--- a/src/fakes/live_worker.hpp
+++ b/src/fakes/live_worker.hpp
@@ -25,7 +25,7 @@
         Endpoint address;
     };
     struct Options {
-        Micros report_every = 500 * kMillisecond;
+        Micros report_interval = 500 * kMillisecond;
         Micros late_command_delay = 4 * kSecond;  // of commands with Delivery::Late
         std::function<Delivery()> command_delivery = [] { return Delivery::Delivered; };
         std::function<bool()> is_answer_lost = [] { return false; };
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -359,9 +359,9 @@
     add_shares("class", acceptance.served_by_class);
     add_shares("team", acceptance.served_by_team);
     add_shares("the largest of", acceptance.served_of_largest);
-    for (const auto& [name, histogram] : acceptance.longest_wait_of_largest)
+    for (const auto& [name, wait] : acceptance.longest_wait_of_largest)
         add_line("longest wait of a largest " + name,
-                 fmt::format("{:.1f} s", static_cast<double>(histogram) / 1e6));
+                 fmt::format("{:.1f} s", static_cast<double>(wait) / 1e6));
     for (const auto& violation : acceptance.violations) add_line("NOT ACCEPTABLE", violation);
     return out;
 }
@@ -416,8 +416,8 @@
           results_(results),
           active_shards_(static_cast<std::size_t>(simulator.node_count())) {}
 
-    void process_ended(int node, Micros process_back) {
-        process_back_at_[node] = simulator_.now() + process_back;
+    void process_ended(int node, Micros back_after) {
+        process_back_at_[node] = simulator_.now() + back_after;
     }
     void observe() {
         for (int i = 0; i < simulator_.node_count(); ++i) {
@@ -669,7 +669,7 @@
     std::set<std::pair<std::string, Revision>> collected;
     for (Micros time = 0; time < scenario.duration; time += 20 * kMillisecond)
         simulator.schedule_at(time, [&] { observer.observe(); });
-    // Shards sum up their startup after ten seconds; so collect the figures twelve seconds after each
+    // Shards sum up their startup after ten seconds, so the figures are collected twelve seconds after each
     // restart.
     for (const auto& fault : scenario.faults)
         if (fault.kind == "end" || fault.kind == "end_all")
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -13,7 +13,7 @@
 
 namespace cottonway::simulation {
 
-/// The arrivals of jobs of one class.
+/// The jobs of one class and their arrivals.
 struct Workload {
     JobSpec job;
     Micros task_duration = 0;
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -158,8 +158,9 @@
                 simulator.duplicate_at_random([&simulator, call, body] {
                     simulator.state_.handle(call.method, call.path, body, simulator.now_);
                 });
-            if (const auto late = call.path == "/commit" ? simulator.draw_write_delay(body) : std::nullopt)
-                return simulator.schedule_at(simulator.now_ + *late, [&simulator, call, body] {
+            if (const auto write_delay =
+                    call.path == "/commit" ? simulator.draw_write_delay(body) : std::nullopt)
+                return simulator.schedule_at(simulator.now_ + *write_delay, [&simulator, call, body] {
                     simulator.state_.handle(call.method, call.path, body, simulator.now_);
                     simulator.replay_reports_to_new_leader();
                 });
@@ -200,13 +201,13 @@
             simulator.schedule_at(
                 simulator.now_ + simulator.random_between(2 * kSecond, kMaxCommandDelay),
                 [&simulator, destination, call, body] {
-                    auto late = [&simulator, destination, call, body] {
+                    auto execute_late = [&simulator, destination, call, body] {
                         if (Worker* worker = simulator.worker(destination))
                             worker->handle(call.method, call.path, body, simulator.now_);
                     };
                     if (simulator.workers_[destination].hung)
-                        return simulator.workers_[destination].deferred_requests.push_back(late);
-                    late();
+                        return simulator.workers_[destination].deferred_requests.push_back(execute_late);
+                    execute_late();
                 });
             return;
         }
@@ -339,13 +340,13 @@
 void Simulator::freeze_process(int node_index, Micros span) {
     Node& node = nodes_[static_cast<std::size_t>(node_index)];
     if (!node.controller || node.frozen) return;
-    record_event("loom-" + std::to_string(node_index) + " stands still for " +
+    record_event("loom-" + std::to_string(node_index) + " is frozen for " +
                  std::to_string(span / kMillisecond) + " ms");
     node.frozen = true;
     schedule_at(now_ + span, [this, node_index] {
         Node& frozen_node = nodes_[static_cast<std::size_t>(node_index)];
         if (!std::exchange(frozen_node.frozen, false)) return;
-        record_event("loom-" + std::to_string(node_index) + " goes on");
+        record_event("loom-" + std::to_string(node_index) + " continues");
         // The worst order: all timers run before any message is read.
         for (auto& run : std::exchange(frozen_node.deferred_timers, {})) run();
         for (auto& run : std::exchange(frozen_node.deferred_messages, {})) run();
@@ -614,7 +615,7 @@
 void Simulator::set_hung(const std::string& name, bool on) {
     auto& worker_state = workers_[name];
     if (!worker_state.worker || worker_state.hung == on) return;
-    record_event("machine " + name + (on ? " hangs" : " goes on"));
+    record_event("machine " + name + (on ? " hangs" : " continues"));
     worker_state.hung = on;
     if (!on)
         for (auto& request : std::exchange(worker_state.deferred_requests, {})) request();
@@ -1037,7 +1038,7 @@
             job_state.info.always_fails || is_cancel_requested(ref))
             continue;
         if (std::any_of(spec.dependencies.begin(), spec.dependencies.end(),
-                        [this](const auto& need) { return jobs_.at(need).completed_at < 0; }))
+                        [this](const auto& dependency) { return jobs_.at(dependency).completed_at < 0; }))
             continue;
         WaitingJob waiting{
             spec, spec.tasks - static_cast<int>(job_state.completed_tasks.size()), {}, job_state.task_starts};
@@ -1150,14 +1151,14 @@
     const JobState& job_state = jobs_.at(ref);
     return job_state.cancel_requested ||
            std::any_of(job_state.info.spec.dependencies.begin(), job_state.info.spec.dependencies.end(),
-                       [this](const auto& need) { return is_cancel_requested(need); });
+                       [this](const auto& dependency) { return is_cancel_requested(dependency); });
 }
 
 Micros Simulator::cancellation_report_time(const std::string& ref) const {
     const JobState& job_state = jobs_.at(ref);
     if (job_state.reported_stage == "cancelled") return job_state.cancellation_reported_at;
-    for (const auto& need : job_state.info.spec.dependencies)
-        if (const Micros time = cancellation_report_time(need)) return time;
+    for (const auto& dependency : job_state.info.spec.dependencies)
+        if (const Micros time = cancellation_report_time(dependency)) return time;
     return 0;
 }
 
@@ -1178,9 +1179,10 @@
     ++job_state.task_starts;
     record_event(ref + "/" + std::to_string(task) + " attempt " + std::to_string(attempt) + " starts on " +
                  machine);
-    for (const auto& need : spec.dependencies)
-        if (static_cast<int>(jobs_.at(need).completed_tasks.size()) < jobs_.at(need).info.spec.tasks)
-            record_violation("too_early", ref + " starts before " + need + " is done");
+    for (const auto& dependency : spec.dependencies)
+        if (static_cast<int>(jobs_.at(dependency).completed_tasks.size()) <
+            jobs_.at(dependency).info.spec.tasks)
+            record_violation("too_early", ref + " starts before " + dependency + " is done");
     auto& machines = running_on_[{ref, task}];
     if (!machines.empty())
         record_violation("ran_twice", ref + "/" + std::to_string(task) + " is on " + machines.begin()->first);
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -59,7 +59,7 @@
     std::vector<std::string> machine_names() const;
     void kill_machine(const std::string& name);
     void set_hung(const std::string& name, bool on);
-    /// Pauses a controller's process while its clocks run on: messages to it wait, and all timers that came
+    /// Freezes a controller's process while its clocks run on: messages to it wait, and all timers that came
     /// due are run when it continues.
     void freeze_process(int node, Micros span);
 
@@ -77,7 +77,7 @@
     void release_held_messages();
     /// Holds messages in one direction. No new connection between the two can be opened either.
     void cut_link_one_way(const std::string& from, const std::string& to);
-    /// Has the state service answer this node alone with 503.
+    /// Has the state service answer this node, and no other, with 503.
     void refuse_state_requests(int node, bool on);
     /// Leaves the process without sockets for calls to workers, so that none of its commands is sent. Workers
     /// that have a connection to it continue to report.
@@ -95,8 +95,8 @@
     double message_loss_rate = 0;
     double state_answer_loss_rate = 0;
     /// Fraction of all reports, commands, transactions, cloud requests and user requests that arrive a second
-    /// time, up to `max_duplicate_delay` later. Nobody waits for the answers to the copies. What the protocol
-    /// says of delayed messages applies to them.
+    /// time, up to `max_duplicate_delay` later. Nobody waits for the answers to the copies. The protocol's
+    /// rules for delayed messages apply to the copies.
     double duplicate_rate = 0;
     Micros max_duplicate_delay = 8 * kSecond;
     /// Fraction of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones,
@@ -246,8 +246,8 @@
         std::uint64_t state_requests = 0;
         bool runs_old_version = false;
         bool frozen = false;
-        std::vector<std::function<void()>> deferred_timers;    // due while it is paused
-        std::vector<std::function<void()>> deferred_messages;  // received while it is paused
+        std::vector<std::function<void()>> deferred_timers;    // due while it is frozen
+        std::vector<std::function<void()>> deferred_messages;  // received while it is frozen
     };
     struct WorkerState {
         std::unique_ptr<fakes::Worker> worker;
@@ -273,7 +273,7 @@
         Micros accepted_at = 0;
         std::set<int> started_tasks;
         Micros first_started_at = -1, all_started_at = -1, completed_at = -1;
-        Micros last_answered_at = 0;    // poll
+        Micros last_answered_at = 0;    // of its polls
         Micros longest_unanswered = 0;  // between answered polls, since all faults were over
     };
     struct LostZone {
@@ -282,12 +282,13 @@
     };
 
     void send(const std::string& from, const std::string& to, std::function<void()> deliver);
-    /// Runs an action in a node's process, after its pause if it is paused.
+    /// Runs an action in a node's process, once the process is no longer frozen.
     void run_on_node(int node, std::function<void()> action, bool timer = false);
     /// Returns the delay of a transaction that is carried out without an answer (0: at once), or nullopt if
     /// it is answered.
     std::optional<Micros> draw_write_delay(const Json& transaction);
-    /// Delivers the reports kept for it to all controllers if the leader in the state service has changed.
+    /// Delivers the reports that were kept for the next leader to all controllers, if the leader in the state
+    /// service has changed.
     void replay_reports_to_new_leader();
     /// Schedules `again` as a duplicate, with the probability `duplicate_rate`.
     void duplicate_at_random(std::function<void()> again);
@@ -300,7 +301,8 @@
         return least + static_cast<Micros>(random() % static_cast<std::uint64_t>(most - least));
     }
     void heal_link(const std::vector<std::pair<std::string, std::string>>& links);
-    /// Returns the time since a job's last answered poll, of the time since all faults were over.
+    /// Returns the time since a job's last answered poll, counted from the end of all faults at the earliest;
+    /// 0 while faults last.
     Micros time_unanswered(const JobState& job_state) const;
     void observe_answer(int node, const ApiResponse& response) const;
     void tick();
--- a/src/soak/rule_checker.cpp
+++ b/src/soak/rule_checker.cpp
@@ -16,12 +16,12 @@
     jobs_.emplace(spec.ref, std::move(submitted));
 }
 
-void RuleChecker::on_answer(RequestKind asked, const std::string& ref, std::uint64_t request_number,
+void RuleChecker::on_answer(RequestKind request_kind, const std::string& ref, std::uint64_t request_number,
                             int status, const std::string& stage) {
     SubmittedJob& job = jobs_.at(ref);
     const bool all_tasks_completed = static_cast<int>(job.completed_tasks.size()) >= job.info.spec.tasks;
     for (const auto& line :
-         consistency_checker_.check_answer(ref, {asked, request_number, status, stage, true},
+         consistency_checker_.check_answer(ref, {request_kind, request_number, status, stage, true},
                                            {true, job.cancellation_requested, all_tasks_completed}))
         violations_.push_back(line);
     if (status != 200 && status != 201) return;
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -28,7 +28,7 @@
     /// To be called before a request is sent. Returns the number of the request, to be passed to on_answer().
     std::uint64_t begin_request() { return consistency_checker_.begin_request(); }
     /// Checks an answer that a user got to a request.
-    void on_answer(simulation::RequestKind asked, const std::string& job, std::uint64_t request_number,
+    void on_answer(simulation::RequestKind request_kind, const std::string& job, std::uint64_t request_number,
                    int status, const std::string& stage);
     /// Checks the rules that can be violated without any event, as time passes.
     void check_deadlines();
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -279,16 +279,16 @@
             const std::string address = to_text(ports_.worker(i));
             cloud_.machines()[name].info.address = address;
             cloud_.machines()[name].info.state = CloudState::Running;
-            fakes::LiveWorker::Options worker;
-            worker.report_every = deployment_.report_interval * (75 + draw_below(51)) / 100;
-            worker.command_delivery = [this] { return command_delivery(); };
-            worker.is_answer_lost = [this] { return active_.lose_answers > 0 && draw_bool(0.5); };
+            fakes::LiveWorker::Options worker_options;
+            worker_options.report_interval = deployment_.report_interval * (75 + draw_below(51)) / 100;
+            worker_options.command_delivery = [this] { return command_delivery(); };
+            worker_options.is_answer_lost = [this] { return active_.lose_answers > 0 && draw_bool(0.5); };
             workers_.push_back(std::make_unique<fakes::LiveWorker>(
                 io_,
                 std::make_unique<fakes::Worker>(name, address, machine_type(), zone, false,
                                                 deployment_.worker_lease, deployment_.gang_wait_timeout,
                                                 rule_checker_, now),
-                controllers, worker));
+                controllers, worker_options));
         }
     }
 
@@ -461,24 +461,26 @@
         return spec;
     }
 
-    void send_user_request(RequestKind asked, const std::string& ref,
+    void send_user_request(RequestKind request_kind, const std::string& ref,
                            std::function<void(int status)> on_reply, int controller = -1) {
         const int target = controller >= 0 ? controller : draw_below(kControllers);
-        const bool is_state_query = asked == RequestKind::State;
+        const bool is_state_query = request_kind == RequestKind::State;
         std::string path = "/v1/jobs";
-        if (asked != RequestKind::Submission) path += "/" + ref;
-        if (asked == RequestKind::Cancellation) path += "/abort";
-        const std::string body =
-            asked == RequestKind::Submission ? wire::encode(wire::job_value(rule_checker_.spec(ref))) : "";
+        if (request_kind != RequestKind::Submission) path += "/" + ref;
+        if (request_kind == RequestKind::Cancellation) path += "/abort";
+        const std::string body = request_kind == RequestKind::Submission
+                                     ? wire::encode(wire::job_value(rule_checker_.spec(ref)))
+                                     : "";
         user_client_.call(ports_.client(target), is_state_query ? "GET" : "POST", path, body,
                           is_state_query ? 2 * kSecond : kUserRequestTimeout,
-                          [this, asked, ref, request_number = rule_checker_.begin_request(),
+                          [this, request_kind, ref, request_number = rule_checker_.begin_request(),
                            on_reply = std::move(on_reply)](const net::ClientReply& reply) {
                               rule_checker_.set_time(net::steady_micros());
                               const Json answer = wire::decode(reply.body).value_or(Json());
                               const std::string stage = wire::text(answer, "stage").value_or("");
                               if (reply.status > 0)
-                                  rule_checker_.on_answer(asked, ref, request_number, reply.status, stage);
+                                  rule_checker_.on_answer(request_kind, ref, request_number, reply.status,
+                                                          stage);
                               on_reply(reply.status);
                           });
     }
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -265,7 +265,7 @@
                 << simulator->format_history();
             EXPECT_EQ(simulator->running_tasks(ref), 0) << ref;
         }
-        expect_each_machine_leased_once(*simulator);
+        expect_each_machine_listed_once(*simulator);
     }
 }
 
@@ -307,7 +307,7 @@
         EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
         EXPECT_EQ(simulator.task_starts("req-000001"), 4) << simulator.format_history();
         EXPECT_NO_VIOLATIONS(simulator);
-        expect_each_machine_leased_once(simulator);
+        expect_each_machine_listed_once(simulator);
     }
 }
 
--- a/tests/settled_simulator.hpp
+++ b/tests/settled_simulator.hpp
@@ -46,7 +46,7 @@
 }
 
 /// Expects that every machine is listed in one block, once, and that no block lists a machine that is gone.
-inline void expect_each_machine_leased_once(simulation::Simulator& simulator, const char* occasion = "") {
+inline void expect_each_machine_listed_once(simulation::Simulator& simulator, const char* occasion = "") {
     auto listings = block_listings(simulator);
     for (const auto& name : simulator.machine_names())
         EXPECT_EQ(listings[name], 1) << name << " " << occasion << "\n" << simulator.format_history();
@@ -55,11 +55,11 @@
                                             << simulator.format_history();
 }
 
-/// Writes the record of a hand-over by the shard's owner directly, as if the owner had got no answer to its
-/// commit.
+/// Writes the record of a shard transfer into the state service directly, as if the owner had committed it
+/// and got no answer.
 inline void commit_shard_transfer(simulation::Simulator& simulator, int from, int to) {
     const std::string key = "c/domain/" + simulator.owner_at(from)->shard();
-    simulator.record_event(host(from) + " hands over to " + host(to));
+    simulator.record_event(host(from) + " transfers its shard to " + host(to));
     Json write{{"write", key}, {"data", {{"holder", host(to)}}}};
     Json change{{"when", Json::array({Json{{"k", key}, {"mark", simulator.owner_at(from)->mod_revision()}}})},
                 {"then", Json::array({write})}};
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -94,7 +94,7 @@
             EXPECT_EQ(simulator.task_starts(ref), 10) << store_fault.name << ": each task must start once\n"
                                                       << simulator.format_history();
         }
-        expect_each_machine_leased_once(simulator, store_fault.name);
+        expect_each_machine_listed_once(simulator, store_fault.name);
         // No more machines than the limits of two teams need.
         EXPECT_LT(rented_cores(simulator), 40'000 + 16'000) << store_fault.name << "\n"
                                                             << simulator.format_history();
@@ -123,7 +123,7 @@
         ASSERT_LE(rented_cores(simulator), before) << simulator.format_history();
     }
     simulator.run(30 * kSecond);
-    expect_each_machine_leased_once(simulator);
+    expect_each_machine_listed_once(simulator);
     EXPECT_NO_VIOLATIONS(simulator);
 }
 
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -1,4 +1,5 @@
-// Runs experiments in the simulator and prints their results. The same seed gives the same run.
+// Runs an experiment, which is a scenario of the simulator, and prints its results. The same seed gives the
+// same run.
 
 #include <CLI/CLI.hpp>
 #include <fstream>
