--- a/src/simulation/consistency_checker.hpp
+++ b/src/simulation/consistency_checker.hpp
@@ -42,7 +42,7 @@
     std::size_t answers_after_end() const { return answers_after_end_; }
 
   private:
-    /// Logical times of the first answer that told each state, 0: none yet.
+    /// Logical times of the first answer that reported each state, 0: none yet.
     struct Job {
         std::uint64_t accepted = 0, done = 0, cancelled = 0;
     };
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -198,8 +198,8 @@
     ApiResponse request(int node, const std::string& method, const std::string& path, const Json& body);
     ApiResponse request_raw(int node, const std::string& method, const std::string& path,
                             const std::string& body);
-    /// Returns what the user of a job was last told.
-    std::string reported_stage(const std::string& ref) const;  // "", "accepted", "done" or "cancelled"
+    /// Returns the stage that the user of a job was last told: "", "accepted", "done" or "cancelled".
+    std::string reported_stage(const std::string& ref) const;
     /// Returns the number of task attempts on machines.
     int running_tasks(const std::string& ref) const;
     std::set<std::string> machines_running(const std::string& ref) const;
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -23,7 +23,7 @@
 // ---------------------------------------------------------------- the checker
 
 struct CheckedAnswer {
-    RequestKind asked;
+    RequestKind request;
     int status;
     const char* stage;
 };
@@ -70,13 +70,13 @@
             const auto early_request = checker.begin_request();
             const bool acceptable = test_case.actual.submitted;
             checker.check_answer("req-000001",
-                                 {test_case.first.asked, checker.begin_request(), test_case.first.status,
+                                 {test_case.first.request, checker.begin_request(), test_case.first.status,
                                   test_case.first.stage, acceptable},
                                  test_case.actual);
             const auto request_moment = begun_before ? early_request : checker.begin_request();
             const auto violations =
                 checker.check_answer("req-000001",
-                                     {test_case.then.asked, request_moment, test_case.then.status,
+                                     {test_case.then.request, request_moment, test_case.then.status,
                                       test_case.then.stage, acceptable},
                                      test_case.actual);
             const std::string violated_rule =
@@ -141,7 +141,7 @@
     for (int admitting_node = 0; admitting_node < 3; ++admitting_node)
         for (int faulty_node = 0; faulty_node < 3; ++faulty_node) {
             if ((admitting_node + faulty_node) % 2 == separate_history)
-                continue;  // the other form of history runs the other half
+                continue;  // the other value of separate_history covers the rest
             simulator->preferred_node = admitting_node;
             const int first = number + 1;
             // An array and a gang that complete, two jobs that are cancelled, and jobs that need the first
@@ -150,9 +150,9 @@
                 ++number, simulator->submit(simulator->make_job(number, kind, 1 + number % 2), 600 * kMs,
                                             100 * kMs);
             node_fault.begin(*simulator, faulty_node);
-            for (const int need : {first, first + 2}) {
+            for (const int needed_job : {first, first + 2}) {
                 JobSpec spec = simulator->make_job(++number, JobKind::Array, 1);
-                spec.dependencies = {simulator->make_job(need, JobKind::Array, 1).ref};
+                spec.dependencies = {simulator->make_job(needed_job, JobKind::Array, 1).ref};
                 submit_once_accepted(*simulator, spec);
             }
             simulator->run(500 * kMs);
@@ -222,8 +222,8 @@
     EXPECT_NO_VIOLATIONS(*simulator);
 }
 
-/// Pauses a node while the state service carries out more changes than it keeps, so that the node must read
-/// all again.
+/// Freezes a node while the state service carries out more changes than it keeps, so that the node must read
+/// everything again.
 void make_node_fall_behind(Simulator& simulator, int node) {
     simulator.freeze_process(node, 1300 * kMs);
     for (int n = 0; n < 12'000; ++n)
@@ -273,7 +273,7 @@
     simulator->run(400 * kMs);
     make_node_fall_behind(*simulator, node);
     simulator->run(600 * kMs);
-    for (int again = 0; again < 3; ++again) {
+    for (int round = 0; round < 3; ++round) {
         for (int n = 1; n <= 16; ++n) {
             for (int i = 0; i < 3; ++i)
                 simulator->query_and_resubmit(simulator->make_job(n, JobKind::Array, 1), i);
@@ -351,21 +351,21 @@
     const char* name;
     JobKind kind;
     int tasks;
-    bool needed;
+    bool has_dependent;
 };
 const std::vector<LastTaskCase> kLastTaskCases{{"array", JobKind::Array, 1, false},
                                                {"array of three", JobKind::Array, 3, false},
                                                {"array of several parts", JobKind::Array, 16, false},
                                                {"gang", JobKind::Gang, 2, false},
                                                {"needed", JobKind::Array, 1, true}};
-constexpr Micros kRun = 1500 * kMs;
+constexpr Micros kRunTime = 1500 * kMs;
 
-/// Cancels a job so long after its last task has completed, or before that if `after` is negative.
+/// Cancels a job `after` the completion of its last task, or before it if `after` is negative.
 void cancel_near_completion(Simulator& simulator, const std::string& ref, Micros after) {
     const bool is_due = after < 0 ? simulator.task_starts(ref) > 0
                                   : simulator.completed_tasks(ref) == simulator.job(ref)->spec.tasks;
     if (is_due)
-        return simulator.schedule_at(simulator.now() + (after < 0 ? kRun + after : after),
+        return simulator.schedule_at(simulator.now() + (after < 0 ? kRunTime + after : after),
                                      [&simulator, ref] { simulator.cancel(ref); });
     simulator.schedule_at(simulator.now() + 5 * kMs,
                           [&simulator, ref, after] { cancel_near_completion(simulator, ref, after); });
@@ -394,10 +394,10 @@
             JobSpec spec = simulator->make_job(++number, kLastTaskCases[case_index].kind,
                                                kLastTaskCases[case_index].tasks,
                                                kLastTaskCases[case_index].tasks > 10 ? 0.05 : 1);
-            simulator->submit(spec, kRun, 0);
+            simulator->submit(spec, kRunTime, 0);
             cancel_near_completion(*simulator, spec.ref, after);
             refs[case_index].push_back(spec.ref);
-            if (kLastTaskCases[case_index].needed) {
+            if (kLastTaskCases[case_index].has_dependent) {
                 JobSpec dependent = simulator->make_job(++number, JobKind::Array, 1);
                 dependent.dependencies = {spec.ref};
                 submit_once_accepted(*simulator, dependent);
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -248,7 +248,7 @@
     // cancel_s.
     const std::vector<std::pair<int, int>> duration_ranges{
         {300, 2'000}, {3'000, 10'000}, {13'000, 25'000}, {31'000, 45'000}};
-    auto draw_length = [&](std::size_t i) {
+    auto draw_fault_duration = [&](std::size_t i) {
         return draw_duration(duration_ranges[i].first, duration_ranges[i].second);
     };
     FaultInjector faults(simulator);
@@ -270,25 +270,26 @@
     Micros next_start = 14 * kSecond;
     for (int n = 0; n < kOverlaps; ++n) {
         const bool swapped = (n + seed) % 2;
-        // The first fault's length goes through all of them in turn; the second's is random.
-        const Micros first = draw_length(static_cast<std::size_t>(n + seed / 2) % 4);
-        const Micros second = draw_length(static_cast<std::size_t>(draw_below(4)));
-        const Micros start_gap = std::min(draw_duration(200, 3'000), first * 3 / 4);
-        const Micros overlap = std::min(first - start_gap, second);
+        // The first fault's duration goes through all ranges in turn; the second's range is random.
+        const Micros first_duration = draw_fault_duration(static_cast<std::size_t>(n + seed / 2) % 4);
+        const Micros second_duration = draw_fault_duration(static_cast<std::size_t>(draw_below(4)));
+        const Micros start_gap = std::min(draw_duration(200, 3'000), first_duration * 3 / 4);
+        const Micros overlap = std::min(first_duration - start_gap, second_duration);
         auto node = std::make_shared<int>(-1);
-        simulator.schedule_at(next_start, [&faults, node, kind = swapped ? second_kind : first_kind, first] {
-            *node = faults.draw_node(-1);
-            faults.begin(kind, *node, first);
-        });
+        simulator.schedule_at(next_start,
+                              [&faults, node, kind = swapped ? second_kind : first_kind, first_duration] {
+                                  *node = faults.draw_node(-1);
+                                  faults.begin(kind, *node, first_duration);
+                              });
         simulator.schedule_at(next_start + start_gap,
-                              [&, node, kind = swapped ? first_kind : second_kind, second] {
+                              [&, node, kind = swapped ? first_kind : second_kind, second_duration] {
                                   for (const auto& ref : simulator.job_refs())
                                       running_at_overlaps += simulator.running_tasks(ref);
-                                  faults.begin(kind, faults.draw_node(*node), second);
+                                  faults.begin(kind, faults.draw_node(*node), second_duration);
                               });
         for (int i = 1; i <= 3; ++i)
             simulator.schedule_at(next_start + start_gap + overlap * i / 4, [&] { cancel_recent_jobs(3); });
-        next_start += std::max(first, start_gap + second) + draw_duration(3'000, 12'000);
+        next_start += std::max(first_duration, start_gap + second_duration) + draw_duration(3'000, 12'000);
     }
     const Micros end = next_start;
     int number = 1;
@@ -327,7 +328,7 @@
     }
     simulator.run(end);
     simulator.heal_all_links();
-    // All effects are over by then, also a restart during a freeze, and late copies and transactions.
+    // All effects are over by then, including a restart during a freeze, and late copies and transactions.
     simulator.schedule_at(
         simulator.now() + Simulator::max_report_copy_delay(simulator.settings.worker_lease) + 2 * kSecond,
         [&simulator] { simulator.mark_faults_over(); });
@@ -360,7 +361,7 @@
 
 /// Found by seed 70 (an outage while a controller is paused): a user submits to two controllers at once, and
 /// both admit the job into the shard of one of them. That one loses, and the winner's record reached it
-/// before the answer to its own commit (ShardOwner::take_again).
+/// before the answer to its own commit (ShardOwner::apply_cached_record).
 TEST(FaultPairs, JobAdmittedByTwoNodesIntoOneShardRuns) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Simulator simulator(seed);
@@ -426,7 +427,7 @@
     for (const int seed : seeds()) ++count[pair_of(seed)];
     for (const auto& [pair, seed_count] : count)
         std::printf("%4d  %s, %s\n", seed_count, pair.first.c_str(), pair.second.c_str());
-    std::printf("%d pairs, %zu played\n", total_pairs, count.size());
+    std::printf("%d pairs, %zu run\n", total_pairs, count.size());
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -67,9 +67,9 @@
     // Pipelines: each job is submitted as soon as those that it needs are accepted.
     std::function<void(std::vector<JobSpec>)> submit_chain = [&](std::vector<JobSpec> chain) {
         if (chain.empty()) return;
-        const bool ready =
-            std::all_of(chain.front().dependencies.begin(), chain.front().dependencies.end(),
-                        [&](const auto& need) { return !simulator.reported_stage(need).empty(); });
+        const bool ready = std::all_of(
+            chain.front().dependencies.begin(), chain.front().dependencies.end(),
+            [&](const auto& dependency) { return !simulator.reported_stage(dependency).empty(); });
         if (ready) {
             simulator.submit(chain.front(), static_cast<Micros>(1000 + draw_below(4000)) * kMillisecond,
                              300 * kMillisecond, draw_below(20) == 0);
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -63,8 +63,9 @@
         rule_checker_.submit(spec, kSecond);
         report_answer(RequestKind::Submission, ref, 201, "pending");
     }
-    void report_answer(RequestKind asked, const std::string& ref, int status, const std::string& stage) {
-        rule_checker_.on_answer(asked, ref, rule_checker_.begin_request(), status, stage);
+    void report_answer(RequestKind request_kind, const std::string& ref, int status,
+                       const std::string& stage) {
+        rule_checker_.on_answer(request_kind, ref, rule_checker_.begin_request(), status, stage);
     }
     void cancel(const std::string& ref) {
         rule_checker_.record_cancellation_request(ref);
--- a/tests/starvation_checker_test.cpp
+++ b/tests/starvation_checker_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs start when there isn't room for all, while controllers restart at any moment.
+// Which jobs start when there isn't capacity for all, while controllers restart at any moment.
 
 #include <gtest/gtest.h>
 
@@ -11,10 +11,10 @@
 using namespace simulation;
 namespace {
 
-JobSpec make_ranked_job(Simulator& simulator, int number, PriorityClass rank, JobKind kind, int tasks,
-                        double cores) {
+JobSpec make_job_with_priority(Simulator& simulator, int number, PriorityClass priority_class, JobKind kind,
+                               int tasks, double cores) {
     JobSpec spec = simulator.make_job(number, kind, tasks, cores);
-    spec.priority_class = rank;
+    spec.priority_class = priority_class;
     spec.job_class = spec.ref;  // task_start_delays() lists delays by class
     spec.estimated_duration = 6 * kSecond;
     return spec;
@@ -27,9 +27,9 @@
     return 3600 * kSecond;
 }
 
-/// Restarts a random controller every so often.
-void schedule_controller_restarts(Simulator& simulator, Micros from, Micros until, Micros every) {
-    for (Micros t = from; t < until; t += every)
+/// Restarts a random controller at this interval.
+void schedule_controller_restarts(Simulator& simulator, Micros from, Micros until, Micros interval) {
+    for (Micros t = from; t < until; t += interval)
         simulator.schedule_at(t, [&simulator] {
             simulator.crash(static_cast<int>(simulator.random() % 3), 300 * kMillisecond + 2 * kSecond);
         });
@@ -39,17 +39,20 @@
 /// can run. Large jobs of normal priority need 6 of the 8 remaining cores at once.
 TEST(Starvation, EndlessHighPriorityJobsLeaveHalfToNormalJobsAndLargestOnesStart) {
     auto simulator = settled_simulator(5, 8);
-    simulator->submit(make_ranked_job(*simulator, 1, PriorityClass::Production, JobKind::Service, 4, 4), 0);
+    simulator->submit(
+        make_job_with_priority(*simulator, 1, PriorityClass::Production, JobKind::Service, 4, 4), 0);
     simulator->run(4 * kSecond);
     ASSERT_EQ(simulator->running_tasks("req-000001"), 4) << simulator->format_history();
     const Micros start = simulator->now();
     std::vector<std::string> high, normal, large;
     int number = 100;
-    auto submit_later = [&](Micros at, std::vector<std::string>& list, PriorityClass rank, int tasks,
-                            double cores, Micros run) {
-        auto spec = make_ranked_job(*simulator, number++, rank, JobKind::Array, tasks, cores);
+    auto submit_later = [&](Micros at, std::vector<std::string>& list, PriorityClass priority_class,
+                            int tasks, double cores, Micros run_time) {
+        auto spec =
+            make_job_with_priority(*simulator, number++, priority_class, JobKind::Array, tasks, cores);
         list.push_back(spec.ref);
-        simulator->schedule_at(start + at, [&simulator, spec, run] { simulator->submit(spec, run); });
+        simulator->schedule_at(start + at,
+                               [&simulator, spec, run_time] { simulator->submit(spec, run_time); });
     };
     for (int i = 0; i < 100; ++i)
         submit_later(i * 2500 * kMillisecond, high, PriorityClass::High, 4, 1, 6 * kSecond);
@@ -73,11 +76,12 @@
 
 TEST(Starvation, ServicePreemptsBatchWithinTheLimitOfItsTeam) {
     auto simulator = settled_simulator(6, 8);
-    simulator->submit(make_ranked_job(*simulator, 1, PriorityClass::Normal, JobKind::Array, 24, 1),
+    simulator->submit(make_job_with_priority(*simulator, 1, PriorityClass::Normal, JobKind::Array, 24, 1),
                       120 * kSecond);
     simulator->run(4 * kSecond);
     ASSERT_EQ(simulator->running_tasks("req-000001"), 24) << simulator->format_history();
-    simulator->submit(make_ranked_job(*simulator, 2, PriorityClass::Production, JobKind::Service, 4, 2), 0);
+    simulator->submit(
+        make_job_with_priority(*simulator, 2, PriorityClass::Production, JobKind::Service, 4, 2), 0);
     simulator->run(15 * kSecond);
     EXPECT_EQ(simulator->running_tasks("req-000002"), 4) << simulator->format_history();
     EXPECT_EQ(simulator->running_tasks("req-000001"), 16) << "no more tasks were preempted than needed";
@@ -94,14 +98,15 @@
     for (int i = 0; i < 4; ++i) simulator.add_machine("small", i % 2 ? "b" : "a");
     simulator.start_nodes();
     simulator.run(8 * kSecond);
-    simulator.submit(make_ranked_job(simulator, 1, PriorityClass::Normal, JobKind::Array, 40, 1),
+    simulator.submit(make_job_with_priority(simulator, 1, PriorityClass::Normal, JobKind::Array, 40, 1),
                      300 * kSecond);
     simulator.run(8 * kSecond);
     EXPECT_EQ(simulator.running_tasks("req-000001"), 16) << simulator.format_history();
     ASSERT_GE(simulator.owner_node(), 0);
     simulator.crash(simulator.owner_node(), 3 * kSecond);
-    simulator.submit(make_ranked_job(simulator, 2, PriorityClass::Production, JobKind::Service, 8, 1), 0);
-    simulator.submit(make_ranked_job(simulator, 3, PriorityClass::Normal, JobKind::Array, 1, 2),
+    simulator.submit(make_job_with_priority(simulator, 2, PriorityClass::Production, JobKind::Service, 8, 1),
+                     0);
+    simulator.submit(make_job_with_priority(simulator, 3, PriorityClass::Normal, JobKind::Array, 1, 2),
                      20 * kSecond);
     simulator.run(12 * kSecond);
     EXPECT_EQ(simulator.running_tasks("req-000002"), 8) << simulator.format_history();
@@ -120,13 +125,13 @@
     auto simulator = settled_simulator(9, 2);
     simulator->cloud().capacity = 0;
     int number = 100;
-    auto submit_later = [&](Micros at, const std::string& team, PriorityClass rank, JobKind kind, int tasks,
-                            double cores, Micros run) {
-        JobSpec spec = make_ranked_job(*simulator, number++, rank, kind, tasks, cores);
+    auto submit_later = [&](Micros at, const std::string& team, PriorityClass priority_class, JobKind kind,
+                            int tasks, double cores, Micros run_time) {
+        JobSpec spec = make_job_with_priority(*simulator, number++, priority_class, kind, tasks, cores);
         spec.team = team;
         if (kind == JobKind::Service) spec.zone = "a";  // one of the two machines
         simulator->schedule_at(simulator->now() + at,
-                               [&simulator, spec, run] { simulator->submit(spec, run); });
+                               [&simulator, spec, run_time] { simulator->submit(spec, run_time); });
     };
     submit_later(0, "red", PriorityClass::Production, JobKind::Service, 8, 1, 0);  // takes red's guarantee
     for (int i = 0; i < 100; ++i)
@@ -135,7 +140,7 @@
         submit_later((40 + 6 * i) * kSecond, "blue", PriorityClass::Normal, JobKind::Array, 1, 4,
                      5 * kSecond);
     // The job that is overdue longest. Until then its remaining run time puts it last in the queue.
-    JobSpec large = make_ranked_job(*simulator, 1, PriorityClass::Normal, JobKind::Array, 1, 4);
+    JobSpec large = make_job_with_priority(*simulator, 1, PriorityClass::Normal, JobKind::Array, 1, 4);
     large.estimated_duration = 900 * kSecond;
     simulator->schedule_at(simulator->now() + 20 * kSecond, [&] { simulator->submit(large, 40 * kSecond); });
     simulator->run(280 * kSecond);
