--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -359,7 +359,7 @@
         explanation["why"] = {view->stage == Stage::Done ? "it is done"
                               : view->stage == Stage::Cancelled
                                   ? "it is cancelled"
-                                  : "it is finished, or its record is being read"};
+                                  : "it is over, or about to be heard of again"};
         return explanation;
     }
     const OwnershipRecord* shard = cache_.membership.shard(live->shard);
@@ -369,13 +369,13 @@
     if (!owner || !owner->active()) {
         explanation["why"] = {owner ? "its domain is being taken over here"
                               : shard && !shard->holder.empty()
-                                  ? "its domain is held by " + shard->holder + ", ask that node"
+                                  ? "its domain is held by " + shard->holder + ", which knows more"
                                   : "nobody holds its domain yet"};
         return explanation;
     }
     const Json details = owner->explain(ref);
     if (details.is_null()) {
-        explanation["why"] = {"its holder has not loaded it yet"};
+        explanation["why"] = {"its holder has not taken it in yet"};
         return explanation;
     }
     explanation.update(details);
