--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -195,10 +195,10 @@
     }
 }
 
-/// Retires machines that are missing from the list. A listed machine stays listed until it is gone, and a
-/// list is at most twice its lag old. So a machine that was first listed long before that and is missing now
-/// is gone. Deleting it is harmless and confirms this, which proves that its tasks have ended, much sooner
-/// than the end of their lease would.
+/// Retires machines that are missing from the list. A listed machine stays listed until it has terminated,
+/// and a list is at most twice its lag old. So a machine that was first listed long before that and is
+/// missing now has terminated. Deleting it is harmless and confirms this, which proves that its tasks have
+/// ended, much sooner than the end of their lease would.
 void Autoscaler::on_list_complete() {
     const Micros now = runtime_.now();
     for (auto it = first_listed_.begin(); it != first_listed_.end();) {
@@ -399,7 +399,7 @@
         deleting_ = false;
         if (reply.status != 200) return;
         for (const auto& name : names) {
-            machine_allocator_.on_machine_gone(name);
+            machine_allocator_.on_machine_returned(name);
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
@@ -447,8 +447,8 @@
 
 /// Finds a job that could not start even if the whole fleet were empty, because too few machines are of the
 /// zone and types that it may use; the fleet's totals don't show this. Within its team's limit a job needs
-/// room for all its tasks at once, an array for an eighth of those that remain. Of several such jobs, returns
-/// the one that has waited longest.
+/// capacity for all its tasks at once, an array for an eighth of those that remain. Of several such jobs,
+/// returns the one that has waited longest.
 std::optional<Autoscaler::UnschedulableJob> Autoscaler::find_unschedulable() const {
     std::map<Shape, int> machine_counts;
     for (const auto& [id, block] : cache_.blocks.all())
--- a/src/allocation/autoscaler.hpp
+++ b/src/allocation/autoscaler.hpp
@@ -77,7 +77,7 @@
     /// A job that the machines it may use could not hold even if they were empty.
     struct UnschedulableJob {
         JobSpec job;
-        int missing_tasks = 0;  // tasks for which no such machine has room
+        int missing_tasks = 0;  // tasks that fit on no such machine
     };
     std::optional<UnschedulableJob> find_unschedulable() const;
     /// A shape that can be rented. The cheapest cores are ordered first.
--- a/src/allocation/capacity_broker.hpp
+++ b/src/allocation/capacity_broker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Requests machines and quota for waiting tasks from the shards that have most to spare, and answers such
+// Requests machines and quota for waiting tasks from the shards that have most available, and answers such
 // requests of other controllers.
 
 #include <functional>
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -181,8 +181,8 @@
     change.priority = Priority::Deferrable;
     change.conditions = {{keys::shard + block.shard, owner.mod_revision()},
                          {keys::block + block.id, block.mod_revision}};
-    // The new records come first: a machine that another block lists already does not count as gone when its
-    // old block no longer lists it.
+    // The new records come first: a machine that another block lists already does not count as removed when
+    // its old block no longer lists it.
     std::vector<std::pair<std::string, Json>> writes;
     for (const auto& part : parts) {
         change.conditions.push_back({keys::block + part.id, 0});
@@ -239,7 +239,7 @@
     for (auto& done : unallocated.mapped().callbacks) runtime_.after(0, std::move(done));
 }
 
-void MachineAllocator::on_machine_gone(const std::string& machine) {
+void MachineAllocator::on_machine_returned(const std::string& machine) {
     drop_unallocated(machine);
     returned_.put(machine, {});
     if (returned_.size() > kMaxReturnedNames) returned_.erase(std::string(returned_.oldest().first));
@@ -422,7 +422,7 @@
     // records as fit into a transaction.
     Block next;
     std::map<std::string, Block> sources;
-    std::vector<std::string> kept, transferred;
+    std::vector<std::string> retained, transferred;
     for (const auto& name : offered) {
         const Block* block = cache_.blocks.find_by_machine(name);
         const bool first = next.type.empty();
@@ -432,7 +432,7 @@
             (sources.count(block->id) || sources.size() + 2 <= settings_.max_txn_ops) &&
             transferred.size() < max_block_machines();
         if (!fits) {
-            kept.push_back(name);
+            retained.push_back(name);
             continue;
         }
         if (first) {
@@ -448,7 +448,7 @@
         std::erase_if(source.machines, [&](const Block::Machine& listed) { return listed.name == name; });
         transferred.push_back(name);
     }
-    from.withdraw_offer(kept);
+    from.withdraw_offer(retained);
     if (transferred.empty()) return done({});
     next.id = next_block_id(from.mod_revision());
     next.shard = request.shard;
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -45,8 +45,8 @@
     }
     /// Called when no block lists the machine any more, and when the cloud has confirmed that it is deleted,
     /// which also covers machines that have never been in a block.
-    void on_machine_gone(const std::string& machine);
-    /// Returns true if the machine is known to be gone for good. A report or a list that still names it is
+    void on_machine_returned(const std::string& machine);
+    /// Returns true if the machine is known to have been returned. A report or a list that still names it is
     /// old: leased again, the machine would count as capacity until its silence is noticed.
     bool is_returned(const std::string& machine) const { return returned_.find(machine) != nullptr; }
     /// Returns true if the machines are to be spread over the shards of all controllers. A single owner of
--- a/src/allocation/quota_allocator.cpp
+++ b/src/allocation/quota_allocator.cpp
@@ -87,7 +87,7 @@
 /// A change without an answer is retried until its outcome is known. Until then neither shard counts the
 /// transferred part as its own.
 void QuotaAllocator::transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
-                                    const Resources& spare, std::function<void(peer::Grant)> done) {
+                                    const Resources& offered, std::function<void(peer::Grant)> done) {
     const std::string shard = from.shard();
     QuotaCache& shares = cache_.quotas;
     const auto* stored_from = shares.find(shard);
@@ -98,8 +98,8 @@
     auto granted = [](Milli available, Milli requested) {
         return std::min(available, std::max(requested, available / 2));
     };
-    const Resources grant{granted(spare.cores, std::max<Milli>(request.amount.cores, 0)),
-                          granted(spare.gpus, std::max<Milli>(request.amount.gpus, 0)), 0};
+    const Resources grant{granted(offered.cores, std::max<Milli>(request.amount.cores, 0)),
+                          granted(offered.gpus, std::max<Milli>(request.amount.gpus, 0)), 0};
     if (grant.cores <= 0 && grant.gpus <= 0) return done({});
     QuotaAllocation new_from = stored_from->allocation, new_receiver;
     Revision receiver_revision = 0;
--- a/src/allocation/quota_allocator.hpp
+++ b/src/allocation/quota_allocator.hpp
@@ -28,8 +28,9 @@
     /// adds the difference to the share of a shard that it holds. All other changes are transfers, which
     /// leave the sum as it is. Called ten times a second.
     void allocate_initial_quota();
-    /// Transfers a part of the quota that a shard held by this node can spare to the requesting shard.
-    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& request, const Resources& spare,
+    /// Transfers a part of `offered`, quota that a shard held by this node does not use, to the requesting
+    /// shard.
+    void transfer_quota(ShardOwner& from, const peer::QuotaRequest& request, const Resources& offered,
                         std::function<void(peer::Grant)> done);
 
   private:
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kProbeTimeout = kSecond;
 constexpr std::size_t kMaxConcurrentProbes = 64;  // of machines in no block
 // Promises of a former process of a node expire after so many leases.
-constexpr Micros kForgottenPromiseLeases = 2;
+constexpr Micros kFormerPromiseLeases = 2;
 }  // namespace
 
 HeartbeatRouter::HeartbeatRouter(Runtime& runtime, const Settings& settings, const ChangeFeed& feed,
@@ -234,7 +234,7 @@
     // This process does not know what a former process of this node promised, so it waits until those
     // promises have expired.
     evidence.former_promises_expired =
-        now - started_at_ > kForgottenPromiseLeases * with_drift(settings_.worker_lease);
+        now - started_at_ > kFormerPromiseLeases * with_drift(settings_.worker_lease);
     evidence.lease_relinquished =
         proxied != proxied_workers_.end() && now < proxied->second.relinquished_until;
     evidence.machine_listed = machine && !machine->retired;
@@ -294,7 +294,7 @@
                         return;
                     // The peer promised for longer, but a successor process on its node does not know of the
                     // promise and waits only for this long before it renews leases.
-                    const Micros promised = kForgottenPromiseLeases * with_drift(settings_.worker_lease);
+                    const Micros promised = kFormerPromiseLeases * with_drift(settings_.worker_lease);
                     for (std::size_t i = 0; i < machines.size(); ++i)
                         current_owner->on_relinquished(
                             peer, machines[i],
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -429,8 +429,8 @@
         if (!assignment_.find(name)) free_cores -= peers_.cores_sent_to(name);
         double share = static_cast<double>(free_cores) / static_cast<double>(reference_cores) +
                        (shard.holder == settings_.node ? kLocalShardBonus : 0.0);
-        // A job of high priority goes to a shard that recently used its image, if there is room for all of
-        // it.
+        // A job of high priority goes to a shard that recently used its image, if there is free
+        // capacity for all of it.
         if (spec.priority_class <= PriorityClass::High && free_cores >= needed_cores)
             if (const Micros last_used = cache_.jobs.image_last_used(spec.image, name);
                 last_used > 0 && runtime_.now() - last_used < kImageCachedFor)
--- a/src/cache/job_cache.hpp
+++ b/src/cache/job_cache.hpp
@@ -75,7 +75,8 @@
     /// well, so that every job without one is proven to be unfinished.
     void on_resync_end(const std::function<bool(const std::string& key)>& seen, bool with_history);
 
-    /// Returns live jobs whose record is gone: they may be finished, and their final records must be read.
+    /// Returns live jobs whose record was deleted: they may be finished, and their final records must be
+    /// read.
     const std::set<std::string>& jobs_missing_record() const { return jobs_missing_record_; }
     /// Notes that the job was unfinished at some time after its record was last read: c/job/ held no record
     /// of it, or only the legacy record of revision `legacy_revision`.
--- a/src/cache/membership.hpp
+++ b/src/cache/membership.hpp
@@ -39,16 +39,16 @@
     /// noticed.
     std::optional<Micros> silent_since(const std::string& node) const;
     /// Notes a sign of life of a node: a message, or an update of its key. Its key in a resync is no proof
-    /// of life: an outage of the state service may have kept it for long.
-    void mark_heard_from(const std::string& node) { heard_from_.insert(node); }
-    bool has_been_heard_from(const std::string& node) const { return heard_from_.count(node) > 0; }
+    /// of life: in an outage of the state service it may outlive the node for long.
+    void mark_confirmed_alive(const std::string& node) { confirmed_alive_.insert(node); }
+    bool was_confirmed_alive(const std::string& node) const { return confirmed_alive_.count(node) > 0; }
     const OwnershipRecord& leader() const { return leader_; }
     const std::map<std::string, OwnershipRecord>& shards() const { return shards_; }
     const OwnershipRecord* shard(const std::string& name) const;
 
   private:
     std::set<std::string> alive_;
-    std::set<std::string> heard_from_;
+    std::set<std::string> confirmed_alive_;
     std::map<std::string, Micros> alive_since_;
     std::map<std::string, Micros> silent_since_;
     OwnershipRecord leader_;
--- a/src/cache/state_cache.cpp
+++ b/src/cache/state_cache.cpp
@@ -60,7 +60,7 @@
     } else if (starts_with(key, keys::live_node)) {
         const std::string node = suffix_after(keys::live_node);
         membership.apply_liveness(node, value != nullptr, runtime_.now());
-        if (value && !resync_in_progress_) membership.mark_heard_from(node);
+        if (value && !resync_in_progress_) membership.mark_confirmed_alive(node);
     } else if (starts_with(key, keys::shard)) {
         const std::string name = suffix_after(keys::shard);
         if (value && membership.apply_shard(name, *value, mod_revision)) listener_.on_shard(name);
--- a/src/cluster/job_archiver.cpp
+++ b/src/cluster/job_archiver.cpp
@@ -65,8 +65,8 @@
     separate_history();
 }
 
-/// Reads the outcome of jobs whose records under c/active/ are gone without the change feed having delivered
-/// their final records.
+/// Reads the outcome of jobs whose records under c/active/ were deleted without the change feed having
+/// delivered their final records.
 void JobArchiver::read_lost_jobs() {
     const std::set<std::string> lost = cache_.jobs.jobs_missing_record();
     for (const auto& ref : lost) read_outcome(ref, reading_lost_);
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -31,7 +31,7 @@
 
 bool PeerDirectory::is_reachable(std::size_t peer) const {
     const auto& entry = peers_[peer];
-    return entry.last_heard > 0 && runtime_.listening_time() - entry.last_heard < kReachableWindow;
+    return entry.last_contact > 0 && runtime_.listening_time() - entry.last_contact < kReachableWindow;
 }
 
 const PeerDirectory::PeerStatus* PeerDirectory::recent_status(std::size_t peer, Micros max_age) const {
@@ -78,7 +78,7 @@
     call.bytes = std::move(bytes);
     call.timeout = timeout;
     runtime_.call(std::move(call), [this, peer, done = std::move(done)](const Reply& reply) {
-        if (reply.status == 200) peers_[peer].last_heard = runtime_.listening_time();
+        if (reply.status == 200) peers_[peer].last_contact = runtime_.listening_time();
         done(reply);
     });
 }
@@ -98,8 +98,8 @@
     if (!peer) return;
     for (const auto& load : state.shards) cores_sent_.erase(load.shard);
     peers_[*peer].status = PeerStatus{state, runtime_.now()};
-    peers_[*peer].last_heard = runtime_.listening_time();
-    cache_.membership.mark_heard_from(state.node);
+    peers_[*peer].last_contact = runtime_.listening_time();
+    cache_.membership.mark_confirmed_alive(state.node);
 }
 
 void PeerDirectory::gossip() {
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -50,7 +50,7 @@
 
   private:
     struct Peer {
-        Micros last_heard = 0;  // by the listening clock
+        Micros last_contact = 0;  // by the listening clock
         bool request_in_flight = false;
         std::optional<PeerStatus> status;
     };
--- a/src/cluster/shard_assignment.cpp
+++ b/src/cluster/shard_assignment.cpp
@@ -66,7 +66,7 @@
             const auto& orphan =
                 orphaned_shards_
                     .try_emplace(name,
-                                 OrphanState{now, !cache_.membership.has_been_heard_from(record.holder)})
+                                 OrphanState{now, !cache_.membership.was_confirmed_alive(record.holder)})
                     .first->second;
             state.orphans.push_back(
                 {name, cache_.machine_count_in_shard(name), orphan.since, orphan.predates_process});
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -131,7 +131,7 @@
     });
 }
 
-/// Returns the time by which a peer whose liveness key is gone has stopped renewing leases. Its last
+/// Returns the time by which a peer whose liveness key was deleted has stopped renewing leases. Its last
 /// confirmed read was before its key ended, and its controller lease ends a fixed time after that read. The
 /// peer may have restarted since the last refresh of the cache, so the age of that refresh is added.
 std::optional<Micros> Controller::peer_lease_end(std::size_t peer) const {
@@ -176,7 +176,7 @@
 
 void Controller::on_machine_left(const std::string& machine) {
     heartbeat_router_.forget_machine(machine);
-    machine_allocator_.on_machine_gone(machine);
+    machine_allocator_.on_machine_returned(machine);
     for (const auto& [shard, owner] : assignment_.owners())
         if (owner)
             owner->on_machine_gone(machine, "the machine was deleted or given to another shard while empty");
--- a/src/fakes/live_worker.hpp
+++ b/src/fakes/live_worker.hpp
@@ -13,8 +13,8 @@
 
 namespace cottonway::fakes {
 
-/// The fate of a direct command. Lost: it is neither carried out nor answered. Late: it is carried out after
-/// Options::late_command_delay and not answered.
+/// What happens to a direct command. Lost: it is neither carried out nor answered. Late: it is carried out
+/// after Options::late_command_delay and not answered.
 enum class Delivery { Delivered, Lost, Late };
 
 /// Runs a fakes::Worker on loopback.
--- a/src/simulation/simulator.hpp
+++ b/src/simulation/simulator.hpp
@@ -148,8 +148,8 @@
     int preferred_node = -1;             // that users ask while it is up; -1: a random one
     int poll_frequency_factor = 1;       // users poll so many times as often
     Micros min_poll_interval = kSecond;  // the maximum is three times as long
-    /// Declares all faults over: from now on accepted jobs must get answered polls and, where there is room,
-    /// start.
+    /// Declares all faults over: from now on accepted jobs must get answered polls and, where there is free
+    /// capacity, start.
     void mark_faults_over();
     /// Returns the outcome so far of every accepted job.
     std::vector<JobOutcome> job_outcomes() const;
@@ -198,7 +198,7 @@
     ApiResponse request(int node, const std::string& method, const std::string& path, const Json& body);
     ApiResponse request_raw(int node, const std::string& method, const std::string& path,
                             const std::string& body);
-    /// Returns the stage that the user of a job was last told: "", "accepted", "done" or "cancelled".
+    /// Returns the stage that was last reported to the user of a job: "", "accepted", "done" or "cancelled".
     std::string reported_stage(const std::string& ref) const;
     /// Returns the number of task attempts on machines.
     int running_tasks(const std::string& ref) const;
@@ -356,7 +356,7 @@
     std::map<std::pair<std::string, int>, std::map<std::string, std::int64_t>> running_on_;
     std::map<std::string, Resources> team_usage_;
     std::map<std::string, std::string> machine_by_address_;
-    std::map<std::string, std::string> machine_zones_;  // including machines that are gone
+    std::map<std::string, std::string> machine_zones_;  // including terminated machines
     std::set<std::pair<std::string, std::int64_t>> finished_gangs_;
     std::vector<std::pair<std::string, Micros>> task_start_delays_;
     std::vector<std::pair<std::string, Micros>> replica_downtimes_;
--- a/src/simulation/starvation_checker.cpp
+++ b/src/simulation/starvation_checker.cpp
@@ -62,13 +62,13 @@
     while (snapshots_.size() > 1 && snapshots_[1].first <= now - kMinAvailableDuration)
         snapshots_.pop_front();
     const bool has_enough_history = snapshots_.front().first <= now - kMinAvailableDuration;
-    ClusterSnapshot lasting = snapshots_.front().second;
+    ClusterSnapshot always_available = snapshots_.front().second;
     for (const auto& [time, past] : snapshots_) {
-        std::erase_if(lasting.machines,
+        std::erase_if(always_available.machines,
                       [&past = past](const auto& machine) { return !past.machines.count(machine.first); });
-        for (auto& [name, capacity] : lasting.machines)
+        for (auto& [name, capacity] : always_available.machines)
             capacity.free = component_minimum(capacity.free, past.machines.at(name).free);
-        for (auto& [team, limit] : lasting.remaining_limits)
+        for (auto& [team, limit] : always_available.remaining_limits)
             limit = component_minimum(limit, past.remaining_limits.at(team));
     }
     for (const auto& [ref, job] : jobs) {
@@ -77,9 +77,9 @@
         if (added || history.waiting_since < 0 || history.starts != job.starts)
             history.waiting_since = now, history.startable_since = -1, history.starts = job.starts;
         const std::string machine_name =
-            has_enough_history
-                ? find_startable_machine(job, lasting.machines, lasting.remaining_limits[job.spec.team])
-                : "";
+            has_enough_history ? find_startable_machine(job, always_available.machines,
+                                                        always_available.remaining_limits[job.spec.team])
+                               : "";
         if (machine_name.empty()) {
             history.startable_since = -1;
             continue;
--- a/src/soak/rule_checker.hpp
+++ b/src/soak/rule_checker.hpp
@@ -53,7 +53,7 @@
     /// Returns the longest time from the answer that confirmed a cancellation until the last task stopped.
     Micros longest_stop_time() const { return longest_stop_time_; }
     const JobSpec& spec(const std::string& job) const { return jobs_.at(job).info.spec; }
-    /// Returns true if a user was told that the job is done or cancelled.
+    /// Returns true if a user has received the answer that the job is done or cancelled.
     bool is_finished(const std::string& job) const;
 
     // TaskObserver.
--- a/src/verify/verify.cpp
+++ b/src/verify/verify.cpp
@@ -81,7 +81,7 @@
     } else if (starts_with(key, keys::live_node)) {
         ++record_counts_["nodes alive"];
     } else if (key == keys::history) {
-        history_apart_ = wire::flag(*value, "apart").value_or(false);
+        history_separated_ = wire::flag(*value, "apart").value_or(false);
     } else if (key == keys::policy) {
         if (!policy::from_value(*value)) add_damage(key, "does not parse; the default policy applies");
     } else if (key == keys::machine_types) {
@@ -143,7 +143,7 @@
         return add_notice(key,
                           "was written late; the job's active record takes precedence, and this one is "
                           "overwritten when the job ends");
-    if (location == RecordLocation::Job && history_apart_)
+    if (location == RecordLocation::Job && history_separated_)
         return add_damage(
             key,
             "is not over, although finished jobs are stored separately: no starting controller reads it");
@@ -287,7 +287,7 @@
     for (const auto& [kind, count] : record_counts_) counts[kind] = count;
     counts["jobs done"] = done_jobs_;
     counts["jobs cancelled"] = cancelled_jobs_;
-    counts["history apart"] = history_apart_;
+    counts["history apart"] = history_separated_;
     counts["formats"] = read_formats_;
     return counts;
 }
--- a/src/verify/verify.hpp
+++ b/src/verify/verify.hpp
@@ -71,7 +71,7 @@
     std::map<std::string, std::map<std::size_t, std::string>> chunk_texts_;
     std::map<std::string, std::string> chunk_keys_;
     std::set<std::string> referenced_chunks_;
-    bool history_apart_ = false;
+    bool history_separated_ = false;
     std::map<std::string, std::uint64_t> read_formats_;
 };
 
