--- a/src/cache/change_feed.hpp
+++ b/src/cache/change_feed.hpp
@@ -79,8 +79,8 @@
 /// Commits a change and retries until the outcome is certain. A change that may have been executed is sent
 /// again unchanged: a conflict then proves that it was executed or never will be. `done` is called for a
 /// conflict only after the cache has been refreshed. If the caller took an executed change for rejected, the
-/// tasks of machines that were split off would be lost, and quota given to another shard would be counted
-/// twice.
+/// tasks of machines that were split off would be lost, and quota transferred to another shard would be
+/// counted twice.
 void commit_until_outcome_known(Runtime& runtime, StoreClient& store, ChangeFeed& feed, const Change& change,
                                 std::function<void(const CommitResult&)> done, bool may_be_executed = false);
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -179,7 +179,8 @@
     machine_allocator_.on_machine_returned(machine);
     for (const auto& [shard, owner] : assignment_.owners())
         if (owner)
-            owner->on_machine_gone(machine, "the machine was deleted or given to another shard while empty");
+            owner->on_machine_gone(machine,
+                                   "the machine was deleted or transferred to another shard while empty");
 }
 
 void Controller::on_format() {
