--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -131,7 +131,7 @@
     });
 }
 
-/// Returns the time by which a peer whose liveness key is gone has stopped renewing leases. Its last
+/// Returns the time by which a peer whose liveness key was deleted has stopped renewing leases. Its last
 /// confirmed read was before its key ended, and its controller lease ends a fixed time after that read. The
 /// peer may have restarted since the last refresh of the cache, so the age of that refresh is added.
 std::optional<Micros> Controller::peer_lease_end(std::size_t peer) const {
@@ -176,10 +176,11 @@
 
 void Controller::on_machine_left(const std::string& machine) {
     heartbeat_router_.forget_machine(machine);
-    machine_allocator_.on_machine_gone(machine);
+    machine_allocator_.on_machine_returned(machine);
     for (const auto& [shard, owner] : assignment_.owners())
         if (owner)
-            owner->on_machine_gone(machine, "the machine was deleted or given to another shard while empty");
+            owner->on_machine_gone(machine,
+                                   "the machine was deleted or transferred to another shard while empty");
 }
 
 void Controller::on_format() {
@@ -359,7 +360,7 @@
         explanation["why"] = {view->stage == Stage::Done ? "it is done"
                               : view->stage == Stage::Cancelled
                                   ? "it is cancelled"
-                                  : "it is finished, or its record is being read"};
+                                  : "it is over, or about to be heard of again"};
         return explanation;
     }
     const OwnershipRecord* shard = cache_.membership.shard(live->shard);
@@ -369,13 +370,13 @@
     if (!owner || !owner->active()) {
         explanation["why"] = {owner ? "its domain is being taken over here"
                               : shard && !shard->holder.empty()
-                                  ? "its domain is held by " + shard->holder + ", ask that node"
+                                  ? "its domain is held by " + shard->holder + ", which knows more"
                                   : "nobody holds its domain yet"};
         return explanation;
     }
     const Json details = owner->explain(ref);
     if (details.is_null()) {
-        explanation["why"] = {"its holder has not loaded it yet"};
+        explanation["why"] = {"its holder has not taken it in yet"};
         return explanation;
     }
     explanation.update(details);
