--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -216,12 +216,12 @@
     simulator.run(6 * kSecond);
     simulator.submit(simulator.make_job(1, JobKind::Array, 150), 90 * kSecond);  // 24 at once
     simulator.run(10 * kSecond);
-    JobSpec guests = simulator.make_job(2, JobKind::Array, 4);
-    guests.team = "guests";
-    guests.priority_class = PriorityClass::Low;
-    simulator.submit(guests, 3 * kSecond);
+    JobSpec low_priority_job = simulator.make_job(2, JobKind::Array, 4);
+    low_priority_job.team = "guests";
+    low_priority_job.priority_class = PriorityClass::Low;
+    simulator.submit(low_priority_job, 3 * kSecond);
     simulator.run(40 * kSecond);
-    EXPECT_EQ(simulator.reported_stage(guests.ref), "done") << simulator.format_history();
+    EXPECT_EQ(simulator.reported_stage(low_priority_job.ref), "done") << simulator.format_history();
     EXPECT_TRUE(simulator.violations.empty());
 }
 
--- a/tests/cancellation_during_transfer_test.cpp
+++ b/tests/cancellation_during_transfer_test.cpp
@@ -48,7 +48,8 @@
 
 struct Fault {
     const char* name;
-    // Commands or refreshes are late, so a task may start after the user was told that its job is cancelled.
+    // Commands or refreshes are late, so a task may start after its job's cancellation is confirmed to the
+    // user.
     bool allows_late_starts;
     void (*start)(Simulator&, int holder);
 };
@@ -109,8 +110,8 @@
         }
         simulator->schedule_at(origin - 100 * kMillisecond, [&] { fault.start(*simulator, holder); });
         simulator->schedule_at(origin - transfer.lead_time, [&] { transfer.start(*simulator, holder); });
-        // When users were told that a job is cancelled, and how often its tasks had started shortly after
-        // that.
+        // When each job's cancellation was confirmed to its user, and how often its tasks had started shortly
+        // after that.
         std::map<std::string, std::pair<Micros, int>> confirmed_cancellations;
         const Micros end = origin + kJobCount * kCancellationInterval + 25 * kSecond;
         while (simulator->now() < end) {
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,4 +1,4 @@
-// Every task of a cancelled job is gone within the time limit, whichever way its stop takes.
+// Every task of a cancelled job has terminated within the time limit, whichever path its stop takes.
 
 #include <gtest/gtest.h>
 
@@ -163,7 +163,7 @@
             if (i != holder) simulator.cut_link(host(holder), host(i));
         simulator.run(10 * kSecond);
     }
-    void mute_workers(bool on) {
+    void block_reports(bool on) {
         for (const auto& machine : simulator.machine_names()) simulator.block_reports_from(machine, on);
     }
     void cancel_before(const OtherJobs& other_jobs) {
@@ -185,9 +185,9 @@
             CancelledService service(seed, other_jobs.old_nodes);
             Simulator& simulator = service.simulator;
             service.isolate_holder();
-            service.mute_workers(true);  // no report arrives until the other jobs are known
+            service.block_reports(true);  // no report arrives until the other jobs are known
             service.cancel_before(other_jobs);
-            service.mute_workers(false);
+            service.block_reports(false);
             simulator.run(simulator.settings.cancel_deadline);
             EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
             EXPECT_EQ(simulator.running_tasks("req-000002"), 2) << simulator.format_history();
@@ -206,7 +206,7 @@
             CancelledService service(seed, other_jobs.old_nodes);
             Simulator& simulator = service.simulator;
             service.isolate_holder();
-            service.mute_workers(true);  // no report arrives until the other jobs are known
+            service.block_reports(true);  // no report arrives until the other jobs are known
             cancel_through_other_node(simulator, service.holder, "req-000001");
             const Json final_record{{"s", "cancelled"}, {"dom", "loom-0"}, {"k", 2}, {"fd", 0}};
             Json writes = Json::array({Json{{"write", keys::job + "req-000001"}, {"data", final_record}}});
@@ -214,7 +214,7 @@
             const Json change{{"when", Json::array()}, {"then", writes}};
             ASSERT_EQ(simulator.state().handle("POST", "/commit", change, simulator.now()).status, 200);
             finish_other_jobs(simulator, other_jobs.through_feed);
-            service.mute_workers(false);
+            service.block_reports(false);
             simulator.run(simulator.settings.cancel_deadline);
             EXPECT_EQ(simulator.running_tasks("req-000001"), 0) << simulator.format_history();
             EXPECT_EQ(simulator.task_starts("req-000002"), 2)
--- a/tests/consistency_checker_test.cpp
+++ b/tests/consistency_checker_test.cpp
@@ -65,7 +65,7 @@
         {{submission, 422, ""}, {submission, 201, "pending"}, ActualState{}, "accepted_wrong"},
     };
     for (const auto& test_case : cases)
-        for (const bool begun_before : {false, true}) {
+        for (const bool began_before_first_answer : {false, true}) {
             ConsistencyChecker checker;
             const auto early_request = checker.begin_request();
             const bool acceptable = test_case.actual.submitted;
@@ -73,7 +73,7 @@
                                  {test_case.first.request, checker.begin_request(), test_case.first.status,
                                   test_case.first.stage, acceptable},
                                  test_case.actual);
-            const auto request_moment = begun_before ? early_request : checker.begin_request();
+            const auto request_moment = began_before_first_answer ? early_request : checker.begin_request();
             const auto violations =
                 checker.check_answer("req-000001",
                                      {test_case.then.request, request_moment, test_case.then.status,
@@ -89,9 +89,9 @@
                 expected_rule == "accepted_wrong" || test_case.then.status == 422 ||
                 test_case.then.status == 400 ||
                 (expected_rule == "went_back" && std::string(test_case.then.stage) == "cancelled");
-            EXPECT_EQ(violated_rule, begun_before && !wrong_by_itself ? "" : expected_rule)
+            EXPECT_EQ(violated_rule, began_before_first_answer && !wrong_by_itself ? "" : expected_rule)
                 << test_case.first.stage << ", then " << test_case.then.status << " " << test_case.then.stage
-                << (begun_before ? "*" : "");
+                << (began_before_first_answer ? "*" : "");
         }
 }
 
@@ -181,8 +181,8 @@
                          testing::Combine(testing::Range<std::size_t>(0, kNodeFaults.size()),
                                           testing::Bool()));
 
-/// A repeated submission at a node that hasn't heard of the job reads the job's record, and the node hears of
-/// the job's cancellation before the answer to that read arrives.
+/// A repeated submission at a node that doesn't know the job yet reads the job's record, and the node
+/// receives the job's cancellation before the answer to that read arrives.
 TEST(ConsistencyChecker, RecordReadBeforeACancellationDoesNotReviveTheJob) {
     auto simulator = settled_simulator(7, 4, cluster_settings(true));
     simulator->preferred_node = 0;
@@ -263,8 +263,8 @@
     EXPECT_GE(reloads_seen, 1);
 }
 
-/// Jobs that a node knew of end without the node hearing of it. Where writes are scarce their old records
-/// outlast their end, so that the node reads that they still run.
+/// A node knows some jobs and doesn't receive the changes that end them. Where writes are scarce their old
+/// records outlast their end, so that the node reads that they still run.
 TEST(ConsistencyChecker, JobsThatEndedWhileANodeFellBehindAreLookedUp) {
     auto simulator = settled_simulator(12, 6, cluster_settings(true, 25));
     const int node = (simulator->owner_node() + 1) % 3;
@@ -286,7 +286,7 @@
     EXPECT_NO_VIOLATIONS(*simulator);
 }
 
-/// A job needs another one whose records are already gone. A node that starts reads only the job's own
+/// A job needs another one whose records are already deleted. A node that starts reads only the job's own
 /// record, which still says that it waits for the other.
 TEST(ConsistencyChecker, JobIsNotAnsweredBeforeItsDependenciesAreKnown) {
     auto simulator = settled_simulator(13, 4, cluster_settings(true));
@@ -315,7 +315,7 @@
     EXPECT_NO_VIOLATIONS(*simulator);
 }
 
-/// A submission is repeated with another body at the owner, which hasn't heard of the job yet. The owner's
+/// A submission is repeated with another body at the owner, which doesn't know the job yet. The owner's
 /// own admission waits for a write, or gets no answer, while the job is admitted already.
 TEST(ConsistencyChecker, ResubmissionWithAnotherBodyNeverReplacesTheJob) {
     for (const bool admission_waits : {false, true}) {
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -11,8 +11,9 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(w) \
-    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
+#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
+    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
+                                                << (simulator).format_history()
 
 /// Returns a settled simulator with two shards in use: cpu_share is too small for one shard to hold all
 /// machines.
@@ -318,8 +319,7 @@
     auto simulator = settled_simulator(10);
     simulator->submit(simulator->make_job(1, JobKind::Array, 1), 5 * kSecond, 0);
     simulator->run(300 * kMillisecond);
-    JobSpec wide =
-        job_with_dependencies(*simulator, 2, {"req-000001"}, 40);  // more tasks than there is room for
+    JobSpec wide = job_with_dependencies(*simulator, 2, {"req-000001"}, 40);  // more tasks than fit
     simulator->submit(wide, 30 * kSecond, 0);
     simulator->run(12 * kSecond);
     auto eligible_since = [&]() -> std::int64_t {
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -64,7 +64,7 @@
             end_tasks();
             start_moved_tasks();
             start_waiting_tasks();
-            if (policy_.gpus.make_room) make_room();
+            if (policy_.gpus.make_room) plan_moves();
             measure();
         }
         return measurement_;
@@ -76,7 +76,7 @@
         int seconds_left = 0;  // of its run time
         int arrived_at = 0, seconds_with_enough_gpus = 0;
         std::ptrdiff_t machine = -1;
-        int started_at = 0;  // while stopping: when it is proven gone
+        int started_at = 0;  // while stopping: when it is proven terminated
         bool stopping = false;
         std::string destination;  // of a move
         int restart_at = -1;      // at the destination
@@ -154,7 +154,7 @@
     void end_tasks() {
         std::erase_if(running_, [&](std::size_t i) {
             Task& task = tasks_[i];
-            if (task.stopping && now_ >= task.started_at) {  // proven gone, and restarts at its destination
+            if (task.stopping && now_ >= task.started_at) {  // proven terminated; restarts at its destination
                 change_reserved(task, machines_[static_cast<std::size_t>(task.machine)], -1);
                 task.stopping = false;
                 task.restart_at = now_ + 2;
@@ -243,7 +243,7 @@
             ++measurement_.medium, measurement_.medium_prompt += is_prompt;
     }
 
-    void make_room() {
+    void plan_moves() {
         ShardView view;
         view.now = now_ * kSecond;
         for (const auto& machine : machines_) {
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -1,4 +1,4 @@
-// Fragmentation of GPUs: the penalty for it, and moves that make room for a large task.
+// Fragmentation of GPUs: the penalty for it, and moves that free capacity for a large task.
 
 #include "scheduling/gpu_packing.hpp"
 
@@ -159,7 +159,7 @@
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->reservation, (Reservation{"j-2", "n-0", 1}));
     EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", MoveReason::MakeRoom, "j-2"}}));
-    // For a service each second counts threefold: 5 s to stop, prove gone and start, and 40 s to fetch 40 GB.
+    // A service's seconds count threefold: 5 s to stop, prove termination and start, and 40 s to fetch 40 GB.
     EXPECT_EQ(plan->cost, 3 * 45);
 }
 
@@ -315,7 +315,7 @@
     HalfFullSite site;
     site.add_waiting(8);
     site.run_on(1, site.add_service(4));
-    site.view.tasks[2].stopping = true;  // n-1 is full until this task is gone
+    site.view.tasks[2].stopping = true;  // n-1 is full until this task has terminated
     site.view.machines[1].stopping = gpu_share(4);
     site.view.jobs[1].tier = policy::Tier::Live;
     EXPECT_TRUE(site.plans().empty());
@@ -342,7 +342,7 @@
     std::set<std::string> reserved{plans[0].reservation.machine, plans[1].reservation.machine};
     EXPECT_TRUE(reserved == (std::set<std::string>{"n-0", "n-1"}) ||
                 reserved == (std::set<std::string>{"n-2", "n-3"}));
-    // Without one of the four machines only one task could get room, so nothing is moved.
+    // Without one of the four machines only one task could get enough capacity, so nothing is moved.
     site.view.jobs[gang].spec.one_zone = false;
     site.view.machines[3].usable = false;
     EXPECT_TRUE(site.plans().empty());
@@ -488,8 +488,8 @@
     }
 }
 
-/// Returns true if some sequence of up to `max_moves` moves into capacity that is free at once makes room for
-/// a task of the job on the target machine. All sequences are tried.
+/// Returns true if some sequence of up to `max_moves` moves into capacity that is free already frees enough
+/// capacity for a task of the job on the target machine. All sequences are tried.
 bool exhaustive_search(const Site& site, std::size_t waiting_job, std::size_t target, int max_moves) {
     const ShardView& view = site.view;
     std::vector<Resources> available;
@@ -497,8 +497,8 @@
         available.push_back(machine.usable ? machine.available() : Resources{});
     const Resources request = view.jobs[waiting_job].spec.request;
     std::set<std::size_t> moved_tasks;
-    auto search = [&](auto&& self, Resources room, int moves_left) -> bool {
-        if (request.fits(room)) return true;
+    auto search = [&](auto&& self, Resources free_capacity, int moves_left) -> bool {
+        if (request.fits(free_capacity)) return true;
         if (moves_left == 0) return false;
         for (const std::size_t task : view.machines[target].tasks) {
             const JobView& job = view.jobs[view.tasks[task].job];
@@ -511,7 +511,7 @@
                 if (job.spec.zone && *job.spec.zone != view.machines[to].zone) continue;
                 moved_tasks.insert(task);
                 available[to] -= job.spec.request;
-                const bool found = self(self, room + job.spec.request, moves_left - 1);
+                const bool found = self(self, free_capacity + job.spec.request, moves_left - 1);
                 available[to] += job.spec.request;
                 moved_tasks.erase(task);
                 if (found) return true;
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -92,7 +92,7 @@
     EXPECT_TRUE(cache.stops_for_finished_jobs(report).empty());
 }
 
-// Guards against a user being told that a job runs after being told that its dependency cancelled it.
+// Guards against a job being reported as running after it was reported as cancelled by its dependency.
 TEST(JobCache, KeepsACancellationByADependencyAfterManyFinishedJobs) {
     const Settings settings = simulation::small_cluster_settings();
     JobCache cache(settings, kSmallCapacity);
--- a/tests/late_writes_test.cpp
+++ b/tests/late_writes_test.cpp
@@ -14,8 +14,9 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(w) \
-    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history(300)
+#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
+    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
+                                                << (simulator).format_history(300)
 
 // ---------------------------------------------------------------- random transactions
 
@@ -197,7 +198,7 @@
     EXPECT_EQ(simulator.running_tasks("req-000001"), 16) << "the machine has moved\n"
                                                          << simulator.format_history();
     simulator.run(5 * kSecond);
-    simulator.add_machine("small", "b");  // room for tasks that are wrongly taken to be lost
+    simulator.add_machine("small", "b");  // free capacity for tasks that are wrongly considered lost
     simulator.run(80 * kSecond);
     EXPECT_EQ(simulator.reported_stage("req-000001"), "done") << simulator.format_history();
     EXPECT_EQ(simulator.task_starts("req-000001"), 16) << simulator.format_history();
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -19,8 +19,8 @@
         if (all || i == leader) simulator.crash(i, all ? 300 * kMillisecond : 20 * kSecond);
 }
 
-/// A machine is returned, then all controllers, which know that it is gone, restart. Its last report arrives
-/// again and again.
+/// A machine is returned, then all controllers, which know that it was deleted, restart. Its last report
+/// arrives again and again.
 TEST(LeaderFailover, DeletedMachineIsNotLeasedByAnOldReportAfterARestart) {
     for (const double cpu_share : {1.0, 0.001}) {
         auto simulator = settled_simulator(41, 6, settings_without_idle_return(cpu_share));
@@ -41,8 +41,8 @@
     }
 }
 
-/// An old report shows a task that has been proven gone from its machine and was started elsewhere since. The
-/// machine no longer reports, so when the task has to be restarted, the old report must not delay it for
+/// An old report shows a task that has been proven terminated on its machine and was started elsewhere since.
+/// The machine no longer reports, so when the task has to be restarted, the old report must not delay it for
 /// ever.
 TEST(LeaderFailover, OldReportDelaysARestartOfItsTaskByAtMostOneLease) {
     auto simulator = settled_simulator(42, 3, settings_without_idle_return());
@@ -129,8 +129,8 @@
 }
 
 /// Copies of old reports, each newer than the one before, keep arriving at a new holder after their machine
-/// was cut off. They can't be told from current reports, so the task counts as running until one lease after
-/// the last of them.
+/// was cut off. They can't be distinguished from current reports, so the task counts as running until one
+/// lease after the last of them.
 TEST(LeaderFailover, TaskRestartsOneLeaseAfterTheLastReportCopy) {
     for (const Micros last_copy_s : {2, 12, 24}) {
         auto simulator = settled_simulator(45, 4, settings_without_idle_return());
@@ -199,7 +199,7 @@
         }
 }
 
-/// A holder proves by the passing of time that a task is gone, while there is no other machine to restart it
+/// A holder proves by elapsed time that a task has terminated, while there is no other machine to restart it
 /// on. Its successor need not wait for that proof again.
 TEST(LeaderFailover, TaskProvenGoneIsNotWaitedForAgain) {
     auto simulator = settled_simulator(48, 1, settings_without_idle_return());
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns whether a job waits although its team's limit has room for one of its tasks, or for all of a gang.
+/// Returns whether a job waits although its team's limit allows one more of its tasks, or all of a gang.
 bool has_startable_job(const Simulator& simulator, const std::map<std::string, JobSpec>& jobs) {
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
         const auto& [ref, spec] = entry;
@@ -101,8 +101,8 @@
     });
 }
 
-/// Runs until no job waits that its team's limit has room for, for `max_duration` at most. Returns how long
-/// that took.
+/// Runs until no job waits that its team's limit allows to start, for `max_duration` at most. Returns how
+/// long that took.
 Micros run_until_limits_are_used(Simulator& simulator, const std::map<std::string, JobSpec>& jobs,
                                  Micros max_duration) {
     const Micros start = simulator.now();
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -14,7 +14,8 @@
 constexpr auto kRef = "req-000009";
 
 /// Asks every controller for a job, and submits it again, ten times a second. No answer may be older than an
-/// answer that had been received before the request, and no controller may deny what a user was told before.
+/// answer that had been received before the request, and no controller may contradict an earlier answer to
+/// the user.
 class JobAnswerChecker {
   public:
     JobAnswerChecker(Simulator& simulator, JobSpec spec, Micros span)
@@ -81,7 +82,7 @@
     simulator.submit(watched_job(simulator), 3 * kSecond);
 }
 void do_nothing(Simulator&) {}
-/// Fills all machines for some seconds, so that the watched job waits for room.
+/// Fills all machines for some seconds, so that the watched job waits for capacity.
 void submit_waiting_job(Simulator& simulator) {
     for (int i = 2; i <= 3; ++i) simulator.submit(simulator.make_job(i, JobKind::Array, 24), 6 * kSecond);
     simulator.run(kSecond);
--- a/tests/migrations_test.cpp
+++ b/tests/migrations_test.cpp
@@ -65,7 +65,7 @@
 }
 
 /// Reserves m0 for the large job, with moves of both tasks of the array that run there.
-std::size_t add_room_for_large(MigrationPlan& plan, const FakeShard& shard, int moves_per_minute = 30) {
+std::size_t reserve_for_large_job(MigrationPlan& plan, const FakeShard& shard, int moves_per_minute = 30) {
     return plan.add({{"sums", 0, "m0", "m1", MoveReason::MakeRoom, "large"},
                      {"sums", 1, "m0", "", MoveReason::MakeRoom, "large"}},
                     {{"large", "m0", 1}}, 0, test_budgets(moves_per_minute), shard);
@@ -79,7 +79,7 @@
 TEST(MigrationPlan, NothingIsStoppedOrReservedBeforeItIsStored) {
     FakeShard shard;
     MigrationPlan plan;
-    EXPECT_EQ(add_room_for_large(plan, shard), 3u);
+    EXPECT_EQ(reserve_for_large_job(plan, shard), 3u);
     EXPECT_TRUE(plan.advance(shard, 0, kTimeoutMs).needs_write);
     plan.begin_write();
     EXPECT_FALSE(plan.advance(shard, 0, kTimeoutMs).needs_write);  // one write at a time
@@ -113,17 +113,17 @@
 TEST(MigrationPlan, AReservationIsAddedWithAllOfItsMovesOrNotAtAll) {
     FakeShard shard;
     MigrationPlan plan;
-    EXPECT_EQ(add_room_for_large(plan, shard, 1), 0u);
+    EXPECT_EQ(reserve_for_large_job(plan, shard, 1), 0u);
     EXPECT_TRUE(plan.empty());
     shard.task_at("sums", 1).stopping = true;
-    EXPECT_EQ(add_room_for_large(plan, shard), 0u);
+    EXPECT_EQ(reserve_for_large_job(plan, shard), 0u);
     EXPECT_TRUE(plan.empty());
 }
 
 TEST(MigrationPlan, UnneededReservationIsDroppedWithItsMovesExceptThoseAlreadyStopping) {
     FakeShard shard;
     MigrationPlan plan;
-    add_room_for_large(plan, shard);
+    reserve_for_large_job(plan, shard);
     store(plan);
     shard.task_at("sums", 0).stopping = true;
     shard.cancelled_jobs.insert("large");
@@ -176,7 +176,7 @@
     MigrationPlan restored;
     ASSERT_TRUE(restored.restore(plan.to_value()));
     EXPECT_EQ(restored.reservations(), plan.reservations());
-    add_room_for_large(plan, shard);
+    reserve_for_large_job(plan, shard);
     for (const char* text :
          {R"({})", R"({"v":2,"m":[],"g":[]})", R"({"v":1,"m":[["web"]],"g":[]})",
           R"({"v":1,"m":[["web",0,1,"m0","m1",2,"",0]],"g":[]})",
--- a/tests/pairs_test.cpp
+++ b/tests/pairs_test.cpp
@@ -185,7 +185,7 @@
             simulator_.max_state_answer_delay = static_cast<Micros>(100 + draw_below(1'500)) * kMillisecond;
             end_after(duration, kind, [this] { simulator_.max_state_answer_delay = 0; });
         } else if (kind == "swift boots") {
-            // Machines must be rented anew for this to matter, so some are killed.
+            // This matters only if new machines are rented, so some are killed.
             simulator_.fast_boot_rate = 0.8;
             for (int n = 2 + draw_below(3); n > 0; --n) simulator_.kill_machine(draw_machine());
             end_after(duration, kind, [this] { simulator_.fast_boot_rate = 0; });
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -106,7 +106,7 @@
     std::vector<Message> messages;  // in flight to the holder
     // State of the holder.
     std::uint64_t holder_token = 1;
-    bool launched = false, seen = false, stopping = false, gone = false;
+    bool launched = false, seen = false, stopping = false, proven_terminated = false;
     std::uint64_t launch_token = 0, launch_session = 0;
     std::vector<Launch> unacknowledged_launches;  // sent, and the outcome is not known
     std::uint64_t last_session = 1, last_seq = 0;
@@ -140,7 +140,7 @@
             return launch.token < message.token || launch.session < message.session;
         });
         StoredTask stored;
-        stored.state = gone ? StoredTask::State::Waiting : StoredTask::State::Bound;
+        stored.state = proven_terminated ? StoredTask::State::Waiting : StoredTask::State::Bound;
         stored.seen = seen;
         stored.launched = launched;
         stored.stopping = stopping;
@@ -152,7 +152,7 @@
             reconcile(stored, {message.lists_task, false, ExitCause::Stopped}, proof);
         if (action == ReconcileAction::Runs) seen = true;
         if (action == ReconcileAction::Relaunch) launched = false;
-        if (action == ReconcileAction::Gone) gone = true;
+        if (action == ReconcileAction::Gone) proven_terminated = true;
         return action;
     }
     bool may_run() const {
@@ -166,7 +166,7 @@
 RC_GTEST_PROP(ReconciliationProperties, TaskThatRunsOrMayStillStartIsNeverTakenAsGone, ()) {
     Model model;
     const int steps = *rc::gen::inRange(1, 60);
-    for (int i = 0; i < steps && !model.gone; ++i) {
+    for (int i = 0; i < steps && !model.proven_terminated; ++i) {
         auto any = [](std::size_t n) { return *rc::gen::inRange<std::size_t>(0, n); };
         switch (*rc::gen::inRange(0, 8)) {
             case 0:
@@ -197,7 +197,7 @@
                 if (!model.messages.empty()) model.messages.erase(model.messages.begin());
                 break;
         }
-        if (model.gone) RC_ASSERT(!model.may_run());
+        if (model.proven_terminated) RC_ASSERT(!model.may_run());
     }
 }
 
--- a/tests/settled_simulator.hpp
+++ b/tests/settled_simulator.hpp
@@ -45,7 +45,7 @@
     return listings;
 }
 
-/// Expects that every machine is listed in one block, once, and that no block lists a machine that is gone.
+/// Expects that every machine is listed in one block, once, and that no block lists a removed machine.
 inline void expect_each_machine_listed_once(simulation::Simulator& simulator, const char* occasion = "") {
     auto listings = block_listings(simulator);
     for (const auto& name : simulator.machine_names())
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -13,8 +13,9 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_NO_VIOLATIONS(sim) \
-    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
+#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
+    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
+                                                << (simulator).format_history()
 
 const std::string kServiceRef = "req-000001";
 
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -171,7 +171,7 @@
 TEST(ChooseZones, ReplicasOfALostZoneAreSpreadEvenlyOverTheOthers) {
     ZoneRule rule;
     rule.max_zone_share = 0.34;
-    Counts counts{{"a", 2}, {"b", 2}};  // the two replicas in "c" are proven gone
+    Counts counts{{"a", 2}, {"b", 2}};  // the two replicas in "c" are proven terminated
     EXPECT_TRUE(place_missing(service(6), rule, counts, {"a", "b"})) << "0.34 of 6 is rounded up to 3";
     EXPECT_EQ(counts, (Counts{{"a", 3}, {"b", 3}}));
     rule.max_zone_share = 1.0 / 3;
@@ -229,9 +229,9 @@
     EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
     EXPECT_EQ(counts, (Counts{{"a", 2}, {"b", 2}}));
     // A preference does not rule out other zones when the preferred ones are full.
-    const Zones zones_with_room{"c"};
-    const auto choice = choose_zones(service(4), &rule, {}, kAllZones, kAllZones, &zones_with_room);
-    EXPECT_EQ(open_zones(choice, {}), zones_with_room);
+    const Zones zones_with_capacity{"c"};
+    const auto choice = choose_zones(service(4), &rule, {}, kAllZones, kAllZones, &zones_with_capacity);
+    EXPECT_EQ(open_zones(choice, {}), zones_with_capacity);
     EXPECT_TRUE(choice.meets_rule);
     EXPECT_GT(choice.penalty_in("c"), choice.penalty_in("b"));
 }
@@ -239,10 +239,11 @@
 TEST(ChooseZones, LackOfCapacityOpensNoZoneThatIsNotAllowed) {
     ZoneRule rule;
     rule.allowed = {"a"};
-    const Zones zones_with_room{"b"};
+    const Zones zones_with_capacity{"b"};
     EXPECT_TRUE(
-        open_zones(choose_zones(service(2), &rule, {}, {"a", "b"}, kAllZones, &zones_with_room), {}).empty());
-    const auto choice = choose_zones(service(2), &rule, {}, {"b"}, kAllZones, &zones_with_room);
+        open_zones(choose_zones(service(2), &rule, {}, {"a", "b"}, kAllZones, &zones_with_capacity), {})
+            .empty());
+    const auto choice = choose_zones(service(2), &rule, {}, {"b"}, kAllZones, &zones_with_capacity);
     EXPECT_EQ(open_zones(choice, {}), Zones{"b"}) << "no allowed zone is usable";
     EXPECT_FALSE(choice.meets_rule);
 }
@@ -479,16 +480,16 @@
     const ZoneRule rule = *any_rule();
     Counts counts;
     for (int i = 0; i < job.tasks; ++i) {
-        const Zones usable_zones = any_zones(), zones_with_room = any_zones();
+        const Zones usable_zones = any_zones(), zones_with_capacity = any_zones();
         const auto without_rule = choose_zones(job, nullptr, counts, usable_zones, kAllZones);
-        const bool room_is_known = *rc::gen::arbitrary<bool>();
+        const bool capacity_is_known = *rc::gen::arbitrary<bool>();
         const auto choice = choose_zones(job, &rule, counts, usable_zones, kAllZones,
-                                         room_is_known ? &zones_with_room : nullptr);
+                                         capacity_is_known ? &zones_with_capacity : nullptr);
         for (const auto& [zone, limit] : choice.max_tasks)
             RC_ASSERT(limit <= without_rule.max_tasks_in(zone));
         const Zones zones = open_zones(choice, counts);
         if (zones.empty()) {
-            if (rule.strict || room_is_known) continue;
+            if (rule.strict || capacity_is_known) continue;
             // A replica waits only if the job's own constraints leave no usable zone.
             for (const auto& zone : usable_zones) RC_ASSERT(without_rule.max_tasks_in(zone) <= counts[zone]);
             continue;
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -169,8 +169,8 @@
     simulator->submit(job, 2 * kSecond, 0);
     simulator->request(owner_node, "POST", "/v1/jobs", wire::job_value(job));
     simulator->run(500 * kMillisecond);
-    // The owner may take the shard back, since it hasn't heard that the other node is alive. Under its old
-    // token it must bind nothing.
+    // The owner may take the shard back, since it doesn't know yet that the other node is alive. Under its
+    // old token it must bind nothing.
     const ShardOwner* owner = simulator->node(owner_node)->owner(shard);
     EXPECT_TRUE(simulator->task_starts("req-000001") == 0 || (owner && owner->mod_revision() > mod_revision))
         << simulator->format_history();
@@ -429,7 +429,7 @@
 
 TEST(Workers, AreRedirectedToTheOwnerOfTheirBlock) {
     Settings settings = small_cluster_settings();
-    settings.worker_lease = 20 * kSecond;  // long enough to try the owner in vain and come back
+    settings.worker_lease = 20 * kSecond;  // long enough to try the owner, fail and come back
     settings.cancel_deadline = 50 * kSecond;
     auto simulator = settled_simulator(1, 4, settings);
     simulator->run(15 * kSecond);  // the controllers that workers tried first are forgotten
--- a/tests/zones_lost_test.cpp
+++ b/tests/zones_lost_test.cpp
@@ -105,11 +105,11 @@
             }
 }
 
-/// A job with a zone constraint, and the number of its tasks that run while one of its zones is gone.
+/// A job with a zone constraint, and the number of its tasks that run while one of its zones is lost.
 struct ZoneLossCase {
     JobKind kind;
     ZoneConstraint constraint;
-    int running_meanwhile;  // tasks that run while zone a is gone, once its leases have expired
+    int running_meanwhile;  // tasks that run while zone a is lost, once its leases have expired
 };
 constexpr ZoneLossCase kCases[] = {
     {JobKind::Array, ZoneConstraint::Zone, 0},      {JobKind::Array, ZoneConstraint::OneZone, 4},
@@ -119,8 +119,8 @@
     {JobKind::Gang, ZoneConstraint::Spread, 0},
 };
 
-/// The machines of a zone die or are cut off. The other zone has room for the jobs, and the lost zone has
-/// some again later. The owner of the shard crashes meanwhile.
+/// The machines of a zone die or are cut off. The other zone has free capacity for the jobs, and the lost
+/// zone has some again later. The owner of the shard crashes meanwhile.
 TEST(ZoneLoss, JobsWithZoneConstraintsWaitOrMoveAndAllRun) {
     for (const ZoneLossCase& loss_case : kCases)
         for (const bool is_cut : {false, true}) {
