--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -11,9 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 /// Returns a settled simulator with two shards in use: cpu_share is too small for one shard to hold all
 /// machines.
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -22,11 +22,11 @@
 }
 
 /// A shard view that tests build up step by step.
-struct Site {
+struct TestShard {
     ShardView view;
     policy::Policy policy;
 
-    Site() {
+    TestShard() {
         policy.gpus.make_room = true;
         policy.moves.push_back({{"", "model"}, true});
     }
@@ -90,8 +90,8 @@
 };
 
 /// Two machines with a model of four GPUs on each, so that four GPUs are free on either.
-struct HalfFullSite : Site {
-    HalfFullSite() {
+struct HalfFullShard : TestShard {
+    HalfFullShard() {
         add_machine();
         add_machine();
         run_on(0, add_service(4));
@@ -113,12 +113,12 @@
 }
 
 TEST(GpuPacking, WaitingTasksWeighMoreThanRunningOnes) {
-    Site site;
-    site.add_machine();
-    site.run_on(0, site.add_service(4));
-    site.add_waiting(8);
+    TestShard shard;
+    shard.add_machine();
+    shard.run_on(0, shard.add_service(4));
+    shard.add_waiting(8);
     // Four GPUs of running tasks, and eight of waiting ones that count threefold.
-    EXPECT_NEAR(gpu_demand_of(site.view).unusable_share(4000), 24.0 / 28.0, 1e-9);
+    EXPECT_NEAR(gpu_demand_of(shard.view).unusable_share(4000), 24.0 / 28.0, 1e-9);
 }
 
 TEST(GpuPacking, TheMachineWithTheFewestFreeGpusHasTheLowestPenalty) {
@@ -153,9 +153,9 @@
 // ---------------------------------------------------------------- moves
 
 TEST(GpuMoves, ATaskOfEightGpusGetsRoomByOneMove) {
-    HalfFullSite site;
-    const auto job = site.add_waiting(8);
-    const auto plan = plan_room_for_job(site.view, job, site.policy);
+    HalfFullShard shard;
+    const auto job = shard.add_waiting(8);
+    const auto plan = plan_room_for_job(shard.view, job, shard.policy);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->reservation, (Reservation{"j-2", "n-0", 1}));
     EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", MoveReason::MakeRoom, "j-2"}}));
@@ -164,49 +164,49 @@
 }
 
 TEST(GpuMoves, ATaskMovesToAMachineThatHasItsImage) {
-    HalfFullSite site;
-    site.add_waiting(8);
-    site.view.machines[0].images.push_back({"w-1", true});
-    auto plans = site.plans();
+    HalfFullShard shard;
+    shard.add_waiting(8);
+    shard.view.machines[0].images.push_back({"w-1", true});
+    auto plans = shard.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].moves[0].job, "j-1");
     EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_EQ(plans[0].cost, 15);
     // Half a fetch remains if the machine is fetching the image; another fetch at the same time halves the
     // rate.
-    site.view.machines[0].images.back().ready = false;
-    EXPECT_EQ(site.plans()[0].cost, 3 * 25);
-    site.view.machines[0].images.push_back({"other", false});
-    EXPECT_EQ(site.plans()[0].cost, 3 * 45);
+    shard.view.machines[0].images.back().ready = false;
+    EXPECT_EQ(shard.plans()[0].cost, 3 * 25);
+    shard.view.machines[0].images.push_back({"other", false});
+    EXPECT_EQ(shard.plans()[0].cost, 3 * 45);
 }
 
 TEST(GpuMoves, NothingIsPlannedIfNoTaskMayMove) {
-    HalfFullSite site;
-    site.add_waiting(8);
-    ASSERT_FALSE(site.plans().empty());
-    HalfFullSite without_move_rules;
+    HalfFullShard shard;
+    shard.add_waiting(8);
+    ASSERT_FALSE(shard.plans().empty());
+    HalfFullShard without_move_rules;
     without_move_rules.add_waiting(8);
     without_move_rules.policy.moves.clear();
     EXPECT_TRUE(without_move_rules.plans().empty());
 }
 
 TEST(GpuMoves, TasksOfLiveJobsAndOfHigherTiersAreNotMoved) {
-    HalfFullSite site;
-    site.add_waiting(8);
+    HalfFullShard shard;
+    shard.add_waiting(8);
     for (const auto tier : {policy::Tier::Live, policy::Tier::Urgent}) {
-        for (const std::size_t job : {0u, 1u}) site.view.jobs[job].tier = tier;
-        EXPECT_TRUE(site.plans().empty());
+        for (const std::size_t job : {0u, 1u}) shard.view.jobs[job].tier = tier;
+        EXPECT_TRUE(shard.plans().empty());
     }
-    site.view.jobs[2].tier = policy::Tier::Urgent;
-    EXPECT_FALSE(site.plans().empty());
+    shard.view.jobs[2].tier = policy::Tier::Urgent;
+    EXPECT_FALSE(shard.plans().empty());
 }
 
 TEST(GpuMoves, TasksThatMoveOrStopOrBelongToAGangAreNotMoved) {
     auto plans_with = [](auto change) {
-        HalfFullSite site;
-        site.add_waiting(8);
-        change(site.view);
-        return site.plans().size();
+        HalfFullShard shard;
+        shard.add_waiting(8);
+        change(shard.view);
+        return shard.plans().size();
     };
     EXPECT_EQ(plans_with([](ShardView&) {}), 1u);
     EXPECT_EQ(plans_with([](ShardView& view) {
@@ -228,187 +228,187 @@
 }
 
 TEST(GpuMoves, AnUnusableMachineIsNoDestination) {
-    HalfFullSite site;
-    site.add_waiting(8);
-    site.view.machines[1].usable = false;
-    EXPECT_TRUE(site.plans().empty());
+    HalfFullShard shard;
+    shard.add_waiting(8);
+    shard.view.machines[1].usable = false;
+    EXPECT_TRUE(shard.plans().empty());
 }
 
 TEST(GpuMoves, ADestinationMeetsTheConstraintsOfTheMovedJob) {
     auto plans_with = [](auto change) {
-        HalfFullSite site;
-        site.add_waiting(8);
-        site.view.machines[1].zone = "b";
-        site.view.jobs[1].tier = policy::Tier::Live;  // so that only j-0 may move, and only to n-1
-        site.view.jobs[1].tasks_by_zone = {{"b", 1}};
-        change(site);
-        return site.plans().size();
+        HalfFullShard shard;
+        shard.add_waiting(8);
+        shard.view.machines[1].zone = "b";
+        shard.view.jobs[1].tier = policy::Tier::Live;  // so that only j-0 may move, and only to n-1
+        shard.view.jobs[1].tasks_by_zone = {{"b", 1}};
+        change(shard);
+        return shard.plans().size();
     };
-    EXPECT_EQ(plans_with([](Site&) {}), 1u);
-    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.zone = "a"; }), 0u);
-    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.types = {{"g4"}}; }), 0u);
-    EXPECT_EQ(plans_with([](Site& site) { site.view.jobs[0].spec.one_zone = true; }), 0u);
-    EXPECT_EQ(plans_with([](Site& site) { site.view.machines[1].spot = true; }), 0u);
-    EXPECT_EQ(plans_with([](Site& site) {
-                  site.view.machines[1].spot = true;
-                  site.view.jobs[0].spec.spot = true;
+    EXPECT_EQ(plans_with([](TestShard&) {}), 1u);
+    EXPECT_EQ(plans_with([](TestShard& shard) { shard.view.jobs[0].spec.zone = "a"; }), 0u);
+    EXPECT_EQ(plans_with([](TestShard& shard) { shard.view.jobs[0].spec.types = {{"g4"}}; }), 0u);
+    EXPECT_EQ(plans_with([](TestShard& shard) { shard.view.jobs[0].spec.one_zone = true; }), 0u);
+    EXPECT_EQ(plans_with([](TestShard& shard) { shard.view.machines[1].spot = true; }), 0u);
+    EXPECT_EQ(plans_with([](TestShard& shard) {
+                  shard.view.machines[1].spot = true;
+                  shard.view.jobs[0].spec.spot = true;
               }),
               1u);
-    EXPECT_EQ(plans_with([](Site& site) {
-                  site.view.jobs[0].spec.spread = true;
-                  site.view.jobs[0].spec.tasks = 2;
-                  site.view.jobs[0].tasks_by_zone = {{"a", 1}, {"b", 1}};
+    EXPECT_EQ(plans_with([](TestShard& shard) {
+                  shard.view.jobs[0].spec.spread = true;
+                  shard.view.jobs[0].spec.tasks = 2;
+                  shard.view.jobs[0].tasks_by_zone = {{"a", 1}, {"b", 1}};
               }),
               0u);
-    EXPECT_EQ(plans_with([](Site& site) {
-                  site.policy.zones.push_back({});
-                  site.policy.zones.back().scope.job_class = "model";
-                  site.policy.zones.back().allowed = {"a"};
+    EXPECT_EQ(plans_with([](TestShard& shard) {
+                  shard.policy.zones.push_back({});
+                  shard.policy.zones.back().scope.job_class = "model";
+                  shard.policy.zones.back().allowed = {"a"};
               }),
               0u);
 }
 
 TEST(GpuMoves, TheTaskThatSavedLastMovesFirstUnlessAReplicaLosesLess) {
-    Site site;
-    for (int i = 0; i < 3; ++i) site.add_machine();
-    site.run_on(0, site.add_service(4));
-    site.run_on(1, site.add_batch(4, 150 * kSecond));  // saved 30 s ago
-    site.run_on(2, site.add_batch(4, 125 * kSecond));  // saved 5 s ago
-    for (auto& job : site.view.jobs) job.spec.image_gb = 0;
-    site.add_waiting(8);
-    const auto plans = site.plans();
+    TestShard shard;
+    for (int i = 0; i < 3; ++i) shard.add_machine();
+    shard.run_on(0, shard.add_service(4));
+    shard.run_on(1, shard.add_batch(4, 150 * kSecond));  // saved 30 s ago
+    shard.run_on(2, shard.add_batch(4, 125 * kSecond));  // saved 5 s ago
+    for (auto& job : shard.view.jobs) job.spec.image_gb = 0;
+    shard.add_waiting(8);
+    const auto plans = shard.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].moves[0].job, "j-2");
     EXPECT_EQ(plans[0].cost, 10);
     // A replica is cheaper to move than batch that has not saved for 55 s.
-    site.view.tasks[1].run_time = site.view.tasks[2].run_time = 55 * kSecond;
-    EXPECT_EQ(site.plans()[0].moves[0].job, "j-0");
+    shard.view.tasks[1].run_time = shard.view.tasks[2].run_time = 55 * kSecond;
+    EXPECT_EQ(shard.plans()[0].moves[0].job, "j-0");
 }
 
 TEST(GpuMoves, NothingMovesForAJobThatWaitsBrieflyOrFitsOrHasAReservation) {
-    HalfFullSite site;
-    const auto job = site.add_waiting(8);
-    site.view.jobs[job].waiting_time = 4 * kSecond;
-    EXPECT_TRUE(site.plans().empty());
-    site.view.jobs[job].waiting_time = 5 * kSecond;
-    EXPECT_EQ(site.plans().size(), 1u);
-    site.view.jobs[job].reserved_tasks = 1;
-    EXPECT_TRUE(site.plans().empty());
-    site.view.jobs[job].reserved_tasks = 0;
-    site.add_machine();
-    EXPECT_TRUE(site.plans().empty());
-    EXPECT_FALSE(plan_room_for_job(site.view, job, site.policy));
+    HalfFullShard shard;
+    const auto job = shard.add_waiting(8);
+    shard.view.jobs[job].waiting_time = 4 * kSecond;
+    EXPECT_TRUE(shard.plans().empty());
+    shard.view.jobs[job].waiting_time = 5 * kSecond;
+    EXPECT_EQ(shard.plans().size(), 1u);
+    shard.view.jobs[job].reserved_tasks = 1;
+    EXPECT_TRUE(shard.plans().empty());
+    shard.view.jobs[job].reserved_tasks = 0;
+    shard.add_machine();
+    EXPECT_TRUE(shard.plans().empty());
+    EXPECT_FALSE(plan_room_for_job(shard.view, job, shard.policy));
 }
 
 TEST(GpuMoves, CapacityOfStoppingTasksIsReservedWithoutAMove) {
-    HalfFullSite site;
-    site.add_waiting(8);
-    site.view.tasks[1].stopping = true;
-    site.view.machines[1].stopping = gpu_share(4);
-    const auto plans = site.plans();
+    HalfFullShard shard;
+    shard.add_waiting(8);
+    shard.view.tasks[1].stopping = true;
+    shard.view.machines[1].stopping = gpu_share(4);
+    const auto plans = shard.plans();
     ASSERT_EQ(plans.size(), 1u);
     EXPECT_EQ(plans[0].reservation.machine, "n-1");
     EXPECT_TRUE(plans[0].moves.empty());
 }
 
 TEST(GpuMoves, CapacityOfStoppingTasksIsNoDestination) {
-    HalfFullSite site;
-    site.add_waiting(8);
-    site.run_on(1, site.add_service(4));
-    site.view.tasks[2].stopping = true;  // n-1 is full until this task has terminated
-    site.view.machines[1].stopping = gpu_share(4);
-    site.view.jobs[1].tier = policy::Tier::Live;
-    EXPECT_TRUE(site.plans().empty());
+    HalfFullShard shard;
+    shard.add_waiting(8);
+    shard.run_on(1, shard.add_service(4));
+    shard.view.tasks[2].stopping = true;  // n-1 is full until this task has terminated
+    shard.view.machines[1].stopping = gpu_share(4);
+    shard.view.jobs[1].tier = policy::Tier::Live;
+    EXPECT_TRUE(shard.plans().empty());
 }
 
 TEST(GpuMoves, AGangGetsRoomForAllItsTasksOrForNone) {
-    Site site;
+    TestShard shard;
     for (int i = 0; i < 4; ++i) {
-        site.add_machine(i < 2 ? "a" : "b");
-        site.run_on(static_cast<std::size_t>(i), site.add_batch(4, 0));
+        shard.add_machine(i < 2 ? "a" : "b");
+        shard.run_on(static_cast<std::size_t>(i), shard.add_batch(4, 0));
     }
-    const auto gang = site.add_waiting(8, 2);
-    site.view.jobs[gang].spec.kind = JobKind::Gang;
-    auto plans = site.plans();
+    const auto gang = shard.add_waiting(8, 2);
+    shard.view.jobs[gang].spec.kind = JobKind::Gang;
+    auto plans = shard.plans();
     ASSERT_EQ(plans.size(), 2u);
     for (const auto& plan : plans) {
         EXPECT_EQ(plan.reservation.tasks, 1);
         EXPECT_EQ(plan.moves.size(), 1u);
     }
     // If the gang has to be in one zone, both machines of a zone are emptied into the other zone.
-    site.view.jobs[gang].spec.one_zone = true;
-    plans = site.plans();
+    shard.view.jobs[gang].spec.one_zone = true;
+    plans = shard.plans();
     ASSERT_EQ(plans.size(), 2u);
     std::set<std::string> reserved{plans[0].reservation.machine, plans[1].reservation.machine};
     EXPECT_TRUE(reserved == (std::set<std::string>{"n-0", "n-1"}) ||
                 reserved == (std::set<std::string>{"n-2", "n-3"}));
     // Without one of the four machines only one task could get enough capacity, so nothing is moved.
-    site.view.jobs[gang].spec.one_zone = false;
-    site.view.machines[3].usable = false;
-    EXPECT_TRUE(site.plans().empty());
+    shard.view.jobs[gang].spec.one_zone = false;
+    shard.view.machines[3].usable = false;
+    EXPECT_TRUE(shard.plans().empty());
 }
 
 TEST(GpuMoves, TheHighestTierAndThenTheLongestWaitGoFirst) {
-    HalfFullSite site;
-    site.add_waiting(8, 1, 10 * kSecond);
-    site.add_waiting(8, 1, 20 * kSecond);
-    ASSERT_EQ(site.plans().size(), 1u);
-    EXPECT_EQ(site.plans()[0].reservation.job, "j-3");
-    site.view.jobs[2].tier = policy::Tier::Urgent;
-    EXPECT_EQ(site.plans()[0].reservation.job, "j-2");
+    HalfFullShard shard;
+    shard.add_waiting(8, 1, 10 * kSecond);
+    shard.add_waiting(8, 1, 20 * kSecond);
+    ASSERT_EQ(shard.plans().size(), 1u);
+    EXPECT_EQ(shard.plans()[0].reservation.job, "j-3");
+    shard.view.jobs[2].tier = policy::Tier::Urgent;
+    EXPECT_EQ(shard.plans()[0].reservation.job, "j-2");
 }
 
 TEST(GpuMoves, AServiceIsMovedOnceInACall) {
-    Site site;
-    for (int i = 0; i < 4; ++i) site.add_machine();
-    const auto service = site.add_service(4);
-    for (std::size_t i = 0; i < 4; ++i) site.run_on(i, service);
-    site.add_waiting(8, 2);
-    EXPECT_EQ(site.plans().size(), 1u);
+    TestShard shard;
+    for (int i = 0; i < 4; ++i) shard.add_machine();
+    const auto service = shard.add_service(4);
+    for (std::size_t i = 0; i < 4; ++i) shard.run_on(i, service);
+    shard.add_waiting(8, 2);
+    EXPECT_EQ(shard.plans().size(), 1u);
 }
 
 // ---------------------------------------------------------------- properties
 
-/// Returns a small random site with replicas and batch, movable or not, gangs, unusable machines and capacity
-/// that is set aside.
-Site random_site(std::mt19937_64& random, int machines, int waiting_jobs) {
+/// Returns a small random shard with replicas and batch, movable or not, gangs, unusable machines and
+/// capacity that is set aside.
+TestShard random_shard(std::mt19937_64& random, int machines, int waiting_jobs) {
     auto up_to = [&](int maximum) {
         return static_cast<int>(random() % static_cast<std::uint64_t>(maximum + 1));
     };
-    Site site;
+    TestShard shard;
     for (int i = 0; i < machines; ++i) {
-        const std::size_t machine = site.add_machine(up_to(2) == 0 ? "b" : "a");
+        const std::size_t machine = shard.add_machine(up_to(2) == 0 ? "b" : "a");
         int free_gpus = 8;
         while (free_gpus > 0 && up_to(5) > 0) {
             const int gpus = 1 << up_to(2);
             if (gpus > free_gpus) continue;
             free_gpus -= gpus;
             const std::size_t job_index =
-                up_to(1) ? site.add_service(gpus, up_to(5) ? "model" : "fixed")
-                         : site.add_batch(gpus, up_to(100) * kSecond, up_to(3) * 30 * kSecond);
-            JobView& job = site.view.jobs[job_index];
+                up_to(1) ? shard.add_service(gpus, up_to(5) ? "model" : "fixed")
+                         : shard.add_batch(gpus, up_to(100) * kSecond, up_to(3) * 30 * kSecond);
+            JobView& job = shard.view.jobs[job_index];
             if (up_to(8) == 0) job.tier = policy::Tier::Live;
-            if (up_to(8) == 0) job.spec.zone = site.view.machines[machine].zone;
-            const std::size_t task = site.run_on(machine, job_index);
+            if (up_to(8) == 0) job.spec.zone = shard.view.machines[machine].zone;
+            const std::size_t task = shard.run_on(machine, job_index);
             if (up_to(12) == 0) {
-                site.view.tasks[task].stopping = true;
-                site.view.machines[machine].stopping += job.spec.request;
+                shard.view.tasks[task].stopping = true;
+                shard.view.machines[machine].stopping += job.spec.request;
             }
-            if (up_to(12) == 0) site.view.tasks[task].has_planned_move = true;
+            if (up_to(12) == 0) shard.view.tasks[task].has_planned_move = true;
         }
-        if (up_to(10) == 0) site.view.machines[machine].usable = false;
-        if (free_gpus > 0 && up_to(10) == 0) site.view.machines[machine].set_aside = gpu_share(1);
+        if (up_to(10) == 0) shard.view.machines[machine].usable = false;
+        if (free_gpus > 0 && up_to(10) == 0) shard.view.machines[machine].set_aside = gpu_share(1);
     }
     for (int i = 0; i < waiting_jobs; ++i) {
-        const std::size_t job = site.add_waiting(up_to(2) ? 8 : 4, 1 + up_to(1), (5 + up_to(9)) * kSecond);
-        if (up_to(2) == 0) site.view.jobs[job].spec.kind = JobKind::Gang;
+        const std::size_t job = shard.add_waiting(up_to(2) ? 8 : 4, 1 + up_to(1), (5 + up_to(9)) * kSecond);
+        if (up_to(2) == 0) shard.view.jobs[job].spec.kind = JobKind::Gang;
     }
-    return site;
+    return shard;
 }
 
-Site any_site(int machines, int waiting_jobs) {
+TestShard any_shard(int machines, int waiting_jobs) {
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-    return random_site(random, machines, waiting_jobs);
+    return random_shard(random, machines, waiting_jobs);
 }
 
 std::size_t machine_index(const ShardView& view, const std::string& name) {
@@ -423,22 +423,22 @@
 }
 
 RC_GTEST_PROP(GpuMovesProperties, PlansFitOnTheirMachinesAndUseNoCapacityTwice, ()) {
-    const Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
-    const auto plans = site.plans();
-    std::vector<Resources> arriving(site.view.machines.size()), leaving = arriving, starting = arriving;
+    const TestShard shard = any_shard(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
+    const auto plans = shard.plans();
+    std::vector<Resources> arriving(shard.view.machines.size()), leaving = arriving, starting = arriving;
     for (const auto& plan : plans) {
         for (const auto& move : plan.moves) {
-            const Resources request = site.view.jobs[job_index(site.view, move.job)].spec.request;
-            arriving[machine_index(site.view, move.to)] += request;
-            leaving[machine_index(site.view, move.from)] += request;
+            const Resources request = shard.view.jobs[job_index(shard.view, move.job)].spec.request;
+            arriving[machine_index(shard.view, move.to)] += request;
+            leaving[machine_index(shard.view, move.from)] += request;
             RC_ASSERT(move.for_job == plan.reservation.job);
         }
         for (int i = 0; i < plan.reservation.tasks; ++i)
-            starting[machine_index(site.view, plan.reservation.machine)] +=
-                site.view.jobs[job_index(site.view, plan.reservation.job)].spec.request;
+            starting[machine_index(shard.view, plan.reservation.machine)] +=
+                shard.view.jobs[job_index(shard.view, plan.reservation.job)].spec.request;
     }
     for (std::size_t i = 0; i < arriving.size(); ++i) {
-        const MachineView& machine = site.view.machines[i];
+        const MachineView& machine = shard.view.machines[i];
         // Moved tasks must fit before any other task has left.
         RC_ASSERT(arriving[i].fits(machine.available()) || arriving[i].gpus == 0);
         const Resources used = arriving[i] + starting[i];
@@ -448,33 +448,33 @@
 }
 
 RC_GTEST_PROP(GpuMovesProperties, OnlyMovableTasksMoveAndWithinTheBudgets, ()) {
-    Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
-    site.policy.budgets.moves_per_minute = *rc::gen::inRange(0, 6);
-    site.policy.budgets.moves_per_placement = *rc::gen::inRange(0, 4);
+    TestShard shard = any_shard(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
+    shard.policy.budgets.moves_per_minute = *rc::gen::inRange(0, 6);
+    shard.policy.budgets.moves_per_placement = *rc::gen::inRange(0, 4);
     std::set<std::pair<std::string, int>> moved;
-    for (const auto& plan : site.plans()) {
+    for (const auto& plan : shard.plans()) {
         RC_ASSERT(static_cast<int>(plan.moves.size()) <=
-                  plan.reservation.tasks * site.policy.budgets.moves_per_placement);
+                  plan.reservation.tasks * shard.policy.budgets.moves_per_placement);
         for (const auto& move : plan.moves) {
             RC_ASSERT(moved.emplace(move.job, move.task).second);
-            const JobView& job = site.view.jobs[job_index(site.view, move.job)];
-            RC_ASSERT(site.policy.is_movable(job.spec) && job.spec.kind != JobKind::Gang);
-            RC_ASSERT(job.tier >= site.view.jobs[job_index(site.view, plan.reservation.job)].tier);
+            const JobView& job = shard.view.jobs[job_index(shard.view, move.job)];
+            RC_ASSERT(shard.policy.is_movable(job.spec) && job.spec.kind != JobKind::Gang);
+            RC_ASSERT(job.tier >= shard.view.jobs[job_index(shard.view, plan.reservation.job)].tier);
             RC_ASSERT(job.tier != policy::Tier::Live);
-            for (const auto& task : site.view.tasks)
-                if (task.task == move.task && site.view.jobs[task.job].spec.ref == move.job)
+            for (const auto& task : shard.view.tasks)
+                if (task.task == move.task && shard.view.jobs[task.job].spec.ref == move.job)
                     RC_ASSERT(!task.has_planned_move && !task.stopping &&
-                              site.view.machines[task.machine].name == move.from);
+                              shard.view.machines[task.machine].name == move.from);
             if (job.spec.zone)
-                RC_ASSERT(site.view.machines[machine_index(site.view, move.to)].zone == *job.spec.zone);
+                RC_ASSERT(shard.view.machines[machine_index(shard.view, move.to)].zone == *job.spec.zone);
         }
     }
-    RC_ASSERT(static_cast<int>(moved.size()) <= site.policy.budgets.moves_per_minute);
+    RC_ASSERT(static_cast<int>(moved.size()) <= shard.policy.budgets.moves_per_minute);
 }
 
 RC_GTEST_PROP(GpuMovesProperties, TheSameViewGivesTheSamePlansAndGangsStartWhole, ()) {
-    const Site site = any_site(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
-    const auto first = site.plans(), second = site.plans();
+    const TestShard shard = any_shard(*rc::gen::inRange(2, 9), *rc::gen::inRange(1, 5));
+    const auto first = shard.plans(), second = shard.plans();
     RC_ASSERT(first.size() == second.size());
     std::map<std::string, int> reserved_tasks;
     for (std::size_t i = 0; i < first.size(); ++i) {
@@ -482,7 +482,7 @@
         reserved_tasks[first[i].reservation.job] += first[i].reservation.tasks;
     }
     for (const auto& [ref, count] : reserved_tasks) {
-        const JobView& job = site.view.jobs[job_index(site.view, ref)];
+        const JobView& job = shard.view.jobs[job_index(shard.view, ref)];
         RC_ASSERT(count <= job.waiting_tasks);
         if (job.spec.kind == JobKind::Gang) RC_ASSERT(count == job.waiting_tasks);
     }
@@ -490,8 +490,8 @@
 
 /// Returns true if some sequence of up to `max_moves` moves into capacity that is free already frees enough
 /// capacity for a task of the job on the target machine. All sequences are tried.
-bool exhaustive_search(const Site& site, std::size_t waiting_job, std::size_t target, int max_moves) {
-    const ShardView& view = site.view;
+bool exhaustive_search(const TestShard& shard, std::size_t waiting_job, std::size_t target, int max_moves) {
+    const ShardView& view = shard.view;
     std::vector<Resources> available;
     for (const auto& machine : view.machines)
         available.push_back(machine.usable ? machine.available() : Resources{});
@@ -504,7 +504,7 @@
             const JobView& job = view.jobs[view.tasks[task].job];
             if (moved_tasks.count(task) || view.tasks[task].has_planned_move || view.tasks[task].stopping ||
                 job.tier < view.jobs[waiting_job].tier || job.tier == policy::Tier::Live ||
-                !site.policy.is_movable(job.spec))
+                !shard.policy.is_movable(job.spec))
                 continue;
             for (std::size_t to = 0; to < available.size(); ++to) {
                 if (to == target || !job.spec.request.fits(available[to])) continue;
@@ -527,16 +527,16 @@
 RC_GTEST_PROP(GpuMovesProperties, APlanIsFoundWheneverExhaustiveSearchFindsOne, ()) {
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     for (int i = 0; i < 20; ++i) {
-        Site site = random_site(random, 2 + static_cast<int>(random() % 3), 0);
-        const std::size_t job = site.add_waiting(random() % 2 ? 4 : 8);
-        const int max_moves = site.policy.budgets.moves_per_placement = 1 + static_cast<int>(random() % 3);
+        TestShard shard = random_shard(random, 2 + static_cast<int>(random() % 3), 0);
+        const std::size_t job = shard.add_waiting(random() % 2 ? 4 : 8);
+        const int max_moves = shard.policy.budgets.moves_per_placement = 1 + static_cast<int>(random() % 3);
         bool fits = false, has_plan = false;
-        for (std::size_t m = 0; m < site.view.machines.size(); ++m) {
-            const MachineView& machine = site.view.machines[m];
-            fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.available()));
-            has_plan = has_plan || exhaustive_search(site, job, m, max_moves);
+        for (std::size_t m = 0; m < shard.view.machines.size(); ++m) {
+            const MachineView& machine = shard.view.machines[m];
+            fits = fits || (machine.usable && shard.view.jobs[job].spec.request.fits(machine.available()));
+            has_plan = has_plan || exhaustive_search(shard, job, m, max_moves);
         }
-        RC_ASSERT(plan_room_for_job(site.view, job, site.policy).has_value() == (has_plan && !fits));
+        RC_ASSERT(plan_room_for_job(shard.view, job, shard.policy).has_value() == (has_plan && !fits));
     }
 }
 
@@ -544,8 +544,8 @@
 
 /// Returns the smallest number of moves after which the waiting job fits somewhere, or -1 if there is none.
 /// It is a lower bound: tasks may move in any order and in chains, and only GPUs are counted.
-int minimum_moves(const Site& site, std::size_t waiting_job) {
-    const ShardView& view = site.view;
+int minimum_moves(const TestShard& shard, std::size_t waiting_job) {
+    const ShardView& view = shard.view;
     glp_prob* problem = glp_create_prob();
     glp_set_obj_dir(problem, GLP_MIN);
     const int machine_count = static_cast<int>(view.machines.size());
@@ -580,7 +580,7 @@
     for (const auto& task : view.tasks) {
         const JobView& job = view.jobs[task.job];
         if (task.has_planned_move || task.stopping || job.tier < view.jobs[waiting_job].tier ||
-            job.tier == policy::Tier::Live || !site.policy.is_movable(job.spec) ||
+            job.tier == policy::Tier::Live || !shard.policy.is_movable(job.spec) ||
             !view.machines[task.machine].usable)
             continue;
         const int at_most_one_move = glp_add_rows(problem, 1);
@@ -612,11 +612,11 @@
     std::mt19937_64 random(23);
     int compared = 0, planned_moves = 0, minimum = 0, without_plan = 0;
     for (int i = 0; i < 3000; ++i) {
-        Site site = random_site(random, 3 + static_cast<int>(random() % 6), 0);
-        const std::size_t job = site.add_waiting(random() % 2 ? 8 : 4);
-        const int exact = minimum_moves(site, job);
-        if (exact <= 0 || exact > site.policy.budgets.moves_per_placement) continue;
-        const auto plan = plan_room_for_job(site.view, job, site.policy);
+        TestShard shard = random_shard(random, 3 + static_cast<int>(random() % 6), 0);
+        const std::size_t job = shard.add_waiting(random() % 2 ? 8 : 4);
+        const int exact = minimum_moves(shard, job);
+        if (exact <= 0 || exact > shard.policy.budgets.moves_per_placement) continue;
+        const auto plan = plan_room_for_job(shard.view, job, shard.policy);
         if (!plan) {
             ++without_plan;
             continue;
--- a/tests/job_archiver_test.cpp
+++ b/tests/job_archiver_test.cpp
@@ -10,9 +10,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 std::unique_ptr<Simulator> settled_simulator(std::uint64_t seed = 1, int machines = 4,
                                              std::set<int> old_format_nodes = {}) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Micros kMaxReuseDelay = 90 * kSecond;
 
-Settings site_settings(bool has_several_shards) {
+Settings cluster_settings(bool has_several_shards) {
     Settings settings = small_cluster_settings();
     if (has_several_shards) settings.cpu_cores = 0.001;
     settings.operators.idle_return_delay = 600 * kSecond;
@@ -117,7 +117,7 @@
     // back.
     for (const int largest_job_cores : {5, 10}) {
         auto simulator =
-            settled_simulator(static_cast<std::uint64_t>(largest_job_cores), 9, site_settings(true));
+            settled_simulator(static_cast<std::uint64_t>(largest_job_cores), 9, cluster_settings(true));
         for (int i = 1; i <= 9; ++i) {
             JobSpec spec = simulator->make_job(i, JobKind::Gang, i == 7 ? largest_job_cores / 5 : 1, 5);
             simulator->submit(spec, 400 * kSecond);  // all at once, so that some wait in each shard
@@ -143,7 +143,7 @@
 }
 
 TEST(TeamLimitShares, JobWithoutAMachineKeepsNoShareFromJobsThatFit) {
-    auto simulator = settled_simulator(3, 6, site_settings(true));  // two machines of 8 cores a shard
+    auto simulator = settled_simulator(3, 6, cluster_settings(true));  // two machines of 8 cores a shard
     const auto submit = [&](int number, const char* team, int tasks) {
         JobSpec spec = simulator->make_job(number, JobKind::Array, tasks);
         spec.team = team;
@@ -178,7 +178,7 @@
         for (const Micros cancellation_delay : {-400 * kMillisecond, 600 * kMillisecond, 3 * kSecond}) {
             if ((++number + GetParam()) % 6 > 0 && !std::getenv("WORLD_ALL")) continue;
             auto simulator = settled_simulator(static_cast<std::uint64_t>(100 * GetParam() + number), 12,
-                                               site_settings(has_several_shards));
+                                               cluster_settings(has_several_shards));
             if (number % 2) simulator->delay_next_write("c/share/", number % 4 == 1 ? 6 * kSecond : 0);
             auto jobs = submit_twice_the_limits(*simulator);
             const Micros fill_duration = number % 3 ? 60 * kSecond : kSecond;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -18,9 +18,8 @@
 using policy::Tier;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 JobSpec job_of(const std::string& team, const std::string& job_class, PriorityClass rank, JobKind kind) {
     JobSpec job;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -11,9 +11,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(w) \
+    EXPECT_TRUE((w).violations.empty()) << (w).violations.front() << "\n" << (w).format_history()
 
 using recovery::FailoverState;
 using recovery::HeldShard;
@@ -36,9 +35,9 @@
     std::set<std::string> all;
     for (const char* self : {"a", "b"}) {
         state.self = self;
-        const auto mine = recovery::shards_to_acquire(state);
-        EXPECT_EQ(mine.size(), 2u) << self;
-        all.insert(mine.begin(), mine.end());
+        const auto acquired_shards = recovery::shards_to_acquire(state);
+        EXPECT_EQ(acquired_shards.size(), 2u) << self;
+        all.insert(acquired_shards.begin(), acquired_shards.end());
     }
     EXPECT_EQ(all.size(), 4u) << "all nodes come to the same result";
 }
--- a/tests/swift_machines_test.cpp
+++ b/tests/swift_machines_test.cpp
@@ -179,13 +179,13 @@
     spec.priority_class = PriorityClass::Production;
     spec.spot = false;
     simulator->submit(spec, 0);
-    std::size_t stuck = 0;
-    for (int i = 0; i < 20 && stuck == 0; ++i) {
+    std::size_t machines_never_up = 0;
+    for (int i = 0; i < 20 && machines_never_up == 0; ++i) {
         simulator->run(500 * kMillisecond);
         for (auto& [name, m] : simulator->cloud().machines())
-            if (!m.booted) m.boot_ends_at = 3600 * kSecond, ++stuck;
+            if (!m.booted) m.boot_ends_at = 3600 * kSecond, ++machines_never_up;
     }
-    ASSERT_GT(stuck, 0u) << simulator->format_history();
+    ASSERT_GT(machines_never_up, 0u) << simulator->format_history();
     const Micros boot = small_cluster_machine_types().front().boot_duration;
     simulator->run(2 * boot + simulator->settings.cloud_list_lag + boot + 8 * kSecond);
     EXPECT_EQ(simulator->running_tasks(spec.ref), spec.tasks) << simulator->format_history();
--- a/tests/topology_spread_placement_test.cpp
+++ b/tests/topology_spread_placement_test.cpp
@@ -13,15 +13,14 @@
 using policy::ZoneRule;
 using Counts = std::map<std::string, int>;
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 const std::string kServiceRef = "req-000001";
 
 /// Three zones of three machines and one rule for all services.
-struct Site {
-    Site(std::uint64_t seed, const ZoneRule& rule) : simulator(seed, settings(rule), types()) {
+struct ThreeZoneCluster {
+    ThreeZoneCluster(std::uint64_t seed, const ZoneRule& rule) : simulator(seed, settings(rule), types()) {
         for (int i = 0; i < 9; ++i) {
             const std::string zone(1, static_cast<char>('a' + i % 3));
             zone_by_machine[simulator.add_machine("small", zone)] = zone;
@@ -75,14 +74,14 @@
         ZoneRule rule;
         rule.max_zone_share = 1.0 / 3;
         rule.survive = FailureDomain::Machine;
-        Site site(seed, rule);
-        site.simulator.submit(site.service(9), 0);
-        site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}}))
-            << site.simulator.format_history();
-        EXPECT_EQ(site.simulator.machines_running(kServiceRef).size(), 9u)
+        ThreeZoneCluster cluster(seed, rule);
+        cluster.simulator.submit(cluster.service(9), 0);
+        cluster.simulator.run(5 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}, {"c", 3}}))
+            << cluster.simulator.format_history();
+        EXPECT_EQ(cluster.simulator.machines_running(kServiceRef).size(), 9u)
             << "no two replicas on one machine";
-        EXPECT_NO_VIOLATIONS(site.simulator);
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
@@ -91,17 +90,18 @@
         ZoneRule rule;
         rule.allowed = {"b", "c"};
         rule.min_zones = 2;
-        Site site(seed, rule);
-        site.simulator.submit(site.service(2), 0);
-        site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"b", 1}, {"c", 1}})) << site.simulator.format_history();
-        JobSpec gang = site.simulator.make_job(2, JobKind::Gang, 3);
-        site.simulator.submit(gang, 20 * kSecond);
-        site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.simulator.running_tasks(gang.ref), 3) << site.simulator.format_history();
-        for (const auto& machine : site.simulator.machines_running(gang.ref))
-            EXPECT_NE(site.zone_by_machine.at(machine), "a");
-        EXPECT_NO_VIOLATIONS(site.simulator);
+        ThreeZoneCluster cluster(seed, rule);
+        cluster.simulator.submit(cluster.service(2), 0);
+        cluster.simulator.run(5 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"b", 1}, {"c", 1}}))
+            << cluster.simulator.format_history();
+        JobSpec gang = cluster.simulator.make_job(2, JobKind::Gang, 3);
+        cluster.simulator.submit(gang, 20 * kSecond);
+        cluster.simulator.run(5 * kSecond);
+        EXPECT_EQ(cluster.simulator.running_tasks(gang.ref), 3) << cluster.simulator.format_history();
+        for (const auto& machine : cluster.simulator.machines_running(gang.ref))
+            EXPECT_NE(cluster.zone_by_machine.at(machine), "a");
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
@@ -109,19 +109,20 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         ZoneRule rule;
         rule.max_zone_share = 1.0 / 3;
-        Site site(seed, rule);
-        site.simulator.submit(site.service(6), 0);
-        site.simulator.run(5 * kSecond);
-        ASSERT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
-            << site.simulator.format_history();
-        site.set_zone_cut("c", true);
-        site.simulator.run(8 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone()["c"], 2) << "in doubt as long as the lease may last";
-        EXPECT_EQ(site.simulator.task_starts(kServiceRef), 6);
-        site.simulator.run(12 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}})) << site.simulator.format_history();
-        EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 6) << site.simulator.format_history();
-        EXPECT_NO_VIOLATIONS(site.simulator);
+        ThreeZoneCluster cluster(seed, rule);
+        cluster.simulator.submit(cluster.service(6), 0);
+        cluster.simulator.run(5 * kSecond);
+        ASSERT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
+            << cluster.simulator.format_history();
+        cluster.set_zone_cut("c", true);
+        cluster.simulator.run(8 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone()["c"], 2) << "in doubt as long as the lease may last";
+        EXPECT_EQ(cluster.simulator.task_starts(kServiceRef), 6);
+        cluster.simulator.run(12 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 3}, {"b", 3}}))
+            << cluster.simulator.format_history();
+        EXPECT_EQ(cluster.simulator.running_tasks(kServiceRef), 6) << cluster.simulator.format_history();
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
@@ -129,17 +130,17 @@
     ZoneRule rule;
     rule.max_zone_share = 1.0 / 3;
     rule.strict = true;
-    Site site(3, rule);
-    site.simulator.submit(site.service(6), 0);
-    site.simulator.run(5 * kSecond);
-    site.set_zone_cut("c", true);
-    site.simulator.run(20 * kSecond);
-    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}})) << site.simulator.format_history();
-    site.set_zone_cut("c", false);
-    site.simulator.run(10 * kSecond);
-    EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
-        << site.simulator.format_history();
-    EXPECT_NO_VIOLATIONS(site.simulator);
+    ThreeZoneCluster cluster(3, rule);
+    cluster.simulator.submit(cluster.service(6), 0);
+    cluster.simulator.run(5 * kSecond);
+    cluster.set_zone_cut("c", true);
+    cluster.simulator.run(20 * kSecond);
+    EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}})) << cluster.simulator.format_history();
+    cluster.set_zone_cut("c", false);
+    cluster.simulator.run(10 * kSecond);
+    EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 2}, {"b", 2}, {"c", 2}}))
+        << cluster.simulator.format_history();
+    EXPECT_NO_VIOLATIONS(cluster.simulator);
 }
 
 TEST(ZonePlacement, SpreadHoldsEvenIfTheRuleIsRelaxed) {
@@ -147,20 +148,20 @@
         ZoneRule rule;
         rule.preferred = {"a"};
         rule.max_zone_share = 0.4;
-        Site site(seed, rule);
-        JobSpec job = site.service(5);
+        ThreeZoneCluster cluster(seed, rule);
+        JobSpec job = cluster.service(5);
         job.spread = true;
-        site.simulator.submit(job, 0);
-        site.simulator.run(5 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone()["a"], 2) << site.simulator.format_history();
-        for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, true);
-        site.simulator.run(20 * kSecond);
-        EXPECT_EQ(site.replicas_by_zone(), (Counts{{"a", 3}}))
+        cluster.simulator.submit(job, 0);
+        cluster.simulator.run(5 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone()["a"], 2) << cluster.simulator.format_history();
+        for (const char* zone : {"b", "c"}) cluster.set_zone_cut(zone, true);
+        cluster.simulator.run(20 * kSecond);
+        EXPECT_EQ(cluster.replicas_by_zone(), (Counts{{"a", 3}}))
             << "half of five replicas, rounded up; the others wait";
-        for (const char* zone : {"b", "c"}) site.set_zone_cut(zone, false);
-        site.simulator.run(10 * kSecond);
-        EXPECT_EQ(site.simulator.running_tasks(kServiceRef), 5) << site.simulator.format_history();
-        EXPECT_NO_VIOLATIONS(site.simulator);
+        for (const char* zone : {"b", "c"}) cluster.set_zone_cut(zone, false);
+        cluster.simulator.run(10 * kSecond);
+        EXPECT_EQ(cluster.simulator.running_tasks(kServiceRef), 5) << cluster.simulator.format_history();
+        EXPECT_NO_VIOLATIONS(cluster.simulator);
     }
 }
 
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -540,8 +540,8 @@
 
 TEST(Incident, FaultyMachineIsDetectedAmongHealthyOnes) {
     auto simulator = settled_simulator(1, 4);
-    const std::string bad = simulator->machine_names().front();
-    simulator->worker(bad)->faulty = true;
+    const std::string faulty_machine = simulator->machine_names().front();
+    simulator->worker(faulty_machine)->faulty = true;
     for (int i = 1; i <= 6; ++i)
         simulator->submit(simulator->make_job(i, JobKind::Array, 16, 0.5), 2 * kSecond);
     simulator->run(25 * kSecond);
@@ -549,7 +549,7 @@
         EXPECT_EQ(simulator->reported_stage("req-00000" + std::to_string(i)), "done")
             << simulator->format_history();
     const auto& machines = simulator->owner_at(simulator->owner_node())->machines();
-    const auto found = machines.find(bad);
+    const auto found = machines.find(faulty_machine);
     EXPECT_TRUE(found == machines.end() || found->second->retired || !found->second->failing_jobs.empty());
     EXPECT_NO_VIOLATIONS(*simulator);
 }
--- a/tests/verify_test.cpp
+++ b/tests/verify_test.cpp
@@ -12,9 +12,8 @@
 using namespace simulation;
 namespace {
 
-#define EXPECT_NO_VIOLATIONS(simulator)                                                   \
-    EXPECT_TRUE((simulator).violations.empty()) << (simulator).violations.front() << "\n" \
-                                                << (simulator).format_history()
+#define EXPECT_NO_VIOLATIONS(sim) \
+    EXPECT_TRUE((sim).violations.empty()) << (sim).violations.front() << "\n" << (sim).format_history()
 
 using recovery::Finding;
 
