--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -318,8 +318,7 @@
     auto simulator = settled_simulator(10);
     simulator->submit(simulator->make_job(1, JobKind::Array, 1), 5 * kSecond, 0);
     simulator->run(300 * kMillisecond);
-    JobSpec wide =
-        job_with_dependencies(*simulator, 2, {"req-000001"}, 40);  // more tasks than there is room for
+    JobSpec wide = job_with_dependencies(*simulator, 2, {"req-000001"}, 40);  // more tasks than fit
     simulator->submit(wide, 30 * kSecond, 0);
     simulator->run(12 * kSecond);
     auto eligible_since = [&]() -> std::int64_t {
