--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -89,9 +89,9 @@
     std::vector<std::string> reasons;
     const Micros now = context_.runtime().now();
     if (job.stage == Stage::Cancelled) return {"it is cancelled"};
-    if (job.unbound_tasks == 0) return {"none of its tasks waits"};
-    if (!job.dependencies_done) return {"jobs that it depends on are not done"};
-    if (job.transferring) reasons.push_back("it is being transferred to another domain");
+    if (job.unbound_tasks == 0) return {"nothing of it waits"};
+    if (!job.dependencies_done) return {"jobs that it needs are not done"};
+    if (job.transferring) reasons.push_back("it is being given to another domain");
     if (job.on_admitted) reasons.push_back("its record is not stored yet");
     if (job.backing_off)
         reasons.push_back("it fails everywhere: one task is tried at a time, the next in " +
@@ -117,16 +117,14 @@
         reasons.push_back("zones with room hold as many of its tasks as they may");
     else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
         reasons.push_back("a gang starts as a whole, and there may not be room for all of it");
-    if (job.is_best_effort())
-        reasons.push_back(
-            "it is best-effort work, which is placed at intervals on resources that no other work uses");
+    if (job.is_best_effort()) reasons.push_back("it takes what other work leaves over, in turns");
     if (job.waiting_for_image) reasons.push_back("it waits for a machine that has its image");
     const auto waiting_to_retry = std::count_if(job.slots.begin(), job.slots.end(), [&](const Slot& slot) {
         return slot.state == SlotState::Unbound && slot.retry_at > now;
     });
     if (waiting_to_retry > 0)
         reasons.push_back(std::to_string(waiting_to_retry) + " of its tasks have failed and are tried later");
-    if (reasons.empty()) reasons.push_back("it is considered in the next scheduling pass");
+    if (reasons.empty()) reasons.push_back("its turn comes with the next pass of planning");
     return reasons;
 }
 
