--- a/src/allocation/autoscaler.cpp
+++ b/src/allocation/autoscaler.cpp
@@ -399,7 +399,7 @@
         deleting_ = false;
         if (reply.status != 200) return;
         for (const auto& name : names) {
-            machine_allocator_.on_machine_gone(name);
+            machine_allocator_.on_machine_removed(name);
             never_registered_.erase(name);
             pending_instances_.erase(name);
             first_listed_.erase(name);
--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Returns the part of a team's quota in a shard that is neither in use nor needed by waiting tasks.
-Resources spare_quota(const peer::TeamLoad& team) {
+Resources transferable_quota(const peer::TeamLoad& team) {
     const Resources spare = unused_quota(team) - team.waiting;
     return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
 }
@@ -135,7 +135,8 @@
 void CapacityBroker::request_quota(const ShardOwner& owner, const std::string& team,
                                    const Resources& missing) {
     const auto lacking = owner.smallest_quota_shortfall(team);
-    if (!lacking || request_quota(owner, team, missing, spare_quota, &ShardOwner::spare_quota)) return;
+    if (!lacking || request_quota(owner, team, missing, transferable_quota, &ShardOwner::transferable_quota))
+        return;
     if (lacking->cores <= 0 && lacking->gpus <= 0) return;
     if (lacking->fits(unused_quota_elsewhere(owner.shard(), team)))
         request_quota(owner, team, *lacking, unused_quota, &ShardOwner::unused_quota);
@@ -180,7 +181,7 @@
 /// Transfers spare quota, or if the shard has none and should yield, unused quota.
 void CapacityBroker::transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
                                     std::function<void(peer::Grant)> done) {
-    Resources available = from.spare_quota(request.team);
+    Resources available = from.transferable_quota(request.team);
     if (available.cores + available.gpus <= 0 && should_yield_quota(from, request))
         available = from.unused_quota(request.team);
     quota_allocator_.transfer_quota(from, request, available, std::move(done));
@@ -211,7 +212,7 @@
     std::pair<Milli, Milli> most;  // spare quota, and unused quota that the shard should yield
     for (const auto& [name, owner] : assignment_.owners()) {
         if (!owner || name == request.shard || !owner->active()) continue;
-        const Resources spare = owner->spare_quota(request.team);
+        const Resources spare = owner->transferable_quota(request.team);
         const Resources unused =
             should_yield_quota(*owner, request) ? owner->unused_quota(request.team) : Resources{};
         const std::pair available{spare.cores + spare.gpus, unused.cores + unused.gpus};
--- a/src/allocation/machine_allocator.cpp
+++ b/src/allocation/machine_allocator.cpp
@@ -239,7 +239,7 @@
     for (auto& done : unallocated.mapped().callbacks) runtime_.after(0, std::move(done));
 }
 
-void MachineAllocator::on_machine_gone(const std::string& machine) {
+void MachineAllocator::on_machine_removed(const std::string& machine) {
     drop_unallocated(machine);
     returned_.put(machine, {});
     if (returned_.size() > kMaxReturnedNames) returned_.erase(std::string(returned_.oldest().first));
--- a/src/allocation/machine_allocator.hpp
+++ b/src/allocation/machine_allocator.hpp
@@ -45,7 +45,7 @@
     }
     /// Called when no block lists the machine any more, and when the cloud has confirmed that it is deleted,
     /// which also covers machines that have never been in a block.
-    void on_machine_gone(const std::string& machine);
+    void on_machine_removed(const std::string& machine);
     /// Returns true if the machine is known to be gone for good. A report or a list that still names it is
     /// old: leased again, the machine would count as capacity until its silence is noticed.
     bool is_returned(const std::string& machine) const { return returned_.find(machine) != nullptr; }
--- a/src/api/heartbeat_router.cpp
+++ b/src/api/heartbeat_router.cpp
@@ -230,7 +230,7 @@
     permission::ProxyEvidence evidence;
     evidence.is_member = membership_lease_.is_registered() && cache_.membership.is_alive(settings_.node);
     evidence.store_read_valid = lease_is_valid();
-    evidence.holder_known = cache_.membership.shard(block.shard) != nullptr;
+    evidence.owner_known = cache_.membership.shard(block.shard) != nullptr;
     // This process does not know what a former process of this node promised, so it waits until those
     // promises have expired.
     evidence.former_promises_expired =
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -170,16 +170,17 @@
         if (shard == block.shard)
             owner->on_machine(block, machine);
         else
-            owner->on_machine_gone(machine.name, "the machine is in another domain now");
+            owner->on_machine_removed(machine.name, "the machine is in another domain now");
     }
 }
 
 void Controller::on_machine_left(const std::string& machine) {
     heartbeat_router_.forget_machine(machine);
-    machine_allocator_.on_machine_gone(machine);
+    machine_allocator_.on_machine_removed(machine);
     for (const auto& [shard, owner] : assignment_.owners())
         if (owner)
-            owner->on_machine_gone(machine, "the machine was deleted or given to another shard while empty");
+            owner->on_machine_removed(machine,
+                                      "the machine was deleted or given to another shard while empty");
 }
 
 void Controller::on_format() {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -50,7 +50,7 @@
     }
     void on_ownership_lost(const std::string& shard) override { assignment_.release_shard(shard); }
     void wake() override;
-    Resources quota_share(const std::string& shard, const std::string& team) const override {
+    Resources available_quota(const std::string& shard, const std::string& team) const override {
         return cache_.quotas.available_quota(shard, team);
     }
     bool within_guarantee(const std::string& ref) override {
@@ -59,7 +59,7 @@
     DependencyStatus dependency_status(const std::string& ref) const override {
         return cache_.jobs.dependency_graph().dependency_status(ref);
     }
-    bool all_can_read(std::uint64_t format) const override { return cache_.formats.is_read_by_all(format); }
+    bool is_read_by_all(std::uint64_t format) const override { return cache_.formats.is_read_by_all(format); }
     void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) override {
         cache_.apply(keys::job + ref, &value, mod_revision);
     }
--- a/src/scheduling/gpu_packing.cpp
+++ b/src/scheduling/gpu_packing.cpp
@@ -20,7 +20,7 @@
 // More than all other terms of the score together, so that tasks without GPUs go elsewhere if they can.
 constexpr double kNoGpuTaskPenalty = 200;
 
-// Time of any move: the task is stopped, proven gone and started.
+// Time of any move: the task is stopped, confirmed terminated and started.
 constexpr double kMoveSeconds = 5;
 // A second without a service's replica costs as much as this many seconds of lost batch work, because users
 // wait for it.
@@ -147,7 +147,7 @@
     }
 
     /// Returns true if the job has tasks that have waited for GPUs long enough and have no reservation.
-    bool needs_room(std::size_t job_index) const {
+    bool needs_capacity(std::size_t job_index) const {
         const JobView& job = view_.jobs[job_index];
         if (job.cancelled || job.spec.request.gpus <= 0 || job.waiting_time < policy_.gpus.min_wait)
             return false;
@@ -155,10 +155,11 @@
                                               : job.waiting_tasks > job.reserved_tasks;
     }
 
-    /// Plans room for `tasks` tasks of a job with at most `max_moves_per_task` moves for each and `max_moves`
-    /// in all, and accounts for the capacity used. Returns nothing if not all of the tasks get room, or if
-    /// they fit without moves.
-    std::vector<RoomPlan> plan_room(std::size_t job, int tasks, int max_moves_per_task, int max_moves) {
+    /// Plans capacity for `tasks` tasks of a job with at most `max_moves_per_task` moves for each and
+    /// `max_moves` in all, and accounts for the capacity used. Returns nothing if not all of the tasks get
+    /// capacity, or if they fit without moves.
+    std::vector<CapacityPlan> plan_capacity(std::size_t job, int tasks, int max_moves_per_task,
+                                            int max_moves) {
         if (!has_enough_gpus_in_total(job, tasks)) return {};
         std::vector<TaskPlan> best;
         double lowest_cost = 0;
@@ -184,7 +185,7 @@
             }
         }
         for (const auto& plan : best) apply(job, plan);
-        return room_plans(job, best);
+        return capacity_plans(job, best);
     }
 
     /// Returns true if some machine has capacity for a task of the job without any move.
@@ -547,13 +548,13 @@
         ++planned_starts_[job][view_.machines[plan.machine].zone];
     }
 
-    /// Merges the plans for a job's tasks into one RoomPlan for each machine.
-    std::vector<RoomPlan> room_plans(std::size_t job, const std::vector<TaskPlan>& task_plans) const {
+    /// Merges the plans for a job's tasks into one CapacityPlan for each machine.
+    std::vector<CapacityPlan> capacity_plans(std::size_t job, const std::vector<TaskPlan>& task_plans) const {
         const std::string& ref = view_.jobs[job].spec.ref;
-        std::map<std::size_t, RoomPlan> by_machine;
+        std::map<std::size_t, CapacityPlan> by_machine;
         for (const auto& task_plan : task_plans) {
             auto [entry, is_new] = by_machine.try_emplace(task_plan.machine);
-            RoomPlan& plan = entry->second;
+            CapacityPlan& plan = entry->second;
             if (is_new) plan.reservation = {ref, view_.machines[task_plan.machine].name, 0};
             ++plan.reservation.tasks;
             plan.cost += task_plan.cost;
@@ -564,7 +565,7 @@
                                       MoveReason::MakeRoom, ref});
             }
         }
-        std::vector<RoomPlan> plans;
+        std::vector<CapacityPlan> plans;
         for (auto& [machine, plan] : by_machine) plans.push_back(std::move(plan));
         return plans;
     }
@@ -573,7 +574,7 @@
     const policy::Policy& policy_;
     GpuDemand demand_;
     std::vector<Resources> available_now_;    // by machine: what a task can move into at once
-    std::vector<Resources> available_later_;  // by machine: after stopping and leaving tasks are gone
+    std::vector<Resources> available_later_;  // by machine: after stopping and leaving tasks have terminated
     std::vector<int> fetches_;                // by machine: image fetches, those of planned moves included
     std::vector<bool> moved_;                 // by task: part of a plan of this call
     std::vector<bool> job_is_movable_;        // by job
@@ -585,29 +586,30 @@
 
 }  // namespace
 
-std::optional<RoomPlan> plan_room_for_job(const ShardView& view, std::size_t job_index,
-                                          const policy::Policy& policy) {
+std::optional<CapacityPlan> plan_capacity_for_job(const ShardView& view, std::size_t job_index,
+                                                  const policy::Policy& policy) {
     MoveSearch search(view, policy);
-    if (!search.needs_room(job_index)) return std::nullopt;
+    if (!search.needs_capacity(job_index)) return std::nullopt;
     const JobView& job = view.jobs[job_index];
     if (job.spec.kind == JobKind::Gang ? job.waiting_tasks > 1 : search.fits_somewhere(job_index))
         return std::nullopt;
-    auto plans = search.plan_room(job_index, 1, policy.budgets.moves_per_placement,
-                                  policy.budgets.moves_per_placement);
+    auto plans = search.plan_capacity(job_index, 1, policy.budgets.moves_per_placement,
+                                      policy.budgets.moves_per_placement);
     if (plans.empty()) return std::nullopt;
     return std::move(plans.front());
 }
 
-std::vector<RoomPlan> plan_room_for_waiting_jobs(const ShardView& view, const policy::Policy& policy) {
+std::vector<CapacityPlan> plan_capacity_for_waiting_jobs(const ShardView& view,
+                                                         const policy::Policy& policy) {
     MoveSearch search(view, policy);
     std::vector<std::size_t> order;
     for (std::size_t j = 0; j < view.jobs.size(); ++j)
-        if (search.needs_room(j)) order.push_back(j);
+        if (search.needs_capacity(j)) order.push_back(j);
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const JobView &first = view.jobs[a], &second = view.jobs[b];
         return std::tie(first.tier, second.waiting_time) < std::tie(second.tier, first.waiting_time);
     });
-    std::vector<RoomPlan> room_plans;
+    std::vector<CapacityPlan> capacity_plans;
     int moves_left = policy.budgets.moves_per_minute;
     std::size_t jobs_without_plan = 0;
     for (const std::size_t j : order) {
@@ -615,21 +617,21 @@
         const bool is_gang = job.spec.kind == JobKind::Gang;
         if (!is_gang && search.fits_somewhere(j)) continue;
         for (int left = is_gang ? 1 : job.waiting_tasks - job.reserved_tasks; left > 0; --left) {
-            if (moves_left <= 0) return room_plans;
+            if (moves_left <= 0) return capacity_plans;
             auto plans =
-                search.plan_room(j, is_gang ? job.waiting_tasks : 1,
-                                 std::min(policy.budgets.moves_per_placement, moves_left), moves_left);
+                search.plan_capacity(j, is_gang ? job.waiting_tasks : 1,
+                                     std::min(policy.budgets.moves_per_placement, moves_left), moves_left);
             if (plans.empty()) {
-                if (++jobs_without_plan >= kMaxJobsWithoutPlan) return room_plans;
+                if (++jobs_without_plan >= kMaxJobsWithoutPlan) return capacity_plans;
                 break;
             }
             for (auto& plan : plans) {
                 moves_left -= static_cast<int>(plan.moves.size());
-                room_plans.push_back(std::move(plan));
+                capacity_plans.push_back(std::move(plan));
             }
         }
     }
-    return room_plans;
+    return capacity_plans;
 }
 
 }  // namespace cottonway::scheduling
--- a/src/scheduling/gpu_packing.hpp
+++ b/src/scheduling/gpu_packing.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // Limits the fragmentation of free GPUs: a score term that keeps free GPUs of a machine together, and plans
-// of moves that make room for a large task when enough GPUs are free in total but not on one machine. Pure.
+// of moves that free capacity for a large task when enough GPUs are free in total but not on one machine.
+// Pure.
 
 #include <map>
 #include <optional>
@@ -42,20 +43,20 @@
 /// A reservation on the machine where one or more tasks of a job shall start, and the moves of tasks that
 /// have to leave that machine, each to a destination with capacity. The plan has no moves if it is enough to
 /// wait for tasks that are already stopping.
-struct RoomPlan {
+struct CapacityPlan {
     Reservation reservation;
     std::vector<Move> moves;
     double cost = 0;  // in seconds: downtime of the moved tasks, images fetched again, work lost
 };
-/// Plans room for one task of `job` (index into ShardView::jobs). Returns nothing if the job has not waited
-/// long enough, fits already, cannot get room within the budgets, or is a gang with several waiting tasks
-/// (see plan_room_for_waiting_jobs).
-std::optional<RoomPlan> plan_room_for_job(const ShardView& view, std::size_t job,
-                                          const policy::Policy& policy);
-
-/// Plans room for all jobs that have waited long enough, the highest tier and then the longest wait first,
-/// within the budgets. No two plans use the same capacity. A gang gets one plan for each machine it starts
-/// on, or none at all.
-std::vector<RoomPlan> plan_room_for_waiting_jobs(const ShardView& view, const policy::Policy& policy);
+/// Plans capacity for one task of `job` (index into ShardView::jobs). Returns nothing if the job has not
+/// waited long enough, fits already, cannot get capacity within the budgets, or is a gang with several
+/// waiting tasks (see plan_capacity_for_waiting_jobs).
+std::optional<CapacityPlan> plan_capacity_for_job(const ShardView& view, std::size_t job,
+                                                  const policy::Policy& policy);
+
+/// Plans capacity for all jobs that have waited long enough, the highest tier and then the longest wait
+/// first, within the budgets. No two plans use the same capacity. A gang gets one plan for each machine it
+/// starts on, or none at all.
+std::vector<CapacityPlan> plan_capacity_for_waiting_jobs(const ShardView& view, const policy::Policy& policy);
 
 }  // namespace cottonway::scheduling
--- a/src/scheduling/migrations.cpp
+++ b/src/scheduling/migrations.cpp
@@ -53,8 +53,8 @@
     return job.known && !job.cancelled && job.waiting_tasks > 0;
 }
 
-// Returns true if the attempt that the move is to stop is still on its machine, also while stopping or in
-// doubt.
+// Returns true if the attempt that the move is to stop is still on its machine, also while stopping or
+// unconfirmed.
 bool is_on_source(const PlannedMove& planned, const TaskState& task) {
     return task.machine == planned.move.from && task.attempt == planned.attempt;
 }
--- a/src/scheduling/migrations.hpp
+++ b/src/scheduling/migrations.hpp
@@ -33,7 +33,7 @@
 struct TaskState {
     bool known = false;      // the job is not over and has this task
     bool cancelled = false;  // the job was cancelled
-    std::string machine;     // where the task is bound, also while stopping or in doubt; empty: nowhere
+    std::string machine;     // where the task is bound, also while stopping or unconfirmed; empty: nowhere
     std::int64_t attempt = 0;
     bool stopping = false;
 };
@@ -54,7 +54,7 @@
         virtual ~ShardQuery() = default;
         virtual TaskState task(const std::string& job, int task) const = 0;
         virtual JobState job(const std::string& ref) const = 0;
-        /// Returns the number of the job's tasks on the machine, in-doubt and stopping ones included.
+        /// Returns the number of the job's tasks on the machine, unconfirmed and stopping ones included.
         virtual int tasks_on(const std::string& job, const std::string& machine) const = 0;
         virtual bool is_machine_usable(const std::string& machine) const = 0;
     };
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -61,7 +61,7 @@
         return std::tuple(job.next_start_request.cores, job.next_start_request.gpus, job.index);
     };
     for (const QueuedJob* job : waiting) {
-        if (job->lacks_room || !fits_within(job->next_start_request, reserves.half)) continue;
+        if (job->lacks_capacity || !fits_within(job->next_start_request, reserves.half)) continue;
         waiting_request += job->waiting_request;
         if (!smallest || size_key(*job) < size_key(*smallest)) smallest = job;
     }
@@ -90,9 +90,9 @@
     std::map<std::string, std::vector<const QueuedJob*>> batch_jobs;
     for (const QueuedJob& job : queue) {
         TeamReserves& reserves = reserves_of[job.team];
-        if (job.tier == Tier::Live && !job.lacks_room) reserves.waiting_live += job.waiting_request;
+        if (job.tier == Tier::Live && !job.lacks_capacity) reserves.waiting_live += job.waiting_request;
         if (job.tier == Tier::Batch) batch_jobs[job.team].push_back(&job);
-        if (is_overdue(job, priority) && !job.lacks_room &&
+        if (is_overdue(job, priority) && !job.lacks_capacity &&
             (!reserves.first_overdue ||
              overdue_key(job, reserves) < overdue_key(*reserves.first_overdue, reserves)))
             reserves.first_overdue = &job;
@@ -169,18 +169,18 @@
     }
     // The highest tier goes first, then the highest rank, then jobs within their guarantee, then the nearest
     // deadline, then jobs that cannot wait. Ties go to the smallest remaining work divided by age.
-    auto goes_before = [](const QueuedJob* a, const QueuedJob* b) {
+    auto precedes = [](const QueuedJob* a, const QueuedJob* b) {
         auto key = [](const QueuedJob& job) {
             return std::tuple(job.tier, job.rank, !job.within_guarantee, job.deadline_ms, job.can_wait,
                               job.remaining_work_by_age, job.index);
         };
         return key(*a) < key(*b);
     };
-    std::sort(live_jobs.begin(), live_jobs.end(), goes_before);
+    std::sort(live_jobs.begin(), live_jobs.end(), precedes);
     std::sort(overdue_jobs.begin(), overdue_jobs.end(), [&](const QueuedJob* a, const QueuedJob* b) {
         return overdue_key(*a, reserves_of.at(a->team)) < overdue_key(*b, reserves_of.at(b->team));
     });
-    std::sort(other_jobs.begin(), other_jobs.end(), goes_before);
+    std::sort(other_jobs.begin(), other_jobs.end(), precedes);
     std::vector<QueueEntry> order;
     order.reserve(live_jobs.size() + overdue_jobs.size() + other_jobs.size());
     for (const QueuedJob* job : live_jobs) order.push_back(entry_for(*job, reserves_of.at(job->team), false));
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -24,7 +24,7 @@
     double remaining_work_by_age = 0;  // remaining work divided by age; the smallest value goes first
     Micros age = 0;                    // since submission or, if later, since its last dependency was done
     bool has_started = false;          // some task is on a machine or has succeeded
-    bool lacks_room = false;           // recently fitted on no machine: no part of a limit is withheld for it
+    bool lacks_capacity = false;       // recently fitted on no machine: no part of a limit is withheld for it
     Resources waiting_request;         // request of all its waiting tasks together
     Resources next_start_request;      // request of its next start: one task, or the whole gang
 };
@@ -32,7 +32,7 @@
 /// A team's limit in the shard and its current usage.
 struct TeamUsage {
     Resources limit;                                 // the shard's part of the team's limit
-    std::map<policy::Tier, Resources> used_by_tier;  // in-doubt and stopping tasks included
+    std::map<policy::Tier, Resources> used_by_tier;  // unconfirmed and stopping tasks included
 };
 
 /// A place in the queue.
--- a/src/scheduling/topology_spread.cpp
+++ b/src/scheduling/topology_spread.cpp
@@ -43,10 +43,10 @@
             a.unpreferred - b.unpreferred};
 }
 
-/// The zone constraints of a job and of its policy rule, as plain numbers.
-class ZoneConstraints {
+/// The spread constraints of a job and of its policy rule, as plain numbers.
+class SpreadConstraints {
   public:
-    ZoneConstraints(const JobSpec& job, const policy::ZoneRule* rule)
+    SpreadConstraints(const JobSpec& job, const policy::ZoneRule* rule)
         : job_(job), rule_(rule), cap_(job.tasks) {
         if (!rule || job.kind != JobKind::Service) return;
         // The margin absorbs the rounding error of a share such as a third in binary.
@@ -122,7 +122,7 @@
 }
 
 /// Returns the lowest cost that moves between usable zones can reach. Replicas in other zones stay there.
-Cost best_cost(const ZoneConstraints& constraints, const Counts& counts, const Zones& usable_zones) {
+Cost best_cost(const SpreadConstraints& constraints, const Counts& counts, const Zones& usable_zones) {
     Counts ideal;
     int movable = 0;
     for (const auto& [zone, count] : counts) {
@@ -257,7 +257,7 @@
         if (!rule || !rule->rebalance || !can_move_replica(job_index)) return {};
         ServiceImbalance found{
             job_index, imbalance(job.spec, rule, job.tasks_by_zone, usable_zones(job.spec), all_zones_), 0};
-        if (ZoneConstraints(job.spec, rule).requires_separate_machines()) {
+        if (SpreadConstraints(job.spec, rule).requires_separate_machines()) {
             for (const auto& [machine, count] : replicas_by_machine(job_index)) found.sharing += count - 1;
             found.sharing /= job.spec.tasks;
         }
@@ -266,13 +266,13 @@
 
     std::optional<Move> find_move(const ServiceImbalance& service) {
         const JobView& job = view_.jobs[service.job];
-        const ZoneConstraints constraints(job.spec, policy_.zone_rule(job.spec));
+        const SpreadConstraints constraints(job.spec, policy_.zone_rule(job.spec));
         const Cost current_cost = constraints.cost(job.tasks_by_zone);
         const Zones target_zones = usable_zones(job.spec);
         std::vector<ZoneShift> shifts;
         for (const auto& [from, count] : job.tasks_by_zone) {
             for (const auto& to : target_zones) {
-                // The old replica counts in its zone until it is proven gone.
+                // The old replica counts in its zone until it is confirmed terminated.
                 const int replicas_in_target = count_in(job.tasks_by_zone, to);
                 if (count <= 0 || from == to ||
                     replicas_in_target >= constraints.job_limit(to, job.tasks_by_zone))
@@ -296,7 +296,7 @@
         return std::nullopt;
     }
 
-    std::optional<Move> move_replica(std::size_t job, const ZoneConstraints& constraints,
+    std::optional<Move> move_replica(std::size_t job, const SpreadConstraints& constraints,
                                      const std::map<std::size_t, int>& replicas, const std::string& from,
                                      const std::string& to, bool only_sharing) {
         const TaskView* chosen = nullptr;
@@ -366,8 +366,8 @@
 }  // namespace
 
 ZoneChoice choose_zones(const JobSpec& job, const policy::ZoneRule* rule, const Counts& tasks_by_zone,
-                        const Zones& usable_zones, const Zones& all_zones, const Zones* zones_with_room) {
-    const ZoneConstraints constraints(job, rule);
+                        const Zones& usable_zones, const Zones& all_zones, const Zones* zones_with_capacity) {
+    const SpreadConstraints constraints(job, rule);
     ZoneChoice choice;
     choice.strict = rule && rule->strict;
     if (constraints.requires_separate_machines()) choice.max_tasks_per_machine = 1;
@@ -380,7 +380,7 @@
                     [&](const std::string& zone) { return constraints.allows(zone) && !is_full(zone); });
     auto is_eligible = [&](const std::string& zone) {
         if (is_full(zone) || !contains(usable_zones, zone) ||
-            (zones_with_room && !contains(*zones_with_room, zone)))
+            (zones_with_capacity && !contains(*zones_with_capacity, zone)))
             return false;
         return constraints.can_add_within_rule(tasks_by_zone, zone) ||
                (!choice.strict && (constraints.allows(zone) || !has_usable_allowed_zone));
@@ -411,7 +411,7 @@
 double imbalance(const JobSpec& job, const policy::ZoneRule* rule, const Counts& tasks_by_zone,
                  const Zones& usable_zones, const Zones& all_zones) {
     if (!rule) return 0;
-    const ZoneConstraints constraints(job, rule);
+    const SpreadConstraints constraints(job, rule);
     const Cost current = constraints.cost(tasks_by_zone),
                best = best_cost(constraints, tasks_by_zone, usable_zones);
     return current <= best ? 0
--- a/src/scheduling/topology_spread.hpp
+++ b/src/scheduling/topology_spread.hpp
@@ -19,7 +19,7 @@
 
 /// The zones that a job's next task may be placed in, with a penalty for each.
 struct ZoneChoice {
-    /// The most tasks that each zone may hold, including the tasks already there (also those in doubt). A
+    /// The most tasks that each zone may hold, including the tasks already there (also unconfirmed ones). A
     /// zone that is not listed takes none. The choice holds for the next task only and has to be made again
     /// after that is bound. It never exceeds what the job's own `spread`, `one_zone` and `zone` allow.
     std::map<std::string, int> max_tasks;
@@ -43,15 +43,15 @@
 };
 
 /// Chooses zones for a job's next task. `usable_zones` are zones with machines that tasks can be bound to,
-/// `all_zones` the zones that the settings name, and `zones_with_room` the usable zones that have capacity
-/// for the task (nullptr: not known). If capacity is short, every part of the rule but `allowed` is relaxed
-/// as far as necessary, unless the rule is strict. `allowed` and `preferred` apply to all jobs in the rule's
-/// scope, the other parts to services only.
+/// `all_zones` the zones that the settings name, and `zones_with_capacity` the usable zones that have
+/// capacity for the task (nullptr: not known). If capacity is short, every part of the rule but `allowed` is
+/// relaxed as far as necessary, unless the rule is strict. `allowed` and `preferred` apply to all jobs in the
+/// rule's scope, the other parts to services only.
 ZoneChoice choose_zones(const JobSpec& job, const policy::ZoneRule* rule,
                         const std::map<std::string, int>& tasks_by_zone,
                         const std::vector<std::string>& usable_zones,
                         const std::vector<std::string>& all_zones,
-                        const std::vector<std::string>* zones_with_room = nullptr);
+                        const std::vector<std::string>* zones_with_capacity = nullptr);
 
 /// Returns how far a service is from the best distribution that its rule asks for and the usable zones admit,
 /// or 0 if no move would improve it. Values of different services can be compared.
--- a/src/scheduling/view.hpp
+++ b/src/scheduling/view.hpp
@@ -25,13 +25,13 @@
     /// New tasks may be bound to the machine: it reported recently, is not leaving and is not suspect.
     bool usable = false;
     Resources size;
-    Resources reserved;   // requests of all tasks on the machine, in-doubt and stopping ones included
-    Resources stopping;   // the part of `reserved` that belongs to stopping tasks
-    Resources set_aside;  // free capacity held by reservations and for planned moves to the machine
+    Resources reserved;  // requests of all tasks on the machine, unconfirmed and stopping ones included
+    Resources stopping;  // the part of `reserved` that belongs to stopping tasks
+    Resources withheld;  // free capacity held by reservations and for planned moves to the machine
     double fetch_gb_per_s = 1;
     std::vector<ImageView> images;
     std::vector<std::size_t> tasks;  // indices into ShardView::tasks
-    Resources available() const { return size - reserved - set_aside; }
+    Resources available() const { return size - reserved - withheld; }
 };
 
 struct TaskView {
@@ -39,7 +39,7 @@
     int task = 0;
     std::size_t machine = 0;        // index into ShardView::machines
     bool running = false;           // has its image and runs
-    bool stopping = false;          // was told to stop, or is about to be
+    bool stopping = false;          // was ordered to stop, or is about to be
     bool has_planned_move = false;  // the migration plan contains a move of the task
     Micros run_time = 0;            // so far
 };
@@ -51,10 +51,10 @@
     bool cancelled = false;
     int waiting_tasks = 0;    // tasks that wait for capacity
     int reserved_tasks = 0;   // waiting tasks for which capacity is already reserved
-    int bound_tasks = 0;      // tasks on machines, in-doubt and stopping ones included
+    int bound_tasks = 0;      // tasks on machines, unconfirmed and stopping ones included
     Micros waiting_time = 0;  // how long some task of the job has waited for capacity; 0 if none waits
     Micros age = 0;           // since the job was submitted or, if later, its last dependency was done
-    std::map<std::string, int> tasks_by_zone;  // bound tasks, in-doubt and stopping ones included
+    std::map<std::string, int> tasks_by_zone;  // bound tasks, unconfirmed and stopping ones included
     Micros time_since_move = 0;                // since the last move of one of its tasks; large if none moved
     int recent_balance_moves = 0;              // moves of its tasks for balance in the last ten minutes
 };
@@ -72,7 +72,7 @@
 /// Why a task is moved.
 enum class MoveReason : std::uint8_t { Balance, MakeRoom };
 
-/// Moves a replica or task to another machine: the task is stopped, proven gone and started again.
+/// Moves a replica or task to another machine: the task is stopped, confirmed terminated and started again.
 struct Move {
     std::string job;
     int task = 0;
--- a/src/shard/attempts.cpp
+++ b/src/shard/attempts.cpp
@@ -1,5 +1,5 @@
-// ShardOwner: attempts at tasks, from the bind until they are proven gone, and the reconciliation of workers'
-// messages with them.
+// ShardOwner: attempts at tasks, from the bind until they are confirmed terminated, and the reconciliation of
+// workers' messages with them.
 
 #include <algorithm>
 #include <utility>
@@ -28,7 +28,7 @@
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
     if (slot.state != SlotState::Binding && slot.state != SlotState::Bound) return;
     // The end of an attempt on an unreachable machine is stored even if the task isn't bound elsewhere.
-    // Otherwise the next holder would have to wait until the controller lease of this one and then a worker
+    // Otherwise the next owner would have to wait until the controller lease of this one and then a worker
     // lease have ended before it could prove the same again.
     const bool stores_end =
         slot.state == SlotState::Bound && unreachable_for(*slot.machine) > unreachable_limit();
@@ -98,7 +98,7 @@
     mark_done(job, task);
     if (job.spec.kind != JobKind::Gang) return;
     // A gang completes as a whole: if one task is done, all of them are. Those on silent machines still use
-    // resources until they are proven gone.
+    // resources until they are confirmed terminated.
     job.gang_done = true;
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Unbound) mark_done(job, static_cast<int>(i));
@@ -126,7 +126,7 @@
 }
 
 /// Takes only the session and the token from a message that arrives while the jobs are still being read. Its
-/// tasks can't be told from orphaned ones yet and must not be stopped as such.
+/// tasks can't be distinguished from orphaned ones yet and must not be stopped as such.
 void ShardOwner::record_session_and_token(Machine& machine, const Report& report, bool is_report) {
     if (report.session < machine.session) return;
     if (report.session > machine.session) {
@@ -265,7 +265,7 @@
     slot.seen = true;
     slot.launch_sent = true;
     if (slot.phase != Phase::Running && phase == Phase::Running) {
-        // It is unknown for how long a task that a former holder launched has been running; half of the
+        // It is unknown for how long a task that a former owner launched has been running; half of the
         // estimate is assumed.
         slot.running_since = slot.inherited ? now - job.spec.estimated_duration / 2 : now;
         spdlog::debug("task {}/{}: runs on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
@@ -275,8 +275,8 @@
     if (phase == Phase::Running && now - slot.running_since > kProvenRunTime) on_first_success(job);
 }
 
-/// Handles a bound task that a message of its worker does not list: it is gone, not launched yet, or in
-/// doubt.
+/// Handles a bound task that a message of its worker does not list: it has terminated, is not launched
+/// yet, or is unconfirmed.
 void ShardOwner::handle_absent_task(Machine& machine, Job& job, int task, const Report& report,
                                     bool is_report) {
     Slot& slot = job.slots[static_cast<std::size_t>(task)];
@@ -288,8 +288,8 @@
                                 !machine.unacknowledged_launches.count(key) &&
                                 !machine.direct_launches.count(key);
     // A worker processes the answer to a report before it reports again. One that does not report this
-    // holder's token has processed no answer of this holder. So whatever the former holder launched has ended
-    // with the last lease that the former holder can have granted, or that was granted while reports could
+    // owner's token has processed no answer of this owner. So whatever the former owner launched has ended
+    // with the last lease that the former owner can have granted, or that was granted while reports could
     // not be reconciled yet.
     if (slot.inherited && is_report && machine.token_seen < mod_revision_ &&
         are_leases_expired_since(machine, std::max(former_lease_end_, machine.heartbeat_before_load)))
@@ -297,7 +297,7 @@
     proof.may_still_arrive = has_unsettled_launch(machine, key);
     const auto action = recovery::reconcile(stored_task(&job, &slot, machine, slot.attempt), {}, proof);
     startup_.record_reconciled(action, slot.inherited);
-    if (action == ReconcileAction::Gone) return on_attempt_terminated(job, task, 0);
+    if (action == ReconcileAction::Terminated) return on_attempt_terminated(job, task, 0);
     const bool not_sent =
         action == ReconcileAction::NotSent && slot.state == SlotState::Bound && !slot.inherited;
     // The task is proven not to run there. A machine that does not receive messages would never start it, so
--- a/src/shard/cancellation_tracker.cpp
+++ b/src/shard/cancellation_tracker.cpp
@@ -16,10 +16,10 @@
     if (it == open_cancellations_.end()) return;
     const Micros duration = now - it->second.since;
     open_cancellations_.erase(it);
-    ++gone_count_;
+    ++terminated_count_;
     longest_ = std::max(longest_, duration);
     const auto bound = std::lower_bound(kDurationBounds.begin(), kDurationBounds.end(), duration);
-    ++gone_by_duration_[static_cast<std::size_t>(bound - kDurationBounds.begin())];
+    ++terminated_by_duration_[static_cast<std::size_t>(bound - kDurationBounds.begin())];
 }
 
 std::vector<std::string> CancellationTracker::take_overdue(Micros now, Micros limit) {
@@ -38,11 +38,11 @@
         oldest = std::max(oldest, now - cancellation.since);
     Json counts = Json::object();
     for (std::size_t i = 0; i < kDurationBounds.size(); ++i)
-        counts[std::to_string(kDurationBounds[i] / kSecond)] = gone_by_duration_[i];
-    counts["later"] = gone_by_duration_.back();
+        counts[std::to_string(kDurationBounds[i] / kSecond)] = terminated_by_duration_[i];
+    counts["later"] = terminated_by_duration_.back();
     return {{"unfinished", open_cancellations_.size()},
             {"oldest_unfinished_ms", oldest / kMillisecond},
-            {"gone", gone_count_},
+            {"gone", terminated_count_},
             {"gone_within_s", counts},
             {"longest_ms", longest_ / kMillisecond},
             {"longest_to_first_stop_ms", longest_to_first_stop_ / kMillisecond}};
--- a/src/shard/cancellation_tracker.hpp
+++ b/src/shard/cancellation_tracker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Measures how long the tasks of cancelled jobs take to be gone, from when the shard's holder learned of the
+// Measures how long the tasks of cancelled jobs take to terminate, from when the shard's owner learned of the
 // cancellation.
 
 #include <array>
@@ -21,7 +21,7 @@
     }
     /// Records that a stop was sent to a task of the job. Only the first one counts.
     void record_stop_sent(const std::string& job, Micros now);
-    /// Ends the measurement: the last task of the job is proven gone.
+    /// Ends the measurement: the last task of the job is confirmed terminated.
     void finish(const std::string& job, Micros now);
     /// Returns the jobs that have been unfinished for longer than `limit`; each job is returned only once.
     std::vector<std::string> take_overdue(Micros now, Micros limit);
@@ -38,8 +38,8 @@
 
     std::map<std::string, OpenCancellation> open_cancellations_;
     std::array<std::uint64_t, kDurationBounds.size() + 1>
-        gone_by_duration_{};  // by upper bound; the last element counts those above all bounds
-    std::uint64_t gone_count_ = 0;
+        terminated_by_duration_{};  // by upper bound; the last element counts those above all bounds
+    std::uint64_t terminated_count_ = 0;
     Micros longest_ = 0;
     Micros longest_to_first_stop_ = 0;
 };
--- a/src/shard/command_dispatch.cpp
+++ b/src/shard/command_dispatch.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// A duplicate of a /do may arrive for this long after the /do was answered. Until then a worker is not told
+// A duplicate of a /do may arrive for this long after the /do was answered. Until then no worker is ordered
 // to clear the result of a task that the /do launched, so that the duplicate can't start the task again.
 constexpr Micros kDuplicateWindow = 10 * kSecond;
-// How many ended attempts of a machine may wait for a higher token before they are cleared: its reports have
-// room for that many.
+// How many ended attempts of a machine may wait for a higher token before they are cleared: its reports can
+// list that many.
 constexpr std::size_t kMaxUnclearedAttempts = 32;
 constexpr Micros kProbeInterval = 5 * kSecond;  // between direct calls to a worker that may be unreachable
 
@@ -25,15 +25,15 @@
     auto it = shard_state_.machines.find(report.machine);
     if (it == shard_state_.machines.end()) return std::nullopt;
     Machine& machine = *it->second;
-    permission::HolderEvidence evidence;
+    permission::OwnerEvidence evidence;
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.session_over = report.session < machine.min_session;
-    // The machine's new holder may reach the worker before the outcome of the transfer arrives here.
+    // The machine's new owner may reach the worker before the outcome of the transfer arrives here.
     evidence.machine_transferring = machine.transferring;
     evidence.jobs_known = active_ || context_.knows_outcomes_of(report);
     evidence.token = token(machine);
     evidence.token_seen = report.token;
-    const permission::Decision decision = permission::decide_renewal_by_holder(evidence);
+    const permission::Decision decision = permission::decide_renewal_by_owner(evidence);
     context_.permission_counters().count_renewal(decision);
     if (decision == permission::Refusal::HigherTokenSeen) {
         spdlog::info("machine {} has seen a higher token than this holder's", report.machine);
@@ -103,8 +103,8 @@
     const AttemptKey key{task.job, task.task, task.attempt};
     if (has_unsettled_launch(machine, key)) return false;
     // A duplicate of a launch that was executed would start it again too, as long as token and session match.
-    // If the attempt's result is kept, such a start ends at once; otherwise the duplicate would run, perhaps
-    // beside the next attempt.
+    // If the worker retains the attempt's result, such a start ends at once; otherwise the duplicate would
+    // run, perhaps beside the next attempt.
     if (const auto sent = machine.acknowledged_launches.find(key);
         sent != machine.acknowledged_launches.end() && machine.token_seen <= sent->second.token) {
         if (task.cause != ExitCause::Done) ++uncleared;
@@ -135,13 +135,13 @@
 void ShardOwner::add_launch(Machine& machine, const Job& job, Slot& slot, const AttemptKey& key, bool direct,
                             std::vector<Order>& orders) {
     permission::LaunchEvidence evidence;
-    // Without a recent read of the store this holder may have missed the job's cancellation. A task launched
+    // Without a recent read of the store this owner may have missed the job's cancellation. A task launched
     // in a session that began after the controller lease ended could then run past the cancel deadline.
     evidence.store_read_valid = context_.has_valid_lease();
     evidence.job_queued = job.stage == Stage::Queued;
     evidence.token = token(machine);
     evidence.token_seen = machine.token_seen;
-    evidence.bound_by_other_holder = slot.inherited;
+    evidence.bound_by_other_owner = slot.inherited;
     evidence.call_in_flight = machine.direct_launches.count(key) > 0;
     evidence.gang_complete = job.spec.kind != JobKind::Gang ||
                              std::all_of(job.slots.begin(), job.slots.end(),
@@ -321,7 +321,7 @@
 }
 
 /// Handles a call without an answer. Each of its launches may still be executed as long as token and session
-/// match. It stays in doubt and is sent again, since a repeated launch has no effect.
+/// match. It stays unconfirmed and is sent again, since a repeated launch has no effect.
 void ShardOwner::on_orders_unanswered(Machine& machine, const std::set<AttemptKey>& launched,
                                       std::uint64_t sent_token, std::uint64_t session) {
     const Micros now = context_.runtime().now();
@@ -356,7 +356,8 @@
     if (it == shard_state_.machines.end() || it->second->retiring || it->second->retired) return;
     it->second->retiring = true;
     spdlog::info("machine {}: to be returned: {}", machine, reason);
-    // The deletion of the machine proves that the tasks on it are gone, so it is urgent if there are any.
+    // The deletion of the machine proves that the tasks on it have terminated, so it is urgent if there are
+    // any.
     const bool urgent = !it->second->tasks.empty();
     context_.edit_machine(shard_, machine,
                           urgent ? ShardContext::MachineEdit::RetireNow : ShardContext::MachineEdit::Retire,
--- a/src/shard/explain.cpp
+++ b/src/shard/explain.cpp
@@ -43,7 +43,7 @@
 }
 
 /// Returns, by zone, how many machines of the shard the job is allowed on, how many of these are usable, and
-/// how many have room for a task of it now.
+/// how many have free capacity for one of its tasks now.
 Json ShardOwner::capacity_by_zone(const Job& job) const {
     const auto tasks_by_zone = job.tasks_by_zone();
     Json zones = Json::object();
@@ -99,11 +99,11 @@
     const int tasks_at_once = job.spec.kind == JobKind::Gang ? job.spec.tasks : 1;
     if (!scheduler_.is_within_quota(job, tasks_at_once))
         reasons.push_back("its team has used up its limit here");
-    int machines = 0, usable_machines = 0, with_room = 0, open_zones = 0;
+    int machines = 0, usable_machines = 0, machines_with_capacity = 0, open_zones = 0;
     for (const auto& [name, entry] : zones.items()) {
         machines += entry["machines"].get<int>();
         usable_machines += entry["usable"].get<int>();
-        with_room += entry["with_room"].get<int>();
+        machines_with_capacity += entry["with_room"].get<int>();
         open_zones +=
             entry["with_room"].get<int>() > 0 && entry["tasks"].get<int>() < job.max_tasks_per_zone();
     }
@@ -111,11 +111,11 @@
         reasons.push_back("no machine of this domain is of a type, zone and kind that it may use");
     else if (usable_machines == 0)
         reasons.push_back("no machine that it may use can take new tasks now");
-    else if (with_room == 0)
+    else if (machines_with_capacity == 0)
         reasons.push_back("no machine that it may use has room for a task");
     else if (open_zones == 0)
         reasons.push_back("zones with room hold as many of its tasks as they may");
-    else if (job.spec.kind == JobKind::Gang && with_room < job.spec.tasks)
+    else if (job.spec.kind == JobKind::Gang && machines_with_capacity < job.spec.tasks)
         reasons.push_back("a gang starts as a whole, and there may not be room for all of it");
     if (job.is_best_effort()) reasons.push_back("it takes what other work leaves over, in turns");
     if (job.waiting_for_image) reasons.push_back("it waits for a machine that has its image");
@@ -147,7 +147,7 @@
     if (job.unbound_tasks > 0 && job.waiting_since > 0)
         explanation["waiting_ms"] = std::max<Micros>(now - job.waiting_since, 0) / kMillisecond;
     explanation["queue"] = queue_position(job);
-    explanation["limit"] = {{"here", resources_value(context_.quota_share(shard_, job.spec.team))},
+    explanation["limit"] = {{"here", resources_value(context_.available_quota(shard_, job.spec.team))},
                             {"used", resources_value(shard_state_.team_usage(job.spec.team))}};
     explanation["zones"] = capacity_by_zone(job);
     if (job.spec.request.gpus > 0) explanation["cards"] = gpu_capacity_for(job);
--- a/src/shard/failures.cpp
+++ b/src/shard/failures.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr int kBrokenAfterFailures = 4;  // of tasks on two machines; on a third machine one failure is enough
-constexpr int kBrokenAfterTaskErrors = 3;  // of one task, on whatever machines
+constexpr int kBrokenAfterTaskErrors = 3;  // of one task, on any machines
 constexpr std::size_t kMaxFailedMachines = 64;
 constexpr Micros kInitialBackoff = 4 * kSecond;  // doubled with each failed try
 constexpr Micros kMaxBackoff = 60 * kSecond;
@@ -20,8 +20,8 @@
 /// Handles a failed task and returns the delay until it may be tried again. A machine is at fault if jobs
 /// fail on it that run elsewhere. While no task of the job has ever run it is unknown which of the two is at
 /// fault, and the job avoids the machine. A job that fails on several machines and runs on none is considered
-/// broken: it is tried with one task at a time under exponential backoff, so that it uses little room and few
-/// starts and writes. Only its user ends it.
+/// broken: it is tried with one task at a time under exponential backoff, so that it uses few resources and
+/// few starts and writes. Only its user ends it.
 Micros ShardOwner::handle_task_failure(Machine& machine, Job& job, Slot& slot) {
     const Micros now = context_.runtime().now();
     slot.errors = std::min(slot.errors + 1, 6);
@@ -45,7 +45,7 @@
         job.next_try_at = now + kInitialBackoff;
         spdlog::info("job {}: considered broken, {} tasks failed on {} machines and none has run",
                      job.spec.ref, job.failures, job.failed_machines.size());
-        mark_part_dirty(job, 0);  // so that the next holder does not start all of its tasks again
+        mark_part_dirty(job, 0);  // so that the next owner does not start all of its tasks again
     }
     spdlog::debug("task {}/{}: failed on {}", job.spec.ref, &slot - job.slots.data(), machine.name);
     return kSecond;
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A job in the memory of its shard's holder: its tasks, the current attempt at each, and the state of its
+// A job in the memory of its shard's owner: its tasks, the current attempt at each, and the state of its
 // stored record.
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 
 enum class SlotState : std::uint8_t { Unbound, Binding, Bound, DonePending, Done };
 
-/// One task of a job with its current attempt. At most one attempt at a task may exist that is not proven
-/// gone.
+/// One task of a job with its current attempt. At most one attempt at a task may exist that is not confirmed
+/// terminated.
 struct Slot {
     SlotState state = SlotState::Unbound;
     bool seen = false;       // a message of the worker listed this attempt
-    bool inherited = false;  // bound by a former holder, or by this controller in an earlier term
+    bool inherited = false;  // bound by a former owner, or by this controller in an earlier term
     bool launch_sent = false;
     bool launched_by_response = false;
     bool stop_requested = false;
@@ -74,10 +74,10 @@
     std::size_t first_unbound = 0;  // no task before this index is unbound
     Micros waiting_since = 0;
     bool within_guarantee = false;
-    /// What the team may use in all once the next task of this job starts (see scheduling::Turn).
+    /// What the team may use in all once the next task of this job starts (see scheduling::QueueEntry).
     Resources usage_limit{kNoLimit, kNoLimit, 0};
     bool overdue = false;              // it is placed out of order because it has waited too long
-    Micros no_room_at = 0;             // when it last found no room; 0 once it has found some
+    Micros no_capacity_at = 0;         // when it last found no capacity; 0 once it has found some
     Micros next_best_effort_turn = 0;  // when this best-effort job may be bound again
     bool waiting_for_image = false;    // as of the last pass: it waits for a machine that has its image
     bool image_wait_over = false;  // waiting for such a machine is pointless (see Scheduler::waits_for_image)
@@ -91,7 +91,8 @@
     int backoff_tries = 0;                   // attempts that failed during the backoff
     Micros next_try_at = 0;
     bool gang_stopping = false;
-    bool gang_done = false;  // one task is done, so all are; bound ones still count until proven gone
+    bool gang_done =
+        false;  // one task is done, so all are; bound ones still count until confirmed terminated
 
     /// Tasks are stored in parts because the size of a stored value is limited. Part 0 is the job record
     /// itself.
@@ -118,15 +119,15 @@
     /// Set while the record that admits the job is not durable yet. Called with the outcome.
     std::function<void(const Admission&)> on_admitted;
 
-    /// Returns the number of tasks that wait for room. Returns 0 for a job in backoff and for best-effort
-    /// work, which uses leftover room: neither may attract machines or quota, or keep other jobs away.
+    /// Returns the number of tasks that wait for capacity. Returns 0 for a job in backoff and for best-effort
+    /// work, which uses unused capacity: neither may attract machines or quota, or keep other jobs away.
     int waiting_tasks() const {
         return stage == Stage::Queued && dependencies_done && !backing_off && !is_best_effort()
                    ? unbound_tasks
                    : 0;
     }
-    /// Returns true if the job only uses room that is left over. A job of low priority within its team's
-    /// guarantee is not best-effort, so it need not wait for other teams.
+    /// Returns true if the job only uses capacity that no other work uses. A job of low priority within its
+    /// team's guarantee is not best-effort, so it need not wait for other teams.
     bool is_best_effort() const { return rank == PriorityClass::Low && !within_guarantee; }
 
     Part& part_of(int task) { return parts[static_cast<std::size_t>(task) / tasks_per_part]; }
@@ -137,7 +138,7 @@
     }
     /// Returns how many tasks of the job may be in one zone.
     int max_tasks_per_zone() const { return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; }
-    /// Counts the tasks by zone, including attempts that are in doubt or stopping.
+    /// Counts the tasks by zone, including attempts that are unconfirmed or stopping.
     std::map<std::string, int> tasks_by_zone() const;
 };
 
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -17,11 +17,11 @@
 constexpr std::size_t kManyStaleRecords = 200;
 // For how long the final record of a job that was cancelled by a dependency may be deferred.
 constexpr Micros kCancelledRecordDelay = 5 * kSecond;
-// Done tasks of a job that goes on are written together. Until then their workers keep the results.
+// Done tasks of a job that goes on are written together. Until then their workers retain the results.
 constexpr Micros kDoneTasksDelay = 4 * kSecond;
 constexpr Micros kShortBatchDelay = 150 * kMillisecond;
 constexpr Micros kLongBatchDelay = 500 * kMillisecond;
-constexpr Micros kAdmissionTimeout = 1'500 * kMillisecond;  // after this the user is told to try again
+constexpr Micros kAdmissionTimeout = 1'500 * kMillisecond;  // after this the user is asked to try again
 // After this time best-effort binds are no longer deferred and compete with other writes.
 constexpr Micros kBestEffortBindDelay = 60 * kSecond;
 
@@ -29,9 +29,9 @@
 
 std::size_t compute_tasks_per_part(std::size_t value_bytes, std::size_t spec_bytes) {
     const std::size_t usable_bytes = value_bytes * 23 / 25;
-    const std::size_t room_for_bindings =
+    const std::size_t bytes_for_bindings =
         usable_bytes > spec_bytes + 100 ? usable_bytes - spec_bytes - 100 : 0;
-    return std::clamp<std::size_t>(room_for_bindings / (kTypicalBindingBytes + 1), 16, 4096);
+    return std::clamp<std::size_t>(bytes_for_bindings / (kTypicalBindingBytes + 1), 16, 4096);
 }
 
 std::string ShardOwner::part_key(const Job& job, std::size_t part) const {
@@ -59,7 +59,7 @@
         if (wire::text(value, "dom") != shard_) return;
         const auto stage = wire::text(value, "s");
         const Json* spec = wire::find(value, "d");
-        if (!spec || stage == "done") return;  // the job is over, and all of its tasks are gone
+        if (!spec || stage == "done") return;  // the job is over, and all of its tasks have terminated
         auto parsed = wire::parse_job(*spec);
         if (!parsed.spec) {
             spdlog::error("job {}: its record can't be parsed: {}", ref, parsed.error);
@@ -142,12 +142,13 @@
     divide_into_parts(*job, compute_tasks_per_part(context_.settings().max_value_bytes,
                                                    chunks::stored_size(part_value(*job, 0, false))));
     job->spec.dependencies = std::move(dependencies);
-    if (context_.all_can_read(format::kSeparateActiveRecords)) job->record_location = RecordLocation::Active;
+    if (context_.is_read_by_all(format::kSeparateActiveRecords))
+        job->record_location = RecordLocation::Active;
     job->on_admitted = std::move(done);
     mark_part_dirty(*job, 0);
     shard_state_.jobs.emplace(ref, std::move(job));
     plan_due_ = true;
-    last_planned_at_ = 0;  // tasks that find room now are bound by the change that admits the job
+    last_planned_at_ = 0;  // tasks that fit on a machine now are bound by the change that admits the job
     context_.wake();
 }
 
@@ -254,7 +255,7 @@
         Slot& slot = job.slots[task];
         job.next_attempt = std::max(job.next_attempt, attempt + 1);
         // Only the same attempt on the same machine is the binding made here. The same attempt on another
-        // machine was made by another holder.
+        // machine was made by another owner.
         if (slot.state == SlotState::Binding && slot.attempt == attempt && slot.machine->name == machine) {
             slot.state = SlotState::Bound;
             --job.parts[part].pending_binds;
@@ -263,7 +264,8 @@
         }
         if (slot.state != SlotState::Unbound || slot.attempt >= attempt) return;
         auto found = shard_state_.machines.find(machine);
-        // The shard no longer has the machine: it was proven gone, or was transferred while it was empty.
+        // The shard no longer has the machine: it was confirmed removed, or was transferred while it was
+        // empty.
         if (found == shard_state_.machines.end()) return;
         shard_state_.bind(job, static_cast<int>(task), *found->second, attempt);
         --job.parts[part].pending_binds;
@@ -288,8 +290,8 @@
             }
         }
     }
-    // One done task proves that its whole gang is done, also for a holder that did not see it end. Other
-    // tasks of the gang that were started again would wait for the done one in vain.
+    // One done task proves that its whole gang is done, also for an owner that did not see it end. Other
+    // tasks of the gang that were started again would wait for the done one forever.
     if (job.spec.kind == JobKind::Gang && job.done_tasks > 0) {
         job.gang_done = true;
         for (std::size_t i = first; i < last; ++i)
@@ -314,7 +316,7 @@
         if (final_record) {
             record["fd"] = job.done_tasks;
             // Jobs that depend on this one are eligible from this time.
-            if (job.stage != Stage::Cancelled && context_.all_can_read(format::kChunksAndDependencies))
+            if (job.stage != Stage::Cancelled && context_.is_read_by_all(format::kChunksAndDependencies))
                 record["end"] = context_.runtime().wall_clock_ms();
             return record;
         }
@@ -468,7 +470,7 @@
     const bool final_record = index == 0 && job.is_over();
     Change change;
     change.priority = priority;
-    // The write precedes the launches, and is conditional on the records known here: a former holder can't
+    // The write precedes the launches, and is conditional on the records known here: a former owner can't
     // bind, and a cancelled job can't be bound.
     change.conditions = record_conditions(job);
     change.conditions.push_back({keys::shard + shard_, mod_revision_});
@@ -488,10 +490,10 @@
             bound_attempts.push_back({ref, static_cast<int>(i), job.slots[i].attempt});
         if (job.slots[i].state == SlotState::DonePending) done_tasks.push_back(static_cast<int>(i));
     }
-    // A record of the old format moves to its new key while the store has spare write rate.
+    // A record of the old format moves to its new key while the store has unused write rate.
     const bool migrates =
         index == 0 && !final_record && !job.on_admitted && job.record_location == RecordLocation::Job &&
-        context_.all_can_read(format::kSeparateActiveRecords) && context_.store().is_quiet();
+        context_.is_read_by_all(format::kSeparateActiveRecords) && context_.store().is_quiet();
     const RecordLocation location = migrates ? RecordLocation::Active : job.record_location;
     if (migrates) {
         change.conditions.push_back({keys::active + ref, 0});
@@ -501,7 +503,7 @@
                              : index == 0 ? record_key(location, ref)
                                           : part_key(job, index),
                              value});
-    // The final record deletes the one under c/active/ if the store has spare write rate. Otherwise that is
+    // The final record deletes the one under c/active/ if the store has unused write rate. Otherwise that is
     // deleted later (see delete_stale_records).
     const bool deletes_active =
         final_record && job.record_location == RecordLocation::Active && context_.store().is_quiet();
@@ -555,8 +557,9 @@
             if (slot.state == SlotState::DonePending) slot.state = SlotState::Done;
         }
         if (final_record) {
-            spdlog::info("job {}: {}", ref,
-                         job->stage == Stage::Cancelled ? "cancelled, all of its tasks are gone" : "done");
+            spdlog::info(
+                "job {}: {}", ref,
+                job->stage == Stage::Cancelled ? "cancelled, all of its tasks have terminated" : "done");
             drop_job(ref);
             // Earlier records that the change feed still delivers must not restore the job.
             return context_.on_job_finalized(ref, value, result.revision);
@@ -598,8 +601,8 @@
                     Job* job = shard_state_.job(ref);
                     if (!job) return;
                     if (!result.ok) return reload_part_later(ref, index);
-                    // The record shows the fate of this owner's writes only as long as it holds the shard: a
-                    // new holder numbers its attempts from the same record, and its binds must not be taken
+                    // The record shows the outcome of this owner's writes only as long as it holds the shard:
+                    // a new owner numbers its attempts from the same record, and its binds must not be taken
                     // for unanswered ones of this owner.
                     Change ownership_check;
                     ownership_check.conditions.push_back({keys::shard + shard_, mod_revision_});
@@ -627,7 +630,7 @@
         keys::job + ref, [this, alive = alive_, ref, done = std::move(done)](const ReadResult& job) {
             if (!*alive) return;
             const bool final = job.found && !wire::find(job.value, "d");
-            if (!job.ok || final || !context_.all_can_read(format::kSeparateActiveRecords))
+            if (!job.ok || final || !context_.is_read_by_all(format::kSeparateActiveRecords))
                 return done(job, RecordLocation::Job, 0);
             context_.store().read(keys::active + ref, [job, done](const ReadResult& active) {
                 if (!active.ok || active.found) return done(active, RecordLocation::Active, job.mod_revision);
@@ -679,10 +682,10 @@
 }
 
 /// Moves one job's record of the old format (under c/job/) to c/active/ by writing it again, while the store
-/// has spare write rate.
+/// has unused write rate.
 void ShardOwner::migrate_legacy_record() {
     const Micros now = context_.runtime().now();
-    if (!context_.all_can_read(format::kSeparateActiveRecords) ||
+    if (!context_.is_read_by_all(format::kSeparateActiveRecords) ||
         now - last_record_migration_at_ < kMigrationInterval || !context_.store().is_quiet())
         return;
     last_record_migration_at_ = now;
@@ -695,12 +698,12 @@
     }
 }
 
-/// Deletes records under c/active/ of jobs that are over, while the store has spare write rate. The next
-/// holder of the shard finds those that are left.
+/// Deletes records under c/active/ of jobs that are over, while the store has unused write rate. The next
+/// owner of the shard finds those that are left.
 void ShardOwner::delete_stale_records() {
-    // One at a time, since all owners see the same spare write rate and would use it up together. Each record
-    // that is left is one more that a starting holder has to check, so above a number of them they compete
-    // with other deferrable writes.
+    // One at a time, since all owners see the same unused write rate and would use it up together. Each
+    // record that is left is one more that a starting owner has to check, so above a number of them they
+    // compete with other deferrable writes.
     const Micros now = context_.runtime().now();
     const bool has_many = stale_records_.size() > kManyStaleRecords;
     if (!stale_records_.empty() &&
--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -17,19 +17,19 @@
 constexpr Micros kCapacityRequestDelay = 150 * kMillisecond;
 // How long a machine must have been idle before it is given to another shard.
 constexpr Micros kMinIdleBeforeOffer = 500 * kMillisecond;
-// How long a job that finds no machine keeps its part of its team's limit from other jobs. A gang keeps it
+// How long a job that finds no machine reserves its part of its team's limit. A gang reserves it
 // longer, as the resources for all of its tasks may have to be reserved one machine after another.
 constexpr Micros kQuotaRetention = 20 * kSecond;
 constexpr Micros kGangQuotaRetention = 60 * kSecond;
-constexpr Micros kNoRoomValidity = 10 * kSecond;  // a failure to find a machine counts for this long
+constexpr Micros kNoCapacityValidity = 10 * kSecond;  // a failure to find a machine counts for this long
 
-/// Returns whether the job has found no machine for long. Then it keeps no part of its team's limit, so that
-/// jobs that do find a machine can use that part meanwhile. The job stays in the queue and asks for its part
-/// again once there is a machine for it.
+/// Returns whether the job has found no machine for long. Then it reserves no part of its team's limit, so
+/// that jobs that do find a machine can use that part meanwhile. The job stays in the queue and asks for its
+/// part again once there is a machine for it.
 bool is_long_unschedulable(const Job& job, Micros now) {
     const Micros quota_retention = job.spec.kind == JobKind::Gang ? kGangQuotaRetention : kQuotaRetention;
-    return job.no_room_at > 0 && now - job.waiting_since >= quota_retention &&
-           now - job.no_room_at <= kNoRoomValidity;
+    return job.no_capacity_at > 0 && now - job.waiting_since >= quota_retention &&
+           now - job.no_capacity_at <= kNoCapacityValidity;
 }
 
 /// The total resources of a shard's machines, and their types.
@@ -47,7 +47,7 @@
     /// Returns the cores that a task occupies: its share of the shard's cores or of its GPUs, whichever is
     /// larger, in cores.
     Milli occupied_by(const JobSpec& spec) const { return scheduling::gpu_bound_cores(spec.request, total); }
-    /// Returns whether a task leaves no room for a second one on any type of machine here.
+    /// Returns whether a task leaves no capacity for a second one on any type of machine of the shard.
     bool is_filled_by(const JobSpec& spec) const {
         return std::none_of(types.begin(), types.end(), [&spec](const MachineType* type) {
             return (spec.request + spec.request).fits(type->size);
@@ -88,7 +88,7 @@
         team_waiting.gpus += job->spec.request.gpus * job->unbound_tasks;
     }
     for (const auto& team : context_.settings().teams) {
-        shard_load.teams.push_back({team.name, context_.quota_share(shard_, team.name),
+        shard_load.teams.push_back({team.name, context_.available_quota(shard_, team.name),
                                     shard_state_.team_usage(team.name), waiting_by_team[team.name]});
     }
     return shard_load;
@@ -175,9 +175,9 @@
 
 /// The job's record names the shard, so one change of the record transfers the job. Only jobs that never had
 /// a task bound are transferred: attempts of the others may still be on this shard's machines.
-void ShardOwner::transfer_jobs(const std::string& to, RemoteCapacity room) {
+void ShardOwner::transfer_jobs(const std::string& to, RemoteCapacity capacity) {
     const Micros now = context_.runtime().now();
-    const Capacity capacity(shard_state_.machines);
+    const Capacity own_capacity(shard_state_.machines);
     for (auto& [ref, job_pointer] : shard_state_.jobs) {
         Job& job = *job_pointer;
         auto& part = job.parts[0];
@@ -187,17 +187,17 @@
         if (!shard_state_.machines.empty() &&
             (!job.dependencies_done || now - job.waiting_since < kCapacityRequestDelay))
             continue;
-        const Milli needed = capacity.occupied_by(job.spec) * job.spec.tasks;
+        const Milli needed = own_capacity.occupied_by(job.spec) * job.spec.tasks;
         // A task that fills a machine does not fit on two machines that are half free.
-        if (capacity.is_filled_by(job.spec) &&
-            needed > room.idle_ordinary + (job.spec.spot ? room.idle_spot : 0))
+        if (own_capacity.is_filled_by(job.spec) &&
+            needed > capacity.idle_ordinary + (job.spec.spot ? capacity.idle_spot : 0))
             continue;
-        if (needed > room.ordinary + (job.spec.spot ? room.spot : 0)) continue;
-        const Milli from_spot = job.spec.spot ? std::min(needed, room.spot) : 0;
-        room.spot -= from_spot;
-        room.ordinary -= needed - from_spot;
-        room.idle_spot -= from_spot;
-        room.idle_ordinary -= needed - from_spot;
+        if (needed > capacity.ordinary + (job.spec.spot ? capacity.spot : 0)) continue;
+        const Milli from_spot = job.spec.spot ? std::min(needed, capacity.spot) : 0;
+        capacity.spot -= from_spot;
+        capacity.ordinary -= needed - from_spot;
+        capacity.idle_spot -= from_spot;
+        capacity.idle_ordinary -= needed - from_spot;
         if (!context_.store().has_write_budget(Priority::Normal)) return;
         Change change;
         change.conditions = record_conditions(job);
@@ -226,20 +226,20 @@
     }
 }
 
-Resources ShardOwner::spare_quota(const std::string& team) const {
-    Resources spare = unused_quota(team);
+Resources ShardOwner::transferable_quota(const std::string& team) const {
+    Resources transferable = unused_quota(team);
     for (const auto& [ref, job] : shard_state_.jobs)
         if (job->spec.team == team && !is_long_unschedulable(*job, context_.runtime().now())) {
-            spare.cores -= job->spec.request.cores * job->waiting_tasks();
-            spare.gpus -= job->spec.request.gpus * job->waiting_tasks();
+            transferable.cores -= job->spec.request.cores * job->waiting_tasks();
+            transferable.gpus -= job->spec.request.gpus * job->waiting_tasks();
         }
-    return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
+    return {std::max<Milli>(transferable.cores, 0), std::max<Milli>(transferable.gpus, 0), 0};
 }
 
 Resources ShardOwner::unused_quota(const std::string& team) const {
-    const Resources share = context_.quota_share(shard_, team);
+    const Resources share = context_.available_quota(shard_, team);
     const Resources used = shard_state_.team_usage(team);
-    // A resource without a limit is not divided among shards, so there is nothing to give.
+    // A resource without a limit is not divided among shards, so there is nothing to transfer.
     auto unused = [](Milli limit, Milli in_use) {
         return limit == kNoLimit ? 0 : std::max<Milli>(limit - in_use, 0);
     };
--- a/src/shard/machine.hpp
+++ b/src/shard/machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A machine of a shard as the shard's holder knows it: the tasks on it, its last messages, and the launches
+// A machine of a shard as the shard's owner knows it: the tasks on it, its last messages, and the launches
 // sent to it whose outcome is not known yet.
 
 #include <boost/container/flat_set.hpp>
--- a/src/shard/permission.cpp
+++ b/src/shard/permission.cpp
@@ -28,7 +28,7 @@
             return "machine_leaving";
         case Refusal::MachineUnknown:
             return "machine_unknown";
-        case Refusal::HolderUnknown:
+        case Refusal::OwnerUnknown:
             return "holder_unknown";
         case Refusal::NotAMember:
             return "not_a_member";
@@ -40,7 +40,7 @@
             return "job_over";
         case Refusal::JobUnknown:
             return "job_unknown";
-        case Refusal::BoundByOtherHolder:
+        case Refusal::BoundByOtherOwner:
             return "bound_by_other_holder";
         case Refusal::CallInFlight:
             return "call_in_flight";
@@ -52,7 +52,7 @@
     return "?";
 }
 
-Decision decide_renewal_by_holder(const HolderEvidence& evidence) {
+Decision decide_renewal_by_owner(const OwnerEvidence& evidence) {
     if (evidence.token_seen > evidence.token)
         return evidence.machine_transferring ? Refusal::MachineLeaving : Refusal::HigherTokenSeen;
     if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
@@ -64,7 +64,7 @@
 Decision decide_renewal_on_behalf(const ProxyEvidence& evidence) {
     if (!evidence.is_member) return Refusal::NotAMember;
     if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
-    if (!evidence.holder_known) return Refusal::HolderUnknown;
+    if (!evidence.owner_known) return Refusal::OwnerUnknown;
     if (!evidence.former_promises_expired) return Refusal::PromisesUnknown;
     if (evidence.lease_relinquished) return Refusal::LeaseRelinquished;
     if (!evidence.machine_listed) return Refusal::MachineUnknown;
@@ -77,7 +77,7 @@
     if (!evidence.store_read_valid) return Refusal::StoreReadTooOld;
     if (!evidence.job_queued) return Refusal::JobOver;
     if (evidence.token_seen < evidence.token) return Refusal::TokenNotShown;
-    if (evidence.bound_by_other_holder) return Refusal::BoundByOtherHolder;
+    if (evidence.bound_by_other_owner) return Refusal::BoundByOtherOwner;
     if (evidence.call_in_flight) return Refusal::CallInFlight;
     if (!evidence.gang_complete) return Refusal::GangIncomplete;
     if (evidence.direct_call_preferred) return Refusal::DirectCallPreferred;
--- a/src/shard/permission.hpp
+++ b/src/shard/permission.hpp
@@ -22,13 +22,13 @@
     TokenNotShown,       // the worker has not reported our token yet
     MachineLeaving,      // the machine is being transferred to another shard
     MachineUnknown,      // the machine is in no block, or it is retired
-    HolderUnknown,       // no controller is known to hold the shard
+    OwnerUnknown,        // no controller is known to hold the shard
     NotAMember,          // this controller's membership is not announced, or it has ended
     PromisesUnknown,     // promises made by this controller's previous process may still be in force
-    LeaseRelinquished,   // this controller promised the holder not to renew the lease
+    LeaseRelinquished,   // this controller promised the owner not to renew the lease
     JobOver,             // the job is cancelled or done
     JobUnknown,          // it is not known whether the job is over; its record is being read
-    BoundByOtherHolder,  // the task was bound by a former holder, which may have launched it
+    BoundByOtherOwner,   // the task was bound by a former owner, which may have launched it
     CallInFlight,        // a call that carries this launch is in flight
     GangIncomplete,      // another task of the gang is not bound
     DirectCallPreferred  // a direct call is tried before the answer to a heartbeat
@@ -39,36 +39,36 @@
 /// The reason for a refusal; empty if the action is permitted.
 using Decision = std::optional<Refusal>;
 
-/// What the shard's holder knows when it answers a heartbeat.
-struct HolderEvidence {
+/// What the shard's owner knows when it answers a heartbeat.
+struct OwnerEvidence {
     bool store_read_valid = false;
     bool session_over = false;
     bool machine_transferring = false;
     bool jobs_known = true;        // for each task that may run, it is known whether its job is over
-    std::uint64_t token = 0;       // the holder's token
+    std::uint64_t token = 0;       // the owner's token
     std::uint64_t token_seen = 0;  // the highest token that the worker has seen
 };
-Decision decide_renewal_by_holder(const HolderEvidence& evidence);
+Decision decide_renewal_by_owner(const OwnerEvidence& evidence);
 
-/// What a controller knows when it answers a heartbeat for a holder that it can't reach.
+/// What a controller knows when it answers a heartbeat for an owner that it can't reach.
 struct ProxyEvidence {
     bool store_read_valid = false;
     bool is_member = false;
-    bool holder_known = false;
+    bool owner_known = false;
     bool former_promises_expired = false;
     bool lease_relinquished = false;
     bool machine_listed = false;   // a block lists the machine and it is not retired
     bool jobs_known = true;        // for each task that may run, it is known whether its job is over
-    std::uint64_t token = 0;       // the holder's token
+    std::uint64_t token = 0;       // the owner's token
     std::uint64_t token_seen = 0;  // the highest token that the worker has seen
 };
 Decision decide_renewal_on_behalf(const ProxyEvidence& evidence);
 
-/// What the holder knows about a bound task that the worker has not reported.
+/// What the owner knows about a bound task that the worker has not reported.
 struct LaunchEvidence {
     bool store_read_valid = false;
     bool job_queued = false;
-    bool bound_by_other_holder = false;
+    bool bound_by_other_owner = false;
     bool call_in_flight = false;
     bool gang_complete = true;
     bool direct_call_preferred = false;
@@ -77,7 +77,7 @@
 };
 Decision decide_launch(const LaunchEvidence& evidence);
 
-/// What the holder knows about a bound task to be stopped, and about the message that could carry the stop.
+/// What the owner knows about a bound task to be stopped, and about the message that could carry the stop.
 struct StopEvidence {
     bool may_run = false;            // the task was launched, or its worker reported it
     bool saving_with_grace = false;  // the task is saving its state; a second stop would only shorten that
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -105,7 +105,7 @@
 
 /// Returns whether all machines that matter to the plan have reported to this owner, or have had the
 /// duration of a lease to do so.
-bool Rebalancer::has_heard_all_machines() const {
+bool Rebalancer::have_all_machines_reported() const {
     if (context_.runtime().now() - owned_since_ > context_.settings().worker_lease) return true;
     auto has_reported = [this](const Machine& machine) {
         return machine.seq > 0 && machine.token_seen >= shard_revision_;
@@ -131,7 +131,8 @@
         evaluated_at_ = now;
         update_zone_stability();
     }
-    if ((!is_evaluation_due && plan_.empty() && record_revision_ == 0) || !has_heard_all_machines()) return;
+    if ((!is_evaluation_due && plan_.empty() && record_revision_ == 0) || !have_all_machines_reported())
+        return;
     if (is_evaluation_due) propose_moves();
     execute_plan();
 }
@@ -237,7 +238,7 @@
         const Job* job = shard_state_.job(ref);
         auto index = machine_index.find(machine);
         if (!job || index == machine_index.end()) return;
-        for (int i = 0; i < tasks; ++i) view.machines[index->second].set_aside += job->spec.request;
+        for (int i = 0; i < tasks; ++i) view.machines[index->second].withheld += job->spec.request;
         if (is_reservation) view.jobs[job_index.at(job)].reserved_tasks += tasks;
     };
     const ShardStateQuery shard_state_query(*this);
@@ -259,9 +260,9 @@
     const scheduling::ShardView snapshot = view();
     std::vector<Move> moves = scheduling::rebalance(snapshot, policy, context_.settings().zones);
     std::vector<Reservation> reservations;
-    for (auto& room_plan : scheduling::plan_room_for_waiting_jobs(snapshot, policy)) {
-        reservations.push_back(room_plan.reservation);
-        moves.insert(moves.end(), room_plan.moves.begin(), room_plan.moves.end());
+    for (auto& capacity_plan : scheduling::plan_capacity_for_waiting_jobs(snapshot, policy)) {
+        reservations.push_back(capacity_plan.reservation);
+        moves.insert(moves.end(), capacity_plan.moves.begin(), capacity_plan.moves.end());
     }
     for (auto& reservation : scheduling::reservations_for_overdue_job(snapshot, policy))
         reservations.push_back(std::move(reservation));
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -45,7 +45,7 @@
   private:
     class ShardStateQuery;
     bool is_enabled_by_policy() const;
-    bool has_heard_all_machines() const;
+    bool have_all_machines_reported() const;
     void update_zone_stability();
     void propose_moves();
     void execute_plan();
--- a/src/shard/reconciliation.cpp
+++ b/src/shard/reconciliation.cpp
@@ -11,7 +11,7 @@
         stored.state == StoredTask::State::Bound || stored.state == StoredTask::State::Binding;
     if (bound_here) return observed.exited ? ReconcileAction::Ended : ReconcileAction::Runs;
     if (!observed.exited) return ReconcileAction::Orphaned;
-    // A former holder may not have committed the task's result yet.
+    // A former owner may not have committed the task's result yet.
     const bool result_counts = stored.state == StoredTask::State::Waiting && stored.result_wanted;
     return result_counts && observed.cause == ExitCause::Done ? ReconcileAction::UnboundResult
                                                               : ReconcileAction::Clear;
@@ -20,14 +20,14 @@
 ReconcileAction reconcile_absent(const StoredTask& stored, const LaunchProof& proof) {
     if (stored.state != StoredTask::State::Bound) return ReconcileAction::NotSent;
     if (stored.seen)
-        return ReconcileAction::Gone;  // the worker has forgotten the task because its session ended
+        return ReconcileAction::Terminated;  // the worker has forgotten the task because its session ended
     if (stored.launched) {
         const bool can_not_arrive =
             proof.session_ended || proof.higher_token_seen || proof.response_superseded;
-        if (!can_not_arrive) return ReconcileAction::InDoubt;
-        if (stored.inherited) return ReconcileAction::Gone;
+        if (!can_not_arrive) return ReconcileAction::Unconfirmed;
+        if (stored.inherited) return ReconcileAction::Terminated;
     }
-    if (stored.stopping && !proof.may_still_arrive) return ReconcileAction::Gone;
+    if (stored.stopping && !proof.may_still_arrive) return ReconcileAction::Terminated;
     return stored.launched ? ReconcileAction::Relaunch : ReconcileAction::NotSent;
 }
 
@@ -55,11 +55,11 @@
             return "clear";
         case ReconcileAction::Orphaned:
             return "stray";
-        case ReconcileAction::Gone:
+        case ReconcileAction::Terminated:
             return "gone";
         case ReconcileAction::Relaunch:
             return "launch again";
-        case ReconcileAction::InDoubt:
+        case ReconcileAction::Unconfirmed:
             return "in doubt";
         case ReconcileAction::NotSent:
             return "unsent";
--- a/src/shard/reconciliation.hpp
+++ b/src/shard/reconciliation.hpp
@@ -1,14 +1,14 @@
 #pragma once
 // Reconciles a worker's message with the stored record: decides for one task on one machine what follows from
 // the record, the message, and what is proven about orders in flight. A pure function; the table in
-// docs/recovery.md describes it in words. A task that it can't decide about stays in doubt. A task in doubt
-// still counts: it can't start elsewhere, and it uses quota and a place in its zone.
+// docs/recovery.md describes it in words. A task that it can't decide about stays unconfirmed. An unconfirmed
+// task still counts: it can't start elsewhere, and it uses quota and a place in its zone.
 
 #include "protocol/protocol.hpp"
 
 namespace cottonway::recovery {
 
-/// The stored state of a task as the shard's holder knows it.
+/// The stored state of a task as the shard's owner knows it.
 struct StoredTask {
     enum class State {
         None,       // there is no such job, or it is over
@@ -21,8 +21,8 @@
     State state = State::None;
     bool result_wanted = true;  // the job is neither over nor cancelled, and its tasks end by themselves
     bool seen = false;          // a message of this session listed this attempt
-    bool launched = false;      // a launch may have been executed, sent by this or a former holder
-    bool inherited = false;     // bound by a former holder, and only that one may have launched it
+    bool launched = false;      // a launch may have been executed, sent by this or a former owner
+    bool inherited = false;     // bound by a former owner, and only that one may have launched it
     bool stopping = false;
 };
 
@@ -47,9 +47,9 @@
     UnboundResult,  // the task is not bound any more, but its result counts all the same
     Clear,          // the task has exited and its result is not needed
     Orphaned,       // the task must not run there and is to be stopped
-    Gone,           // proven not to run there and not to start there any more
+    Terminated,     // proven not to run there and not to start there any more
     Relaunch,       // proven not to have started: to be launched again
-    InDoubt,        // the task may run there, or may still start
+    Unconfirmed,    // the task may run there, or may still start
     NotSent,        // no launch has been sent yet
 };
 
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -24,7 +24,7 @@
 constexpr double kFetchPenaltyPerSecond = 10;
 constexpr Micros kBestEffortInterval = 500 * kMillisecond;
 // For this long after a job has found no machine, no part of its team's limit is withheld for it.
-constexpr Micros kLacksRoomPeriod = 10 * kSecond;
+constexpr Micros kLacksCapacityPeriod = 10 * kSecond;
 // How long other shards have to give a waiting live task some of their share of its team's limit. After that,
 // batch tasks of the same team are preempted for it.
 constexpr Micros kLimitPreemptionDelay = 2 * kSecond;
@@ -111,7 +111,7 @@
 }
 
 bool Scheduler::is_within_limit(const Job& job, int tasks) const {
-    const Resources share = context_.quota_share(shard_, job.spec.team);
+    const Resources share = context_.available_quota(shard_, job.spec.team);
     const Resources usage = usage_with(job, tasks);
     return usage.cores <= share.cores && usage.gpus <= share.gpus;
 }
@@ -222,7 +222,7 @@
             waiting_cores[job->spec.team] += job->spec.request.cores * job->waiting_tasks();
     for (const auto& [team, cores] : waiting_cores)
         used += std::clamp<Milli>(
-            context_.quota_share(shard_, team).cores - shard_state_.team_usage(team).cores, 0, cores);
+            context_.available_quota(shard_, team).cores - shard_state_.team_usage(team).cores, 0, cores);
     const auto elapsed = static_cast<double>(peak_updated_at_ > 0 ? now - peak_updated_at_ : 0);
     peak_updated_at_ = now;
     peak_used_cores_ =
@@ -398,7 +398,7 @@
     // is overdue.
     queued.has_started =
         job.bound_tasks > 0 || job.backing_off || (job.done_tasks > 0 && !job.is_best_effort());
-    queued.lacks_room = job.no_room_at > 0 && now - job.no_room_at < kLacksRoomPeriod;
+    queued.lacks_capacity = job.no_capacity_at > 0 && now - job.no_capacity_at < kLacksCapacityPeriod;
     auto resources_of = [&spec](int tasks) {
         return Resources{spec.request.cores * tasks, spec.request.gpus * tasks, 0};
     };
@@ -416,7 +416,7 @@
         used.gpus += job->spec.request.gpus * job->bound_tasks;
     }
     for (const auto& team : context_.settings().teams)
-        teams[team.name].limit = context_.quota_share(shard_, team.name);
+        teams[team.name].limit = context_.available_quota(shard_, team.name);
     return teams;
 }
 
@@ -493,7 +493,7 @@
 /// Stops as much batch work of the live job's own team as one more task of the job needs within the team's
 /// limit, the least loss first: live work goes before batch work inside that limit as well.
 void Scheduler::preempt_within_team_limit(const Job& job) {
-    const Resources share = context_.quota_share(shard_, job.spec.team);
+    const Resources share = context_.available_quota(shard_, job.spec.team);
     Resources excess = usage_with(job, 1) - share;
     std::vector<Victim> victims;
     for (auto& [ref, other] : shard_state_.jobs) {
@@ -553,9 +553,9 @@
 
 scheduling::ZoneChoice Scheduler::choose_zones(const Job& job, const ZoneConstraints& constraints,
                                                const std::map<std::string, int>& tasks_by_zone,
-                                               const std::vector<std::string>* zones_with_room) const {
+                                               const std::vector<std::string>* zones_with_capacity) const {
     return scheduling::choose_zones(job.spec, constraints.rule, tasks_by_zone, constraints.usable_zones,
-                                    all_zones_, zones_with_room);
+                                    all_zones_, zones_with_capacity);
 }
 
 /// Returns the candidates in zones that may take another task of the job; with `limit_per_machine`, only
@@ -590,10 +590,10 @@
 
 /// Returns the zones with a machine that a task of the job fits on and that holds fewer than
 /// `max_tasks_per_machine` tasks of the job.
-std::vector<std::string> Scheduler::find_zones_with_room(const Job& job,
-                                                         const std::vector<Candidate>& candidates,
-                                                         const std::vector<Machine*>& machines,
-                                                         int max_tasks_per_machine) {
+std::vector<std::string> Scheduler::find_zones_with_capacity(const Job& job,
+                                                             const std::vector<Candidate>& candidates,
+                                                             const std::vector<Machine*>& machines,
+                                                             int max_tasks_per_machine) {
     std::set<std::string> zones;
     for (const auto& candidate : candidates) {
         const Machine& machine = *machines[candidate.index];
@@ -638,10 +638,10 @@
     if (chosen >= 0 || !may_relax_rule) return chosen;
     for (const bool limit_per_machine : {true, false}) {
         if (!limit_per_machine && (wanted.strict || !has_machine_limit)) break;
-        const auto zones_with_room = find_zones_with_room(
+        const auto zones_with_capacity = find_zones_with_capacity(
             job, candidates, machines,
             limit_per_machine ? wanted.max_tasks_per_machine : std::numeric_limits<int>::max());
-        const auto relaxed = choose_zones(job, constraints, tasks_by_zone, &zones_with_room);
+        const auto relaxed = choose_zones(job, constraints, tasks_by_zone, &zones_with_capacity);
         const auto found = place_in(relaxed, limit_per_machine && has_machine_limit);
         if (found >= 0) return found;
     }
@@ -653,7 +653,7 @@
 bool Scheduler::place_job(Job& job) {
     const Micros now = context_.runtime().now();
     if (job.spec.kind != JobKind::Gang && is_unschedulable(job)) {
-        job.no_room_at = now;
+        job.no_capacity_at = now;
         return false;
     }
     std::vector<Machine*> machines;
@@ -706,7 +706,7 @@
             now - preferred->known_since < 2 * context_.settings().report_interval)
             continue;
         // Unless values are stored in chunks, a stored part must not grow beyond the size of one value. The
-        // following parts still have room.
+        // following parts still have space for theirs.
         if (!values_are_chunked && job.part_of(static_cast<int>(i)).is_full(job.tasks_per_part)) {
             i = (i / job.tasks_per_part + 1) * job.tasks_per_part - 1;
             continue;
@@ -759,10 +759,10 @@
         if (chosen < 0) {
             if (!image_ready_only && !constraints.rule && !must_leave_reserve(job))
                 remember_unschedulable(job, includes_draining);
-            if (!image_ready_only) job.no_room_at = now;
+            if (!image_ready_only) job.no_capacity_at = now;
             return false;
         }
-        job.no_room_at = 0;
+        job.no_capacity_at = 0;
         Machine& machine = *machines[static_cast<std::size_t>(chosen)];
         bind(job, static_cast<int>(i), machine, attempt);
         job.next_attempt = attempt + 1;
@@ -785,7 +785,7 @@
                            const std::vector<Machine*>& machines) {
     const Micros now = context_.runtime().now();
     if (job.bound_tasks > 0 || job.unbound_tasks < job.spec.tasks - job.done_tasks)
-        return true;  // the previous attempt is not proven gone yet
+        return true;  // the previous attempt is not confirmed terminated yet
     for (std::size_t i = 0; i < job.slots.size(); ++i)
         if (job.slots[i].state == SlotState::Unbound &&
             (job.slots[i].retry_at > now ||
@@ -810,11 +810,12 @@
         std::vector<std::pair<int, Machine*>> chosen;
         for (std::size_t i = 0; i < job.slots.size(); ++i) {
             if (job.slots[i].state != SlotState::Unbound) continue;
-            std::vector<std::string> zones_with_room;
+            std::vector<std::string> zones_with_capacity;
             if (constraints.rule)
-                zones_with_room = find_zones_with_room(job, trial, machines, std::numeric_limits<int>::max());
-            const auto choice =
-                choose_zones(job, constraints, tasks_by_zone, constraints.rule ? &zones_with_room : nullptr);
+                zones_with_capacity =
+                    find_zones_with_capacity(job, trial, machines, std::numeric_limits<int>::max());
+            const auto choice = choose_zones(job, constraints, tasks_by_zone,
+                                             constraints.rule ? &zones_with_capacity : nullptr);
             std::vector<Candidate> eligible;
             for (const auto& candidate : trial) {
                 const std::string& candidate_zone = machines[candidate.index]->zone;
@@ -838,10 +839,10 @@
             bind(job, task, *machine, attempt);
         }
         spdlog::info("gang {}: attempt {} bound, {} tasks", job.spec.ref, attempt, chosen.size());
-        job.no_room_at = 0;
+        job.no_capacity_at = 0;
         return true;
     }
-    job.no_room_at = now;
+    job.no_capacity_at = now;
     return false;
 }
 
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -126,17 +126,17 @@
     ZoneConstraints zone_constraints(const Job& job) const;
     scheduling::ZoneChoice choose_zones(const Job& job, const ZoneConstraints& constraints,
                                         const std::map<std::string, int>& tasks_by_zone,
-                                        const std::vector<std::string>* zones_with_room = nullptr) const;
+                                        const std::vector<std::string>* zones_with_capacity = nullptr) const;
     std::vector<const Candidate*> eligible_candidates(const scheduling::ZoneChoice& choice, const Job& job,
                                                       const std::map<std::string, int>& tasks_by_zone,
                                                       std::vector<Candidate>& candidates,
                                                       const std::vector<Machine*>& machines,
                                                       bool limit_per_machine) const;
     static int tasks_on(const Machine& machine, const Job& job);
-    static std::vector<std::string> find_zones_with_room(const Job& job,
-                                                         const std::vector<Candidate>& candidates,
-                                                         const std::vector<Machine*>& machines,
-                                                         int max_tasks_per_machine);
+    static std::vector<std::string> find_zones_with_capacity(const Job& job,
+                                                             const std::vector<Candidate>& candidates,
+                                                             const std::vector<Machine*>& machines,
+                                                             int max_tasks_per_machine);
     std::ptrdiff_t place_by_zone(const Job& job, const ZoneConstraints& constraints,
                                  const std::map<std::string, int>& tasks_by_zone,
                                  std::vector<Candidate>& candidates, const std::vector<Machine*>& machines,
--- a/src/shard/shard_owner.cpp
+++ b/src/shard/shard_owner.cpp
@@ -57,10 +57,10 @@
     if (machine.token_seen < token(machine)) request_dispatch(machine);
 }
 
-void ShardOwner::on_machine_gone(const std::string& name, const char* reason) {
+void ShardOwner::on_machine_removed(const std::string& name, const char* reason) {
     // A block record stops listing a machine once the cloud has confirmed its deletion, or when the machine
     // was transferred to another shard while it was empty. So every task that a job's record still binds to
-    // the machine is gone.
+    // the machine has terminated.
     auto it = shard_state_.machines.find(name);
     if (it == shard_state_.machines.end()) return;
     terminate_all_attempts(*it->second, reason);
@@ -118,9 +118,9 @@
            unreachable_for(machine) < unreachable_limit();
 }
 
-/// Returns true if every lease that the worker may hold has expired: leases that this holder granted, leases
-/// that a former holder may have granted while the worker has not reported this holder's token, and renewals
-/// by other controllers on the holder's behalf. Renewals by another controller are ruled out only by its
+/// Returns true if every lease that the worker may hold has expired: leases that this owner granted, leases
+/// that a former owner may have granted while the worker has not reported this owner's token, and renewals
+/// by other controllers on the owner's behalf. Renewals by another controller are ruled out only by its
 /// promise not to renew, or once its controller lease must have ended.
 bool ShardOwner::is_lease_expired(const Machine& machine) const {
     // An answered report renews the lease from the time when it was sent, which was before it arrived here.
@@ -129,7 +129,7 @@
     return are_leases_expired_since(machine, last);
 }
 
-/// Returns true if every lease that the worker may hold has expired, given that no holder of the shard has
+/// Returns true if every lease that the worker may hold has expired, given that no owner of the shard has
 /// granted one after `last`.
 bool ShardOwner::are_leases_expired_since(const Machine& machine, Micros last) const {
     const Micros now = context_.runtime().now();
@@ -189,15 +189,16 @@
         if (!active_) continue;
         if (!machine.orphaned_tasks.empty()) request_dispatch(machine);
         // The session of a silent worker ends by itself, unless another controller renews its lease on this
-        // holder's behalf. In that case an unanswered launch could arrive at any time, even if its job has
+        // owner's behalf. In that case an unanswered launch could arrive at any time, even if its job has
         // been cancelled since, so the token is raised for jobs that are no longer queued as well.
-        const bool heard = silent_for(machine) < 2 * context_.settings().report_interval;
-        const bool needs_new_token = std::any_of(
-            machine.unacknowledged_launches.begin(), machine.unacknowledged_launches.end(),
-            [&](const auto& launch) {
-                return now - launch.second.since > kLaunchAnswerTimeout &&
-                       launch.second.token >= token(machine) && (heard || !is_job_queued(launch.first.job));
-            });
+        const bool is_reporting = silent_for(machine) < 2 * context_.settings().report_interval;
+        const bool needs_new_token =
+            std::any_of(machine.unacknowledged_launches.begin(), machine.unacknowledged_launches.end(),
+                        [&](const auto& launch) {
+                            return now - launch.second.since > kLaunchAnswerTimeout &&
+                                   launch.second.token >= token(machine) &&
+                                   (is_reporting || !is_job_queued(launch.first.job));
+                        });
         if (needs_new_token) raise_token(machine);
         if (machine.is_idle()) continue;
         if (is_lease_expired(machine)) {
@@ -271,8 +272,8 @@
 }
 
 /// Stops tasks on a machine that the cloud is about to interrupt: tasks that can save their state, early
-/// enough to do so, and tasks that will hardly finish before. They start elsewhere now, instead of being in
-/// doubt once the machine is silent.
+/// enough to do so, and tasks that will hardly finish before. They start elsewhere now, instead of being
+/// unconfirmed once the machine is silent.
 void ShardOwner::stop_before_interruption(Machine& machine) {
     const Micros now = context_.runtime().now();
     const Micros left = std::max<Micros>(machine.interruption_at - now, 0);
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // ShardOwner: the part of a controller that manages a shard which the controller holds. It tracks the shard's
 // machines (from block records) and jobs, binds tasks to machines, and follows each attempt until it is
-// proven gone. See docs/design.md.
+// confirmed terminated. See docs/design.md.
 
 #include <cstdint>
 #include <functional>
@@ -45,14 +45,14 @@
     /// Schedules run_pending_work() of all owners to run as soon as the current event has been handled.
     virtual void wake() = 0;
     /// Returns the shard's stored share of a team's limit, less the part that is being given to other shards.
-    virtual Resources quota_share(const std::string& shard, const std::string& team) const = 0;
+    virtual Resources available_quota(const std::string& shard, const std::string& team) const = 0;
     /// Returns true if the job fits into its team's guarantee together with the team's earlier unfinished
     /// jobs.
     virtual bool within_guarantee(const std::string& ref) = 0;
     /// Returns the state of the job's dependencies and of the jobs that depend on it.
     virtual DependencyStatus dependency_status(const std::string& ref) const = 0;
     /// Returns true if all controllers can read a format, so that it may be written.
-    virtual bool all_can_read(std::uint64_t format) const = 0;
+    virtual bool is_read_by_all(std::uint64_t format) const = 0;
     /// Reports a final record that this owner committed, before the change feed delivers it.
     virtual void on_job_finalized(const std::string& ref, const Json& value, Revision mod_revision) = 0;
     /// Returns the time from which a peer that is not alive can't renew any lease; empty while it still may.
@@ -62,7 +62,7 @@
     /// Returns the migration plan that a shard has begun and not ended, as last read; nullptr if there never
     /// was one.
     virtual const PlanCache::Stored* stored_plan(const std::string& shard) const = 0;
-    /// Returns for how long no node has joined or ended and each shard has had a live holder, according to
+    /// Returns for how long no node has joined or ended and each shard has had a live owner, according to
     /// the store; 0 if that is not the case now.
     virtual Micros stable_for() const = 0;
     /// Returns true if the last read of the store is recent enough to renew leases and to start tasks (see
@@ -92,7 +92,7 @@
 
     // Loading order: machines, then jobs, then the parts of the jobs, then activate().
     void on_machine(const Block& block, const Block::Machine& entry);
-    void on_machine_gone(const std::string& name, const char* reason);
+    void on_machine_removed(const std::string& name, const char* reason);
     void on_job(const std::string& ref, RecordLocation location, const Json& value, Revision mod_revision);
     /// Sets the revision of a record that exists under c/job/ in addition to the job's record under
     /// c/active/.
@@ -100,7 +100,7 @@
     void on_part(const std::string& ref, std::size_t part, const Json& value, Revision mod_revision);
     void activate();
 
-    /// Admits a new job. If there is room, the change that admits it also binds its first tasks.
+    /// Admits a new job. If there is free capacity, the change that admits it also binds its first tasks.
     void admit(JobSpec spec, std::int64_t submitted_ms, const DependencyStatus& dependency_status,
                std::function<void(const Admission&)> done);
     /// Applies a change of the job's dependencies, or of the jobs that depend on it.
@@ -147,7 +147,7 @@
     /// unless withdraw_offer() is called.
     std::vector<std::string> offer_idle_machines(const peer::CapacityRequest& request);
     void withdraw_offer(const std::vector<std::string>& machines);
-    /// Free room in another shard, in thousandths of a core. `idle_*` is the part on machines without any
+    /// Free capacity in another shard, in thousandths of a core. `idle_*` is the part on machines without any
     /// task.
     struct RemoteCapacity {
         Milli ordinary = 0;
@@ -155,10 +155,11 @@
         Milli idle_ordinary = 0;
         Milli idle_spot = 0;
     };
-    /// Transfers to another shard waiting jobs of which no task was ever bound, as many as fit into `room`.
-    void transfer_jobs(const std::string& to, RemoteCapacity room);
+    /// Transfers to another shard waiting jobs of which no task was ever bound, as many as fit into
+    /// `capacity`.
+    void transfer_jobs(const std::string& to, RemoteCapacity capacity);
     /// Returns the part of the team's quota share that is neither used nor needed by waiting jobs.
-    Resources spare_quota(const std::string& team) const;
+    Resources transferable_quota(const std::string& team) const;
     /// Returns the part of the team's quota share that is not used.
     Resources unused_quota(const std::string& team) const;
     /// Returns the smallest amount by which the team's share is too small to start one more waiting task, or
--- a/src/shard/shard_state.hpp
+++ b/src/shard/shard_state.hpp
@@ -20,18 +20,18 @@
 
     Machine* machine(const std::string& name) const;
     Job* job(const std::string& ref) const;
-    /// Returns the resources that a team's tasks use, including tasks that are in doubt or stopping.
+    /// Returns the resources that a team's tasks use, including tasks that are unconfirmed or stopping.
     Resources team_usage(const std::string& team) const;
 
-    /// Binds an unbound task to a machine under a new attempt. From here on the task uses the machine's room
-    /// and its team's quota.
+    /// Binds an unbound task to a machine under a new attempt. From here on the task uses the machine's
+    /// capacity and its team's quota.
     void bind(Job& job, int task, Machine& machine, std::int64_t attempt);
-    /// Makes a task unbound again, once its attempt is proven gone or if its binding never became durable.
-    /// `listened` is the current time of the listening clock.
+    /// Makes a task unbound again, once its attempt is confirmed terminated or if its binding never became
+    /// durable. `listened` is the current time of the listening clock.
     void release(Job& job, Slot& slot, Micros listened);
 
     /// Records a task that runs on a machine without being bound to it. It must not start elsewhere until
-    /// that attempt is gone.
+    /// that attempt has terminated.
     void add_orphaned_task(Machine& machine, const ReportedTask& task);
     void forget_orphaned_tasks(Machine& machine);
     bool has_orphaned_task(const std::string& job, int task) const {
--- a/src/shard/startup.cpp
+++ b/src/shard/startup.cpp
@@ -24,16 +24,16 @@
 }
 
 void StartupSummary::record_heartbeat(const std::string& machine, Micros now) {
-    if (!is_open() || all_heard_after_ >= 0) return;
-    heard_machines_.insert(machine);
-    if (heard_machines_.size() >= machines_) all_heard_after_ = now - started_at_;
+    if (!is_open() || all_reported_after_ >= 0) return;
+    reported_machines_.insert(machine);
+    if (reported_machines_.size() >= machines_) all_reported_after_ = now - started_at_;
 }
 
 void StartupSummary::record_reconciled(ReconcileAction action, bool inherited) {
     if (!is_open()) return;
     running_ += action == ReconcileAction::Runs && inherited;
     ended_ += action == ReconcileAction::Ended && inherited;
-    gone_ += action == ReconcileAction::Gone && inherited;
+    terminated_ += action == ReconcileAction::Terminated && inherited;
     results_ += action == ReconcileAction::UnboundResult;
     orphaned_tasks_ += action == ReconcileAction::Orphaned;
 }
@@ -57,10 +57,10 @@
 }
 
 std::string StartupSummary::take_log_line(Micros now) {
-    if (!is_open() || (now - started_at_ < kLogDelay && all_heard_after_ < 0)) return "";
+    if (!is_open() || (now - started_at_ < kLogDelay && all_reported_after_ < 0)) return "";
     // Orders that follow from the last reconciled messages are still to be sent, so the line waits for
     // another second.
-    if (all_heard_after_ >= 0 && now - started_at_ < all_heard_after_ + kSecond) return "";
+    if (all_reported_after_ >= 0 && now - started_at_ < all_reported_after_ + kSecond) return "";
     line_taken_ = true;
     return fmt::format(
         "started: active {} ms after the shard was acquired, with {} jobs and {} tasks on machines; {} of {} "
@@ -68,9 +68,9 @@
         "results of unbound tasks and {} orphaned tasks found; orders: {} launches, {} stops, {} clears, {} "
         "of "
         "them repeated; first bind of a waiting task: {}",
-        activation_time_ / kMillisecond, jobs_, inherited_tasks_, heard_machines_.size(), machines_,
-        format_elapsed(all_heard_after_), running_, ended_, gone_, results_, orphaned_tasks_, orders_[0],
-        orders_[1], orders_[2], repeated_orders_, format_elapsed(first_bind_after_));
+        activation_time_ / kMillisecond, jobs_, inherited_tasks_, reported_machines_.size(), machines_,
+        format_elapsed(all_reported_after_), running_, ended_, terminated_, results_, orphaned_tasks_,
+        orders_[0], orders_[1], orders_[2], repeated_orders_, format_elapsed(first_bind_after_));
 }
 
 Json StartupSummary::to_json() const {
@@ -78,12 +78,12 @@
             {"jobs", jobs_},
             {"tasks", inherited_tasks_},
             {"machines", machines_},
-            {"machines_heard", heard_machines_.size()},
-            {"all_heard_ms", all_heard_after_ < 0 ? Json() : Json(all_heard_after_ / kMillisecond)},
+            {"machines_heard", reported_machines_.size()},
+            {"all_heard_ms", all_reported_after_ < 0 ? Json() : Json(all_reported_after_ / kMillisecond)},
             {"first_bind_ms", first_bind_after_ < 0 ? Json() : Json(first_bind_after_ / kMillisecond)},
             {"run_on", running_},
             {"ended", ended_},
-            {"gone", gone_},
+            {"gone", terminated_},
             {"results", results_},
             {"strays", orphaned_tasks_},
             {"launches", orders_[0]},
--- a/src/shard/startup.hpp
+++ b/src/shard/startup.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Statistics of a shard's start under a new holder: what was read, which machines reported, what was
+// Statistics of a shard's start under a new owner: what was read, which machines reported, what was
 // reconciled and ordered, and when. Logged in one line once all machines have reported or ten seconds have
 // passed, and shown in `status` for as long as the shard is held.
 
@@ -23,7 +23,7 @@
     void record_reconciled(ReconcileAction action, bool inherited);
     /// Records an order to a worker. `is_repeat` is true if the same order had been sent before.
     void record_order(OrderKind kind, bool is_repeat);
-    /// Called at each planning pass: records whether any task waits for room.
+    /// Called at each planning pass: records whether any task waits for capacity.
     void record_waiting(bool any_waiting, Micros now);
     /// Records a bind. Only the first one counts.
     void record_bind(Micros now);
@@ -37,11 +37,11 @@
     Micros started_at_ = 0;
     Micros activation_time_ = 0;
     std::size_t jobs_ = 0, machines_ = 0, inherited_tasks_ = 0;
-    std::set<std::string> heard_machines_;
-    Micros all_heard_after_ = -1;  // -1: not all yet
-    Micros waiting_since_ = 0;     // since when tasks have been waiting without a break; 0: none waits
+    std::set<std::string> reported_machines_;
+    Micros all_reported_after_ = -1;  // -1: not all yet
+    Micros waiting_since_ = 0;        // since when tasks have been waiting without a break; 0: none waits
     Micros first_bind_after_ = -1;
-    std::size_t running_ = 0, ended_ = 0, results_ = 0, gone_ = 0, orphaned_tasks_ = 0;
+    std::size_t running_ = 0, ended_ = 0, results_ = 0, terminated_ = 0, orphaned_tasks_ = 0;
     std::array<std::size_t, 3> orders_{};  // by kind of order
     std::size_t repeated_orders_ = 0;
     bool line_taken_ = false;
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -129,7 +129,7 @@
     EXPECT_EQ(wide.tasks_per_part, 145u);
     EXPECT_TRUE(owner->jobs().at("req-000005")->backing_off);
     EXPECT_EQ(owner->jobs().at("req-000002")->spec.checkpoint_interval, 3 * kSecond);
-    EXPECT_EQ(simulator.node(0)->quota_share("loom-1", "red").cores, 24'000);
+    EXPECT_EQ(simulator.node(0)->available_quota("loom-1", "red").cores, 24'000);
     EXPECT_EQ(wire::text(simulator.request(0, "GET", "/v1/jobs/req-000003", {}).body, "stage"), "done");
     EXPECT_EQ(wire::text(simulator.request(1, "GET", "/v1/jobs/req-000007", {}).body, "stage"), "cancelled");
 }
--- a/tests/gpu_packing_simulation_test.cpp
+++ b/tests/gpu_packing_simulation_test.cpp
@@ -248,7 +248,7 @@
         view.now = now_ * kSecond;
         for (const auto& machine : machines_) {
             view.machines.push_back(machine.view);
-            for (const auto& [ref, request] : machine.reservations) view.machines.back().set_aside += request;
+            for (const auto& [ref, request] : machine.reservations) view.machines.back().withheld += request;
         }
         std::vector<std::size_t> running_tasks;
         for (const std::size_t i : waiting_) {
@@ -280,7 +280,7 @@
         if (current_minute_ != now_ / 60) current_minute_ = now_ / 60, moves_in_minute_ = 0;
         policy::Policy policy = policy_;
         policy.budgets.moves_per_minute -= moves_in_minute_;
-        for (const auto& plan : plan_room_for_waiting_jobs(view, policy)) {
+        for (const auto& plan : plan_capacity_for_waiting_jobs(view, policy)) {
             for (auto& machine : machines_)
                 if (machine.view.name == plan.reservation.machine)
                     machine.reservations.emplace_back(
--- a/tests/gpu_packing_test.cpp
+++ b/tests/gpu_packing_test.cpp
@@ -83,7 +83,7 @@
         view.jobs[job].waiting_time = waiting_time;
         return job;
     }
-    std::vector<RoomPlan> plans() const { return plan_room_for_waiting_jobs(view, policy); }
+    std::vector<CapacityPlan> plans() const { return plan_capacity_for_waiting_jobs(view, policy); }
 
   private:
     std::map<std::size_t, Micros> run_times_;  // by job
@@ -155,7 +155,7 @@
 TEST(GpuMoves, ATaskOfEightGpusGetsRoomByOneMove) {
     HalfFullSite site;
     const auto job = site.add_waiting(8);
-    const auto plan = plan_room_for_job(site.view, job, site.policy);
+    const auto plan = plan_capacity_for_job(site.view, job, site.policy);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->reservation, (Reservation{"j-2", "n-0", 1}));
     EXPECT_EQ(plan->moves, (std::vector<Move>{{"j-0", 0, "n-0", "n-1", MoveReason::MakeRoom, "j-2"}}));
@@ -297,7 +297,7 @@
     site.view.jobs[job].reserved_tasks = 0;
     site.add_machine();
     EXPECT_TRUE(site.plans().empty());
-    EXPECT_FALSE(plan_room_for_job(site.view, job, site.policy));
+    EXPECT_FALSE(plan_capacity_for_job(site.view, job, site.policy));
 }
 
 TEST(GpuMoves, CapacityOfStoppingTasksIsReservedWithoutAMove) {
@@ -397,7 +397,7 @@
             if (up_to(12) == 0) site.view.tasks[task].has_planned_move = true;
         }
         if (up_to(10) == 0) site.view.machines[machine].usable = false;
-        if (free_gpus > 0 && up_to(10) == 0) site.view.machines[machine].set_aside = gpu_share(1);
+        if (free_gpus > 0 && up_to(10) == 0) site.view.machines[machine].withheld = gpu_share(1);
     }
     for (int i = 0; i < waiting_jobs; ++i) {
         const std::size_t job = site.add_waiting(up_to(2) ? 8 : 4, 1 + up_to(1), (5 + up_to(9)) * kSecond);
@@ -536,7 +536,7 @@
             fits = fits || (machine.usable && site.view.jobs[job].spec.request.fits(machine.available()));
             has_plan = has_plan || exhaustive_search(site, job, m, max_moves);
         }
-        RC_ASSERT(plan_room_for_job(site.view, job, site.policy).has_value() == (has_plan && !fits));
+        RC_ASSERT(plan_capacity_for_job(site.view, job, site.policy).has_value() == (has_plan && !fits));
     }
 }
 
@@ -616,7 +616,7 @@
         const std::size_t job = site.add_waiting(random() % 2 ? 8 : 4);
         const int exact = minimum_moves(site, job);
         if (exact <= 0 || exact > site.policy.budgets.moves_per_placement) continue;
-        const auto plan = plan_room_for_job(site.view, job, site.policy);
+        const auto plan = plan_capacity_for_job(site.view, job, site.policy);
         if (!plan) {
             ++without_plan;
             continue;
--- a/tests/permission_test.cpp
+++ b/tests/permission_test.cpp
@@ -12,14 +12,14 @@
 using namespace permission;
 namespace {
 
-HolderEvidence permitted_holder() {
+OwnerEvidence permitted_owner() {
     return {.store_read_valid = true, .token = 7, .token_seen = 7};
 }
 
 ProxyEvidence permitted_proxy() {
     return {.store_read_valid = true,
             .is_member = true,
-            .holder_known = true,
+            .owner_known = true,
             .former_promises_expired = true,
             .machine_listed = true,
             .token = 7,
@@ -40,21 +40,21 @@
 }
 
 TEST(Permission, RenewalByHolderIsRefusedOnStaleOrMissingEvidence) {
-    EXPECT_EQ(decide_renewal_by_holder(permitted_holder()), std::nullopt);
-    auto evidence = permitted_holder();
+    EXPECT_EQ(decide_renewal_by_owner(permitted_owner()), std::nullopt);
+    auto evidence = permitted_owner();
     evidence.store_read_valid = false;
-    EXPECT_EQ(decide_renewal_by_holder(evidence), Refusal::StoreReadTooOld);
-    evidence = permitted_holder();
+    EXPECT_EQ(decide_renewal_by_owner(evidence), Refusal::StoreReadTooOld);
+    evidence = permitted_owner();
     evidence.session_over = true;
-    EXPECT_EQ(decide_renewal_by_holder(evidence), Refusal::SessionOver);
-    evidence = permitted_holder();
+    EXPECT_EQ(decide_renewal_by_owner(evidence), Refusal::SessionOver);
+    evidence = permitted_owner();
     evidence.token_seen = 8;
-    EXPECT_EQ(decide_renewal_by_holder(evidence), Refusal::HigherTokenSeen);
+    EXPECT_EQ(decide_renewal_by_owner(evidence), Refusal::HigherTokenSeen);
     evidence.machine_transferring = true;
-    EXPECT_EQ(decide_renewal_by_holder(evidence), Refusal::MachineLeaving);
-    evidence = permitted_holder();
+    EXPECT_EQ(decide_renewal_by_owner(evidence), Refusal::MachineLeaving);
+    evidence = permitted_owner();
     evidence.jobs_known = false;
-    EXPECT_EQ(decide_renewal_by_holder(evidence), Refusal::JobUnknown);
+    EXPECT_EQ(decide_renewal_by_owner(evidence), Refusal::JobUnknown);
 }
 
 TEST(Permission, RenewalOnBehalfIsRefusedAfterAPromiseOrAHigherToken) {
@@ -67,7 +67,7 @@
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.store_read_valid = false; }),
               Refusal::StoreReadTooOld);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.is_member = false; }), Refusal::NotAMember);
-    EXPECT_EQ(decision_after([](auto& evidence) { evidence.holder_known = false; }), Refusal::HolderUnknown);
+    EXPECT_EQ(decision_after([](auto& evidence) { evidence.owner_known = false; }), Refusal::OwnerUnknown);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.former_promises_expired = false; }),
               Refusal::PromisesUnknown);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.lease_relinquished = true; }),
@@ -89,8 +89,8 @@
               Refusal::StoreReadTooOld);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.job_queued = false; }), Refusal::JobOver);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.token_seen = 6; }), Refusal::TokenNotShown);
-    EXPECT_EQ(decision_after([](auto& evidence) { evidence.bound_by_other_holder = true; }),
-              Refusal::BoundByOtherHolder);
+    EXPECT_EQ(decision_after([](auto& evidence) { evidence.bound_by_other_owner = true; }),
+              Refusal::BoundByOtherOwner);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.call_in_flight = true; }), Refusal::CallInFlight);
     EXPECT_EQ(decision_after([](auto& evidence) { evidence.gang_complete = false; }),
               Refusal::GangIncomplete);
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -93,7 +93,7 @@
 
 TEST(QueueOrder, WithholdsNothingForAJobThatLacksRoom) {
     auto large = queued_job(1, Tier::Batch, 8, 121 * kSecond);
-    large.lacks_room = true;
+    large.lacks_capacity = true;
     const auto order = queue_order({queued_job(0, Tier::Urgent, 2, 0, 50), large}, team_red(20), {});
     EXPECT_TRUE(order.front().overdue) << "the overdue job is still tried first";
     EXPECT_EQ(max_cores_of(order, 0), 20);
@@ -197,7 +197,7 @@
                               *rc::gen::inRange(0, 300) * kSecond, *rc::gen::inRange(1, 9));
         job.team = *rc::gen::element<std::string>("red", "blue", "guest");
         job.has_started = *rc::gen::arbitrary<bool>();
-        job.lacks_room = *rc::gen::inRange(0, 4) == 0;
+        job.lacks_capacity = *rc::gen::inRange(0, 4) == 0;
         job.within_guarantee = *rc::gen::arbitrary<bool>();
         job.remaining_work_by_age = *rc::gen::inRange(0, 3);
         queue.push_back(job);
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -152,7 +152,7 @@
             reconcile(stored, {message.lists_task, false, ExitCause::Stopped}, proof);
         if (action == ReconcileAction::Runs) seen = true;
         if (action == ReconcileAction::Relaunch) launched = false;
-        if (action == ReconcileAction::Gone) gone = true;
+        if (action == ReconcileAction::Terminated) gone = true;
         return action;
     }
     bool may_run() const {
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -229,9 +229,9 @@
     EXPECT_TRUE(place_missing(service(4), rule, counts, kAllZones));
     EXPECT_EQ(counts, (Counts{{"a", 2}, {"b", 2}}));
     // A preference does not rule out other zones when the preferred ones are full.
-    const Zones zones_with_room{"c"};
-    const auto choice = choose_zones(service(4), &rule, {}, kAllZones, kAllZones, &zones_with_room);
-    EXPECT_EQ(open_zones(choice, {}), zones_with_room);
+    const Zones zones_with_capacity{"c"};
+    const auto choice = choose_zones(service(4), &rule, {}, kAllZones, kAllZones, &zones_with_capacity);
+    EXPECT_EQ(open_zones(choice, {}), zones_with_capacity);
     EXPECT_TRUE(choice.meets_rule);
     EXPECT_GT(choice.penalty_in("c"), choice.penalty_in("b"));
 }
@@ -239,10 +239,11 @@
 TEST(ChooseZones, LackOfCapacityOpensNoZoneThatIsNotAllowed) {
     ZoneRule rule;
     rule.allowed = {"a"};
-    const Zones zones_with_room{"b"};
+    const Zones zones_with_capacity{"b"};
     EXPECT_TRUE(
-        open_zones(choose_zones(service(2), &rule, {}, {"a", "b"}, kAllZones, &zones_with_room), {}).empty());
-    const auto choice = choose_zones(service(2), &rule, {}, {"b"}, kAllZones, &zones_with_room);
+        open_zones(choose_zones(service(2), &rule, {}, {"a", "b"}, kAllZones, &zones_with_capacity), {})
+            .empty());
+    const auto choice = choose_zones(service(2), &rule, {}, {"b"}, kAllZones, &zones_with_capacity);
     EXPECT_EQ(open_zones(choice, {}), Zones{"b"}) << "no allowed zone is usable";
     EXPECT_FALSE(choice.meets_rule);
 }
@@ -318,7 +319,7 @@
          [](Shard& changed) { changed.view.machines[4].usable = changed.view.machines[5].usable = false; }},
         {"no machine in zone c has capacity",
          [](Shard& changed) {
-             changed.view.machines[4].set_aside = changed.view.machines[5].reserved = {8'000, 0, 0};
+             changed.view.machines[4].withheld = changed.view.machines[5].reserved = {8'000, 0, 0};
          }},
         {"the machines in zone c are of another type",
          [](Shard& changed) {
@@ -479,11 +480,11 @@
     const ZoneRule rule = *any_rule();
     Counts counts;
     for (int i = 0; i < job.tasks; ++i) {
-        const Zones usable_zones = any_zones(), zones_with_room = any_zones();
+        const Zones usable_zones = any_zones(), zones_with_capacity = any_zones();
         const auto without_rule = choose_zones(job, nullptr, counts, usable_zones, kAllZones);
         const bool room_is_known = *rc::gen::arbitrary<bool>();
         const auto choice = choose_zones(job, &rule, counts, usable_zones, kAllZones,
-                                         room_is_known ? &zones_with_room : nullptr);
+                                         room_is_known ? &zones_with_capacity : nullptr);
         for (const auto& [zone, limit] : choice.max_tasks)
             RC_ASSERT(limit <= without_rule.max_tasks_in(zone));
         const Zones zones = open_zones(choice, counts);
--- a/tools/planning_bench.cpp
+++ b/tools/planning_bench.cpp
@@ -39,12 +39,12 @@
     const MachineType* machine_type(const std::string&) override { return &type_; }
     void on_ownership_lost(const std::string&) override {}
     void wake() override {}
-    Resources quota_share(const std::string&, const std::string&) const override {
+    Resources available_quota(const std::string&, const std::string&) const override {
         return {kNoLimit, kNoLimit, kNoLimit};
     }
     bool within_guarantee(const std::string&) override { return true; }
     DependencyStatus dependency_status(const std::string&) const override { return {}; }
-    bool all_can_read(std::uint64_t) const override { return true; }
+    bool is_read_by_all(std::uint64_t) const override { return true; }
     void on_job_finalized(const std::string&, const Json&, Revision) override {}
     std::optional<Micros> peer_lease_end(std::size_t) const override { return std::nullopt; }
     void edit_machine(const std::string&, const std::string&, MachineEdit,
