--- a/src/allocation/capacity_broker.cpp
+++ b/src/allocation/capacity_broker.cpp
@@ -19,8 +19,8 @@
 
 /// Returns the part of a team's quota in a shard that is neither in use nor needed by waiting tasks.
 Resources transferable_quota(const peer::TeamLoad& team) {
-    const Resources spare = unused_quota(team) - team.waiting;
-    return {std::max<Milli>(spare.cores, 0), std::max<Milli>(spare.gpus, 0), 0};
+    const Resources transferable = unused_quota(team) - team.waiting;
+    return {std::max<Milli>(transferable.cores, 0), std::max<Milli>(transferable.gpus, 0), 0};
 }
 }  // namespace
 
@@ -130,8 +130,8 @@
            std::tie(lacking->gpus, lacking->cores, from.shard());
 }
 
-/// Requests spare quota. If no shard has any, requests unused quota, which a shard yields only if its own
-/// waiting tasks can't use it (see should_yield_quota).
+/// Requests transferable quota. If no shard has any, requests unused quota, which a shard yields only if its
+/// own waiting tasks can't use it (see should_yield_quota).
 void CapacityBroker::request_quota(const ShardOwner& owner, const std::string& team,
                                    const Resources& missing) {
     const auto lacking = owner.smallest_quota_shortfall(team);
@@ -178,7 +178,7 @@
     return best_local || best_peer;
 }
 
-/// Transfers spare quota, or if the shard has none and should yield, unused quota.
+/// Transfers the shard's transferable quota, or if it has none and should yield, unused quota.
 void CapacityBroker::transfer_quota(ShardOwner& from, const peer::QuotaRequest& request,
                                     std::function<void(peer::Grant)> done) {
     Resources available = from.transferable_quota(request.team);
@@ -205,17 +205,17 @@
     machine_allocator_.transfer_idle_machines(*from, request, std::move(done));
 }
 
-/// Grants quota of the shard with the most spare quota among those held by this node, or if none has any, of
-/// the one that can yield the most unused quota.
+/// Grants quota of the shard with the most transferable quota among those held by this node, or if none has
+/// any, of the one that can yield the most unused quota.
 void CapacityBroker::grant_quota(const peer::QuotaRequest& request, std::function<void(peer::Grant)> done) {
     ShardOwner* from = nullptr;
-    std::pair<Milli, Milli> most;  // spare quota, and unused quota that the shard should yield
+    std::pair<Milli, Milli> most;  // transferable quota, and unused quota that the shard should yield
     for (const auto& [name, owner] : assignment_.owners()) {
         if (!owner || name == request.shard || !owner->active()) continue;
-        const Resources spare = owner->transferable_quota(request.team);
+        const Resources transferable = owner->transferable_quota(request.team);
         const Resources unused =
             should_yield_quota(*owner, request) ? owner->unused_quota(request.team) : Resources{};
-        const std::pair available{spare.cores + spare.gpus, unused.cores + unused.gpus};
+        const std::pair available{transferable.cores + transferable.gpus, unused.cores + unused.gpus};
         if (available > most) {
             most = available;
             from = owner.get();
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -49,8 +49,8 @@
     /// The part of a team's limit, less what its live work uses, that waiting work of each lower batch tier
     /// gets while higher batch tiers wait as well, 0 to 0.5.
     double floor = 0.2;
-    /// A job none of whose tasks has started for this long is overdue: it goes before all other batch work of
-    /// its team, and resources are reserved for it, so that the largest jobs begin as well.
+    /// A job none of whose tasks has started for this long is overdue: it is placed before all other batch
+    /// work of its team, and resources are reserved for it, so that the largest jobs start as well.
     Micros overdue_after = 120 * kSecond;
     /// The part of each zone's cores that batch work leaves free for live work, 0 to 0.5. Overdue jobs may
     /// use it.
--- a/src/shard/job.hpp
+++ b/src/shard/job.hpp
@@ -76,10 +76,10 @@
     bool within_guarantee = false;
     /// What the team may use in all once the next task of this job starts (see scheduling::QueueEntry).
     Resources usage_limit{kNoLimit, kNoLimit, 0};
-    bool overdue = false;              // it is placed out of order because it has waited too long
-    Micros no_capacity_at = 0;         // when it last found no capacity; 0 once it has found some
-    Micros next_best_effort_turn = 0;  // when this best-effort job may be bound again
-    bool waiting_for_image = false;    // as of the last pass: it waits for a machine that has its image
+    bool overdue = false;                 // it is placed out of order because it has waited too long
+    Micros no_capacity_at = 0;            // when it last found no capacity; 0 once it has found some
+    Micros next_best_effort_bind_at = 0;  // when this best-effort job may be bound again
+    bool waiting_for_image = false;       // as of the last pass: it waits for a machine that has its image
     bool image_wait_over = false;  // waiting for such a machine is pointless (see Scheduler::waits_for_image)
     bool transferring = false;     // being transferred to another shard: none of its tasks is bound
     /// Set once a task has succeeded or has run for a while, so the job is known to be able to run.
@@ -91,8 +91,8 @@
     int backoff_tries = 0;                   // attempts that failed during the backoff
     Micros next_try_at = 0;
     bool gang_stopping = false;
-    bool gang_done =
-        false;  // one task is done, so all are; bound ones still count until confirmed terminated
+    /// One task is done, so all are. Bound ones still count until they are confirmed terminated.
+    bool gang_done = false;
 
     /// Tasks are stored in parts because the size of a stored value is limited. Part 0 is the job record
     /// itself.
@@ -120,7 +120,8 @@
     std::function<void(const Admission&)> on_admitted;
 
     /// Returns the number of tasks that wait for capacity. Returns 0 for a job in backoff and for best-effort
-    /// work, which uses unused capacity: neither may attract machines or quota, or keep other jobs away.
+    /// work, which uses capacity that no other work uses: neither may attract machines or quota, or keep
+    /// other jobs away.
     int waiting_tasks() const {
         return stage == Stage::Queued && dependencies_done && !backing_off && !is_best_effort()
                    ? unbound_tasks
--- a/src/shard/job_records.cpp
+++ b/src/shard/job_records.cpp
@@ -557,9 +557,8 @@
             if (slot.state == SlotState::DonePending) slot.state = SlotState::Done;
         }
         if (final_record) {
-            spdlog::info(
-                "job {}: {}", ref,
-                job->stage == Stage::Cancelled ? "cancelled, all of its tasks have terminated" : "done");
+            spdlog::info("job {}: {}", ref,
+                         job->stage == Stage::Cancelled ? "cancelled, all of its tasks are gone" : "done");
             drop_job(ref);
             // Earlier records that the change feed still delivers must not restore the job.
             return context_.on_job_finalized(ref, value, result.revision);
--- a/src/shard/rebalancer.cpp
+++ b/src/shard/rebalancer.cpp
@@ -81,7 +81,7 @@
 
 void Rebalancer::load_stored_plan() {
     // The plan was read after this process took the shard, and a plan is written only on condition of the
-    // shard's revision: no write of an earlier owner can still arrive.
+    // shard's revision: no write of a former owner can still arrive.
     const PlanCache::Stored* stored = context_.stored_plan(shard_);
     if (!stored) return;
     known_revision_ = stored->mod_revision;
@@ -197,7 +197,7 @@
         job_view.age = (context_.runtime().wall_clock_ms() - job->eligible_since_ms) * kMillisecond;
         job_view.tasks_by_zone = job->tasks_by_zone();
         auto history = move_history_.find(job->spec.ref);
-        // An earlier owner may have moved a task of it until this process took the shard.
+        // A former owner may have moved a task of it until this process took the shard.
         job_view.time_since_move =
             std::min(kMoveHistoryPeriod,
                      now - (history == move_history_.end() ? owned_since_ : history->second.last_move_at));
--- a/src/shard/rebalancer.hpp
+++ b/src/shard/rebalancer.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // Rebalancer: carries out a shard's plan of moves and capacity reservations (scheduling/migrations.hpp).
 // Where the policy asks for moves, it evaluates the shard once a second, writes the plan ahead as
-// c/plan/DOMAIN, and only then has tasks stopped. It completes or takes back what an earlier owner of the
-// shard began. While there is nothing to move, it writes nothing.
+// c/plan/DOMAIN, and only then has tasks stopped. It completes or cancels what a former owner of the
+// shard started. While there is nothing to move, it writes nothing.
 
 #include <map>
 #include <memory>
--- a/src/shard/scheduler.cpp
+++ b/src/shard/scheduler.cpp
@@ -25,8 +25,8 @@
 constexpr Micros kBestEffortInterval = 500 * kMillisecond;
 // For this long after a job has found no machine, no part of its team's limit is withheld for it.
 constexpr Micros kLacksCapacityPeriod = 10 * kSecond;
-// How long other shards have to give a waiting live task some of their share of its team's limit. After that,
-// batch tasks of the same team are preempted for it.
+// How long other shards have to transfer some of their share of its team's limit for a waiting live task.
+// After that, batch tasks of the same team are preempted for it.
 constexpr Micros kLimitPreemptionDelay = 2 * kSecond;
 // Best-effort starts a second for each core that the process may use: with everything that follows from a
 // start (a bind, a launch, reports, a result) that is a fifth of the process's time.
@@ -316,7 +316,7 @@
     const Job& job, const std::vector<const Candidate*>& eligible, const std::vector<Machine*>& machines,
     bool image_ready_only) const {
     std::vector<ImageRequirement> image_order{ImageRequirement::Any};
-    // Work of low rank is kept together where its image is, so that one report and one change cover many of
+    // Work of low rank is placed together where its image is, so that one report and one change cover many of
     // its tasks.
     if (job.rank <= PriorityClass::High || job.rank == PriorityClass::Low)
         image_order = {ImageRequirement::Ready, ImageRequirement::Fetching, ImageRequirement::Any};
@@ -394,8 +394,8 @@
                                 static_cast<double>(std::max<Micros>(spec.estimated_duration, kSecond)) / 1e6;
     queued.remaining_work_by_age = remaining_work / static_cast<double>(age_ms + 10'000);
     queued.age = age_ms * kMillisecond;
-    // A best-effort job counts as begun only while a task of it runs, so that one runs at least once the job
-    // is overdue.
+    // A best-effort job counts as started only while a task of it runs, so that one runs at least once the
+    // job is overdue.
     queued.has_started =
         job.bound_tasks > 0 || job.backing_off || (job.done_tasks > 0 && !job.is_best_effort());
     queued.lacks_capacity = job.no_capacity_at > 0 && now - job.no_capacity_at < kLacksCapacityPeriod;
@@ -421,17 +421,17 @@
 }
 
 /// Returns the jobs that may be placed now, ordered by reference, so that every owner gets the same order.
-std::vector<Job*> Scheduler::eligible_jobs(bool is_best_effort_turn) {
+std::vector<Job*> Scheduler::eligible_jobs(bool is_best_effort_due) {
     const Micros now = context_.runtime().now();
     std::vector<Job*> waiting;
     for (auto& [ref, job] : shard_state_.jobs) {
         if (job->stage != Stage::Queued || job->transferring || job->unbound_tasks == 0) continue;
-        // The dependency gate: every bind comes from here, so no task of a job starts before all jobs that it
-        // depends on are done.
+        // The dependency check: every bind comes from here, so no task of a job starts before all jobs that
+        // it depends on are done.
         if (!job->dependencies_done) continue;
         if (job->backing_off && (now < job->next_try_at || job->bound_tasks > 0)) continue;
         job->within_guarantee = context_.within_guarantee(ref);
-        if (job->is_best_effort() && (!is_best_effort_turn || now < job->next_best_effort_turn)) continue;
+        if (job->is_best_effort() && (!is_best_effort_due || now < job->next_best_effort_bind_at)) continue;
         waiting.push_back(job.get());
     }
     return waiting;
@@ -440,8 +440,8 @@
 void Scheduler::run_pass() {
     const Micros now = context_.runtime().now();
     // Best-effort work is bound in batches, which takes fewer changes and less time.
-    const bool is_best_effort_turn = now - best_effort_scheduled_at_ >= kBestEffortInterval;
-    if (is_best_effort_turn) best_effort_scheduled_at_ = now;
+    const bool is_best_effort_due = now - best_effort_scheduled_at_ >= kBestEffortInterval;
+    if (is_best_effort_due) best_effort_scheduled_at_ = now;
     objectives_by_class_.clear();
     // Nothing that a pass does changes which machines are usable.
     usable_machines_.clear();
@@ -451,7 +451,7 @@
             usable_machines_.push_back(machine.get());
         else if (owner_.is_usable_but_draining(*machine))
             draining_machines_.push_back(machine.get());
-    const std::vector<Job*> waiting = eligible_jobs(is_best_effort_turn);
+    const std::vector<Job*> waiting = eligible_jobs(is_best_effort_due);
     std::vector<scheduling::QueuedJob> queue;
     queue.reserve(waiting.size());
     for (const Job* job : waiting) queue.push_back(queued_job(*job, queue.size()));
@@ -461,7 +461,7 @@
     for (const auto& [name, machine] : shard_state_.machines) zones.insert(machine->zone);
     all_zones_.assign(zones.begin(), zones.end());
     futile_preemptions_.clear();
-    if (is_best_effort_turn) update_best_effort_cores();
+    if (is_best_effort_due) update_best_effort_cores();
     update_gpu_demand();
     update_zone_cores();
     has_bound_low_rank_ =
@@ -672,7 +672,7 @@
         return place_gang(job, candidates, machines) ||
                (may_use_draining_machines(job) && add_candidates(MachineGroup::Draining) &&
                 place_gang(job, candidates, machines));
-    if (job.is_best_effort() && !job.overdue) job.next_best_effort_turn = now + best_effort_interval(job);
+    if (job.is_best_effort() && !job.overdue) job.next_best_effort_bind_at = now + best_effort_interval(job);
 
     std::map<std::string, int> tasks_by_zone = job.tasks_by_zone();
     const ZoneConstraints constraints = zone_constraints(job);
--- a/src/shard/scheduler.hpp
+++ b/src/shard/scheduler.hpp
@@ -63,7 +63,7 @@
     const std::map<std::string, Resources>& quota_shortfalls() const { return quota_shortfalls_; }
 
   private:
-    std::vector<Job*> eligible_jobs(bool is_best_effort_turn);
+    std::vector<Job*> eligible_jobs(bool is_best_effort_due);
     bool place_job(Job& job);
     bool place_gang(Job& job, const std::vector<Candidate>& candidates,
                     const std::vector<Machine*>& machines);
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -59,8 +59,8 @@
     virtual std::optional<Micros> peer_lease_end(std::size_t peer) const = 0;
     /// Returns a job that is not over as the change feed has delivered it; nullptr if there is none.
     virtual const LiveJob* stored_job(const std::string& ref) const = 0;
-    /// Returns the migration plan that a shard has begun and not ended, as last read; nullptr if there never
-    /// was one.
+    /// Returns the migration plan that a shard has started and not finished, as last read; nullptr if there
+    /// never was one.
     virtual const PlanCache::Stored* stored_plan(const std::string& shard) const = 0;
     /// Returns for how long no node has joined or ended and each shard has had a live owner, according to
     /// the store; 0 if that is not the case now.
