--- a/src/shard/load_exchange.cpp
+++ b/src/shard/load_exchange.cpp
@@ -15,7 +15,7 @@
 
 // How long a job waits before machines of other shards are requested for it.
 constexpr Micros kCapacityRequestDelay = 150 * kMillisecond;
-// How long a machine must have been idle before it is given to another shard.
+// How long a machine must have been idle before it is transferred to another shard.
 constexpr Micros kMinIdleBeforeOffer = 500 * kMillisecond;
 // How long a job that finds no machine reserves its part of its team's limit. A gang reserves it
 // longer, as the resources for all of its tasks may have to be reserved one machine after another.
--- a/src/shard/shard_owner.hpp
+++ b/src/shard/shard_owner.hpp
@@ -44,7 +44,8 @@
     virtual void on_ownership_lost(const std::string& shard) = 0;
     /// Schedules run_pending_work() of all owners to run as soon as the current event has been handled.
     virtual void wake() = 0;
-    /// Returns the shard's stored share of a team's limit, less the part that is being given to other shards.
+    /// Returns the shard's stored share of a team's limit, less the part that is being transferred to other
+    /// shards.
     virtual Resources available_quota(const std::string& shard, const std::string& team) const = 0;
     /// Returns true if the job fits into its team's guarantee together with the team's earlier unfinished
     /// jobs.
--- a/src/shard/shard_state.cpp
+++ b/src/shard/shard_state.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-/// Forgets a fetch that no task on the machine needs any more: the worker gives it up.
+/// Forgets a fetch that no task on the machine needs any more: the worker cancels it.
 void ShardState::forget_unused_fetch(Machine& machine, const Job& job) {
     const bool still_needed =
         std::any_of(machine.tasks.begin(), machine.tasks.end(),
