--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -170,7 +170,7 @@
         if (shard == block.shard)
             owner->on_machine(block, machine);
         else
-            owner->on_machine_gone(machine.name, "the machine is in another domain now");
+            owner->on_machine_removed(machine.name, "the machine is in another domain now");
     }
 }
 
@@ -179,8 +179,8 @@
     machine_allocator_.on_machine_returned(machine);
     for (const auto& [shard, owner] : assignment_.owners())
         if (owner)
-            owner->on_machine_gone(machine,
-                                   "the machine was deleted or transferred to another shard while empty");
+            owner->on_machine_removed(machine,
+                                      "the machine was deleted or transferred to another shard while empty");
 }
 
 void Controller::on_format() {
--- a/tests/recovery_properties_test.cpp
+++ b/tests/recovery_properties_test.cpp
@@ -152,7 +152,7 @@
             reconcile(stored, {message.lists_task, false, ExitCause::Stopped}, proof);
         if (action == ReconcileAction::Runs) seen = true;
         if (action == ReconcileAction::Relaunch) launched = false;
-        if (action == ReconcileAction::Gone) proven_terminated = true;
+        if (action == ReconcileAction::Terminated) proven_terminated = true;
         return action;
     }
     bool may_run() const {
--- a/tests/topology_spread_test.cpp
+++ b/tests/topology_spread_test.cpp
@@ -319,7 +319,7 @@
          [](Shard& changed) { changed.view.machines[4].usable = changed.view.machines[5].usable = false; }},
         {"no machine in zone c has capacity",
          [](Shard& changed) {
-             changed.view.machines[4].set_aside = changed.view.machines[5].reserved = {8'000, 0, 0};
+             changed.view.machines[4].withheld = changed.view.machines[5].reserved = {8'000, 0, 0};
          }},
         {"the machines in zone c are of another type",
          [](Shard& changed) {
